--- a/Makefile
+++ b/Makefile
@@ -13,6 +13,9 @@
 bin/golangci-lint: tools/go.mod
 	go build -modfile=tools/go.mod -o bin/golangci-lint github.com/golangci/golangci-lint/v2/cmd/golangci-lint
 
+bin/gopls: Makefile
+	GOBIN=$(CURDIR)/bin go install golang.org/x/tools/gopls@v0.23.0
+
 lint: bin/golangci-lint
 	./bin/golangci-lint run ./...
 
