--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -34,7 +34,7 @@
 	free int
 }
 
-func (s *slots) reserve(time.Time) routing.Verdict {
+func (s *slots) reserve(time.Time) routing.Outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.free == 0 {
@@ -84,7 +84,7 @@
 	for _, c := range []struct {
 		name    string
 		share   admission.Share
-		verdict routing.Verdict
+		verdict routing.Outcome
 		code    result.Code
 	}{
 		{"room", admission.Share{}, routing.Chosen, result.OK},
@@ -97,7 +97,7 @@
 				gate, s := newGate(1)
 				gate.SetShares(map[ident.Customer]admission.Share{"c": c.share})
 				a := ask(s, "c")
-				a.Reserve = func(time.Time) routing.Verdict { return c.verdict }
+				a.Reserve = func(time.Time) routing.Outcome { return c.verdict }
 				err := gate.Admit(t.Context(), a)
 				if code := result.CodeOf(err); code != c.code {
 					t.Errorf("code %d, want %d", code, c.code)
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -14,7 +14,7 @@
 	gate.SetShares(map[ident.Customer]admission.Share{"c": {Concurrent: 100, RequestsPerSecond: 1e9, TokensPerSecond: 1e12}})
 	a := &admission.Ask{
 		Customer: "c", Class: "interactive", Model: "m", Tokens: 100, Deadline: time.Now().Add(time.Hour),
-		Reserve: func(time.Time) routing.Verdict { return routing.Chosen },
+		Reserve: func(time.Time) routing.Outcome { return routing.Chosen },
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -22,7 +22,7 @@
 	// Tokens is the number of tokens that the request may use, prompt included.
 	Tokens   ident.Tokens
 	Deadline time.Time
-	Reserve  func(now time.Time) routing.Verdict
+	Reserve  func(now time.Time) routing.Outcome
 	// Free returns, after Reserve has returned BackedOff, how long until the first target may be tried.
 	Free func() time.Duration
 }
--- a/backoff/header.go
+++ b/backoff/header.go
@@ -19,13 +19,13 @@
 
 // Notice is what an upstream asks for with one answer.
 type Notice struct {
-	// Asked is the time for which it wants nothing, 0 when it names none; Text is what it said, as it came but for its length.
-	Asked time.Duration
-	Text  string
+	// Backoff is the time for which it wants nothing, 0 when it names none; Text is what it said, as it came but for its length.
+	Backoff        time.Duration
+	RetryAfterText string
 	// Leaving is set when it says that it leaves.
 	Leaving bool
-	// Err tells that what it asks for can't be read.
-	Err error
+	// BackoffErr tells that what it asks for can't be read.
+	BackoffErr error
 	// Limit is the rate that it takes from all together, when Limited is set; LimitErr tells that what it names can't be read.
 	Limit    ratelimit.Rate
 	Limited  bool
@@ -34,35 +34,35 @@
 	Header http.Header
 }
 
-// Words are the names of the headers in which upstreams ask for what HTTP has no word for.
-type Words struct {
+// HeaderNames are the names of the headers in which upstreams ask for what HTTP has no word for.
+type HeaderNames struct {
 	// Leaving stands in the answers of one that leaves, Limit names the requests a second that it takes from all together.
 	Leaving string
 	Limit   string
 }
 
-// NoticeOf reads what an answer asks for. Who answered a misdirected request is not known, so that such an answer asks for nothing.
-func NoticeOf(resp *http.Response, words Words, now time.Time) Notice {
+// ParseNotice reads what an answer asks for. Who answered a misdirected request is not known, so that such an answer asks for nothing.
+func ParseNotice(resp *http.Response, words HeaderNames, now time.Time) Notice {
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		return Notice{}
 	}
 	text := resp.Header.Get("Retry-After")
-	w := Notice{Text: text[:min(textMost, len(text))], Leaving: resp.Header.Get(words.Leaving) != "", Header: resp.Header}
-	w.Limit, w.Limited, w.LimitErr = ratelimit.Named(resp.Header, words.Limit)
-	if TurnsAway(resp.StatusCode) {
-		w.Asked, w.Err = Asked(resp.Header, now)
+	w := Notice{RetryAfterText: text[:min(textMost, len(text))], Leaving: resp.Header.Get(words.Leaving) != "", Header: resp.Header}
+	w.Limit, w.Limited, w.LimitErr = ratelimit.ParseHeader(resp.Header, words.Limit)
+	if IsRefusal(resp.StatusCode) {
+		w.Backoff, w.BackoffErr = ParseRetryAfter(resp.Header, now)
 	}
 	return w
 }
 
-// TurnsAway reports whether a status says that there is no room: only such answers ask for time.
-func TurnsAway(status int) bool {
+// IsRefusal reports whether a status says that there is no room: only such answers ask for time.
+func IsRefusal(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// Asked returns the time that an answer asks for with Retry-After (RFC 9110, section 10.2.3), 0 when it asks for none. Seconds may have
+// ParseRetryAfter returns the time that an answer asks for with Retry-After (RFC 9110, section 10.2.3), 0 when it asks for none. Seconds may have
 // a fraction. A date is held against the answer's own Date, so that no time of day but the upstream's counts, or against now.
-func Asked(h http.Header, now time.Time) (time.Duration, error) {
+func ParseRetryAfter(h http.Header, now time.Time) (time.Duration, error) {
 	var longest time.Duration
 	for _, text := range h["Retry-After"] {
 		one, err := readOne(strings.TrimSpace(text), h.Get("Date"), now)
--- a/backoff/header_test.go
+++ b/backoff/header_test.go
@@ -44,7 +44,7 @@
 			if c.date != "" {
 				h.Set("Date", c.date)
 			}
-			got, err := backoff.Asked(h, start)
+			got, err := backoff.ParseRetryAfter(h, start)
 			if got != c.want || (err != nil) != c.bad {
 				t.Errorf("%v and %v, want %v, an error: %v", got, err, c.want, c.bad)
 			}
@@ -63,7 +63,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text, date string) {
 		h := http.Header{"Retry-After": {text}, "Date": {date}}
-		got, err := backoff.Asked(h, start)
+		got, err := backoff.ParseRetryAfter(h, start)
 		if got < 0 || err != nil && got != 0 {
 			t.Errorf("%v and %v", got, err)
 		}
--- a/backoff/list.go
+++ b/backoff/list.go
@@ -24,10 +24,10 @@
 
 // Rule bounds what an upstream may ask for.
 type Rule struct {
-	// Most is the longest time that one answer may ask for.
-	Most time.Duration
-	// Unsaid is how long an upstream is passed over that refuses for want of room and names no time.
-	Unsaid time.Duration
+	// Max is the longest time that one answer may ask for.
+	Max time.Duration
+	// Default is how long an upstream is passed over that refuses for want of room and names no time.
+	Default time.Duration
 	// Leaving is how long one is passed over that said that it leaves.
 	Leaving time.Duration
 }
@@ -35,7 +35,7 @@
 // DefaultRule is a minute, so that one header with an hour in it silences an upstream that works again for no longer than that and is
 // tried with one request a minute; a pass or two of an engine with all slots taken; and ten minutes, many times what a planned end takes.
 func DefaultRule() Rule {
-	return Rule{Most: time.Minute, Unsaid: 120 * time.Millisecond, Leaving: 10 * time.Minute}
+	return Rule{Max: time.Minute, Default: 120 * time.Millisecond, Leaving: 10 * time.Minute}
 }
 
 const (
@@ -75,19 +75,19 @@
 
 // State is what an upstream asked for as it stands.
 type State struct {
-	// Left is how long it wants nothing yet.
-	Left time.Duration
+	// Remaining is how long it wants nothing yet.
+	Remaining time.Duration
 	// Leaving is set when that is because it leaves.
 	Leaving bool
-	// Asked is set when it asked for time and has taken nothing since, Busy while one request tries whether it does.
-	Asked bool
-	Busy  bool
+	// Requested is set when it asked for time and has taken nothing since, Busy while one request tries whether it does.
+	Requested bool
+	Probing   bool
 }
 
 // Admits reports whether a request may go there now. An upstream that asked for time gets the first ones singly, since it was overrun:
 // all that wait for it would otherwise reach it at the same moment.
 func (s State) Admits() bool {
-	return s.Left <= 0 && !s.Busy
+	return s.Remaining <= 0 && !s.Probing
 }
 
 // New returns an empty list.
@@ -95,9 +95,9 @@
 	return &List[K]{Rule: rule, words: map[K]*word{}}
 }
 
-// Refuse notes that an upstream turned a request away, and asked for a time, 0 when it named none. It reports whether what is known
+// NoteRefusal notes that an upstream turned a request away, and asked for a time, 0 when it named none. It reports whether what is known
 // of it has changed but for the time.
-func (l *List[K]) Refuse(now time.Time, k K, asked time.Duration) bool {
+func (l *List[K]) NoteRefusal(now time.Time, k K, asked time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := l.word(now, k)
@@ -106,9 +106,9 @@
 		w.asked = true
 		l.asking.Add(1)
 	}
-	wait := min(asked, l.Rule.Most)
+	wait := min(asked, l.Rule.Max)
 	if asked <= 0 {
-		wait = l.Rule.Unsaid
+		wait = l.Rule.Default
 	}
 	l.extend(w, now.Add(wait))
 	if asked > 0 && now.Add(wait).After(w.over) {
@@ -117,8 +117,8 @@
 	return first
 }
 
-// Leave notes that an upstream said that it leaves, and reports whether that is new.
-func (l *List[K]) Leave(now time.Time, k K) bool {
+// NoteLeaving notes that an upstream said that it leaves, and reports whether that is new.
+func (l *List[K]) NoteLeaving(now time.Time, k K) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := l.word(now, k)
@@ -162,7 +162,7 @@
 // drop forgets what is over. An upstream that has not been tried since counts as any other after as long again as it may ask for.
 func (l *List[K]) drop(now time.Time) {
 	for k, w := range l.words {
-		if now.Sub(w.until) < l.Rule.Most {
+		if now.Sub(w.until) < l.Rule.Max {
 			continue
 		}
 		delete(l.words, k)
@@ -172,8 +172,8 @@
 	}
 }
 
-// Of returns what an upstream asked for as it stands.
-func (l *List[K]) Of(now time.Time, k K) State {
+// StateOf returns what an upstream asked for as it stands.
+func (l *List[K]) StateOf(now time.Time, k K) State {
 	if l.quiet(now) {
 		return State{}
 	}
@@ -187,13 +187,13 @@
 	case w == nil:
 		return State{}
 	case now.Before(w.until):
-		return State{Left: w.until.Sub(now), Leaving: w.leaving, Asked: w.asked}
+		return State{Remaining: w.until.Sub(now), Leaving: w.leaving, Requested: w.asked}
 	}
-	return State{Asked: w.asked, Busy: w.asked && now.Before(w.tried)}
+	return State{Requested: w.asked, Probing: w.asked && now.Before(w.tried)}
 }
 
-// Begin notes that a request goes to an upstream, and reports whether it is the one that tries it. Whoever gets true calls End.
-func (l *List[K]) Begin(now time.Time, k K) bool {
+// BeginProbe notes that a request goes to an upstream, and reports whether it is the one that tries it. Whoever gets true calls End.
+func (l *List[K]) BeginProbe(now time.Time, k K) bool {
 	if l.quiet(now) {
 		return false
 	}
@@ -207,8 +207,8 @@
 	return true
 }
 
-// End ends a trial; taken is set when the upstream has begun to work on the request.
-func (l *List[K]) End(k K, taken bool) {
+// EndProbe ends a trial; taken is set when the upstream has begun to work on the request.
+func (l *List[K]) EndProbe(k K, taken bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := l.words[k]
@@ -227,7 +227,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for k, w := range l.words {
-		if s := w.state(now); s.Left > 0 {
+		if s := w.state(now); s.Remaining > 0 {
 			visit(k, s)
 		}
 	}
--- a/backoff/model_test.go
+++ b/backoff/model_test.go
@@ -19,9 +19,9 @@
 
 func (b *book) of(now time.Time, k int) backoff.State {
 	if left := b.until[k].Sub(now); left > 0 {
-		return backoff.State{Left: left, Leaving: b.leaving[k], Asked: b.asked[k]}
+		return backoff.State{Remaining: left, Leaving: b.leaving[k], Requested: b.asked[k]}
 	}
-	return backoff.State{Asked: b.asked[k], Busy: b.asked[k] && now.Before(b.tried[k])}
+	return backoff.State{Requested: b.asked[k], Probing: b.asked[k] && now.Before(b.tried[k])}
 }
 
 func (b *book) extend(k int, until time.Time) {
@@ -34,7 +34,7 @@
 func TestListAgainstABook(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		r := backoff.Rule{Most: 20 * time.Second, Unsaid: 100 * time.Millisecond, Leaving: 15 * time.Second}
+		r := backoff.Rule{Max: 20 * time.Second, Default: 100 * time.Millisecond, Leaving: 15 * time.Second}
 		l := backoff.New[int](r)
 		b := &book{map[int]time.Time{}, map[int]time.Time{}, map[int]bool{}, map[int]bool{}}
 		now := start
@@ -45,22 +45,22 @@
 			switch n := random.IntN(10); {
 			case n < 2:
 				what = "refuse"
-				l.Refuse(now, k, 0)
-				b.extend(k, now.Add(r.Unsaid))
+				l.NoteRefusal(now, k, 0)
+				b.extend(k, now.Add(r.Default))
 			case n < 5:
 				asked := time.Duration(random.IntN(4000)+1) * time.Millisecond
 				what = fmt.Sprint("ask ", asked)
-				l.Refuse(now, k, asked)
+				l.NoteRefusal(now, k, asked)
 				b.asked[k] = true
 				b.extend(k, now.Add(asked))
 			case n == 5 && random.IntN(20) == 0:
 				what = "leave"
-				l.Leave(now, k)
+				l.NoteLeaving(now, k)
 				b.leaving[k] = true
 				b.extend(k, now.Add(r.Leaving))
 			case n < 9:
 				what = "begin"
-				got, want := l.Begin(now, k), b.asked[k] && !now.Before(b.tried[k])
+				got, want := l.BeginProbe(now, k), b.asked[k] && !now.Before(b.tried[k])
 				if got != want {
 					t.Fatalf("seed %d, step %d: %d tries %t, want %t", seed, step, k, got, want)
 				}
@@ -70,12 +70,12 @@
 			default:
 				taken := random.IntN(2) == 0
 				what = fmt.Sprint("end ", taken)
-				l.End(k, taken)
+				l.EndProbe(k, taken)
 				b.tried[k] = time.Time{}
 				b.asked[k] = b.asked[k] && !taken
 			}
 			for k := range 6 {
-				if diff := cmp.Diff(b.of(now, k), l.Of(now, k)); diff != "" {
+				if diff := cmp.Diff(b.of(now, k), l.StateOf(now, k)); diff != "" {
 					t.Fatalf("seed %d, step %d, after %s: upstream %d (-want +got):\n%s", seed, step, what, k, diff)
 				}
 			}
--- a/backoff/refusal.go
+++ b/backoff/refusal.go
@@ -7,8 +7,8 @@
 
 // Refusal is an upstream's refusal that asks for time.
 type Refusal struct {
-	Asked time.Duration
-	cause error
+	Backoff time.Duration
+	cause   error
 }
 
 // Error returns the words of the refusal.
@@ -17,16 +17,16 @@
 // Unwrap returns the error with the code.
 func (r *Refusal) Unwrap() error { return r.cause }
 
-// Refused adds the time that an upstream asked for to its refusal.
-func Refused(cause error, asked time.Duration) error {
-	return &Refusal{Asked: asked, cause: cause}
+// NewRefusal adds the time that an upstream asked for to its refusal.
+func NewRefusal(cause error, asked time.Duration) error {
+	return &Refusal{Backoff: asked, cause: cause}
 }
 
-// AskedBy returns the time that an upstream asked for with err, 0 when it asked for none.
-func AskedBy(err error) time.Duration {
+// RequestedBy returns the time that an upstream asked for with err, 0 when it asked for none.
+func RequestedBy(err error) time.Duration {
 	var r *Refusal
 	if errors.As(err, &r) {
-		return r.Asked
+		return r.Backoff
 	}
 	return 0
 }
--- a/cmd/dunlinquay/inspect.go
+++ b/cmd/dunlinquay/inspect.go
@@ -78,7 +78,7 @@
 	heldTable(t, s.Held)
 }
 
-func heldTable(t io.Writer, held []site.HeldState) {
+func heldTable(t io.Writer, held []site.QuarantineState) {
 	if len(held) == 0 {
 		return
 	}
@@ -215,7 +215,7 @@
 	part.Decisions = slices.DeleteFunc(slices.Clone(s.Decisions), func(d site.GroupDecision) bool {
 		return string(d.Group) != name && string(d.Model) != name && !names(d.Members, name)
 	})
-	part.Held = slices.DeleteFunc(slices.Clone(s.Held), func(h site.HeldState) bool {
+	part.Held = slices.DeleteFunc(slices.Clone(s.Held), func(h site.QuarantineState) bool {
 		return h.Content != name && string(h.Customer) != name
 	})
 	return &part
--- a/cmd/dunlinquay/site.go
+++ b/cmd/dunlinquay/site.go
@@ -73,7 +73,7 @@
 }
 
 // namesOf returns the headers of the platform, and those that the settings declare.
-func namesOf(cfg *settings.Site) relay.Names {
+func namesOf(cfg *settings.Site) relay.HeaderNames {
 	names := platform.Names()
 	names.Application = append(names.Application, cfg.ApplicationHeaders...)
 	return names
@@ -86,18 +86,18 @@
 	}
 	c.Log = log.Events()
 	names := namesOf(cfg)
-	c.Unread = unread.New[ident.Incarnation](names.Known()...)
+	c.Unrecognized = unread.New[ident.Incarnation](names.Recognized()...)
 	c.Dial = transport.Guarded()
 	c.DecodeConfig = platform.ReadConfig
 	orders, paces := platform.NewOrders(transport.Guarded()), platform.NewPaces(transport.Guarded())
-	orders.Heard, paces.Heard = c.Heard, c.Heard
-	c.GiveOrder, c.AskPace = orders.Give, paces.Ask
+	orders.Heard, paces.Heard = c.ApplyNotice, c.ApplyNotice
+	c.SendOrder, c.QuerySlowdown = orders.Give, paces.Ask
 	calls := &platform.Control{
-		Report: c.Report, Leave: c.Leave, Replace: c.Replace, Read: c.Read, Drain: c.Drain, Refuse: c.Refuse,
-		Unusable: c.Unusable, Unread: c.UnreadInReport, UnreadInConfig: c.UnreadInConfig,
+		Report: c.Report, Leave: c.Leave, Replace: c.Replace, Read: c.Read, Drain: c.Drain, Refuse: c.LogRefusedConfig,
+		Unusable: c.LogUnusableReport, Unread: c.NoteUnrecognizedReportFields, UnreadInConfig: c.LogUnrecognizedConfigFields,
 	}
 	c.Handler = calls.Handler()
-	c.Reread = reread
+	c.LoadSettings = reread
 	ctx, end := context.WithCancel(ctx)
 	defer end()
 	onSignals(end, c.Reload)
@@ -107,10 +107,10 @@
 func runEntry(ctx context.Context, cfg *settings.Site, log *eventlog.Log, reread func() (*settings.Site, error)) error {
 	e := site.NewEntry(cfg, namesOf(cfg), transport.Guarded())
 	e.Log = log.Events()
-	e.Requests = log.Requests()
+	e.RequestLog = log.Requests()
 	e.DecodeConfig = platform.ReadConfig
-	e.Ready = platform.Ready
-	e.Reread = reread
+	e.ReadyHandler = platform.Ready
+	e.LoadSettings = reread
 	onSignals(e.Stop, e.Reload)
 	return e.Run(ctx)
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -23,9 +23,9 @@
 
 // What is seen of a member, when, and what the leader concludes.
 func TestJudge(t *testing.T) {
-	answer := presence.Observation{VM: "w", Sight: presence.SightAnswer, Incarnation: "i", Epoch: 7}
-	refused := presence.Observation{VM: "w", Sight: presence.SightRefused}
-	silent := presence.Observation{VM: "w", Sight: presence.SightSilence}
+	answer := presence.Observation{VM: "w", Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 7}
+	refused := presence.Observation{VM: "w", Sight: presence.ProbeRefused}
+	silent := presence.Observation{VM: "w", Sight: presence.ProbeTimedOut}
 	type seen struct {
 		at time.Duration
 		o  presence.Observation
@@ -45,16 +45,16 @@
 		{"refused a moment ago", fleet.VMJoined, []seen{{time.Second, answer}, {2 * time.Second, refused}}, 2 * time.Second, planner.ConditionSuspect},
 		{"refused for the loss bound", fleet.VMJoined, []seen{{time.Second, answer}, {4 * time.Second, refused}}, 4 * time.Second, planner.ConditionLost},
 		{"one watcher is cut off, the other one sees it", fleet.VMJoined, []seen{{3 * time.Second, answer}, {4 * time.Second, silent}}, 4 * time.Second, planner.ConditionPresent},
-		{"another incarnation", fleet.VMJoined, []seen{{time.Second, presence.Observation{VM: "w", Sight: presence.SightAnswer, Incarnation: "j", Epoch: 7}}}, 2 * time.Second, planner.ConditionRestarted},
-		{"the old epoch, seen after it joined", fleet.VMJoined, []seen{{time.Second, presence.Observation{VM: "w", Sight: presence.SightAnswer, Incarnation: "i", Epoch: 6}}}, 2 * time.Second, planner.ConditionRestarted},
-		{"the old epoch, seen before it joined", fleet.VMJoined, []seen{{0, presence.Observation{VM: "w", Sight: presence.SightAnswer, Incarnation: "i", Epoch: 6}}}, time.Second, planner.ConditionPresent},
+		{"another incarnation", fleet.VMJoined, []seen{{time.Second, presence.Observation{VM: "w", Sight: presence.ProbeAnswered, Incarnation: "j", Epoch: 7}}}, 2 * time.Second, planner.ConditionRestarted},
+		{"the old epoch, seen after it joined", fleet.VMJoined, []seen{{time.Second, presence.Observation{VM: "w", Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 6}}}, 2 * time.Second, planner.ConditionRestarted},
+		{"the old epoch, seen before it joined", fleet.VMJoined, []seen{{0, presence.Observation{VM: "w", Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 6}}}, time.Second, planner.ConditionPresent},
 		{"a free VM that never answered", fleet.VMFree, []seen{{time.Second, refused}}, 2 * time.Second, planner.ConditionSuspect},
 	} {
 		table := presence.NewTable()
-		j := control.NewJudge(table, time.Second, 2*time.Second)
+		j := control.NewFailureDetector(table, time.Second, 2*time.Second)
 		s := fleet.NewState()
 		s.VMs["w"] = &fleet.VM{Name: "w", Phase: c.phase, Epoch: 7, Incarnation: "i"}
-		w := planner.NewWorld(s)
+		w := planner.NewSnapshot(s)
 		j.Assess(start, w)
 		for _, x := range c.seen {
 			table.Observe(start.Add(x.at), []presence.Observation{x.o})
@@ -68,16 +68,16 @@
 
 func TestJudgeCountsFlaps(t *testing.T) {
 	table := presence.NewTable()
-	j := control.NewJudge(table, time.Second, 2*time.Second)
+	j := control.NewFailureDetector(table, time.Second, 2*time.Second)
 	s := fleet.NewState()
 	s.VMs["w"] = &fleet.VM{Name: "w"}
-	w := planner.NewWorld(s)
+	w := planner.NewSnapshot(s)
 	now := start
 	for range 3 {
-		table.Observe(now, []presence.Observation{{VM: "w", Sight: presence.SightAnswer}})
+		table.Observe(now, []presence.Observation{{VM: "w", Sight: presence.ProbeAnswered}})
 		j.Assess(now, w)
 		now = now.Add(5 * time.Second)
-		table.Observe(now, []presence.Observation{{VM: "w", Sight: presence.SightRefused}})
+		table.Observe(now, []presence.Observation{{VM: "w", Sight: presence.ProbeRefused}})
 		j.Assess(now, w)
 	}
 	if got := w.VM("w").Flaps; got != 3 {
@@ -102,7 +102,7 @@
 }
 
 func newDesk() *desk {
-	d := &desk{Orders: control.NewOrders(), authority: control.Authority{Leads: true, Term: 3, Unchecked: true, Until: time.Now().Add(time.Hour)}}
+	d := &desk{Orders: control.NewOrders(), authority: control.Authority{Leads: true, Term: 3, MayOrderUnchecked: true, LeaseEnd: time.Now().Add(time.Hour)}}
 	d.Deadline = time.Second
 	d.answer = func(*engine.Order) (engine.OrderAnswer, error) {
 		return engine.OrderAnswer{Incarnation: "i", Done: true}, nil
@@ -113,7 +113,7 @@
 		defer d.mu.Unlock()
 		d.confirmed = append(d.confirmed, c)
 	}
-	d.Give = func(_ context.Context, address string, o *engine.Order) (engine.OrderAnswer, error) {
+	d.Send = func(_ context.Context, address string, o *engine.Order) (engine.OrderAnswer, error) {
 		d.mu.Lock()
 		d.given = append(d.given, fmt.Sprintf("%s %s %d rank %d", address, o.Kind, o.Epoch, o.Rank))
 		d.fences = append(d.fences, o.Fence)
@@ -170,8 +170,8 @@
 		{"no leader, engines check", control.Authority{}, true, 0},
 		{"leader without a lease, engines check", control.Authority{Leads: true}, true, 3},
 		{"leader without a lease, engines do not check", control.Authority{Leads: true}, false, 0},
-		{"leader with a lease, engines do not check", control.Authority{Leads: true, Unchecked: true, Until: start.Add(time.Second)}, false, 3},
-		{"leader whose lease has just ended, engines do not check", control.Authority{Leads: true, Unchecked: true, Until: start}, false, 0},
+		{"leader with a lease, engines do not check", control.Authority{Leads: true, MayOrderUnchecked: true, LeaseEnd: start.Add(time.Second)}, false, 3},
+		{"leader whose lease has just ended, engines do not check", control.Authority{Leads: true, MayOrderUnchecked: true, LeaseEnd: start}, false, 0},
 	} {
 		d := newDesk()
 		d.Now = func() time.Time { return start }
@@ -188,10 +188,10 @@
 func TestOrdersEndWithTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDesk()
-		d.authority.Until = time.Now().Add(300 * time.Millisecond)
+		d.authority.LeaseEnd = time.Now().Add(300 * time.Millisecond)
 		began := time.Now()
 		var took time.Duration
-		d.Give = func(ctx context.Context, _ string, _ *engine.Order) (engine.OrderAnswer, error) {
+		d.Send = func(ctx context.Context, _ string, _ *engine.Order) (engine.OrderAnswer, error) {
 			<-ctx.Done()
 			d.mu.Lock()
 			took = time.Since(began)
@@ -242,7 +242,7 @@
 func TestLoadsComeInTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDesk()
-		d.Loads = 4
+		d.ConcurrentLoads = 4
 		d.answer = func(*engine.Order) (engine.OrderAnswer, error) { return engine.OrderAnswer{}, nil }
 		s := fleet.NewState()
 		add := func(name ident.Group, epoch ident.Epoch, vms ...ident.VM) {
@@ -300,7 +300,7 @@
 		{8, 1, 1, 8, true},
 		{8, 1, 8, 8, false},
 	} {
-		if got := control.StartNow(c.vms, c.groups, c.more, c.limit); got != c.want {
+		if got := control.ShouldStartLoad(c.vms, c.groups, c.more, c.limit); got != c.want {
 			t.Errorf("%d VMs of %d groups load, %d more with room for %d: %t, want %t", c.vms, c.groups, c.more, c.limit, got, c.want)
 		}
 	}
@@ -310,7 +310,7 @@
 func TestDrainWaitsForWhoMayStillServe(t *testing.T) {
 	const bound = 8 * time.Second
 	beat := func(heard time.Duration, revision ident.Revision, inFlight int) *presence.Peer {
-		return &presence.Peer{Name: "b", Heard: start.Add(heard), Revision: revision, InFlight: map[ident.Group]int{"g": inFlight}}
+		return &presence.Peer{Name: "b", LastContact: start.Add(heard), Revision: revision, InFlight: map[ident.Group]int{"g": inFlight}}
 	}
 	for _, c := range []struct {
 		name string
@@ -329,7 +329,7 @@
 	} {
 		l := control.NewLeader()
 		l.Machine, l.Members = fleet.NewMachine(), presence.NewMembers(time.Second)
-		l.Judge = control.NewJudge(presence.NewTable(), time.Second, 2*time.Second)
+		l.Detector = control.NewFailureDetector(presence.NewTable(), time.Second, 2*time.Second)
 		l.Daemons, l.Started, l.ControlBound, l.DrainBound = []ident.Daemon{"b"}, start, bound, 30*time.Minute
 		s := fleet.NewState()
 		s.Revision = 9
@@ -342,12 +342,12 @@
 			t.Fatal(err)
 		}
 		if c.peer != nil {
-			l.Members.Hear(*c.peer)
+			l.Members.Update(*c.peer)
 		}
 		l.Now = func() time.Time { return start }
-		l.View(func(*planner.World) {})
+		l.View(func(*planner.Snapshot) {})
 		l.Now = func() time.Time { return start.Add(c.at) }
-		l.View(func(w *planner.World) {
+		l.View(func(w *planner.Snapshot) {
 			if got := w.Group("g").Drained; got != c.want {
 				t.Errorf("%s: drained %t, want %t", c.name, got, c.want)
 			}
@@ -376,8 +376,8 @@
 		l.Orders.Authority = func() control.Authority { return control.Authority{} }
 		l.HasPlatform = c.hasPlatform
 		table := presence.NewTable()
-		table.Observe(time.Now(), []presence.Observation{{VM: "w", Sight: presence.SightAnswer, Leaving: c.leaving}})
-		l.Judge = control.NewJudge(table, time.Second, 2*time.Second)
+		table.Observe(time.Now(), []presence.Observation{{VM: "w", Sight: presence.ProbeAnswered, Leaving: c.leaving}})
+		l.Detector = control.NewFailureDetector(table, time.Second, 2*time.Second)
 		l.Listings = func() map[ident.VM]fleet.Listing { return c.said }
 		s := fleet.NewState()
 		s.VMs["w"] = &fleet.VM{Name: "w", Listing: c.before, Accelerators: 1}
--- a/control/judge.go
+++ b/control/judge.go
@@ -9,15 +9,15 @@
 	"github.com/dunlinquay/dunlinquay/presence"
 )
 
-// Judge turns observations into conditions that the planner acts on. It is
+// FailureDetector turns observations into conditions that the planner acts on. It is
 // slower to condemn than dispatch is to look away: a member that is silent for
 // the presence bound gets no requests, and only one that stays silent for the
 // loss bound, while somebody does report on it, is lost. Silence of all
 // watchers means that nothing is known, and nothing is done.
-type Judge struct {
-	Table    *presence.Table
-	Presence time.Duration
-	Loss     time.Duration
+type FailureDetector struct {
+	Table         *presence.Table
+	PresenceBound time.Duration
+	LossBound     time.Duration
 
 	tracks map[ident.VM]*track
 }
@@ -34,37 +34,37 @@
 // flapMemory is how long a loss counts as recent.
 const flapMemory = 10 * time.Minute
 
-// NewJudge returns a judge that has seen nothing yet.
-func NewJudge(table *presence.Table, presenceBound, lossBound time.Duration) *Judge {
-	return &Judge{Table: table, Presence: presenceBound, Loss: lossBound, tracks: map[ident.VM]*track{}}
+// NewFailureDetector returns a judge that has seen nothing yet.
+func NewFailureDetector(table *presence.Table, presenceBound, lossBound time.Duration) *FailureDetector {
+	return &FailureDetector{Table: table, PresenceBound: presenceBound, LossBound: lossBound, tracks: map[ident.VM]*track{}}
 }
 
 // Assess fills in the condition of every VM of w.
-func (j *Judge) Assess(now time.Time, w *planner.World) {
+func (j *FailureDetector) Assess(now time.Time, w *planner.Snapshot) {
 	for i := range w.VMs {
 		v := &w.VMs[i]
 		t := j.track(now, v.VM)
 		t.turn(now, j.condition(now, v.VM, t))
 		v.Condition = t.condition
-		v.Stable = now.Sub(t.since)
+		v.StableFor = now.Sub(t.since)
 		v.Flaps = len(t.losses)
 	}
 }
 
 // Absent reports whether v is silent beyond the presence bound, which makes the leader look itself.
-func (j *Judge) Absent(now time.Time, v *fleet.VM) bool {
+func (j *FailureDetector) Absent(now time.Time, v *fleet.VM) bool {
 	age, ok := j.Table.Cell(v.Name).PositiveAge(now)
-	return !ok || age > j.Presence
+	return !ok || age > j.PresenceBound
 }
 
-func (j *Judge) condition(now time.Time, v *fleet.VM, t *track) planner.Condition {
+func (j *FailureDetector) condition(now time.Time, v *fleet.VM, t *track) planner.Condition {
 	cell := j.Table.Cell(v.Name)
 	age, ok := cell.PositiveAge(now)
-	if ok && age <= j.Loss {
-		return met(cell.Seen(), v, t)
+	if ok && age <= j.LossBound {
+		return met(cell.Latest(), v, t)
 	}
 	report, reported := cell.ReportAge(now)
-	if !reported || report > j.Loss {
+	if !reported || report > j.LossBound {
 		return planner.ConditionUnknown
 	}
 	if !ok && v.Phase == fleet.VMFree {
@@ -75,8 +75,8 @@
 }
 
 // met tells a member that is as it was confirmed from one that has started anew or forgotten its group since.
-func met(s *presence.Seen, v *fleet.VM, t *track) planner.Condition {
-	if s == nil || s.Sight != presence.SightAnswer {
+func met(s *presence.DatedObservation, v *fleet.VM, t *track) planner.Condition {
+	if s == nil || s.Sight != presence.ProbeAnswered {
 		return planner.ConditionSuspect
 	}
 	if v.Phase == fleet.VMJoined && s.At.After(t.joined) && (s.Incarnation != v.Incarnation || s.Epoch != v.Epoch) {
@@ -85,7 +85,7 @@
 	return planner.ConditionPresent
 }
 
-func (j *Judge) track(now time.Time, v *fleet.VM) *track {
+func (j *FailureDetector) track(now time.Time, v *fleet.VM) *track {
 	t := j.tracks[v.Name]
 	if t == nil {
 		t = &track{condition: planner.ConditionUnknown, since: now}
--- a/control/leader.go
+++ b/control/leader.go
@@ -19,10 +19,10 @@
 
 // Leader does the leader's work once in every tick, when this member leads; exported fields are set before use.
 type Leader struct {
-	Now     func() time.Time
-	Machine *fleet.Machine
-	Judge   *Judge
-	Members *presence.Members
+	Now      func() time.Time
+	Machine  *fleet.Machine
+	Detector *FailureDetector
+	Members  *presence.Members
 	// Daemons names every daemon that may serve, Started is when this process began to hear of them.
 	Daemons []ident.Daemon
 	Started time.Time
@@ -45,7 +45,7 @@
 	down     map[ident.Group]time.Time
 	drains   map[ident.Group]drainWatch
 	// world is the planner's view of revision laid; planned is what of it the last plan had seen.
-	world   *planner.World
+	world   *planner.Snapshot
 	laid    ident.Revision
 	planned []uint8
 }
@@ -142,7 +142,7 @@
 			if !ok {
 				listing = v.Listing
 			}
-			if seen := l.Judge.Table.Cell(v.Name).Seen(); seen != nil && seen.Leaving && listing == fleet.ListingLive {
+			if seen := l.Detector.Table.Cell(v.Name).Latest(); seen != nil && seen.Leaving && listing == fleet.ListingLive {
 				listing = fleet.ListingLeaving
 			} else if !ok && !l.HasPlatform && seen != nil && !seen.Leaving && listing == fleet.ListingLeaving {
 				// With a platform its silence proves nothing: a leader that has not read the list yet must not take its word back.
@@ -162,28 +162,28 @@
 
 // View calls fn with the planner's view at this moment, which fn must not keep. Laying a fleet out costs far more than
 // judging it, so that is done once for each revision.
-func (l *Leader) View(fn func(w *planner.World)) {
+func (l *Leader) View(fn func(w *planner.Snapshot)) {
 	now := l.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if revision := l.Machine.Revision(); l.world == nil || revision != l.laid {
 		l.Machine.Read(func(s *fleet.State) {
 			l.laid = s.Revision
-			l.world = planner.NewWorld(s.Clone())
+			l.world = planner.NewSnapshot(s.Clone())
 		})
 		// A name that is declared again later starts without the past of the one before.
 		maps.DeleteFunc(l.down, func(name ident.Group, _ time.Time) bool { return l.world.Group(name) == nil })
 		maps.DeleteFunc(l.drains, func(name ident.Group, _ drainWatch) bool { return l.world.Group(name) == nil })
 	}
-	l.Judge.Assess(now, l.world)
+	l.Detector.Assess(now, l.world)
 	l.judgeGroups(now, l.world)
 	fn(l.world)
 }
 
 // Actions returns what the planner wants, or nothing when all that it decides by is as it was at the last plan.
 func (l *Leader) Actions() (actions []planner.Action) {
-	l.View(func(w *planner.World) {
-		seen := fingerprint(w, l.Policy.Patience, l.laid)
+	l.View(func(w *planner.Snapshot) {
+		seen := fingerprint(w, l.Policy.RecoveryWait, l.laid)
 		if slices.Equal(seen, l.planned) {
 			return
 		}
@@ -194,7 +194,7 @@
 }
 
 // fingerprint notes everything that a plan depends on beside the state: conditions, drains, and the passing of times.
-func fingerprint(w *planner.World, patience time.Duration, revision ident.Revision) []uint8 {
+func fingerprint(w *planner.Snapshot, patience time.Duration, revision ident.Revision) []uint8 {
 	seen := binary.LittleEndian.AppendUint64(make([]uint8, 0, len(w.VMs)+len(w.Groups)), uint64(revision))
 	for i := range w.VMs {
 		v := &w.VMs[i]
@@ -210,7 +210,7 @@
 		if g.Drained {
 			mark |= 1
 		}
-		if g.Down >= patience {
+		if g.DownFor >= patience {
 			mark |= 2
 		}
 		seen = append(seen, mark)
@@ -218,13 +218,13 @@
 	return seen
 }
 
-func (l *Leader) judgeGroups(now time.Time, w *planner.World) {
+func (l *Leader) judgeGroups(now time.Time, w *planner.Snapshot) {
 	for i := range w.Groups {
 		g := &w.Groups[i]
 		g.Drained = l.drained(now, g)
 		if g.Phase == fleet.GroupServing && l.allPresent(w, g) {
 			delete(l.down, g.Spec.Name)
-			g.Down = 0
+			g.DownFor = 0
 			continue
 		}
 		since, ok := l.down[g.Spec.Name]
@@ -232,11 +232,11 @@
 			since = now
 			l.down[g.Spec.Name] = now
 		}
-		g.Down = now.Sub(since)
+		g.DownFor = now.Sub(since)
 	}
 }
 
-func (l *Leader) allPresent(w *planner.World, g *planner.Group) bool {
+func (l *Leader) allPresent(w *planner.Snapshot, g *planner.Group) bool {
 	for _, name := range g.Members {
 		if w.VM(name).Condition != planner.ConditionPresent {
 			return false
@@ -275,7 +275,7 @@
 	if !heard {
 		return now.Sub(l.Started) > l.ControlBound
 	}
-	if now.Sub(p.Heard) > l.ControlBound {
+	if now.Sub(p.LastContact) > l.ControlBound {
 		return true
 	}
 	return p.Revision >= g.DrainedFrom && p.InFlight[g.Spec.Name] == 0
@@ -307,6 +307,6 @@
 	}
 	return &fleet.Command{
 		Kind:   kinds[a.Kind],
-		Assign: &fleet.Assign{Group: a.Group, Base: a.Base, Members: a.Members, Reason: a.Reason},
+		Assign: &fleet.Assign{Group: a.Group, Base: a.BaseEpoch, Members: a.Members, Reason: a.Reason},
 	}
 }
--- a/control/orders.go
+++ b/control/orders.go
@@ -22,7 +22,7 @@
 // has loaded, so loads that share the rate evenly all end late. Groups are
 // therefore started one after the other, the important one first, then the one
 // that lacks the fewest members, and a further one is started beside those that
-// load only when that lowers the sum of their waiting; see StartNow.
+// load only when that lowers the sum of their waiting; see ShouldStartLoad.
 //
 // Two leaders must not steer the same engine. An engine that checks orders
 // compares the fence, the leader's term and a running number. For one that does
@@ -37,19 +37,19 @@
 	// Leads is set while this member believes it leads, in Term.
 	Leads bool
 	Term  uint64
-	// Unchecked is set while it may also order engines that check nothing; Until is the end of its lease.
-	Unchecked bool
-	Until     time.Time
+	// MayOrderUnchecked is set while it may also order engines that check nothing; Until is the end of its lease.
+	MayOrderUnchecked bool
+	LeaseEnd          time.Time
 }
 
 // Orders gives the orders that a state calls for; exported fields are set before use.
 type Orders struct {
 	Now      func() time.Time
 	Deadline time.Duration
-	// Loads is how many VMs the weight store feeds at full rate.
-	Loads     int
-	Authority func() Authority
-	Give      func(ctx context.Context, address string, o *engine.Order) (engine.OrderAnswer, error)
+	// ConcurrentLoads is how many VMs the weight store feeds at full rate.
+	ConcurrentLoads int
+	Authority       func() Authority
+	Send            func(ctx context.Context, address string, o *engine.Order) (engine.OrderAnswer, error)
 	// Confirmed receives what engines confirmed.
 	Confirmed func(c fleet.Confirm)
 	// Failed is told of every order that was not obeyed.
@@ -82,7 +82,7 @@
 
 // NewOrders returns an idle order giver.
 func NewOrders() *Orders {
-	return &Orders{Now: clock.Now, Loads: defaultLoads, pending: map[ident.VM]*attempt{}, Failed: func(ident.VM, engine.OrderKind, error) {}}
+	return &Orders{Now: clock.Now, ConcurrentLoads: defaultLoads, pending: map[ident.VM]*attempt{}, Failed: func(ident.VM, engine.OrderKind, error) {}}
 }
 
 // Wait returns when no order is on its way.
@@ -108,7 +108,7 @@
 		}
 		// A VM whose last order failed is asked again without a turn: it does not load, and must not keep others from it.
 		turn := order.Kind == engine.OrderJoin && !a.failed
-		if turn && !loading.admit(v.Group, missing[v.Group], o.Loads) || !o.mayOrder(v, order, now) {
+		if turn && !loading.admit(v.Group, missing[v.Group], o.ConcurrentLoads) || !o.mayOrder(v, order, now) {
 			continue
 		}
 		running++
@@ -129,16 +129,16 @@
 	for _, n := range l {
 		vms += n
 	}
-	if !StartNow(vms, len(l), missing, limit) {
+	if !ShouldStartLoad(vms, len(l), missing, limit) {
 		return false
 	}
 	l[name] = missing
 	return true
 }
 
-// StartNow reports whether starting more loads beside those of the given number of VMs and groups lowers the sum of all
+// ShouldStartLoad reports whether starting more loads beside those of the given number of VMs and groups lowers the sum of all
 // groups' waiting, when limit VMs can load at full rate and more of them share it evenly.
-func StartNow(vms, groups, more, limit int) bool {
+func ShouldStartLoad(vms, groups, more, limit int) bool {
 	if groups == 0 {
 		return true
 	}
@@ -214,7 +214,7 @@
 	if !authority.Leads {
 		return false
 	}
-	if !v.ChecksOrders && (!authority.Unchecked || !now.Before(authority.Until)) {
+	if !v.ChecksOrders && (!authority.MayOrderUnchecked || !now.Before(authority.LeaseEnd)) {
 		return false
 	}
 	o.sequence++
@@ -253,13 +253,13 @@
 
 func (o *Orders) start(ctx context.Context, name ident.VM, address string, order *engine.Order, a *attempt) {
 	deadline := o.Now().Add(o.Deadline)
-	if authority := o.Authority(); authority.Unchecked && authority.Until.Before(deadline) {
-		deadline = authority.Until
+	if authority := o.Authority(); authority.MayOrderUnchecked && authority.LeaseEnd.Before(deadline) {
+		deadline = authority.LeaseEnd
 	}
 	o.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, deadline.Sub(o.Now()))
 		defer cancel()
-		answer, err := o.Give(ctx, address, order)
+		answer, err := o.Send(ctx, address, order)
 		o.finish(name, order, a, answer, err)
 	})
 }
@@ -285,7 +285,7 @@
 	}
 }
 
-// Fenced reports whether an engine refused because it has seen a newer leader.
-func Fenced(err error) bool {
+// IsFenced reports whether an engine refused because it has seen a newer leader.
+func IsFenced(err error) bool {
 	return result.CodeOf(err) == result.OrderFenced
 }
--- a/daemon/beat.go
+++ b/daemon/beat.go
@@ -85,7 +85,7 @@
 	return &peer.Beat{
 		From: d.cfg.Name, Hall: d.cfg.Hall, Incarnation: d.incarnation, Revision: d.view.revision(),
 		Stopping: d.stopping.Load(), Observations: d.probes.newest(d.now()), InFlight: d.view.inFlight(),
-		Demands: d.gate.Demands(), Held: d.dispatch.Quarantine.ToTell(d.now(), heldTold),
+		Demands: d.gate.Demands(), Held: d.dispatch.Quarantine.ToSend(d.now(), heldTold),
 		Limits: d.limitsToTell(d.now()),
 	}
 }
@@ -102,8 +102,8 @@
 // hear takes a beat, another daemon's or the own one.
 func (d *Daemon) hear(b *peer.Beat) {
 	now := d.now()
-	d.members.Hear(presence.Peer{
-		Name: b.From, Hall: b.Hall, Incarnation: b.Incarnation, Revision: b.Revision, Heard: now,
+	d.members.Update(presence.Peer{
+		Name: b.From, Hall: b.Hall, Incarnation: b.Incarnation, Revision: b.Revision, LastContact: now,
 		Stopping: b.Stopping, InFlight: b.InFlight,
 	})
 	d.table.Observe(now, b.Observations)
@@ -121,10 +121,10 @@
 func (d *Daemon) hearHeld(now time.Time, b *peer.Beat) {
 	for i := range b.Held {
 		r := &b.Held[i]
-		if !d.dispatch.Quarantine.Hear(now, r) {
+		if !d.dispatch.Quarantine.Merge(now, r) {
 			continue
 		}
-		if left := d.dispatch.Quarantine.Held(now, r.Work()); left > 0 {
+		if left := d.dispatch.Quarantine.Remaining(now, r.Fingerprint()); left > 0 {
 			d.logHeld(r, left, b.From)
 		}
 	}
--- a/daemon/cache.go
+++ b/daemon/cache.go
@@ -58,7 +58,7 @@
 	}
 	// The first answer begins wherever the engine's memory does; there is nothing to void yet.
 	if events.First > r.next && r.next > 1 {
-		d.routes.Record.Gap(t)
+		d.routes.Record.Invalidate(t)
 	}
 	for _, e := range events.Events {
 		if e.Removed {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -68,7 +68,7 @@
 	probes   *probes
 	shares   *shares
 	// seats say which daemon coordinates an upstream with a limit, by those in seated.
-	seats    *ratelimit.Seats
+	seats    *ratelimit.Coordinators
 	seated   *sharing.Entries
 	leader   *control.Leader
 	platform *platformWatch
--- a/daemon/lead.go
+++ b/daemon/lead.go
@@ -22,17 +22,17 @@
 	times := &d.cfg.Times
 	l.Machine, l.Members = d.machine, d.members
 	l.Daemons, l.Started = d.cfg.DaemonNames(), d.started
-	l.Judge = control.NewJudge(d.table, times.PresenceBound.Std(), times.LossBound.Std())
+	l.Detector = control.NewFailureDetector(d.table, times.PresenceBound.Std(), times.LossBound.Std())
 	l.Policy = planner.DefaultPolicy()
-	l.Policy.Downtime, l.Policy.Stranded = d.cfg.Policy.Downtime, d.cfg.Policy.Stranded
+	l.Policy.DowntimeWeight, l.Policy.StrandedWeight = d.cfg.Policy.Downtime, d.cfg.Policy.Stranded
 	l.DrainBound, l.ControlBound = times.DrainBound.Std(), times.ControlBound.Std()
 	l.Propose = d.proposeFleet
 	l.Registered = func() []fleet.VM { return d.platform.registered() }
 	l.HasPlatform = d.cfg.Platform.URL != ""
 	l.Listings = func() map[ident.VM]fleet.Listing { return d.platform.listings() }
 	o := control.NewOrders()
-	o.Loads = d.cfg.WeightStore.ConcurrentLoads
-	o.Deadline, o.Authority, o.Give = times.OrderDeadline.Std(), d.authority, d.engines.Order
+	o.ConcurrentLoads = d.cfg.WeightStore.ConcurrentLoads
+	o.Deadline, o.Authority, o.Send = times.OrderDeadline.Std(), d.authority, d.engines.Order
 	o.Confirmed, o.Failed = l.Confirm, d.orderFailed
 	l.Orders = o
 	d.leader = l
@@ -48,7 +48,7 @@
 	s := n.Status()
 	return control.Authority{
 		Leads: s.Role == quorum.RoleLeader, Term: uint64(s.Term),
-		Unchecked: n.HoldsLease(now) && n.OutlivedPredecessors(now), Until: s.Lease,
+		MayOrderUnchecked: n.HoldsLease(now) && n.PriorLeasesExpired(now), LeaseEnd: s.LeaseEnd,
 	}
 }
 
--- a/daemon/limits.go
+++ b/daemon/limits.go
@@ -27,10 +27,10 @@
 func (d *Daemon) buildLimits() {
 	x := d.dispatch
 	all := len(d.cfg.Peers) + 1
-	d.seats = &ratelimit.Seats{Now: d.now, All: all, Fresh: func() bool { return 2*len(d.members.Live(d.now())) > all }}
-	x.Limits.Now, x.Limits.Seat, x.Limits.Ask = d.now, d.seats.Of, d.askPermit
-	x.Services.TurnIn, d.routes.TurnIn = x.TurnIn, x.TurnIn
-	x.LimitChanged = func(upstream string, now, was ratelimit.Word) {
+	d.seats = &ratelimit.Coordinators{Now: d.now, TotalEntries: all, MayCoordinate: func() bool { return 2*len(d.members.Live(d.now())) > all }}
+	x.Limits.Now, x.Limits.Coordinator, x.Limits.Send = d.now, d.seats.Of, d.askPermit
+	x.Services.TurnIn, d.routes.PermitIn = x.TurnIn, x.TurnIn
+	x.LimitChanged = func(upstream string, now, was ratelimit.Limit) {
 		if !now.Limited() {
 			d.Log.Info("upstream names no limit any more", "upstream", upstream, "was", was.Rate, "was-since", was.Since)
 			return
@@ -50,14 +50,14 @@
 		names = append(names, string(p.Name))
 	}
 	entries := sharing.New(string(d.cfg.Name), map[ident.Hall][]string{d.cfg.Hall: names})
-	if d.seated == nil || entries.Total() != d.seated.Total() || entries.Adds(d.seated) {
-		d.seats.Set(entries)
+	if d.seated == nil || entries.Total() != d.seated.Total() || entries.AddsTo(d.seated) {
+		d.seats.SetEntries(entries)
 		d.seated = entries
 	}
 }
 
 // askPermit sends a question to the daemon that coordinates an upstream.
-func (d *Daemon) askPermit(to string, q *ratelimit.Question[string]) {
+func (d *Daemon) askPermit(to string, q *ratelimit.PermitRequest[string]) {
 	client := d.peers[ident.Daemon(to)]
 	if client == nil {
 		return
@@ -66,14 +66,14 @@
 		reply, err := client.Permit(context.Background(), permitTimeout, &peer.PermitCall{From: d.cfg.Name, Question: *q})
 		// Without an answer the limiter goes on by itself, and counts that.
 		if err == nil && reply.Known {
-			d.dispatch.Limits.Answered(&reply.Answer)
+			d.dispatch.Limits.HandleReply(&reply.Answer)
 		}
 	}()
 }
 
 // handlePermit answers another daemon's question.
 func (d *Daemon) handlePermit(c *peer.PermitCall) peer.PermitReply {
-	a, ok := d.dispatch.Limits.Asked(&c.Question, string(c.From))
+	a, ok := d.dispatch.Limits.HandleRequest(&c.Question, string(c.From))
 	if !ok {
 		return peer.PermitReply{}
 	}
@@ -84,14 +84,14 @@
 func (d *Daemon) limitsToTell(now time.Time) []peer.Limit {
 	var list []peer.Limit
 	limits := d.dispatch.Limits
-	limits.Words.Each(func(upstream string, w ratelimit.Word) {
-		age := now.Sub(w.At)
+	limits.Table.Each(func(upstream string, w ratelimit.Limit) {
+		age := now.Sub(w.LastSeen)
 		if len(list) < limitsTold && (w.Limited() || age < limitEnded) {
-			list = append(list, peer.Limit{Upstream: upstream, Rate: w.Rate, Age: age, Own: w.Own})
+			list = append(list, peer.Limit{Upstream: upstream, Rate: w.Rate, Age: age, Own: w.Direct})
 		}
 	})
 	for i := range list {
-		_, list[i].Apart = limits.Look(list[i].Upstream)
+		_, list[i].Apart = limits.Stats(list[i].Upstream)
 	}
 	return list
 }
@@ -102,11 +102,11 @@
 	for i := range b.Limits {
 		l := &b.Limits[i]
 		if l.Own {
-			d.dispatch.Limits.Words.Hear(l.Upstream, l.Rate, now.Add(-max(0, l.Age)))
+			d.dispatch.Limits.Table.Merge(l.Upstream, l.Rate, now.Add(-max(0, l.Age)))
 		}
 		if l.Apart {
 			apart[l.Upstream] = true
 		}
 	}
-	d.dispatch.Limits.HearApart(string(b.From), apart)
+	d.dispatch.Limits.MergeLocalShares(string(b.From), apart)
 }
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -143,7 +143,7 @@
 
 // current reports whether this member has known everything that was accepted, at some time since it started.
 func (m *member) current() bool {
-	return m.formed() && m.nodes[instanceFleet].Status().Current
+	return m.formed() && m.nodes[instanceFleet].Status().KnowsCommitted
 }
 
 func (m *member) hello() peer.HelloReply {
@@ -313,7 +313,7 @@
 func (m *member) handOver(ctx context.Context) {
 	for _, n := range m.nodes {
 		if n.Status().Role == quorum.RoleLeader {
-			n.HandOver(ctx)
+			n.TransferLeadership(ctx)
 		}
 	}
 }
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -97,7 +97,7 @@
 	for _, p := range d.members.All() {
 		s.Daemons = append(s.Daemons, operator.DaemonView{
 			Name: p.Name, Hall: p.Hall, Incarnation: p.Incarnation, Revision: p.Revision,
-			HeardMillis: now.Sub(p.Heard).Milliseconds(), Live: now.Sub(p.Heard) <= d.members.Bound, Stopping: p.Stopping,
+			HeardMillis: now.Sub(p.LastContact).Milliseconds(), Live: now.Sub(p.LastContact) <= d.members.Bound, Stopping: p.Stopping,
 		})
 	}
 	return s
@@ -115,7 +115,7 @@
 		switch {
 		case heard && p.Revision >= revision:
 			v.State = operator.ForceHas
-		case heard && now.Sub(p.Heard) > refusing, !heard && now.Sub(d.started) > refusing:
+		case heard && now.Sub(p.LastContact) > refusing, !heard && now.Sub(d.started) > refusing:
 			v.State = operator.ForceRefuses
 		default:
 			out.Done = false
@@ -142,7 +142,7 @@
 }
 
 // add counts the time since the last look by what is seen now.
-func (g *groupClock) add(now time.Time, w *planner.World, whole func(name ident.Group, epoch ident.Epoch) bool) groupTotals {
+func (g *groupClock) add(now time.Time, w *planner.Snapshot, whole func(name ident.Group, epoch ident.Epoch) bool) groupTotals {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var since time.Duration
@@ -189,7 +189,7 @@
 
 // measureGroups counts group downtime and stranded accelerators.
 func (d *Daemon) measureGroups() {
-	d.leader.View(func(w *planner.World) {
+	d.leader.View(func(w *planner.Snapshot) {
 		d.metrics.groups(d.clock.add(d.now(), w, d.whole))
 	})
 }
--- a/daemon/probes.go
+++ b/daemon/probes.go
@@ -71,7 +71,7 @@
 	p.d.machine.Read(func(s *fleet.State) {
 		for name, v := range s.VMs {
 			// One that is in the list already is being probed when its second turn comes.
-			if v.Listing != fleet.ListingGone && p.d.leader.Judge.Absent(now, v) {
+			if v.Listing != fleet.ListingGone && p.d.leader.Detector.Absent(now, v) {
 				list = append(list, watched{name, v.Address})
 			}
 		}
@@ -138,13 +138,13 @@
 	switch {
 	case err == nil:
 		return presence.Observation{
-			VM: name, Sight: presence.SightAnswer, Incarnation: state.Incarnation, Group: state.Group, Epoch: state.Epoch,
+			VM: name, Sight: presence.ProbeAnswered, Incarnation: state.Incarnation, Group: state.Group, Epoch: state.Epoch,
 			Leaving: state.Leaving, Slots: state.Slots, Running: state.Running, Queued: state.Queued,
 		}
 	case result.CodeOf(err) == result.NeverSent:
-		return presence.Observation{VM: name, Sight: presence.SightRefused}
+		return presence.Observation{VM: name, Sight: presence.ProbeRefused}
 	}
-	return presence.Observation{VM: name, Sight: presence.SightSilence}
+	return presence.Observation{VM: name, Sight: presence.ProbeTimedOut}
 }
 
 // newest returns the sightings that are young enough to matter, with their ages; older ones are forgotten.
--- a/dispatch/backoff_test.go
+++ b/dispatch/backoff_test.go
@@ -96,7 +96,7 @@
 				reached = append(reached, time.Since(began))
 			}
 			if address == "head-0" && time.Since(began) < 2*time.Second {
-				return nil, backoff.Refused(result.New(result.UpstreamNotRun, "no room"), asksFor)
+				return nil, backoff.NewRefusal(result.New(result.UpstreamNotRun, "no room"), asksFor)
 			}
 			return generate(ctx, address, g)
 		}
@@ -134,7 +134,7 @@
 		asks = false
 		time.Sleep(2 * time.Second)
 		_, _ = b.call(1)
-		if s := b.Services.Backoff.Of(b.Now(), "w0"); !s.Asked {
+		if s := b.Services.Backoff.StateOf(b.Now(), "w0"); !s.Requested {
 			t.Errorf("%+v, want one that is still to be tried", s)
 		}
 	})
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -53,7 +53,7 @@
 type bench struct {
 	*dispatch.Dispatcher
 	table   *routing.Table
-	cells   []*presence.Cell
+	cells   []*presence.VMRecord
 	targets []*routing.Target
 
 	mu    sync.Mutex
@@ -66,7 +66,7 @@
 	b := &bench{Dispatcher: dispatch.NewDispatcher(), table: routing.NewTable("h", time.Second), deeds: deeds}
 	for i := range 2 {
 		t := routing.NewTarget()
-		cell := &presence.Cell{}
+		cell := &presence.VMRecord{}
 		t.Group, t.Epoch, t.Model, t.Hall, t.Head = ident.Group(fmt.Sprint("g", i)), 7, "m", "h", fmt.Sprint("head-", i)
 		t.Members = []presence.Member{{Cell: cell, Incarnation: "i", Epoch: 7}}
 		b.cells = append(b.cells, cell)
@@ -85,7 +85,7 @@
 func (b *bench) see() {
 	for i, cell := range b.cells {
 		life := b.targets[i].Members[0].Incarnation
-		cell.Observe(time.Now(), &presence.Observation{Sight: presence.SightAnswer, Incarnation: life, Epoch: 7, Slots: 8})
+		cell.Observe(time.Now(), &presence.Observation{Sight: presence.ProbeAnswered, Incarnation: life, Epoch: 7, Slots: 8})
 	}
 }
 
@@ -283,7 +283,7 @@
 		}()
 		for range 40 {
 			time.Sleep(100 * time.Millisecond)
-			b.cells[1].Observe(time.Now(), &presence.Observation{Sight: presence.SightAnswer, Incarnation: "i", Epoch: 7, Slots: 8})
+			b.cells[1].Observe(time.Now(), &presence.Observation{Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 7, Slots: 8})
 			b.Look(time.Now())
 		}
 		if err := <-done; err != nil {
@@ -412,7 +412,7 @@
 					if n >= 3 && admission.RetryAfter(err) < 30*time.Second {
 						t.Errorf("request %d may come back after %v", n, admission.RetryAfter(err))
 					}
-					if left := b.Quarantine.Held(time.Now(), quarantine.Work{Customer: "c", Content: 8}); left > 0 {
+					if left := b.Quarantine.Remaining(time.Now(), quarantine.Fingerprint{Customer: "c", Content: 8}); left > 0 {
 						t.Errorf("other work is held for %v", left)
 					}
 					tell(daemons)
@@ -458,9 +458,9 @@
 // tell lets all daemons hear what each has to tell.
 func tell(daemons []*bench) {
 	for _, from := range daemons {
-		for _, r := range from.Quarantine.ToTell(time.Now(), 16) {
+		for _, r := range from.Quarantine.ToSend(time.Now(), 16) {
 			for _, to := range daemons {
-				to.Quarantine.Hear(time.Now(), &r)
+				to.Quarantine.Merge(time.Now(), &r)
 			}
 		}
 	}
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -68,7 +68,7 @@
 	// Limits keep this daemon, together with all others, within the limits that upstreams name, by their addresses.
 	Limits *ratelimit.Limiter[string]
 	// LimitChanged is told of limits that begin, change and end, LimitUnclear of what can't be read.
-	LimitChanged func(address string, now, was ratelimit.Word)
+	LimitChanged func(address string, now, was ratelimit.Limit)
 	LimitUnclear func(address string, err error)
 	// Services serves plain services.
 	Services *Services
@@ -166,11 +166,11 @@
 	}
 	started := d.Now()
 	job := &job{d: d, r: r, sink: sink, t: t, started: started}
-	job.want = routing.Ask{Model: r.Model, Adapter: r.Adapter, Prefixes: routing.Prefixes(r.Prompt), PromptTokens: r.PromptTokens}
+	job.want = routing.Request{Model: r.Model, Adapter: r.Adapter, Prefixes: routing.Prefixes(r.Prompt), PromptTokens: r.PromptTokens}
 	ask := &admission.Ask{
 		Customer: r.Customer, Class: r.Class, Priority: r.Priority, Model: r.Model,
 		Tokens: r.PromptTokens + r.MaxTokens, Deadline: r.Deadline, Reserve: job.reserve,
-		Free: func() time.Duration { return job.want.Free },
+		Free: func() time.Duration { return job.want.RetryIn },
 	}
 	if err := d.Gate.Admit(ctx, ask); err != nil {
 		return nil, d.unsent(ctx, err)
@@ -225,7 +225,7 @@
 		Holds:   func(*quarantine.Report, time.Duration) {},
 		Asked:   func(ident.Incarnation, time.Duration) {},
 
-		LimitChanged: func(string, ratelimit.Word, ratelimit.Word) {},
+		LimitChanged: func(string, ratelimit.Limit, ratelimit.Limit) {},
 		LimitUnclear: func(string, error) {},
 
 		Quarantine: &quarantine.List{Rule: quarantine.DefaultRule()},
--- a/dispatch/held.go
+++ b/dispatch/held.go
@@ -18,8 +18,8 @@
 const proofTimeout = 60 * time.Millisecond
 
 // held returns the refusal of work that is not to be sent to upstreams now, nil for any other.
-func (d *Dispatcher) held(w quarantine.Work) error {
-	left := d.Quarantine.Held(d.Now(), w)
+func (d *Dispatcher) held(w quarantine.Fingerprint) error {
+	left := d.Quarantine.Remaining(d.Now(), w)
 	if left <= 0 {
 		return nil
 	}
@@ -27,16 +27,16 @@
 }
 
 // begin notes that work is about to be sent, unless it has come to be held meanwhile.
-func (d *Dispatcher) begin(w quarantine.Work) error {
+func (d *Dispatcher) begin(w quarantine.Fingerprint) error {
 	if err := d.held(w); err != nil {
 		return err
 	}
-	d.Quarantine.Begin(d.Now(), w)
+	d.Quarantine.BeginTrial(d.Now(), w)
 	return nil
 }
 
 // concluded takes what the end of a try at address says of the work; life is who ended there, if somebody did.
-func (d *Dispatcher) concluded(w quarantine.Work, address string, life ident.Incarnation, err error) {
+func (d *Dispatcher) concluded(w quarantine.Fingerprint, address string, life ident.Incarnation, err error) {
 	switch result.CodeOf(err) {
 	case result.OK:
 		d.Quarantine.Answered(d.Now(), w)
@@ -44,8 +44,8 @@
 		if !d.hasEnded(address) {
 			return
 		}
-		tell := d.Quarantine.Ended(d.Now(), w, quarantine.EndOf(life))
-		if left := d.Quarantine.Held(d.Now(), w); left > 0 {
+		tell := d.Quarantine.Crashed(d.Now(), w, quarantine.CrashIDOf(life))
+		if left := d.Quarantine.Remaining(d.Now(), w); left > 0 {
 			d.Holds(&tell, left)
 		}
 	}
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -20,7 +20,7 @@
 	sink    Sink
 	t       *Timing
 	started time.Time
-	want    routing.Ask
+	want    routing.Request
 	target  *routing.Target
 	text    strings.Builder
 	tokens  int
@@ -29,8 +29,8 @@
 	ran    bool
 }
 
-func (j *job) reserve(now time.Time) routing.Verdict {
-	target, verdict := j.d.Table.Take(now, &j.want)
+func (j *job) reserve(now time.Time) routing.Outcome {
+	target, verdict := j.d.Table.Reserve(now, &j.want)
 	j.target = target
 	return verdict
 }
@@ -41,10 +41,10 @@
 		// The next try would end one more upstream, as the last ones did.
 		if err := j.d.begin(j.r.work()); err != nil {
 			j.endTrial(j.target, false)
-			j.d.Table.Done(j.target)
+			j.d.Table.Release(j.target)
 			return nil, err
 		}
-		if p := j.d.turn(ctx, j.target.Head, j.r.Deadline, j.want.Waits); !p.OK {
+		if p := j.d.turn(ctx, j.target.Head, j.r.Deadline, j.want.WaitsForPermit); !p.OK {
 			if err := j.withoutTurn(ctx, &p); err != nil {
 				return nil, j.final(err)
 			}
@@ -70,9 +70,9 @@
 
 // withoutTurn takes another target for a request that got no turn, or returns its refusal.
 func (j *job) withoutTurn(ctx context.Context, p *ratelimit.Permit) error {
-	waited := j.want.Waits
+	waited := j.want.WaitsForPermit
 	j.endTrial(j.target, false)
-	j.d.Table.Done(j.target)
+	j.d.Table.Release(j.target)
 	if waited {
 		return refuseTurn(p, j.r.Model)
 	}
@@ -145,7 +145,7 @@
 		case routing.NotWhole:
 			return result.New(result.NoWholeGroup, "no group of model %q has all its members", j.r.Model)
 		case routing.BackedOff:
-			return admission.RefuseAway(j.want.Free, j.r.Model)
+			return admission.RefuseAway(j.want.RetryIn, j.r.Model)
 		}
 		select {
 		case <-ctx.Done():
@@ -158,7 +158,7 @@
 // try sends the request once and reads its answer.
 func (j *job) try(ctx context.Context) (*Answer, error) {
 	target := j.target
-	defer j.d.Table.Done(target)
+	defer j.d.Table.Release(target)
 	j.t.Group, j.t.Epoch = target.Group, target.Epoch
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -188,8 +188,8 @@
 	if context.Cause(ctx) == errMemberLost { //nolint:errorlint // compared by identity: it is this try's own cause
 		return result.Wrap(err, result.UpstreamFailed, "a member of group %s was lost", target.Group)
 	}
-	if asked := backoff.AskedBy(err); asked > 0 && j.d.Table.Backoff.Refuse(j.d.Now(), target.Life(), asked) {
-		j.d.Asked(target.Life(), asked)
+	if asked := backoff.RequestedBy(err); asked > 0 && j.d.Table.Backoff.NoteRefusal(j.d.Now(), target.HeadIncarnation(), asked) {
+		j.d.Asked(target.HeadIncarnation(), asked)
 	}
 	switch code := result.CodeOf(err); code {
 	case result.NeverSent, result.EpochMismatch:
@@ -204,7 +204,7 @@
 func (j *job) endTrial(target *routing.Target, taken bool) {
 	if j.want.Trial {
 		j.want.Trial = false
-		j.d.Table.Backoff.End(target.Life(), taken)
+		j.d.Table.Backoff.EndProbe(target.HeadIncarnation(), taken)
 	}
 }
 
@@ -261,5 +261,5 @@
 		return
 	}
 	j.d.usualPace.Store(int64(usual + paceSmoothness*(perToken-usual)))
-	target.Measured(now, perToken/max(usual, 1))
+	target.RecordPace(now, perToken/max(usual, 1))
 }
--- a/dispatch/limit_test.go
+++ b/dispatch/limit_test.go
@@ -93,24 +93,24 @@
 			b.deeds = append(b.deeds, deed{cut: -1})
 		}
 		b.Gate.Capacity = func(ident.Model) int { return 64 }
-		seats := &ratelimit.Seats{Now: time.Now, Fresh: func() bool { return true }}
-		seats.Set(sharing.New(name, map[ident.Hall][]string{"": names}))
-		b.Limits.Seat = seats.Of
-		b.Services.TurnIn, b.Table.TurnIn = b.TurnIn, b.TurnIn
-		b.Limits.Ask = func(to string, q *ratelimit.Question[string]) {
+		seats := &ratelimit.Coordinators{Now: time.Now, MayCoordinate: func() bool { return true }}
+		seats.SetEntries(sharing.New(name, map[ident.Hall][]string{"": names}))
+		b.Limits.Coordinator = seats.Of
+		b.Services.TurnIn, b.Table.PermitIn = b.TurnIn, b.TurnIn
+		b.Limits.Send = func(to string, q *ratelimit.PermitRequest[string]) {
 			for j, other := range names {
 				if other == to {
 					time.AfterFunc(time.Millisecond, func() {
-						if a, ok := team[j].Limits.Asked(q, names[i]); ok {
-							time.AfterFunc(time.Millisecond, func() { b.Limits.Answered(a) })
+						if a, ok := team[j].Limits.HandleRequest(q, names[i]); ok {
+							time.AfterFunc(time.Millisecond, func() { b.Limits.HandleReply(a) })
 						}
 					})
 				}
 			}
 		}
-		b.LimitChanged = func(address string, w ratelimit.Word, _ ratelimit.Word) {
+		b.LimitChanged = func(address string, w ratelimit.Limit, _ ratelimit.Limit) {
 			for _, other := range team {
-				other.Limits.Words.Hear(address, w.Rate, w.At)
+				other.Limits.Table.Merge(address, w.Rate, w.LastSeen)
 			}
 		}
 		team = append(team, b)
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -24,27 +24,27 @@
 
 // TurnIn returns how long until the upstream at an address has a turn for a request, 0 when it may have one now.
 func (d *Dispatcher) TurnIn(now time.Time, address string) time.Duration {
-	g := d.Limits.Of(now, address)
+	g := d.Limits.Availability(now, address)
 	if g.Busy {
-		return max(g.Left, busyWait)
+		return max(g.Remaining, busyWait)
 	}
-	return g.Left
+	return g.Remaining
 }
 
 // HeardLimit takes what an upstream says of its limit in an answer to a request that was sent at a time. That it names none counts only in
 // a success: a failure may come from something before it that knows of no limit.
 func (d *Dispatcher) HeardLimit(address string, sent time.Time, status int, h http.Header) {
-	now, words := d.Now(), d.Limits.Words
-	rate, named, err := ratelimit.Named(h, ratelimit.Header)
-	var was ratelimit.Word
+	now, words := d.Now(), d.Limits.Table
+	rate, named, err := ratelimit.ParseHeader(h, ratelimit.Header)
+	var was ratelimit.Limit
 	changed := false
 	switch {
 	case err != nil:
 		d.LimitUnclear(address, err)
 	case named:
-		was, changed = words.Name(address, rate, now)
+		was, changed = words.Record(address, rate, now)
 	case status < http.StatusMultipleChoices:
-		was, changed = words.Miss(address, sent, now)
+		was, changed = words.RecordUnlimited(address, sent, now)
 	}
 	if changed {
 		d.LimitChanged(address, words.Newest(address), was)
@@ -53,11 +53,11 @@
 
 // turn waits until a request may go to an upstream. One that has nowhere else to go waits for its turn; any other goes elsewhere.
 func (d *Dispatcher) turn(ctx context.Context, address string, deadline time.Time, waits bool) ratelimit.Permit {
-	patience := ratelimit.Patience
+	patience := ratelimit.MaxWaitWithAlternatives
 	if waits {
 		patience = max(patience, time.Duration(turnPart*float64(deadline.Sub(d.Now()))))
 	}
-	p := d.Limits.Take(ctx, address, patience)
+	p := d.Limits.Acquire(ctx, address, patience)
 	if !p.OK || p.After <= 0 {
 		return p
 	}
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -36,8 +36,8 @@
 	Content ident.Content
 }
 
-func (r *Request) work() quarantine.Work {
-	return quarantine.Work{Customer: r.Customer, Content: r.Content}
+func (r *Request) work() quarantine.Fingerprint {
+	return quarantine.Fingerprint{Customer: r.Customer, Content: r.Content}
 }
 
 // Answer is the whole answer to a request.
@@ -71,8 +71,8 @@
 	Content ident.Content
 }
 
-func (c *Call) work() quarantine.Work {
-	return quarantine.Work{Customer: c.Customer, Content: c.Content}
+func (c *Call) work() quarantine.Fingerprint {
+	return quarantine.Fingerprint{Customer: c.Customer, Content: c.Content}
 }
 
 // Reply is the whole answer of a plain service.
--- a/dispatch/services.go
+++ b/dispatch/services.go
@@ -65,7 +65,7 @@
 // NewServices returns services whose workers have asked for nothing.
 func NewServices(pools map[ident.Service]*ServicePool) *Services {
 	rule := backoff.DefaultRule()
-	rule.Unsaid = unreachedFor
+	rule.Default = unreachedFor
 	return &Services{Pools: pools, Random: rand.IntN, Backoff: backoff.New[string](rule), Asked: func(string, time.Duration, error) {},
 		TurnIn: func(time.Time, string) time.Duration { return 0 }}
 }
@@ -94,7 +94,7 @@
 
 // take chooses the worker with the fewest calls, from a random one on, past those that want nothing; where all do, it returns for how
 // long the first of them does.
-func (s *Services) take(now time.Time, p *ServicePool, avoid *Worker) (chosen, routing.Verdict, time.Duration) {
+func (s *Services) take(now time.Time, p *ServicePool, avoid *Worker) (chosen, routing.Outcome, time.Duration) {
 	start := s.Random(len(p.Workers))
 	var best *Worker
 	var free time.Duration
@@ -102,13 +102,13 @@
 	verdict := routing.NotWhole
 	for i := range p.Workers {
 		w := p.Workers[(start+i)%len(p.Workers)]
-		asked := s.Backoff.Of(now, w.Address)
+		asked := s.Backoff.StateOf(now, w.Address)
 		switch {
-		case asked.Left > 0:
-			anyAsked = anyAsked || asked.Asked
-			free = soonest(free, asked.Left)
+		case asked.Remaining > 0:
+			anyAsked = anyAsked || asked.Requested
+			free = soonest(free, asked.Remaining)
 		case w == avoid && len(p.Workers) > 1, s.TurnIn(now, w.Address) > 0:
-		case asked.Busy || int(w.inFlight.Load()) >= p.Slots:
+		case asked.Probing || int(w.inFlight.Load()) >= p.Slots:
 			verdict = routing.Full
 		case best == nil || w.inFlight.Load() < best.inFlight.Load():
 			best = w
@@ -116,7 +116,7 @@
 	}
 	if best != nil {
 		best.inFlight.Add(1)
-		return chosen{best, s.Backoff.Begin(now, best.Address), false}, routing.Chosen, 0
+		return chosen{best, s.Backoff.BeginProbe(now, best.Address), false}, routing.Chosen, 0
 	}
 	next := s.nextTurn(now, p)
 	switch {
@@ -144,7 +144,7 @@
 	var soonest time.Duration
 	for _, w := range p.Workers {
 		wait := s.TurnIn(now, w.Address)
-		if wait > 0 && s.Backoff.Of(now, w.Address).Left <= 0 && (next == nil || wait < soonest) {
+		if wait > 0 && s.Backoff.StateOf(now, w.Address).Remaining <= 0 && (next == nil || wait < soonest) {
 			next, soonest = w, wait
 		}
 	}
@@ -154,22 +154,22 @@
 // done gives back what take counted, and keeps what the worker asked for in its reply.
 func (s *Services) done(now time.Time, c chosen, reply *Reply, err error) {
 	c.inFlight.Add(-1)
-	refused := reply != nil && backoff.TurnsAway(reply.Status)
+	refused := reply != nil && backoff.IsRefusal(reply.Status)
 	switch {
 	case result.CodeOf(err) == result.NeverSent:
-		s.Backoff.Refuse(now, c.Address, 0)
+		s.Backoff.NoteRefusal(now, c.Address, 0)
 	case refused:
 		s.turnedAway(now, c.Address, reply)
 	}
 	if c.trial {
-		s.Backoff.End(c.Address, reply != nil && !refused)
+		s.Backoff.EndProbe(c.Address, reply != nil && !refused)
 	}
 }
 
 // turnedAway keeps the time that a worker asked for.
 func (s *Services) turnedAway(now time.Time, address string, reply *Reply) {
-	asked, err := backoff.Asked(reply.Header, time.Now())
-	if err != nil || asked > 0 && s.Backoff.Refuse(now, address, asked) {
+	asked, err := backoff.ParseRetryAfter(reply.Header, time.Now())
+	if err != nil || asked > 0 && s.Backoff.NoteRefusal(now, address, asked) {
 		s.Asked(address, asked, err)
 	}
 }
@@ -228,7 +228,7 @@
 	var free time.Duration
 	ask := &admission.Ask{
 		Customer: c.Customer, Class: c.Class, Priority: c.Priority, Model: ServiceModel(c.Service), Deadline: c.Deadline,
-		Reserve: func(now time.Time) (verdict routing.Verdict) {
+		Reserve: func(now time.Time) (verdict routing.Outcome) {
 			worker, verdict, free = d.Services.take(now, pool, nil)
 			return verdict
 		},
--- a/engine/client.go
+++ b/engine/client.go
@@ -110,15 +110,15 @@
 // refusalOf returns what an engine's refusal means, with the time that it asks for.
 func refusalOf(w *http.Response, body []byte) error {
 	err := refusalIn(w.StatusCode, body)
-	if !backoff.TurnsAway(w.StatusCode) {
+	if !backoff.IsRefusal(w.StatusCode) {
 		return err
 	}
-	asked, unreadable := backoff.Asked(w.Header, time.Now())
+	asked, unreadable := backoff.ParseRetryAfter(w.Header, time.Now())
 	switch {
 	case unreadable != nil:
 		return result.Wrap(err, result.CodeOf(err), "%s", result.Message(unreadable))
 	case asked > 0:
-		return backoff.Refused(err, asked)
+		return backoff.NewRefusal(err, asked)
 	}
 	return err
 }
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -267,7 +267,7 @@
 				return false
 			})
 			_, err := engine.NewClient(transport.TCP()).Generate(context.Background(), address, &engine.Generate{Request: "r1", Epoch: 7})
-			if got := backoff.AskedBy(err); got != c.want || result.CodeOf(err) != result.UpstreamNotRun {
+			if got := backoff.RequestedBy(err); got != c.want || result.CodeOf(err) != result.UpstreamNotRun {
 				t.Errorf("%v asks for %v, want code %d and %v", err, got, result.UpstreamNotRun, c.want)
 			}
 		})
--- a/engine/standin.go
+++ b/engine/standin.go
@@ -330,7 +330,7 @@
 		id = "somebody-else"
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	ratelimit.Say(w.Header(), ratelimit.Rate(s.Limit.Load()))
+	ratelimit.SetHeader(w.Header(), ratelimit.Rate(s.Limit.Load()))
 	flush := http.NewResponseController(w)
 	encoder := json.NewEncoder(w)
 	cut := int(s.CutAfter.Load())
--- a/estimate/estimate.go
+++ b/estimate/estimate.go
@@ -32,14 +32,14 @@
 
 // Load is what is known to be at a group.
 type Load struct {
-	// Unread are the tokens of prompts that were sent and of which no word came yet.
-	Unread ident.Tokens
+	// PendingPrompt are the tokens of prompts that were sent and of which no word came yet.
+	PendingPrompt ident.Tokens
 	// Requests are all requests there, read or not.
 	Requests int
 }
 
-// Of returns the figures of groups of m; all takes slowdown times as long, 1 for a group that runs as it should.
-func Of(e *httproute.Engine, m *httproute.Model, slowdown float64) Group {
+// NewGroup returns the figures of groups of m; all takes slowdown times as long, 1 for a group that runs as it should.
+func NewGroup(e *httproute.Engine, m *httproute.Model, slowdown float64) Group {
 	pace := m.Pace * slowdown
 	stride := float64(max(1, e.Stride))
 	g := Group{
@@ -54,9 +54,9 @@
 	return g
 }
 
-// Pass returns the length of a pass that reads so many tokens while so many requests write, which is also the pause that all
+// IterationTime returns the length of a pass that reads so many tokens while so many requests write, which is also the pause that all
 // streams of the group make.
-func (g *Group) Pass(read ident.Tokens, writing int) time.Duration {
+func (g *Group) IterationTime(read ident.Tokens, writing int) time.Duration {
 	return time.Duration(g.pass(float64(read), writing))
 }
 
@@ -64,19 +64,19 @@
 	return read*g.perToken + g.steps + g.perSequence*float64(min(writing, g.slots))
 }
 
-// FirstWord returns the time until the first event of a request whose prompt has so many tokens: half of the pass that is in
+// FirstEvent returns the time until the first event of a request whose prompt has so many tokens: half of the pass that is in
 // progress when it comes, a slot when none is free, and the pass that reads it along with what else waits. It is 0 for an upstream
 // whose figures are not known.
-func (g *Group) FirstWord(l Load, prompt ident.Tokens) time.Duration {
+func (g *Group) FirstEvent(l Load, prompt ident.Tokens) time.Duration {
 	if g.slots == 0 {
 		return 0
 	}
 	running := g.pass(0, l.Requests) / 2
-	return time.Duration(running + g.slotWait(l.Requests) + g.pass(float64(l.Unread+prompt), l.Requests+1))
+	return time.Duration(running + g.slotWait(l.Requests) + g.pass(float64(l.PendingPrompt+prompt), l.Requests+1))
 }
 
-// Left returns how many of so many requests are still there after a time, if as many end in a moment as usual.
-func (g *Group) Left(requests int, after time.Duration) int {
+// Remaining returns how many of so many requests are still there after a time, if as many end in a moment as usual.
+func (g *Group) Remaining(requests int, after time.Duration) int {
 	if g.stay <= 0 || after <= 0 {
 		return requests
 	}
--- a/estimate/estimate_test.go
+++ b/estimate/estimate_test.go
@@ -40,8 +40,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := estimate.Of(e, &e.Models[tt.model], tt.slowdown)
-			if diff := cmp.Diff(tt.want, g.Pass(tt.read, tt.writing).Round(time.Microsecond)); diff != "" {
+			g := estimate.NewGroup(e, &e.Models[tt.model], tt.slowdown)
+			if diff := cmp.Diff(tt.want, g.IterationTime(tt.read, tt.writing).Round(time.Microsecond)); diff != "" {
 				t.Errorf("length of a pass (-want +got):\n%s", diff)
 			}
 		})
@@ -50,7 +50,7 @@
 
 func TestFirstWord(t *testing.T) {
 	e := engine()
-	g := estimate.Of(e, &e.Models[0], 1)
+	g := estimate.NewGroup(e, &e.Models[0], 1)
 	tests := []struct {
 		name   string
 		load   estimate.Load
@@ -59,14 +59,14 @@
 	}{
 		{"nothing there", estimate.Load{}, 0, 46 * time.Millisecond},
 		{"a long prompt", estimate.Load{}, 5000, 146 * time.Millisecond},
-		{"behind a long prompt", estimate.Load{Unread: 5000, Requests: 1}, 500, 157500 * time.Microsecond},
+		{"behind a long prompt", estimate.Load{PendingPrompt: 5000, Requests: 1}, 500, 157500 * time.Microsecond},
 		{"beside ten that write", estimate.Load{Requests: 10}, 500, 71 * time.Millisecond},
 		{"the last slot", estimate.Load{Requests: 19}, 0, 74500 * time.Microsecond},
 		{"two must leave first", estimate.Load{Requests: 21}, 0, 175 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if diff := cmp.Diff(tt.want, g.FirstWord(tt.load, tt.prompt).Round(time.Microsecond)); diff != "" {
+			if diff := cmp.Diff(tt.want, g.FirstEvent(tt.load, tt.prompt).Round(time.Microsecond)); diff != "" {
 				t.Errorf("time to the first word (-want +got):\n%s", diff)
 			}
 		})
@@ -76,18 +76,18 @@
 // An engine that publishes nothing but its slots has no estimate; the relay then goes by the number of requests.
 func TestFiguresThatAreMissing(t *testing.T) {
 	e := &httproute.Engine{Models: []httproute.Model{{Name: "m", Size: 1, Pace: 1}}}
-	g := estimate.Of(e, &e.Models[0], 1)
-	if diff := cmp.Diff(time.Duration(0), g.FirstWord(estimate.Load{Requests: 3}, 100)); diff != "" {
+	g := estimate.NewGroup(e, &e.Models[0], 1)
+	if diff := cmp.Diff(time.Duration(0), g.FirstEvent(estimate.Load{Requests: 3}, 100)); diff != "" {
 		t.Errorf("time to the first word (-want +got):\n%s", diff)
 	}
 }
 
 func BenchmarkFirstWord(b *testing.B) {
 	e := engine()
-	g := estimate.Of(e, &e.Models[0], 1)
-	l := estimate.Load{Unread: 3000, Requests: 12}
+	g := estimate.NewGroup(e, &e.Models[0], 1)
+	l := estimate.Load{PendingPrompt: 3000, Requests: 12}
 	b.ReportAllocs()
 	for b.Loop() {
-		g.FirstWord(l, 1000)
+		g.FirstEvent(l, 1000)
 	}
 }
--- a/ident/life.go
+++ b/ident/life.go
@@ -13,8 +13,8 @@
 	"strings"
 )
 
-// Birth is when an upstream started, in Unix milliseconds by its own clock; 0 when it does not say.
-type Birth int64
+// StartTime is when an upstream started, in Unix milliseconds by its own clock; 0 when it does not say.
+type StartTime int64
 
 const (
 	// birthMark stands between the id and the birth in an incarnation.
@@ -23,8 +23,8 @@
 	birthBase = 36
 )
 
-// Life returns the incarnation of the upstream called id that started at born.
-func Life(id string, born Birth) Incarnation {
+// IncarnationOf returns the incarnation of the upstream called id that started at born.
+func IncarnationOf(id string, born StartTime) Incarnation {
 	if born == 0 {
 		return Incarnation(id)
 	}
@@ -42,12 +42,12 @@
 	return id
 }
 
-// Born returns when the upstream started, 0 when that is not known.
-func (i Incarnation) Born() Birth {
+// StartTime returns when the upstream started, 0 when that is not known.
+func (i Incarnation) StartTime() StartTime {
 	_, text, _ := strings.Cut(string(i), birthMark)
 	n, err := strconv.ParseInt(text, birthBase, 64)
 	if err != nil {
 		return 0
 	}
-	return Birth(n)
+	return StartTime(n)
 }
--- a/measure/idle/site.go
+++ b/measure/idle/site.go
@@ -148,8 +148,8 @@
 		cfg := s.settings("entry-"+strconv.Itoa(i), controlCount+1+i)
 		e := site.NewEntry(&cfg, platform.Names(), s.dial)
 		e.DecodeConfig = s.decode
-		e.Ready = func(func() bool) http.Handler { return http.NotFoundHandler() }
-		e.Reread = func() (*settings.Site, error) { return &cfg, nil }
+		e.ReadyHandler = func(func() bool) http.Handler { return http.NotFoundHandler() }
+		e.LoadSettings = func() (*settings.Site, error) { return &cfg, nil }
 		s.tasks.Go(func() { _ = e.Run(s.ctx) })
 	}
 	return nil
--- a/measure/slopes/series.go
+++ b/measure/slopes/series.go
@@ -104,7 +104,7 @@
 	b := &peer.Beat{From: "entry-17", Hall: "halle-kempten", Incarnation: ident.NewIncarnation(), Revision: 123456, InFlight: map[ident.Group]int{}}
 	for i := range observations {
 		b.Observations = append(b.Observations, presence.Observation{
-			VM: ident.VM(fmt.Sprint("worker-", i)), Sight: presence.SightAnswer, Age: int64(i % 250), Incarnation: ident.NewIncarnation(),
+			VM: ident.VM(fmt.Sprint("worker-", i)), Sight: presence.ProbeAnswered, Age: int64(i % 250), Incarnation: ident.NewIncarnation(),
 			Group: ident.Group(fmt.Sprint("group-", i/8)), Epoch: ident.Epoch(100_000 + i), Slots: 64, Running: i % 64,
 		})
 	}
@@ -357,17 +357,17 @@
 
 func worldTime(n float64) float64 {
 	s := state(int(n))
-	return timed(func() { planner.NewWorld(s) })
+	return timed(func() { planner.NewSnapshot(s) })
 }
 
 func planTime(n float64) float64 {
-	w := planner.NewWorld(state(int(n)))
+	w := planner.NewSnapshot(state(int(n)))
 	return timed(func() { planner.Plan(w, planner.DefaultPolicy()) })
 }
 
 func judgeTime(n float64) float64 {
-	w := planner.NewWorld(state(int(n)))
-	j := control.NewJudge(presence.NewTable(), time.Second, 2*time.Second)
+	w := planner.NewSnapshot(state(int(n)))
+	j := control.NewFailureDetector(presence.NewTable(), time.Second, 2*time.Second)
 	return timed(func() { j.Assess(time.Now(), w) })
 }
 
@@ -379,7 +379,7 @@
 		panic(err)
 	}
 	l.Members = presence.NewMembers(time.Second)
-	l.Judge = control.NewJudge(presence.NewTable(), time.Second, 2*time.Second)
+	l.Detector = control.NewFailureDetector(presence.NewTable(), time.Second, 2*time.Second)
 	revision := ident.Revision(1)
 	return timed(func() {
 		if changes {
--- a/operator/server.go
+++ b/operator/server.go
@@ -35,7 +35,7 @@
 	Admit  func(ctx context.Context, member ident.Daemon) error
 	Status func() Status
 	// View calls fn with the planner's view of the fleet, which fn must not keep.
-	View    func(fn func(w *planner.World))
+	View    func(fn func(w *planner.Snapshot))
 	Policy  planner.Policy
 	InForce func(revision ident.Revision) InForce
 	// Whole tells whether requests can go to a group's epoch now.
@@ -167,7 +167,7 @@
 
 func (s *Server) groups(*http.Request, string) (any, error) {
 	list := []GroupView{}
-	s.View(func(w *planner.World) {
+	s.View(func(w *planner.Snapshot) {
 		for i := range w.Groups {
 			list = append(list, s.view(&w.Groups[i]))
 		}
@@ -186,7 +186,7 @@
 
 func (s *Server) group(r *http.Request, _ string) (any, error) {
 	var v *GroupView
-	s.View(func(w *planner.World) {
+	s.View(func(w *planner.Snapshot) {
 		if g := w.Group(ident.Group(r.PathValue("name"))); g != nil {
 			found := s.view(g)
 			v = &found
@@ -201,7 +201,7 @@
 func (s *Server) explain(r *http.Request, _ string) (any, error) {
 	var e planner.Explanation
 	var ok bool
-	s.View(func(w *planner.World) {
+	s.View(func(w *planner.Snapshot) {
 		e, ok = planner.Explain(w, s.Policy, ident.Group(r.PathValue("name")))
 	})
 	if !ok {
@@ -212,7 +212,7 @@
 
 func (s *Server) vms(*http.Request, string) (any, error) {
 	list := []VMView{}
-	s.View(func(w *planner.World) {
+	s.View(func(w *planner.Snapshot) {
 		for i := range w.VMs {
 			list = append(list, vmView(&w.VMs[i]))
 		}
@@ -226,7 +226,7 @@
 
 func (s *Server) vm(r *http.Request, _ string) (any, error) {
 	var view *VMView
-	s.View(func(w *planner.World) {
+	s.View(func(w *planner.Snapshot) {
 		if v := w.VM(ident.VM(r.PathValue("name"))); v != nil {
 			found := vmView(v)
 			view = &found
--- a/overload/excess.go
+++ b/overload/excess.go
@@ -10,14 +10,14 @@
 	retryMost = 2500 * time.Millisecond
 )
 
-// Excess is how long more has been asked for than there is room for.
-type Excess struct {
+// Period is how long more has been asked for than there is room for.
+type Period struct {
 	since time.Time
 	last  time.Time
 }
 
-// Note takes a sign of excess and returns how long it has lasted.
-func (e *Excess) Note(now time.Time) time.Duration {
+// Extend takes a sign of excess and returns how long it has lasted.
+func (e *Period) Extend(now time.Time) time.Duration {
 	if now.Sub(e.last) > excessGap {
 		e.since = now
 	}
@@ -25,13 +25,13 @@
 	return now.Sub(e.since)
 }
 
-// End forgets the excess.
-func (e *Excess) End() {
-	*e = Excess{}
+// Reset forgets the excess.
+func (e *Period) Reset() {
+	*e = Period{}
 }
 
 // RetryAfter returns when a caller that is refused for want of room shall come back: how long the excess will last is not known, so
 // it is taken to last as long again as it has lasted already.
-func (e *Excess) RetryAfter(now time.Time) time.Duration {
-	return min(retryMost, e.Note(now))
+func (e *Period) RetryAfter(now time.Time) time.Duration {
+	return min(retryMost, e.Extend(now))
 }
--- a/overload/queue.go
+++ b/overload/queue.go
@@ -43,8 +43,8 @@
 	failsMost = 8
 )
 
-// Waiting is a request in a queue, and what its owner keeps of it.
-type Waiting[T any] struct {
+// Queued is a request in a queue, and what its owner keeps of it.
+type Queued[T any] struct {
 	Request
 	Value T
 
@@ -53,10 +53,10 @@
 
 // Queue holds what waits for the groups of one model; it is not safe for concurrent use.
 type Queue[T any] struct {
-	lines [ranks][]*Waiting[T]
+	lines [ranks][]*Queued[T]
 	// full is how long there has been no room for late requests, refusing how long requests have been refused.
-	full     Excess
-	refusing Excess
+	full     Period
+	refusing Period
 	// credit is the room that last tries are owed, in requests.
 	credit float64
 	// rates are how many requests of each rank go on in a second.
@@ -90,17 +90,17 @@
 }
 
 // Add lets a request wait.
-func (q *Queue[T]) Add(now time.Time, r Request, value T) *Waiting[T] {
-	w := &Waiting[T]{Request: r, Value: value}
+func (q *Queue[T]) Add(now time.Time, r Request, value T) *Queued[T] {
+	w := &Queued[T]{Request: r, Value: value}
 	q.insert(now, w)
 	return w
 }
 
-func (q *Queue[T]) insert(now time.Time, w *Waiting[T]) {
+func (q *Queue[T]) insert(now time.Time, w *Queued[T]) {
 	w.rank = w.Rank(now)
 	line := q.lines[w.rank]
 	key := w.key()
-	i, _ := slices.BinarySearchFunc(line, key, func(o *Waiting[T], key time.Time) int {
+	i, _ := slices.BinarySearchFunc(line, key, func(o *Queued[T], key time.Time) int {
 		if o.key().After(key) {
 			return 1
 		}
@@ -110,24 +110,24 @@
 }
 
 // key orders the requests of one rank.
-func (w *Waiting[T]) key() time.Time {
+func (w *Queued[T]) key() time.Time {
 	if w.rank == InTime {
 		return w.Due
 	}
-	return w.Came
+	return w.QueuedAt
 }
 
 // Remove takes a request out that does not wait any more.
-func (q *Queue[T]) Remove(w *Waiting[T]) {
+func (q *Queue[T]) Remove(w *Queued[T]) {
 	line := q.lines[w.rank]
 	if i := slices.Index(line, w); i >= 0 {
 		q.lines[w.rank] = slices.Delete(line, i, i+1)
 	}
 }
 
-// Roomy notes that a group had room for a late request.
-func (q *Queue[T]) Roomy() {
-	q.full.End()
+// NoteCapacity notes that a group had room for a late request.
+func (q *Queue[T]) NoteCapacity() {
+	q.full.Reset()
 }
 
 // RetryAfter returns when a request that is refused now shall come back.
@@ -135,36 +135,36 @@
 	return q.refusing.RetryAfter(now)
 }
 
-// Look offers the waiting requests to the groups in their order, and refuses those that it is in vain to keep. Send reports whether
+// Dispatch offers the waiting requests to the groups in their order, and refuses those that it is in vain to keep. Send reports whether
 // it sent a request on, or ended it; room is the rank whose room it may use. Neither function may change the queue.
-func (q *Queue[T]) Look(now time.Time, send func(w *Waiting[T], room Rank) bool, refuse func(w *Waiting[T])) {
+func (q *Queue[T]) Dispatch(now time.Time, send func(w *Queued[T], room Rank) bool, refuse func(w *Queued[T])) {
 	q.age(now)
 	for rank := range Rank(ranks) {
-		q.drop(rank, refuse, func(_ int, w *Waiting[T]) bool { return now.After(w.Leaves) })
+		q.drop(rank, refuse, func(_ int, w *Queued[T]) bool { return now.After(w.Expires) })
 	}
-	if q.credit >= 1 && q.offer(now, LastTry, LastTry, 1, send) > 0 {
+	if q.credit >= 1 && q.offer(now, FinalAttempt, FinalAttempt, 1, send) > 0 {
 		q.credit--
 	}
 	for rank := range Rank(ranks) {
 		room := rank
-		if rank == LastTry {
+		if rank == FinalAttempt {
 			room = Late
 		}
 		sent := q.offer(now, rank, room, len(q.lines[rank]), send)
-		if rank == InTime && len(q.lines[LastTry]) > 0 {
+		if rank == InTime && len(q.lines[FinalAttempt]) > 0 {
 			q.credit = min(1, q.credit+float64(sent)*lastTryPart)
 		}
 	}
 	if q.Len() == 0 {
 		return
 	}
-	lasts := q.full.Note(now)
-	q.drop(LastTry, refuse, func(place int, w *Waiting[T]) bool { return q.hopeless(LastTry, place, w.Leaves.Sub(now), now) })
+	lasts := q.full.Extend(now)
+	q.drop(FinalAttempt, refuse, func(place int, w *Queued[T]) bool { return q.hopeless(FinalAttempt, place, w.Expires.Sub(now), now) })
 	if lasts > lateGap {
-		q.drop(Late, refuse, func(int, *Waiting[T]) bool { return true })
+		q.drop(Late, refuse, func(int, *Queued[T]) bool { return true })
 	}
 	if lasts > rateTime {
-		q.drop(InTime, refuse, func(place int, w *Waiting[T]) bool { return q.hopeless(InTime, place, w.Due.Sub(now), now) })
+		q.drop(InTime, refuse, func(place int, w *Queued[T]) bool { return q.hopeless(InTime, place, w.Due.Sub(now), now) })
 	}
 }
 
@@ -182,7 +182,7 @@
 }
 
 // offer offers the requests of a rank in order, as requests of the rank room, until most have been sent, and returns how many were.
-func (q *Queue[T]) offer(now time.Time, rank, room Rank, most int, send func(w *Waiting[T], room Rank) bool) int {
+func (q *Queue[T]) offer(now time.Time, rank, room Rank, most int, send func(w *Queued[T], room Rank) bool) int {
 	line := q.lines[rank]
 	kept := line[:0]
 	sent, failed := 0, 0
@@ -213,7 +213,7 @@
 }
 
 // drop refuses the requests of a rank for which in vain holds.
-func (q *Queue[T]) drop(rank Rank, refuse func(w *Waiting[T]), inVain func(place int, w *Waiting[T]) bool) {
+func (q *Queue[T]) drop(rank Rank, refuse func(w *Queued[T]), inVain func(place int, w *Queued[T]) bool) {
 	line := q.lines[rank]
 	kept := line[:0]
 	for _, w := range line {
--- a/overload/queue_test.go
+++ b/overload/queue_test.go
@@ -25,22 +25,22 @@
 }
 
 func (p *player) add(at time.Duration, name string, r overload.Request) {
-	r.Came = start.Add(at)
-	if r.Leaves.IsZero() {
-		r.Leaves = start.Add(time.Hour)
+	r.QueuedAt = start.Add(at)
+	if r.Expires.IsZero() {
+		r.Expires = start.Add(time.Hour)
 	}
 	p.queue.Add(start.Add(at), r, name)
 }
 
 func (p *player) look(at time.Duration) {
-	p.queue.Look(start.Add(at), func(w *overload.Waiting[string], room overload.Rank) bool {
+	p.queue.Dispatch(start.Add(at), func(w *overload.Queued[string], room overload.Rank) bool {
 		if p.places == 0 || room == overload.Late && !p.lateToo {
 			return false
 		}
 		p.places--
 		p.sent = append(p.sent, w.Value)
 		return true
-	}, func(w *overload.Waiting[string]) { p.refused = append(p.refused, w.Value) })
+	}, func(w *overload.Queued[string]) { p.refused = append(p.refused, w.Value) })
 }
 
 func due(at time.Duration) overload.Request {
@@ -51,10 +51,10 @@
 func TestOrder(t *testing.T) {
 	p := &player{places: 6, lateToo: true}
 	p.add(0, "late", due(-ms))
-	p.add(1*ms, "last try", overload.Request{Due: start.Add(-ms), LastTry: true})
+	p.add(1*ms, "last try", overload.Request{Due: start.Add(-ms), FinalAttempt: true})
 	p.add(2*ms, "has time", due(300*ms))
 	p.add(3*ms, "urgent", due(50*ms))
-	p.add(4*ms, "begun", overload.Request{Due: start.Add(-ms), Begun: true})
+	p.add(4*ms, "begun", overload.Request{Due: start.Add(-ms), Started: true})
 	p.add(5*ms, "as urgent", due(50*ms))
 	p.look(10 * ms)
 	want := []string{"begun", "urgent", "as urgent", "has time", "last try", "late"}
@@ -79,7 +79,7 @@
 			p.add(0, "late", due(-ms))
 			for at := time.Duration(0); at < time.Second; at += 10 * ms {
 				if at == c.roomy {
-					p.queue.Roomy()
+					p.queue.NoteCapacity()
 				}
 				p.look(at)
 				if len(p.refused) > 0 {
@@ -121,7 +121,7 @@
 	for i := range 40 {
 		p.add(time.Duration(i)*ms, "new", due(10*time.Second))
 	}
-	back := func() { p.add(50*ms, "back", overload.Request{Due: start.Add(-ms), LastTry: true}) }
+	back := func() { p.add(50*ms, "back", overload.Request{Due: start.Add(-ms), FinalAttempt: true}) }
 	back()
 	for at := range 20 {
 		p.places = 1
@@ -142,7 +142,7 @@
 // A last try behind more than go on before its caller leaves is refused at once.
 func TestLastTriesInVain(t *testing.T) {
 	p := &player{}
-	last := overload.Request{Due: start.Add(-ms), LastTry: true, Leaves: start.Add(1400 * ms)}
+	last := overload.Request{Due: start.Add(-ms), FinalAttempt: true, Expires: start.Add(1400 * ms)}
 	for range 40 {
 		p.add(0, "back", last)
 	}
@@ -153,11 +153,11 @@
 	// With ten in a second that go on, fourteen can wait.
 	p = &player{lateToo: true}
 	for i := range 60 {
-		p.add(time.Duration(i)*100*ms, "back", overload.Request{Due: start.Add(-ms), LastTry: true})
+		p.add(time.Duration(i)*100*ms, "back", overload.Request{Due: start.Add(-ms), FinalAttempt: true})
 		p.places = 1
 		p.look(time.Duration(i) * 100 * ms)
 	}
-	last.Leaves = start.Add(7400 * ms)
+	last.Expires = start.Add(7400 * ms)
 	for range 40 {
 		p.add(6*time.Second, "back", last)
 	}
@@ -170,8 +170,8 @@
 // Nothing is offered or kept whose caller will have left.
 func TestCallersThatLeave(t *testing.T) {
 	p := &player{places: 9}
-	for _, r := range []overload.Request{{Begun: true}, {Due: start.Add(time.Hour)}, {LastTry: true}, {}} {
-		r.Leaves = start.Add(5 * ms)
+	for _, r := range []overload.Request{{Started: true}, {Due: start.Add(time.Hour)}, {FinalAttempt: true}, {}} {
+		r.Expires = start.Add(5 * ms)
 		p.add(0, "x", r)
 	}
 	p.look(6 * ms)
@@ -193,13 +193,13 @@
 
 // Callers are told to stay away for as long again as the excess has lasted, within a bound; after a pause it counts from new.
 func TestRetryAfter(t *testing.T) {
-	var e overload.Excess
+	var e overload.Period
 	var got []time.Duration
 	for _, at := range []time.Duration{0, 400 * ms, 800 * ms, 1200 * ms, 2000 * ms, 2300 * ms} {
 		got = append(got, e.RetryAfter(start.Add(at)))
 	}
 	for at := 2500 * ms; at <= 6000*ms; at += 400 * ms {
-		e.Note(start.Add(at))
+		e.Extend(start.Add(at))
 	}
 	got = append(got, e.RetryAfter(start.Add(6100*ms)))
 	want := []time.Duration{0, 400 * ms, 800 * ms, 1200 * ms, 0, 300 * ms, 2500 * ms}
@@ -210,10 +210,10 @@
 
 // What callers spent before is told from what most of their class say, whatever a few say.
 func TestSpent(t *testing.T) {
-	var u overload.Usual
+	var u overload.TypicalWait
 	play := func(told ...time.Duration) (got []time.Duration) {
 		for _, d := range told {
-			got = append(got, u.Spent(d, true))
+			got = append(got, u.PriorElapsed(d, true))
 		}
 		return got
 	}
@@ -240,13 +240,13 @@
 func BenchmarkLook(b *testing.B) {
 	var q overload.Queue[int]
 	for i := range 1000 {
-		q.Add(start, overload.Request{Due: start.Add(time.Hour), Leaves: start.Add(time.Hour)}, i)
+		q.Add(start, overload.Request{Due: start.Add(time.Hour), Expires: start.Add(time.Hour)}, i)
 	}
-	send := func(*overload.Waiting[int], overload.Rank) bool { return false }
-	refuse := func(*overload.Waiting[int]) {}
+	send := func(*overload.Queued[int], overload.Rank) bool { return false }
+	refuse := func(*overload.Queued[int]) {}
 	b.ReportAllocs()
 	for b.Loop() {
-		q.Look(start, send, refuse)
+		q.Dispatch(start, send, refuse)
 	}
 }
 
@@ -263,17 +263,17 @@
 		{"by half", 3 * time.Second, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var u overload.Usual
+			var u overload.TypicalWait
 			first := func() time.Duration { return 6*time.Second - time.Duration(random.Int64N(int64(c.spread))) }
 			for range 100 {
-				u.Spent(first(), true)
+				u.PriorElapsed(first(), true)
 			}
 			wrong, found := 0, 0
 			for range 1000 {
-				if u.Spent(first(), false) > 0 {
+				if u.PriorElapsed(first(), false) > 0 {
 					wrong++
 				}
-				if u.Spent(first()-2500*ms, false) > 300*ms {
+				if u.PriorElapsed(first()-2500*ms, false) > 300*ms {
 					found++
 				}
 			}
--- a/overload/rank.go
+++ b/overload/rank.go
@@ -7,12 +7,12 @@
 
 // The ranks, in order.
 const (
-	// Begun is for requests that an upstream was lost under: their callers have a part of the answer, or have waited for one.
-	Begun Rank = iota
+	// Started is for requests that an upstream was lost under: their callers have a part of the answer, or have waited for one.
+	Started Rank = iota
 	// InTime is for requests that can still be answered within their aim.
 	InTime
-	// LastTry is for requests that are late and whose callers do not come back another time: a refusal ends them.
-	LastTry
+	// FinalAttempt is for requests that are late and whose callers do not come back another time: a refusal ends them.
+	FinalAttempt
 	// Late is for requests that are late and whose callers can come back.
 	Late
 
@@ -21,21 +21,21 @@
 
 // Request is what the rules know of a request.
 type Request struct {
-	// Came is when it began to wait.
-	Came time.Time
+	// QueuedAt is when it began to wait.
+	QueuedAt time.Time
 	// Due is the last moment at which it can be sent and still be in time at an idle group.
 	Due time.Time
-	// Leaves is the last moment at which it can be sent and be answered before its caller leaves.
-	Leaves time.Time
-	// Begun and LastTry are set for the requests that these ranks name.
-	Begun   bool
-	LastTry bool
+	// Expires is the last moment at which it can be sent and be answered before its caller leaves.
+	Expires time.Time
+	// Started and FinalAttempt are set for the requests that these ranks name.
+	Started      bool
+	FinalAttempt bool
 }
 
-// Last returns the last moment at which it is worth sending: for one whose caller does not come back also when it is late.
-func (r *Request) Last() time.Time {
-	if r.Begun || r.LastTry {
-		return r.Leaves
+// LatestSend returns the last moment at which it is worth sending: for one whose caller does not come back also when it is late.
+func (r *Request) LatestSend() time.Time {
+	if r.Started || r.FinalAttempt {
+		return r.Expires
 	}
 	return r.Due
 }
@@ -43,12 +43,12 @@
 // Rank returns the request's rank at a time.
 func (r *Request) Rank(now time.Time) Rank {
 	switch {
-	case r.Begun:
-		return Begun
+	case r.Started:
+		return Started
 	case !now.After(r.Due):
 		return InTime
-	case r.LastTry:
-		return LastTry
+	case r.FinalAttempt:
+		return FinalAttempt
 	}
 	return Late
 }
--- a/overload/usual.go
+++ b/overload/usual.go
@@ -32,8 +32,8 @@
 	longestTrusted = 8
 )
 
-// Usual is the time that the callers of a class say they wait when they come for the first time.
-type Usual struct {
+// TypicalWait is the time that the callers of a class say they wait when they come for the first time.
+type TypicalWait struct {
 	told  time.Duration
 	votes int
 	// longest is the longest time that was said of late, after so many requests, and short the part that said far less.
@@ -42,9 +42,9 @@
 	short    float64
 }
 
-// Spent takes the time that a caller says it waits, and returns what it spent on earlier tries as far as that is known. Calm is set
+// PriorElapsed takes the time that a caller says it waits, and returns what it spent on earlier tries as far as that is known. Calm is set
 // while no one has been refused for so long that nearly all requests are first tries.
-func (u *Usual) Spent(told time.Duration, calm bool) time.Duration {
+func (u *TypicalWait) PriorElapsed(told time.Duration, calm bool) time.Duration {
 	if told <= 0 {
 		return 0
 	}
@@ -57,7 +57,7 @@
 }
 
 // vote counts for or against the time that most say.
-func (u *Usual) vote(told time.Duration) {
+func (u *TypicalWait) vote(told time.Duration) {
 	switch {
 	case told == u.told:
 		u.votes = min(usualMost, u.votes+1)
@@ -69,7 +69,7 @@
 }
 
 // belowLongest returns how much less a caller says than nearly all first tries do.
-func (u *Usual) belowLongest(told time.Duration, calm bool) time.Duration {
+func (u *TypicalWait) belowLongest(told time.Duration, calm bool) time.Duration {
 	u.requests++
 	u.longest = max(told, u.longest-time.Duration(longestFades*float64(u.longest)))
 	less := max(0, time.Duration(shortPart*float64(u.longest))-told)
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -43,13 +43,13 @@
 // PermitCall asks the coordinator of an upstream for one request there.
 type PermitCall struct {
 	From     ident.Daemon
-	Question ratelimit.Question[string]
+	Question ratelimit.PermitRequest[string]
 }
 
 // PermitReply is its answer, when Known is set.
 type PermitReply struct {
 	Known  bool
-	Answer ratelimit.Answer[string]
+	Answer ratelimit.PermitReply[string]
 }
 
 // BeatReply is the receiver's side; Shares come from the control leader only.
--- a/planner/bench_test.go
+++ b/planner/bench_test.go
@@ -47,7 +47,7 @@
 		b.Run(fmt.Sprint(vms, "-vms"), func(b *testing.B) {
 			s := benchFleet(vms, false)
 			for b.Loop() {
-				if n := len(planner.Plan(planner.NewWorld(s), planner.DefaultPolicy())); n != vms/benchGroupSize {
+				if n := len(planner.Plan(planner.NewSnapshot(s), planner.DefaultPolicy())); n != vms/benchGroupSize {
 					b.Fatalf("%d groups planned", n)
 				}
 			}
@@ -61,7 +61,7 @@
 			s := benchFleet(vms, true)
 			// A spare beside the group that loses a member.
 			s.VMs["spare"] = &fleet.VM{Name: "spare", Hall: "h0", Domain: "d0", Accelerators: 8, Speed: 1, Labels: map[string]string{"gpu": "new"}}
-			w := planner.NewWorld(s)
+			w := planner.NewSnapshot(s)
 			w.VM("w00003").Condition = planner.ConditionLost
 			for b.Loop() {
 				if n := len(planner.Plan(w, planner.DefaultPolicy())); n != 1 {
@@ -77,7 +77,7 @@
 		b.Run(fmt.Sprint(vms, "-vms"), func(b *testing.B) {
 			s := benchFleet(vms, true)
 			for b.Loop() {
-				planner.NewWorld(s)
+				planner.NewSnapshot(s)
 			}
 		})
 	}
--- a/planner/explain.go
+++ b/planner/explain.go
@@ -30,7 +30,7 @@
 }
 
 // Explain describes the group called name under policy; ok is false when there is none.
-func Explain(w *World, policy Policy, name ident.Group) (e Explanation, ok bool) {
+func Explain(w *Snapshot, policy Policy, name ident.Group) (e Explanation, ok bool) {
 	g := w.Group(name)
 	if g == nil {
 		return e, false
@@ -47,7 +47,7 @@
 	return e, true
 }
 
-func (w *World) candidate(g *Group, i int) Candidate {
+func (w *Snapshot) candidate(g *Group, i int) Candidate {
 	v := &w.VMs[i]
 	c := Candidate{VM: v.Name, Hall: v.Hall, Domain: v.Domain}
 	for _, m := range g.members {
@@ -64,18 +64,18 @@
 	return c
 }
 
-func (w *World) words(g *Group, i int, fit Fit) string {
+func (w *Snapshot) words(g *Group, i int, fit Fit) string {
 	v := &w.VMs[i]
 	switch fit {
 	case FitSelector:
 		q := g.Spec.FailedRequirement(v.VM)
 		return fmt.Sprintf("label %s is %q, wanted %s", q.Label, v.Label(q.Label), q)
-	case FitHeld, FitLeavingGroup:
+	case FitInGroup, FitLeavingGroup:
 		return fmt.Sprintf("%s: %s in epoch %d", fit, v.Group, v.Epoch)
 	case FitAbsent:
-		return fmt.Sprintf("%s: %s for %s", fit, v.Condition, v.Stable)
+		return fmt.Sprintf("%s: %s for %s", fit, v.Condition, v.StableFor)
 	case FitFlapping:
-		return fmt.Sprintf("%s: lost %d times, steady for %s, wanted %s", fit, v.Flaps, v.Stable, steadyFor(v.Flaps))
+		return fmt.Sprintf("%s: lost %d times, steady for %s, wanted %s", fit, v.Flaps, v.StableFor, steadyFor(v.Flaps))
 	}
 	return fit.String()
 }
--- a/planner/fit.go
+++ b/planner/fit.go
@@ -12,9 +12,9 @@
 // The reasons, of which only FitYes lets a VM join.
 const (
 	FitYes Fit = iota
-	FitHeld
+	FitInGroup
 	FitLeavingGroup
-	FitListed
+	FitLeavingPlatform
 	FitDrained
 	FitAbsent
 	FitFlapping
@@ -45,21 +45,21 @@
 
 // Steady reports whether the VM has been there for long enough to be used again.
 func (v *VM) Steady() bool {
-	return v.Stable >= steadyFor(v.Flaps)
+	return v.StableFor >= steadyFor(v.Flaps)
 }
 
 // free says whether VM i could be given to any group at all.
-func (w *World) free(i int) Fit {
+func (w *Snapshot) free(i int) Fit {
 	v := &w.VMs[i]
 	switch {
 	case v.Listing != fleet.ListingLive:
-		return FitListed
+		return FitLeavingPlatform
 	case v.Drained:
 		return FitDrained
 	case v.Phase == fleet.VMLeaving:
 		return FitLeavingGroup
 	case v.Phase != fleet.VMFree:
-		return FitHeld
+		return FitInGroup
 	case v.Condition != ConditionPresent:
 		return FitAbsent
 	case !v.Steady():
@@ -69,7 +69,7 @@
 }
 
 // fit says whether VM i can join a group of that spec.
-func (w *World) fit(spec *fleet.GroupSpec, i int) Fit {
+func (w *Snapshot) fit(spec *fleet.GroupSpec, i int) Fit {
 	if spec.FailedRequirement(w.VMs[i].VM) != nil {
 		return FitSelector
 	}
--- a/planner/plan.go
+++ b/planner/plan.go
@@ -27,24 +27,24 @@
 
 // Policy holds the weights of a deployment and what the planner must know of its times.
 type Policy struct {
-	// Downtime weighs a second of one group's downtime, Stranded a second of one stranded accelerator.
-	Downtime float64
-	Stranded float64
+	// DowntimeWeight weighs a second of one group's downtime, Stranded a second of one stranded accelerator.
+	DowntimeWeight float64
+	StrandedWeight float64
 	// LoadTime is how long one load takes.
 	LoadTime time.Duration
-	// Patience is how long a broken group without a spare waits for a VM that may only have paused.
-	Patience time.Duration
-	// SplitLoss is the share of its speed that a replica across domains loses.
-	SplitLoss float64
-	// Horizon is how long a move home has to pay for itself.
-	Horizon time.Duration
+	// RecoveryWait is how long a broken group without a spare waits for a VM that may only have paused.
+	RecoveryWait time.Duration
+	// SplitSpeedLoss is the share of its speed that a replica across domains loses.
+	SplitSpeedLoss float64
+	// PaybackPeriod is how long a move home has to pay for itself.
+	PaybackPeriod time.Duration
 }
 
 // DefaultPolicy returns even weights and times that suit a replica of some hundred gigabytes.
 func DefaultPolicy() Policy {
 	return Policy{
-		Downtime: 1, Stranded: 1,
-		LoadTime: time.Minute, Patience: 5 * time.Second, SplitLoss: 0.4, Horizon: 30 * time.Minute,
+		DowntimeWeight: 1, StrandedWeight: 1,
+		LoadTime: time.Minute, RecoveryWait: 5 * time.Second, SplitSpeedLoss: 0.4, PaybackPeriod: 30 * time.Minute,
 	}
 }
 
@@ -60,15 +60,15 @@
 
 // Action is one command for the log, decided on epoch Base; an assignment without members releases them.
 type Action struct {
-	Kind    ActionKind
-	Group   ident.Group
-	Base    ident.Epoch
-	Members []ident.VM
-	Reason  string
+	Kind      ActionKind
+	Group     ident.Group
+	BaseEpoch ident.Epoch
+	Members   []ident.VM
+	Reason    string
 }
 
 type plan struct {
-	world   *World
+	world   *Snapshot
 	policy  Policy
 	taken   []bool
 	version []int
@@ -81,7 +81,7 @@
 }
 
 // Plan returns the next actions for w under policy; equal inputs give equal actions.
-func Plan(w *World, policy Policy) []Action {
+func Plan(w *Snapshot, policy Policy) []Action {
 	p := &plan{world: w, policy: policy, taken: make([]bool, len(w.VMs)), version: make([]int, len(w.domains)), pools: map[string]*pool{}}
 	for _, g := range p.order() {
 		p.decide(g)
@@ -145,7 +145,7 @@
 	case g.Phase == fleet.GroupPending:
 		p.form(i, g)
 	case g.Phase == fleet.GroupServing && alive:
-		p.act(Action{Kind: ActionDrain, Group: g.Spec.Name, Base: g.Epoch, Reason: "declared load or members changed"})
+		p.act(Action{Kind: ActionDrain, Group: g.Spec.Name, BaseEpoch: g.Epoch, Reason: "declared load or members changed"})
 	case g.Phase == fleet.GroupDraining || g.Reform:
 		p.reform(i, g)
 	default:
@@ -164,7 +164,7 @@
 			p.version[p.world.VMs[i].domain]++
 		}
 	}
-	p.act(Action{Kind: ActionAssign, Group: g.Spec.Name, Base: g.Epoch, Members: p.world.names(members), Reason: reason})
+	p.act(Action{Kind: ActionAssign, Group: g.Spec.Name, BaseEpoch: g.Epoch, Members: p.world.names(members), Reason: reason})
 }
 
 // freeVMs lists the VMs that any group could take, found at the first need and not for a plan without one.
@@ -250,7 +250,7 @@
 func (p *plan) wait(i int, g *Group) {
 	p.short = append(p.short, i)
 	if g.Phase != fleet.GroupBroken {
-		p.act(Action{Kind: ActionBreak, Group: g.Spec.Name, Base: g.Epoch, Reason: "member lost and no VM to replace it"})
+		p.act(Action{Kind: ActionBreak, Group: g.Spec.Name, BaseEpoch: g.Epoch, Reason: "member lost and no VM to replace it"})
 	}
 }
 
@@ -307,7 +307,7 @@
 	for n := len(p.short) - 1; n > 0; n-- {
 		donor := &p.world.Groups[p.short[n]]
 		// A VM that paused is back without a load; one that restarts has to load as well, so waiting longer gains nothing.
-		if min(donor.Down, first.Down) < p.policy.Patience {
+		if min(donor.DownFor, first.DownFor) < p.policy.RecoveryWait {
 			continue
 		}
 		if p.usefulTo(first, donor) >= missing {
@@ -343,7 +343,7 @@
 			continue
 		}
 		if p.homeFor(g, p.world.kept(g)) != nil {
-			p.act(Action{Kind: ActionDrain, Group: g.Spec.Name, Base: g.Epoch, Reason: "one domain can hold the replica"})
+			p.act(Action{Kind: ActionDrain, Group: g.Spec.Name, BaseEpoch: g.Epoch, Reason: "one domain can hold the replica"})
 			return
 		}
 	}
@@ -351,8 +351,8 @@
 
 // worthMoving weighs the speed that a split replica loses, which wastes its accelerators, against the downtime of a reload.
 func (p *plan) worthMoving() bool {
-	gain := p.policy.Stranded * p.policy.SplitLoss * float64(p.policy.Horizon)
-	return gain > p.policy.Downtime*float64(p.policy.LoadTime)
+	gain := p.policy.StrandedWeight * p.policy.SplitSpeedLoss * float64(p.policy.PaybackPeriod)
+	return gain > p.policy.DowntimeWeight*float64(p.policy.LoadTime)
 }
 
 func (p *plan) sortFastest(members []int) {
--- a/planner/plan_test.go
+++ b/planner/plan_test.go
@@ -66,7 +66,7 @@
 }
 
 func TestPlan(t *testing.T) {
-	lose := func(w *planner.World, names string) {
+	lose := func(w *planner.Snapshot, names string) {
 		for _, n := range strings.Fields(names) {
 			w.VM(ident.VM(n)).Condition = planner.ConditionLost
 		}
@@ -75,7 +75,7 @@
 		name    string
 		domains []string
 		declare func(s *fleet.State)
-		see     func(w *planner.World)
+		see     func(w *planner.Snapshot)
 		policy  func(p *planner.Policy)
 		want    []string
 	}{
@@ -106,27 +106,27 @@
 		},
 		{
 			name: "a spare of the same domain", domains: []string{"d1: a b c", "d2: x y"},
-			declare: func(s *fleet.State) { serve(s, "g", "a b") }, see: func(w *planner.World) { lose(w, "b") },
+			declare: func(s *fleet.State) { serve(s, "g", "a b") }, see: func(w *planner.Snapshot) { lose(w, "b") },
 			want: []string{"assign g a c"},
 		},
 		{
 			name: "a spare of another domain when there is none", domains: []string{"d1: a b", "d2: x y"},
-			declare: func(s *fleet.State) { serve(s, "g", "a b") }, see: func(w *planner.World) { lose(w, "b") },
+			declare: func(s *fleet.State) { serve(s, "g", "a b") }, see: func(w *planner.Snapshot) { lose(w, "b") },
 			want: []string{"assign g a x"},
 		},
 		{
 			name: "a spare that does not slow the group", domains: []string{"d1: a b c*0.5 d"},
-			declare: func(s *fleet.State) { serve(s, "g", "a b") }, see: func(w *planner.World) { lose(w, "b") },
+			declare: func(s *fleet.State) { serve(s, "g", "a b") }, see: func(w *planner.Snapshot) { lose(w, "b") },
 			want: []string{"assign g a d"},
 		},
 		{
 			name: "no spare: the loss is remembered", domains: []string{"d1: a b"},
-			declare: func(s *fleet.State) { serve(s, "g", "a b") }, see: func(w *planner.World) { lose(w, "b") },
+			declare: func(s *fleet.State) { serve(s, "g", "a b") }, see: func(w *planner.Snapshot) { lose(w, "b") },
 			want: []string{"break g"},
 		},
 		{
 			name: "no spare and remembered: wait", domains: []string{"d1: a b"},
-			declare: func(s *fleet.State) { serve(s, "g", "a b").Phase = fleet.GroupBroken }, see: func(w *planner.World) { lose(w, "b") },
+			declare: func(s *fleet.State) { serve(s, "g", "a b").Phase = fleet.GroupBroken }, see: func(w *planner.Snapshot) { lose(w, "b") },
 			want: []string{},
 		},
 		{
@@ -136,24 +136,24 @@
 		{
 			name: "a member started anew: a new epoch with the same members", domains: []string{"d1: a b c"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b") },
-			see:     func(w *planner.World) { w.VM("b").Condition = planner.ConditionRestarted }, want: []string{"assign g a b"},
+			see:     func(w *planner.Snapshot) { w.VM("b").Condition = planner.ConditionRestarted }, want: []string{"assign g a b"},
 		},
 		{
 			name: "silence alone moves nothing", domains: []string{"d1: a b c"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b") },
-			see: func(w *planner.World) {
+			see: func(w *planner.Snapshot) {
 				w.VM("a").Condition, w.VM("b").Condition = planner.ConditionSuspect, planner.ConditionUnknown
 			},
 			want: []string{},
 		},
 		{
 			name: "a dark domain: only its own groups move", domains: []string{"d1: a b", "d2: c d", "d3: e f"},
-			declare: func(s *fleet.State) { serve(s, "g", "a b"); serve(s, "h", "c d") }, see: func(w *planner.World) { lose(w, "a b") },
+			declare: func(s *fleet.State) { serve(s, "g", "a b"); serve(s, "h", "c d") }, see: func(w *planner.Snapshot) { lose(w, "a b") },
 			want: []string{"assign g e f"},
 		},
 		{
 			name: "a dark domain without room elsewhere", domains: []string{"d1: a b", "d2: c d"},
-			declare: func(s *fleet.State) { serve(s, "g", "a b"); serve(s, "h", "c d") }, see: func(w *planner.World) { lose(w, "a b") },
+			declare: func(s *fleet.State) { serve(s, "g", "a b"); serve(s, "h", "c d") }, see: func(w *planner.Snapshot) { lose(w, "a b") },
 			want: []string{"break g"},
 		},
 		{
@@ -163,12 +163,12 @@
 				g.Phase = fleet.GroupForming
 				s.VMs["c"].Phase = fleet.VMJoining
 			},
-			see: func(w *planner.World) { lose(w, "b c") }, want: []string{"assign g a d"},
+			see: func(w *planner.Snapshot) { lose(w, "b c") }, want: []string{"assign g a d"},
 		},
 		{
 			name: "a VM that flaps is left out while it is not steady", domains: []string{"d1: a b c d"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b") },
-			see: func(w *planner.World) {
+			see: func(w *planner.Snapshot) {
 				lose(w, "b")
 				w.VM("c").Flaps = 3
 			},
@@ -177,18 +177,18 @@
 		{
 			name: "a VM that flapped and has been steady since", domains: []string{"d1: a b c"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b") },
-			see: func(w *planner.World) {
+			see: func(w *planner.Snapshot) {
 				lose(w, "b")
-				w.VM("c").Flaps, w.VM("c").Stable = 3, time.Minute
+				w.VM("c").Flaps, w.VM("c").StableFor = 3, time.Minute
 			},
 			want: []string{"assign g a c"},
 		},
 		{
 			name: "a VM that was never lost before one that was", domains: []string{"d1: a b c d"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b") },
-			see: func(w *planner.World) {
+			see: func(w *planner.Snapshot) {
 				lose(w, "b")
-				w.VM("c").Flaps, w.VM("c").Stable = 1, time.Hour
+				w.VM("c").Flaps, w.VM("c").StableFor = 1, time.Hour
 			},
 			want: []string{"assign g a d"},
 		},
@@ -198,7 +198,7 @@
 				serve(s, "g", "a b")
 				s.VMs["c"].Phase, s.VMs["c"].Group = fleet.VMLeaving, "old"
 			},
-			see: func(w *planner.World) { lose(w, "b") }, want: []string{"break g"},
+			see: func(w *planner.Snapshot) { lose(w, "b") }, want: []string{"break g"},
 		},
 		{
 			name: "two broken groups for long: one is completed by the other", domains: []string{"d1: a b c d"},
@@ -206,9 +206,9 @@
 				serve(s, "g", "a b").Phase = fleet.GroupBroken
 				serve(s, "h", "c d").Phase = fleet.GroupBroken
 			},
-			see: func(w *planner.World) {
+			see: func(w *planner.Snapshot) {
 				lose(w, "b d")
-				w.Group("g").Down, w.Group("h").Down = time.Hour, time.Hour
+				w.Group("g").DownFor, w.Group("h").DownFor = time.Hour, time.Hour
 			},
 			want: []string{"assign h"},
 		},
@@ -218,7 +218,7 @@
 				serve(s, "g", "a b").Phase = fleet.GroupBroken
 				serve(s, "h", "c d").Phase = fleet.GroupBroken
 			},
-			see: func(w *planner.World) { lose(w, "b d") }, want: []string{},
+			see: func(w *planner.Snapshot) { lose(w, "b d") }, want: []string{},
 		},
 		{
 			name: "a split group moves home when one domain can hold it", domains: []string{"d1: a x", "d2: b c"},
@@ -226,16 +226,16 @@
 		},
 		{
 			name: "not when the reload costs more than it gains", domains: []string{"d1: a x", "d2: b c"},
-			declare: func(s *fleet.State) { serve(s, "g", "a b") }, policy: func(p *planner.Policy) { p.Horizon = time.Minute }, want: []string{},
+			declare: func(s *fleet.State) { serve(s, "g", "a b") }, policy: func(p *planner.Policy) { p.PaybackPeriod = time.Minute }, want: []string{},
 		},
 		{
 			name: "not when downtime weighs far more than waste", domains: []string{"d1: a x", "d2: b c"},
-			declare: func(s *fleet.State) { serve(s, "g", "a b") }, policy: func(p *planner.Policy) { p.Downtime = 20 }, want: []string{},
+			declare: func(s *fleet.State) { serve(s, "g", "a b") }, policy: func(p *planner.Policy) { p.DowntimeWeight = 20 }, want: []string{},
 		},
 		{
 			name: "drained and able to move: into the domain that keeps more members", domains: []string{"d1: a", "d2: b c d"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b c").Phase = fleet.GroupDraining },
-			see:     func(w *planner.World) { w.Group("g").Drained = true }, want: []string{"assign g b c d"},
+			see:     func(w *planner.Snapshot) { w.Group("g").Drained = true }, want: []string{"assign g b c d"},
 		},
 		{
 			name: "draining: wait for requests in progress", domains: []string{"d1: a b"},
@@ -243,7 +243,7 @@
 		},
 		{
 			name: "draining and a member dies: nothing is left to wait for", domains: []string{"d1: a b c"},
-			declare: func(s *fleet.State) { serve(s, "g", "a b").Phase = fleet.GroupDraining }, see: func(w *planner.World) { lose(w, "b") },
+			declare: func(s *fleet.State) { serve(s, "g", "a b").Phase = fleet.GroupDraining }, see: func(w *planner.Snapshot) { lose(w, "b") },
 			want: []string{"assign g a c"},
 		},
 		{
@@ -274,7 +274,7 @@
 				g.Phase, g.Reform = fleet.GroupDraining, true
 				s.VMs["b"].Listing = fleet.ListingLeaving
 			},
-			see: func(w *planner.World) { w.Group("g").Drained = true }, want: []string{"assign g a c"},
+			see: func(w *planner.Snapshot) { w.Group("g").Drained = true }, want: []string{"assign g a c"},
 		},
 		{
 			name: "deleted while it serves requests", domains: []string{"d1: a b"},
@@ -290,7 +290,7 @@
 				g := serve(s, "g", "a b")
 				g.Phase, g.Deleted = fleet.GroupDraining, true
 			},
-			see: func(w *planner.World) { w.Group("g").Drained = true }, want: []string{"assign g"},
+			see: func(w *planner.Snapshot) { w.Group("g").Drained = true }, want: []string{"assign g"},
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -298,7 +298,7 @@
 			if c.declare != nil {
 				c.declare(s)
 			}
-			w := planner.NewWorld(s)
+			w := planner.NewSnapshot(s)
 			if c.see != nil {
 				c.see(w)
 			}
@@ -323,7 +323,7 @@
 	g.Spec.Selector = []fleet.Requirement{{Label: "d", Values: []string{"d1"}}}
 	serve(s, "h", "c")
 	s.VMs["d"].Drained = true
-	w := planner.NewWorld(s)
+	w := planner.NewSnapshot(s)
 	w.VM("b").Condition = planner.ConditionLost
 	w.VM("e").Condition = planner.ConditionSuspect
 	e, ok := planner.Explain(w, planner.DefaultPolicy(), "g")
--- a/planner/policy_test.go
+++ b/planner/policy_test.go
@@ -147,7 +147,7 @@
 }
 
 // strategy decides on a world; the planner is one, the baselines are the others.
-type strategy func(w *planner.World) []planner.Action
+type strategy func(w *planner.Snapshot) []planner.Action
 
 // table is the running state of one sequence under one strategy.
 type table struct {
@@ -228,11 +228,11 @@
 	}
 }
 
-func (x *table) world() *planner.World {
-	w := planner.NewWorld(x.state.Clone())
+func (x *table) world() *planner.Snapshot {
+	w := planner.NewSnapshot(x.state.Clone())
 	for i := range w.VMs {
 		v := &w.VMs[i]
-		v.Flaps, v.Stable = x.losses[v.Name], x.now-x.changed[v.Name]
+		v.Flaps, v.StableFor = x.losses[v.Name], x.now-x.changed[v.Name]
 		since, down := x.down[v.Name]
 		switch {
 		case down && x.now-since >= x.at.loss:
@@ -247,7 +247,7 @@
 		g := &w.Groups[i]
 		g.Drained = true
 		if since, ok := x.broken[g.Spec.Name]; ok {
-			g.Down = x.now - since
+			g.DownFor = x.now - since
 		}
 	}
 	return w
@@ -258,7 +258,7 @@
 		kind := map[planner.ActionKind]fleet.Kind{
 			planner.ActionAssign: fleet.KindAssign, planner.ActionDrain: fleet.KindDrainGroup, planner.ActionBreak: fleet.KindBreakGroup,
 		}[a.Kind]
-		x.apply(&fleet.Command{Kind: kind, Assign: &fleet.Assign{Group: a.Group, Base: a.Base, Members: a.Members}})
+		x.apply(&fleet.Command{Kind: kind, Assign: &fleet.Assign{Group: a.Group, Base: a.BaseEpoch, Members: a.Members}})
 	}
 	for _, v := range x.state.SortedVMs() {
 		_, down := x.down[v.Name]
@@ -316,7 +316,7 @@
 	var list []*fleet.VM
 	groups := map[ident.Group]bool{}
 	for _, v := range hungry {
-		if !groups[v.Group] && !control.StartNow(len(list), len(groups), missing[v.Group], feeds) {
+		if !groups[v.Group] && !control.ShouldStartLoad(len(list), len(groups), missing[v.Group], feeds) {
 			continue
 		}
 		groups[v.Group] = true
@@ -360,7 +360,7 @@
 
 // firstFit gives each group that lacks members the first free VMs by name, in any domain unless one is declared, at
 // once and without regard for the weight store.
-func firstFit(w *planner.World) []planner.Action {
+func firstFit(w *planner.Snapshot) []planner.Action {
 	var actions []planner.Action
 	taken := map[ident.VM]bool{}
 	for i := range w.Groups {
@@ -380,12 +380,12 @@
 		if members == nil {
 			continue
 		}
-		actions = append(actions, planner.Action{Kind: planner.ActionAssign, Group: g.Spec.Name, Base: g.Epoch, Members: members})
+		actions = append(actions, planner.Action{Kind: planner.ActionAssign, Group: g.Spec.Name, BaseEpoch: g.Epoch, Members: members})
 	}
 	return actions
 }
 
-func fill(w *planner.World, g *planner.Group, kept []ident.VM, taken map[ident.VM]bool) []ident.VM {
+func fill(w *planner.Snapshot, g *planner.Group, kept []ident.VM, taken map[ident.VM]bool) []ident.VM {
 	var domains []ident.Domain
 	for i := range w.VMs {
 		if !slices.Contains(domains, w.VMs[i].Domain) {
@@ -417,7 +417,7 @@
 }
 
 // reformAll packs every group anew whenever anything is amiss: the largest first, each into the domain that it fills best.
-func reformAll(w *planner.World) []planner.Action {
+func reformAll(w *planner.Snapshot) []planner.Action {
 	amiss := false
 	for i := range w.Groups {
 		g := &w.Groups[i]
@@ -457,9 +457,9 @@
 			available = available && (v.Phase == fleet.VMFree || v.Group == g.Spec.Name && v.Phase != fleet.VMLeaving)
 		}
 		if available {
-			actions = append(actions, planner.Action{Kind: planner.ActionAssign, Group: g.Spec.Name, Base: g.Epoch, Members: members})
+			actions = append(actions, planner.Action{Kind: planner.ActionAssign, Group: g.Spec.Name, BaseEpoch: g.Epoch, Members: members})
 		} else if len(g.Members) > 0 {
-			releases = append(releases, planner.Action{Kind: planner.ActionAssign, Group: g.Spec.Name, Base: g.Epoch})
+			releases = append(releases, planner.Action{Kind: planner.ActionAssign, Group: g.Spec.Name, BaseEpoch: g.Epoch})
 		}
 	}
 	return append(releases, actions...)
@@ -520,9 +520,9 @@
 	return u.downtime*downtime.Seconds() + u.stranded*stranded.Seconds()*perAccelerator
 }
 
-func (u *user) planned(w *planner.World) []planner.Action {
+func (u *user) planned(w *planner.Snapshot) []planner.Action {
 	p := planner.DefaultPolicy()
-	p.Downtime, p.Stranded, p.LoadTime = u.downtime, u.stranded, loadTime
+	p.DowntimeWeight, p.StrandedWeight, p.LoadTime = u.downtime, u.stranded, loadTime
 	return planner.Plan(w, p)
 }
 
--- a/planner/world.go
+++ b/planner/world.go
@@ -29,8 +29,8 @@
 type VM struct {
 	*fleet.VM
 	Condition Condition
-	// Stable is how long the condition has held.
-	Stable time.Duration
+	// StableFor is how long the condition has held.
+	StableFor time.Duration
 	// Flaps counts recent losses of this VM.
 	Flaps  int
 	domain int
@@ -42,13 +42,13 @@
 	*fleet.Group
 	// Drained is set when no daemon has a request in progress at this group.
 	Drained bool
-	// Down is how long the group has not been able to serve.
-	Down    time.Duration
+	// DownFor is how long the group has not been able to serve.
+	DownFor time.Duration
 	members []int
 }
 
-// World is the whole input of a plan in dense form; VMs and groups are in order of their names.
-type World struct {
+// Snapshot is the whole input of a plan in dense form; VMs and groups are in order of their names.
+type Snapshot struct {
 	VMs     []VM
 	Groups  []Group
 	domains []string
@@ -58,9 +58,9 @@
 
 const none = -1
 
-// NewWorld returns the dense form of s, with every VM present and every group not drained.
-func NewWorld(s *fleet.State) *World {
-	w := &World{byVM: make(map[ident.VM]int, len(s.VMs)), byGroup: make(map[ident.Group]int, len(s.Groups))}
+// NewSnapshot returns the dense form of s, with every VM present and every group not drained.
+func NewSnapshot(s *fleet.State) *Snapshot {
+	w := &Snapshot{byVM: make(map[ident.VM]int, len(s.VMs)), byGroup: make(map[ident.Group]int, len(s.Groups))}
 	for i, g := range s.SortedGroups() {
 		w.Groups = append(w.Groups, Group{Group: g})
 		w.byGroup[g.Spec.Name] = i
@@ -80,7 +80,7 @@
 }
 
 // domainIndex numbers domains; a domain's name counts within its hall only.
-func (w *World) domainIndex(domains map[string]int, v *fleet.VM) int {
+func (w *Snapshot) domainIndex(domains map[string]int, v *fleet.VM) int {
 	key := string(v.Hall) + "/" + string(v.Domain)
 	i, ok := domains[key]
 	if !ok {
@@ -91,7 +91,7 @@
 	return i
 }
 
-func (w *World) groupIndex(v *fleet.VM) int {
+func (w *Snapshot) groupIndex(v *fleet.VM) int {
 	if v.Phase == fleet.VMFree {
 		return none
 	}
@@ -102,7 +102,7 @@
 }
 
 // VM returns the VM of that name, or nil.
-func (w *World) VM(name ident.VM) *VM {
+func (w *Snapshot) VM(name ident.VM) *VM {
 	if i, ok := w.byVM[name]; ok {
 		return &w.VMs[i]
 	}
@@ -110,7 +110,7 @@
 }
 
 // Group returns the group of that name, or nil.
-func (w *World) Group(name ident.Group) *Group {
+func (w *Snapshot) Group(name ident.Group) *Group {
 	if i, ok := w.byGroup[name]; ok {
 		return &w.Groups[i]
 	}
@@ -118,7 +118,7 @@
 }
 
 // keeps reports whether member i can stay in its group g: there, wanted, admitted and not on its way out.
-func (w *World) keeps(g *Group, i int) bool {
+func (w *Snapshot) keeps(g *Group, i int) bool {
 	v := &w.VMs[i]
 	there := v.Condition != ConditionLost
 	held := v.Epoch == g.Epoch && (v.Phase == fleet.VMJoined || v.Phase == fleet.VMJoining)
@@ -126,7 +126,7 @@
 }
 
 // kept returns the members that can stay.
-func (w *World) kept(g *Group) []int {
+func (w *Snapshot) kept(g *Group) []int {
 	var kept []int
 	for _, i := range g.members {
 		if w.keeps(g, i) {
@@ -137,7 +137,7 @@
 }
 
 // sound reports whether nothing has to change about the members of g.
-func (w *World) sound(g *Group) bool {
+func (w *Snapshot) sound(g *Group) bool {
 	for _, i := range g.members {
 		c := w.VMs[i].Condition
 		if c == ConditionLost || c == ConditionRestarted || !w.keeps(g, i) {
@@ -148,7 +148,7 @@
 }
 
 // alive reports whether the formation can still answer requests, whether or not its members are the wanted ones.
-func (w *World) alive(g *Group) bool {
+func (w *Snapshot) alive(g *Group) bool {
 	for _, i := range g.members {
 		if c := w.VMs[i].Condition; c == ConditionLost || c == ConditionRestarted {
 			return false
@@ -158,13 +158,13 @@
 }
 
 // split reports whether the VMs lie in more than one fabric domain.
-func (w *World) split(members []int) bool {
+func (w *Snapshot) split(members []int) bool {
 	return slices.ContainsFunc(members, func(i int) bool {
 		return w.VMs[i].domain != w.VMs[members[0]].domain
 	})
 }
 
-func (w *World) names(members []int) []ident.VM {
+func (w *Snapshot) names(members []int) []ident.VM {
 	names := make([]ident.VM, len(members))
 	for i, m := range members {
 		names[i] = w.VMs[m].Name
--- a/presence/members.go
+++ b/presence/members.go
@@ -14,7 +14,7 @@
 	Hall        ident.Hall
 	Incarnation ident.Incarnation
 	Revision    ident.Revision
-	Heard       time.Time
+	LastContact time.Time
 	Stopping    bool
 	// InFlight counts requests in progress at groups that are draining.
 	InFlight map[ident.Group]int
@@ -34,8 +34,8 @@
 	return &Members{Bound: bound, peers: map[ident.Daemon]Peer{}}
 }
 
-// Hear takes what a daemon says of itself; an older revision of the same incarnation never replaces a newer one.
-func (m *Members) Hear(p Peer) {
+// Update takes what a daemon says of itself; an older revision of the same incarnation never replaces a newer one.
+func (m *Members) Update(p Peer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	old := m.peers[p.Name]
@@ -59,7 +59,7 @@
 	defer m.mu.RUnlock()
 	var live []Peer
 	for _, p := range m.peers {
-		if now.Sub(p.Heard) <= m.Bound {
+		if now.Sub(p.LastContact) <= m.Bound {
 			live = append(live, p)
 		}
 	}
--- a/presence/presence_test.go
+++ b/presence/presence_test.go
@@ -16,7 +16,7 @@
 const bound = time.Second
 
 func TestPresent(t *testing.T) {
-	answer := presence.Observation{Sight: presence.SightAnswer, Incarnation: "i", Epoch: 7}
+	answer := presence.Observation{Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 7}
 	with := func(change func(o *presence.Observation)) presence.Observation {
 		o := answer
 		change(&o)
@@ -41,10 +41,10 @@
 		{"another incarnation", []seen{{0, with(func(o *presence.Observation) { o.Incarnation = "j" })}}, 0, 0, false},
 		{"another epoch", []seen{{0, with(func(o *presence.Observation) { o.Epoch = 6 })}}, 0, 0, false},
 		{"leaving by its own word", []seen{{0, with(func(o *presence.Observation) { o.Leaving = true })}}, 0, 0, false},
-		{"refused after it was seen", []seen{{0, answer}, {100 * time.Millisecond, presence.Observation{Sight: presence.SightRefused}}}, 0, 200 * time.Millisecond, false},
-		{"seen again after a refusal", []seen{{0, presence.Observation{Sight: presence.SightRefused}}, {100 * time.Millisecond, answer}}, 0, 200 * time.Millisecond, true},
-		{"one watcher's silence does not outweigh the other's answer", []seen{{0, answer}, {100 * time.Millisecond, presence.Observation{Sight: presence.SightSilence}}}, 0, 200 * time.Millisecond, true},
-		{"an older refusal that arrives later", []seen{{100 * time.Millisecond, answer}, {200 * time.Millisecond, presence.Observation{Sight: presence.SightRefused, Age: 150}}}, 0, 200 * time.Millisecond, true},
+		{"refused after it was seen", []seen{{0, answer}, {100 * time.Millisecond, presence.Observation{Sight: presence.ProbeRefused}}}, 0, 200 * time.Millisecond, false},
+		{"seen again after a refusal", []seen{{0, presence.Observation{Sight: presence.ProbeRefused}}, {100 * time.Millisecond, answer}}, 0, 200 * time.Millisecond, true},
+		{"one watcher's silence does not outweigh the other's answer", []seen{{0, answer}, {100 * time.Millisecond, presence.Observation{Sight: presence.ProbeTimedOut}}}, 0, 200 * time.Millisecond, true},
+		{"an older refusal that arrives later", []seen{{100 * time.Millisecond, answer}, {200 * time.Millisecond, presence.Observation{Sight: presence.ProbeRefused, Age: 150}}}, 0, 200 * time.Millisecond, true},
 		{"a passive failure after it was seen", []seen{{0, answer}}, 100 * time.Millisecond, 200 * time.Millisecond, false},
 		{"seen again after the passive failure", []seen{{0, answer}, {300 * time.Millisecond, answer}}, 100 * time.Millisecond, 300 * time.Millisecond, true},
 		{"an answer from before the failure that arrives after it", []seen{{0, answer}, {300 * time.Millisecond, with(func(o *presence.Observation) { o.Age = 250 })}}, 100 * time.Millisecond, 300 * time.Millisecond, false},
@@ -117,13 +117,13 @@
 
 func TestMembers(t *testing.T) {
 	m := presence.NewMembers(time.Second)
-	m.Hear(presence.Peer{Name: "a", Incarnation: "1", Revision: 5, Heard: start})
-	m.Hear(presence.Peer{Name: "b", Incarnation: "1", Revision: 5, Heard: start.Add(-2 * time.Second)})
-	m.Hear(presence.Peer{Name: "a", Incarnation: "1", Revision: 3, Heard: start})
+	m.Update(presence.Peer{Name: "a", Incarnation: "1", Revision: 5, LastContact: start})
+	m.Update(presence.Peer{Name: "b", Incarnation: "1", Revision: 5, LastContact: start.Add(-2 * time.Second)})
+	m.Update(presence.Peer{Name: "a", Incarnation: "1", Revision: 3, LastContact: start})
 	if p, _ := m.Get("a"); p.Revision != 5 {
 		t.Errorf("a late beat took the revision back to %d", p.Revision)
 	}
-	m.Hear(presence.Peer{Name: "a", Incarnation: "2", Revision: 1, Heard: start})
+	m.Update(presence.Peer{Name: "a", Incarnation: "2", Revision: 1, LastContact: start})
 	if p, _ := m.Get("a"); p.Revision != 1 {
 		t.Errorf("a daemon that started anew has revision %d, its own word is 1", p.Revision)
 	}
--- a/presence/table.go
+++ b/presence/table.go
@@ -19,20 +19,20 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// Sight is what a probe saw.
-type Sight uint8
+// ProbeResult is what a probe saw.
+type ProbeResult uint8
 
 // The sights: an answer, a definite refusal such as a closed port, and silence.
 const (
-	SightAnswer Sight = iota
-	SightRefused
-	SightSilence
+	ProbeAnswered ProbeResult = iota
+	ProbeRefused
+	ProbeTimedOut
 )
 
 // Observation is one watcher's newest probe of one VM; Age is in milliseconds at the time of sending.
 type Observation struct {
 	VM          ident.VM
-	Sight       Sight
+	Sight       ProbeResult
 	Age         int64
 	Incarnation ident.Incarnation
 	Group       ident.Group
@@ -43,22 +43,22 @@
 	Queued      int
 }
 
-// Seen is the newest definite observation of a VM, at the receiver's clock.
-type Seen struct {
+// DatedObservation is the newest definite observation of a VM, at the receiver's clock.
+type DatedObservation struct {
 	At time.Time
 	Observation
 }
 
 // Member is what a group's formation expects of one VM.
 type Member struct {
-	Cell        *Cell
+	Cell        *VMRecord
 	Incarnation ident.Incarnation
 	Epoch       ident.Epoch
 }
 
-// Cell holds what is known of one VM; its methods may be called concurrently.
-type Cell struct {
-	seen     atomic.Pointer[Seen]
+// VMRecord holds what is known of one VM; its methods may be called concurrently.
+type VMRecord struct {
+	seen     atomic.Pointer[DatedObservation]
 	positive stamp // the newest answer
 	reported stamp // the newest report of any kind
 	failed   stamp // the newest passive failure
@@ -95,13 +95,13 @@
 }
 
 // Observe takes an observation that arrived at now.
-func (c *Cell) Observe(now time.Time, o *Observation) {
+func (c *VMRecord) Observe(now time.Time, o *Observation) {
 	at := now.Add(-time.Duration(o.Age) * time.Millisecond)
 	c.reported.raise(at)
-	if o.Sight == SightSilence {
+	if o.Sight == ProbeTimedOut {
 		return
 	}
-	if o.Sight == SightAnswer {
+	if o.Sight == ProbeAnswered {
 		c.positive.raise(at)
 	}
 	for {
@@ -109,36 +109,36 @@
 		if old != nil && !at.After(old.At) {
 			return
 		}
-		if c.seen.CompareAndSwap(old, &Seen{At: at, Observation: *o}) {
+		if c.seen.CompareAndSwap(old, &DatedObservation{At: at, Observation: *o}) {
 			return
 		}
 	}
 }
 
 // Fail notes a failure met while using the VM; only an observation made after it counts again.
-func (c *Cell) Fail(now time.Time) {
+func (c *VMRecord) Fail(now time.Time) {
 	c.failed.raise(now)
 }
 
-// Seen returns the newest definite observation, or nil.
-func (c *Cell) Seen() *Seen {
+// Latest returns the newest definite observation, or nil.
+func (c *VMRecord) Latest() *DatedObservation {
 	return c.seen.Load()
 }
 
 // PositiveAge returns how long ago the VM answered a probe; ok is false when it never did.
-func (c *Cell) PositiveAge(now time.Time) (age time.Duration, ok bool) {
+func (c *VMRecord) PositiveAge(now time.Time) (age time.Duration, ok bool) {
 	return c.positive.age(now)
 }
 
 // ReportAge returns how long ago any watcher reported on the VM; ok is false when none ever did.
-func (c *Cell) ReportAge(now time.Time) (age time.Duration, ok bool) {
+func (c *VMRecord) ReportAge(now time.Time) (age time.Duration, ok bool) {
 	return c.reported.age(now)
 }
 
 // Present reports whether the VM is there, in the wanted incarnation and epoch, as of at most bound ago.
 func (m *Member) Present(now time.Time, bound time.Duration) bool {
 	s := m.Cell.seen.Load()
-	if s == nil || s.Sight != SightAnswer || s.Leaving {
+	if s == nil || s.Sight != ProbeAnswered || s.Leaving {
 		return false
 	}
 	if now.Sub(s.At) > bound || !m.Cell.failed.before(s.At) {
@@ -150,16 +150,16 @@
 // Table holds the cells of all VMs by name.
 type Table struct {
 	mu    sync.RWMutex
-	cells map[ident.VM]*Cell
+	cells map[ident.VM]*VMRecord
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{cells: map[ident.VM]*Cell{}}
+	return &Table{cells: map[ident.VM]*VMRecord{}}
 }
 
 // Cell returns the cell of that VM, making it when it is new.
-func (t *Table) Cell(name ident.VM) *Cell {
+func (t *Table) Cell(name ident.VM) *VMRecord {
 	t.mu.RLock()
 	c := t.cells[name]
 	t.mu.RUnlock()
@@ -169,7 +169,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if c = t.cells[name]; c == nil {
-		c = &Cell{}
+		c = &VMRecord{}
 		t.cells[name] = c
 	}
 	return c
--- a/quarantine/list.go
+++ b/quarantine/list.go
@@ -27,10 +27,10 @@
 )
 
 const (
-	// EndsKept bounds the ends that are remembered of one work: with the usual rule, the number after which it is held longest.
-	EndsKept = 9
-	// HoldMost bounds how long work is held.
-	HoldMost = time.Hour
+	// MaxCrashes bounds the ends that are remembered of one work: with the usual rule, the number after which it is held longest.
+	MaxCrashes = 9
+	// MaxDuration bounds how long work is held.
+	MaxDuration = time.Hour
 	// keepFor is how long something is remembered after it was last learnt: work that comes again more seldom ends less than three
 	// upstreams an hour more than work that does not.
 	keepFor = time.Hour
@@ -50,18 +50,18 @@
 
 // Rule says what is held, and for how long.
 type Rule struct {
-	// Ends is how many upstreams must have ended under a work in a row.
-	Ends int
-	// Hold is how long it is held at first.
-	Hold time.Duration
-	// Records bounds the works that are remembered; one takes 200 bytes with one end and 320 with nine.
-	Records int
+	// Crashes is how many upstreams must have ended under a work in a row.
+	Crashes int
+	// InitialDuration is how long it is held at first.
+	InitialDuration time.Duration
+	// MaxRecords bounds the works that are remembered; one takes 200 bytes with one end and 320 with nine.
+	MaxRecords int
 }
 
 // DefaultRule is three ends, since one or two in a row also meet work that is not at fault; a minute, which bounds what one work ends
 // to nine upstreams an hour; and records that take about 1 MB in all.
 func DefaultRule() Rule {
-	return Rule{Ends: 3, Hold: time.Minute, Records: 4096}
+	return Rule{Crashes: 3, InitialDuration: time.Minute, MaxRecords: 4096}
 }
 
 // List is what is known of work that upstreams ended under; the zero value knows nothing.
@@ -69,7 +69,7 @@
 	Rule Rule
 
 	mu      sync.Mutex
-	records map[Work]*record
+	records map[Fingerprint]*record
 	// sum is Sum as it was at sumAt, old when anything was learnt since.
 	sum   uint64
 	sumAt time.Time
@@ -78,8 +78,8 @@
 	next int
 }
 
-// Held returns how long the work is still not to be sent to upstreams, 0 when it may.
-func (l *List) Held(now time.Time, w Work) time.Duration {
+// Remaining returns how long the work is still not to be sent to upstreams, 0 when it may.
+func (l *List) Remaining(now time.Time, w Fingerprint) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.records[w]
@@ -91,19 +91,19 @@
 
 // until returns when a record stops being held, the zero time when it is not.
 func (l *List) until(r *record) time.Time {
-	if len(r.ends) < l.Rule.Ends {
+	if len(r.ends) < l.Rule.Crashes {
 		return time.Time{}
 	}
-	return r.last.Add(min(HoldMost, l.Rule.Hold<<(len(r.ends)-l.Rule.Ends)))
+	return r.last.Add(min(MaxDuration, l.Rule.InitialDuration<<(len(r.ends)-l.Rule.Crashes)))
 }
 
-// Begin notes that work which may be sent is sent now. Work that was held before gets one try at a time; ok is then set, and others
+// BeginTrial notes that work which may be sent is sent now. Work that was held before gets one try at a time; ok is then set, and others
 // must be told by the report.
-func (l *List) Begin(now time.Time, w Work) (tell Report, ok bool) {
+func (l *List) BeginTrial(now time.Time, w Fingerprint) (tell Report, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.records[w]
-	if r == nil || len(r.ends) < l.Rule.Ends {
+	if r == nil || len(r.ends) < l.Rule.Crashes {
 		return Report{}, false
 	}
 	r.trying = now.Add(tryFor)
@@ -112,12 +112,12 @@
 	return tell, true
 }
 
-// Ended notes that a life ended while it ran the work, and returns what others must be told.
-func (l *List) Ended(now time.Time, w Work, end End) Report {
+// Crashed notes that a life ended while it ran the work, and returns what others must be told.
+func (l *List) Crashed(now time.Time, w Fingerprint, end CrashID) Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.record(w)
-	r.add([]End{end})
+	r.add([]CrashID{end})
 	r.last, r.changed, r.trying = now, now, time.Time{}
 	l.old = true
 	return r.report(w, now)
@@ -125,7 +125,7 @@
 
 // Answered notes that the work has a whole answer. If upstreams had ended under it they count no more; ok is then set, and others
 // must be told by the report.
-func (l *List) Answered(now time.Time, w Work) (tell Report, ok bool) {
+func (l *List) Answered(now time.Time, w Fingerprint) (tell Report, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.records[w]
@@ -137,11 +137,11 @@
 	return r.report(w, now), true
 }
 
-// Hear takes what somebody else knows, and reports whether that was new.
-func (l *List) Hear(now time.Time, n *Report) bool {
+// Merge takes what somebody else knows, and reports whether that was new.
+func (l *List) Merge(now time.Time, n *Report) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := n.Work()
+	w := n.Fingerprint()
 	if l.records[w] == nil && len(n.Ends) == 0 {
 		return false // it clears what nothing is known of
 	}
@@ -162,7 +162,7 @@
 			r.trying = time.Time{}
 		}
 	}
-	at := now.Add(-time.Duration(min(max(0, n.AgeMS), HoldMost.Milliseconds())) * time.Millisecond)
+	at := now.Add(-time.Duration(min(max(0, n.AgeMS), MaxDuration.Milliseconds())) * time.Millisecond)
 	if len(n.Ends) > 0 && at.Sub(r.last) > sameEnd {
 		r.last = at
 		news = true
@@ -175,14 +175,14 @@
 }
 
 // record returns the record of a work, a new one when there is none.
-func (l *List) record(w Work) *record {
+func (l *List) record(w Fingerprint) *record {
 	if r := l.records[w]; r != nil {
 		return r
 	}
 	if l.records == nil {
-		l.records = map[Work]*record{}
+		l.records = map[Fingerprint]*record{}
 	}
-	if len(l.records) >= l.Rule.Records {
+	if len(l.records) >= l.Rule.MaxRecords {
 		l.forgetOne()
 	}
 	r := &record{}
@@ -193,7 +193,7 @@
 // forgetOne forgets the record that matters least of some that are drawn at random: somebody who sends ever new work that ends
 // upstreams must not push out what is held.
 func (l *List) forgetOne() {
-	var least Work
+	var least Fingerprint
 	var found *record
 	n := 0
 	for w, r := range l.records {
@@ -207,8 +207,8 @@
 	delete(l.records, least)
 }
 
-// Ends returns how many upstreams have ended under a work in a row.
-func (l *List) Ends(w Work) int {
+// Crashes returns how many upstreams have ended under a work in a row.
+func (l *List) Crashes(w Fingerprint) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.records[w]
@@ -225,8 +225,8 @@
 	return len(l.records)
 }
 
-// HeldLen returns how many works are held.
-func (l *List) HeldLen(now time.Time) int {
+// QuarantinedLen returns how many works are held.
+func (l *List) QuarantinedLen(now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -238,8 +238,8 @@
 	return n
 }
 
-// HeldNow returns what is held, the longest list of ends first.
-func (l *List) HeldNow(now time.Time) []Report {
+// Quarantined returns what is held, the longest list of ends first.
+func (l *List) Quarantined(now time.Time) []Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.reports(now, func(r *record) bool { return l.until(r).After(now) })
@@ -267,8 +267,8 @@
 	return list
 }
 
-// ToTell returns up to most reports to be told now: by turns all that have changed lately, and what is held.
-func (l *List) ToTell(now time.Time, most int) []Report {
+// ToSend returns up to most reports to be told now: by turns all that have changed lately, and what is held.
+func (l *List) ToSend(now time.Time, most int) []Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	list := l.active(now)
@@ -281,8 +281,8 @@
 	return list[:most]
 }
 
-// Sum is a digest of all that others are to be told, as of a moment ago: two lists with the same one have nothing to tell each other.
-func (l *List) Sum(now time.Time) uint64 {
+// Digest is a digest of all that others are to be told, as of a moment ago: two lists with the same one have nothing to tell each other.
+func (l *List) Digest(now time.Time) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if age := now.Sub(l.sumAt); age < sumAgain || !l.old && age < sumFor {
--- a/quarantine/list_test.go
+++ b/quarantine/list_test.go
@@ -30,10 +30,10 @@
 	return &quarantine.List{Rule: quarantine.DefaultRule()}
 }
 
-var work = quarantine.Work{Customer: "office", Content: 7}
+var work = quarantine.Fingerprint{Customer: "office", Content: 7}
 
-func endOf(n int) quarantine.End {
-	return quarantine.EndOf(ident.Incarnation(fmt.Sprint("life-", n)))
+func endOf(n int) quarantine.CrashID {
+	return quarantine.CrashIDOf(ident.Incarnation(fmt.Sprint("life-", n)))
 }
 
 // Three upstreams in a row hold a work for a minute, each further one for twice as long, up to an hour.
@@ -42,8 +42,8 @@
 	now := start
 	var got []time.Duration
 	for n := range 12 {
-		l.Ended(now, work, endOf(n))
-		held := l.Held(now, work)
+		l.Crashed(now, work, endOf(n))
+		held := l.Remaining(now, work)
 		got = append(got, held)
 		now = now.Add(held)
 	}
@@ -54,7 +54,7 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("held (-want +got):\n%s", diff)
 	}
-	if l.Held(start, quarantine.Work{Customer: "other", Content: 7}) > 0 || l.Held(start, quarantine.Work{Customer: "office", Content: 8}) > 0 {
+	if l.Remaining(start, quarantine.Fingerprint{Customer: "other", Content: 7}) > 0 || l.Remaining(start, quarantine.Fingerprint{Customer: "office", Content: 8}) > 0 {
 		t.Error("other work is held")
 	}
 }
@@ -63,10 +63,10 @@
 func TestAnEndCountsOnce(t *testing.T) {
 	l := newList()
 	for range 5 {
-		tell := l.Ended(start, work, endOf(1))
-		l.Hear(start, &tell)
+		tell := l.Crashed(start, work, endOf(1))
+		l.Merge(start, &tell)
 	}
-	if got := l.Ends(work); got != 1 {
+	if got := l.Crashes(work); got != 1 {
 		t.Errorf("%d ends, want 1", got)
 	}
 }
@@ -76,22 +76,22 @@
 	a, b := newList(), newList()
 	var told []quarantine.Report
 	for n := range 3 {
-		told = append(told, a.Ended(start, work, endOf(n)))
-		b.Hear(start, &told[n])
+		told = append(told, a.Crashed(start, work, endOf(n)))
+		b.Merge(start, &told[n])
 	}
-	if b.Held(start, work) == 0 {
+	if b.Remaining(start, work) == 0 {
 		t.Fatal("not held after three ends that were told")
 	}
 	cleared, ok := a.Answered(start, work)
 	if !ok {
 		t.Fatal("nothing to tell of an answer that clears")
 	}
-	b.Hear(start, &cleared)
+	b.Merge(start, &cleared)
 	for i := range told {
-		b.Hear(start, &told[i])
+		b.Merge(start, &told[i])
 	}
-	if a.Held(start, work) > 0 || b.Held(start, work) > 0 || b.Ends(work) > 0 {
-		t.Errorf("held after an answer: %v, %v, %d ends", a.Held(start, work), b.Held(start, work), b.Ends(work))
+	if a.Remaining(start, work) > 0 || b.Remaining(start, work) > 0 || b.Crashes(work) > 0 {
+		t.Errorf("held after an answer: %v, %v, %d ends", a.Remaining(start, work), b.Remaining(start, work), b.Crashes(work))
 	}
 	if _, ok := a.Answered(start, work); ok {
 		t.Error("a second answer is told")
@@ -102,27 +102,27 @@
 func TestHeldWorkIsTriedByOne(t *testing.T) {
 	a, b := newList(), newList()
 	for n := range 3 {
-		tell := a.Ended(start, work, endOf(n))
-		b.Hear(start, &tell)
+		tell := a.Crashed(start, work, endOf(n))
+		b.Merge(start, &tell)
 	}
 	later := start.Add(61 * time.Second)
-	if a.Held(later, work) > 0 || b.Held(later, work) > 0 {
+	if a.Remaining(later, work) > 0 || b.Remaining(later, work) > 0 {
 		t.Fatal("still held")
 	}
-	tell, ok := a.Begin(later, work)
+	tell, ok := a.BeginTrial(later, work)
 	if !ok {
 		t.Fatal("nothing to tell of a try")
 	}
-	b.Hear(later, &tell)
-	if a.Held(later, work) == 0 || b.Held(later, work) == 0 {
+	b.Merge(later, &tell)
+	if a.Remaining(later, work) == 0 || b.Remaining(later, work) == 0 {
 		t.Error("a second try is let in beside the first")
 	}
-	if b.Held(later.Add(11*time.Second), work) > 0 {
+	if b.Remaining(later.Add(11*time.Second), work) > 0 {
 		t.Error("held although nothing was heard of the try for long")
 	}
-	tell = a.Ended(later, work, endOf(3))
-	b.Hear(later, &tell)
-	if got := b.Held(later, work); got != 2*time.Minute {
+	tell = a.Crashed(later, work, endOf(3))
+	b.Merge(later, &tell)
+	if got := b.Remaining(later, work); got != 2*time.Minute {
 		t.Errorf("held for %v after a fourth end, want 2m", got)
 	}
 }
@@ -131,13 +131,13 @@
 func TestOneThatStartsLateHoldsAsLong(t *testing.T) {
 	a, b := newList(), newList()
 	for n := range 3 {
-		a.Ended(start, work, endOf(n))
+		a.Crashed(start, work, endOf(n))
 	}
 	now := start.Add(40 * time.Second)
-	for _, r := range a.ToTell(now, 10) {
-		b.Hear(now, &r)
+	for _, r := range a.ToSend(now, 10) {
+		b.Merge(now, &r)
 	}
-	if diff := cmp.Diff(a.Held(now, work), b.Held(now, work)); diff != "" {
+	if diff := cmp.Diff(a.Remaining(now, work), b.Remaining(now, work)); diff != "" {
 		t.Errorf("held (-first +late):\n%s", diff)
 	}
 }
@@ -146,18 +146,18 @@
 func TestMemoryIsBounded(t *testing.T) {
 	l := newList()
 	for n := range 3 {
-		l.Ended(start, work, endOf(n))
+		l.Crashed(start, work, endOf(n))
 	}
 	for n := range 50_000 {
-		l.Ended(start.Add(time.Duration(n)*time.Millisecond), quarantine.Work{Content: ident.Content(1000 + n)}, endOf(n))
+		l.Crashed(start.Add(time.Duration(n)*time.Millisecond), quarantine.Fingerprint{Content: ident.Content(1000 + n)}, endOf(n))
 	}
-	if l.Len() > l.Rule.Records {
-		t.Errorf("%d records, want %d at most", l.Len(), l.Rule.Records)
+	if l.Len() > l.Rule.MaxRecords {
+		t.Errorf("%d records, want %d at most", l.Len(), l.Rule.MaxRecords)
 	}
-	if l.Held(start.Add(50*time.Second), work) == 0 {
+	if l.Remaining(start.Add(50*time.Second), work) == 0 {
 		t.Error("held work was pushed out")
 	}
-	l.ToTell(start.Add(3*time.Hour), 1)
+	l.ToSend(start.Add(3*time.Hour), 1)
 	if l.Len() > 0 {
 		t.Errorf("%d records after hours without news", l.Len())
 	}
@@ -171,11 +171,11 @@
 		for n := range 1000 {
 			r.Ends = append(r.Ends, endOf(n))
 		}
-		l.Hear(start, &r)
-		if got := l.Held(start, work); got > time.Hour {
+		l.Merge(start, &r)
+		if got := l.Remaining(start, work); got > time.Hour {
 			t.Errorf("age %d: held for %v", age, got)
 		}
-		if got := l.Ends(work); got > 9 {
+		if got := l.Crashes(work); got > 9 {
 			t.Errorf("%d ends are kept", got)
 		}
 	}
@@ -196,16 +196,16 @@
 		}
 		a, b := newList(), newList()
 		for i := range reports {
-			a.Hear(start, &reports[i])
+			a.Merge(start, &reports[i])
 		}
 		for _, i := range rapid.Permutation(indexes(len(reports))).Draw(t, "order") {
-			b.Hear(start, &reports[i])
-			b.Hear(start, &reports[rapid.IntRange(0, i).Draw(t, "again")])
+			b.Merge(start, &reports[i])
+			b.Merge(start, &reports[rapid.IntRange(0, i).Draw(t, "again")])
 		}
-		if diff := cmp.Diff(a.ToTell(start, 10), b.ToTell(start, 10)); diff != "" {
+		if diff := cmp.Diff(a.ToSend(start, 10), b.ToSend(start, 10)); diff != "" {
 			t.Fatalf("what is known (-one order +another):\n%s", diff)
 		}
-		if a.Sum(start) != b.Sum(start) {
+		if a.Digest(start) != b.Digest(start) {
 			t.Fatal("the same knowledge has two sums")
 		}
 	})
@@ -222,23 +222,23 @@
 // BenchmarkHeld is what each request pays at an entry that remembers as much as it may.
 func BenchmarkHeld(b *testing.B) {
 	l := newList()
-	for n := range l.Rule.Records {
-		l.Ended(start, quarantine.Work{Customer: "office", Content: ident.Content(n)}, endOf(n))
+	for n := range l.Rule.MaxRecords {
+		l.Crashed(start, quarantine.Fingerprint{Customer: "office", Content: ident.Content(n)}, endOf(n))
 	}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		l.Held(start, quarantine.Work{Customer: "office", Content: ident.Content(n % 10_000)})
+		l.Remaining(start, quarantine.Fingerprint{Customer: "office", Content: ident.Content(n % 10_000)})
 	}
 }
 
 // BenchmarkSum is what a change costs that has to be told, with as many records as there may be.
 func BenchmarkSum(b *testing.B) {
 	l := newList()
-	for n := range l.Rule.Records {
-		l.Ended(start, quarantine.Work{Customer: "office", Content: ident.Content(n)}, endOf(n))
+	for n := range l.Rule.MaxRecords {
+		l.Crashed(start, quarantine.Fingerprint{Customer: "office", Content: ident.Content(n)}, endOf(n))
 	}
 	for n := 0; b.Loop(); n++ {
-		l.Ended(start, work, endOf(n))
-		l.Sum(start)
+		l.Crashed(start, work, endOf(n))
+		l.Digest(start)
 	}
 }
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -36,12 +36,12 @@
 
 // ask lets the work come to one list, which runs it unless it is held.
 func (s *site) ask(i int) {
-	if s.lists[i].Held(start, work) > 0 {
+	if s.lists[i].Remaining(start, work) > 0 {
 		return
 	}
 	s.lives++
 	s.runs[i]++
-	report := s.lists[i].Ended(start, work, quarantine.EndOf(ident.Incarnation(fmt.Sprint("life-", s.lives))))
+	report := s.lists[i].Crashed(start, work, quarantine.CrashIDOf(ident.Incarnation(fmt.Sprint("life-", s.lives))))
 	for to := range s.lists {
 		if to != i {
 			s.wire = append(s.wire, told{to, report})
@@ -52,7 +52,7 @@
 // arrive lets one report arrive, which stays on its way when it is to come again.
 func (s *site) arrive(n int, again bool) {
 	t := s.wire[n]
-	s.lists[t.to].Hear(start, &t.report)
+	s.lists[t.to].Merge(start, &t.report)
 	if !again {
 		s.lose(n)
 	}
@@ -64,8 +64,8 @@
 
 // meet lets one list tell another all that it has to tell.
 func (s *site) meet(from, to int) {
-	for _, r := range s.lists[from].ToTell(start, 10) {
-		s.lists[to].Hear(start, &r)
+	for _, r := range s.lists[from].ToSend(start, 10) {
+		s.lists[to].Merge(start, &r)
 	}
 }
 
@@ -103,7 +103,7 @@
 		}
 		before, most := s.lives, 0
 		for i := range n {
-			most = max(most, s.lists[i].Ends(work))
+			most = max(most, s.lists[i].Crashes(work))
 		}
 		for i := range n {
 			s.ask(i)
@@ -135,12 +135,12 @@
 	l := newList()
 	runs := 0
 	for now := start; now.Before(start.Add(time.Hour)); now = now.Add(time.Second) {
-		if l.Held(now, work) > 0 {
+		if l.Remaining(now, work) > 0 {
 			continue
 		}
 		runs++
-		l.Begin(now, work)
-		l.Ended(now, work, endOf(runs))
+		l.BeginTrial(now, work)
+		l.Crashed(now, work, endOf(runs))
 	}
 	if runs > 9 {
 		t.Errorf("%d runs in an hour, want 9 at most", runs)
--- a/quarantine/work.go
+++ b/quarantine/work.go
@@ -9,8 +9,8 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// Work names what is the same when a request comes again under another id: whose it is and what it contains.
-type Work struct {
+// Fingerprint names what is the same when a request comes again under another id: whose it is and what it contains.
+type Fingerprint struct {
 	Customer ident.Customer
 	Content  ident.Content
 }
@@ -25,12 +25,12 @@
 	return ident.Content(d.Sum64())
 }
 
-// End names the life of an upstream that ended.
-type End uint64
+// CrashID names the life of an upstream that ended.
+type CrashID uint64
 
-// EndOf returns the name of the end of one life.
-func EndOf(life ident.Incarnation) End {
-	return End(xxhash.Sum64String(string(life)))
+// CrashIDOf returns the name of the end of one life.
+func CrashIDOf(life ident.Incarnation) CrashID {
+	return CrashID(xxhash.Sum64String(string(life)))
 }
 
 // Report tells others what is known of one work. Of two reports the one with more in Cleared counts; at the same number the ends of
@@ -41,22 +41,22 @@
 	// Cleared is how often the work had a whole answer after upstreams had ended; ends before that do not count.
 	Cleared uint32 `cbor:"3,keyasint,omitempty"`
 	// Ends are the lives that ended, in order.
-	Ends []End `cbor:"4,keyasint,omitempty"`
+	Ends []CrashID `cbor:"4,keyasint,omitempty"`
 	// AgeMS is how long ago the newest of them ended, in ms.
 	AgeMS int64 `cbor:"5,keyasint,omitempty"`
 	// Trying is set while the sender tries the work once more after it was held.
 	Trying bool `cbor:"6,keyasint,omitempty"`
 }
 
-// Work returns what the report is about.
-func (r *Report) Work() Work {
-	return Work{r.Customer, r.Content}
+// Fingerprint returns what the report is about.
+func (r *Report) Fingerprint() Fingerprint {
+	return Fingerprint{r.Customer, r.Content}
 }
 
 // record is what is known of one work.
 type record struct {
 	cleared uint32
-	ends    []End
+	ends    []CrashID
 	// last is when the newest end was, changed when anything was learnt.
 	last    time.Time
 	changed time.Time
@@ -65,21 +65,21 @@
 }
 
 // add takes ends and reports whether any was new. Where there are too many the smallest stay, so that all keep the same ones.
-func (r *record) add(ends []End) bool {
+func (r *record) add(ends []CrashID) bool {
 	added := false
 	for _, e := range ends {
 		at, found := slices.BinarySearch(r.ends, e)
-		if found || at >= EndsKept {
+		if found || at >= MaxCrashes {
 			continue
 		}
 		r.ends = slices.Insert(r.ends, at, e)
-		r.ends = r.ends[:min(len(r.ends), EndsKept)]
+		r.ends = r.ends[:min(len(r.ends), MaxCrashes)]
 		added = true
 	}
 	return added
 }
 
-func (r *record) report(w Work, now time.Time) Report {
+func (r *record) report(w Fingerprint, now time.Time) Report {
 	age := now.Sub(r.last).Milliseconds()
 	if len(r.ends) == 0 {
 		age = 0
--- a/quorum/core.go
+++ b/quorum/core.go
@@ -56,7 +56,7 @@
 type Ready struct {
 	Appends   []Message
 	Install   *Snapshot
-	Hard      *HardState
+	HardState *HardState
 	Entries   []Entry
 	Messages  []Message
 	Committed []Entry
@@ -149,7 +149,7 @@
 	c.appends, c.messages, c.install = nil, nil, nil
 	if c.hardDirty {
 		hard := c.hard
-		rd.Hard = &hard
+		rd.HardState = &hard
 		c.hardDirty = false
 	}
 	if c.firstDirty != 0 {
@@ -167,7 +167,7 @@
 func (c *Core) Status() Status {
 	return Status{
 		ID: c.id, Formed: c.formed, Role: c.role, Term: c.hard.Term, Leader: c.leader.Name, Commit: c.commit,
-		Members: c.members, Current: c.currentFrom > 0, Expelled: c.hard.Expelled, Lease: c.lease, Elected: c.elected, Heard: c.heard,
+		Members: c.members, KnowsCommitted: c.currentFrom > 0, Expelled: c.hard.Expelled, LeaseEnd: c.lease, ElectedAt: c.elected, LastContact: c.heard,
 		Followers: c.followers(),
 	}
 }
@@ -180,14 +180,14 @@
 	list := make([]Follower, 0, len(c.members))
 	for _, m := range c.members {
 		if p := c.progress[m.ID]; m.ID != c.id && p != nil {
-			list = append(list, Follower{ID: m.ID, Acked: p.acked, Lost: p.lost})
+			list = append(list, Follower{ID: m.ID, LastAck: p.acked, LostData: p.lost})
 		}
 	}
 	return list
 }
 
-// CaughtUp returns a voter other than this leader that holds the whole log.
-func (c *Core) CaughtUp() (MemberID, bool) {
+// CaughtUpVoter returns a voter other than this leader that holds the whole log.
+func (c *Core) CaughtUpVoter() (MemberID, bool) {
 	for _, m := range c.members {
 		if p := c.progress[m.ID]; m.Voter && m.ID != c.id && p != nil && !p.lost && p.match == c.lastIndex() {
 			return m.ID, true
--- a/quorum/core_test.go
+++ b/quorum/core_test.go
@@ -101,7 +101,7 @@
 		for _, e := range rd.Committed {
 			g.apply(m, e)
 		}
-		if len(rd.Appends)+len(rd.Messages)+len(rd.Entries)+len(rd.Committed) == 0 && rd.Hard == nil && rd.Install == nil {
+		if len(rd.Appends)+len(rd.Messages)+len(rd.Entries)+len(rd.Committed) == 0 && rd.HardState == nil && rd.Install == nil {
 			return
 		}
 	}
@@ -124,8 +124,8 @@
 		m.snapshot = rd.Install
 		m.entries = nil
 	}
-	if rd.Hard != nil {
-		m.hard = *rd.Hard
+	if rd.HardState != nil {
+		m.hard = *rd.HardState
 	}
 	if len(rd.Entries) == 0 {
 		return
@@ -159,7 +159,7 @@
 				g.t.Fatalf("%v and %v both lead term %d", other, m.id, s.Term)
 			}
 			g.leaders[s.Term] = m.id
-			if g.now(m).Before(s.Lease) {
+			if g.now(m).Before(s.LeaseEnd) {
 				holders++
 			}
 		}
@@ -294,7 +294,7 @@
 			}
 		}
 	case 7:
-		if to, ok := m.core.CaughtUp(); ok && m.up {
+		if to, ok := m.core.CaughtUpVoter(); ok && m.up {
 			m.core.TransferTo(h.now(m), to)
 			h.drain(m, false)
 		}
--- a/quorum/handover_test.go
+++ b/quorum/handover_test.go
@@ -29,7 +29,7 @@
 			}
 		}
 		s.mu.Unlock()
-		if !leader.node.HandOver(t.Context()) {
+		if !leader.node.TransferLeadership(t.Context()) {
 			t.Fatal("nobody was asked")
 		}
 		time.Sleep(time.Second)
--- a/quorum/lease_test.go
+++ b/quorum/lease_test.go
@@ -86,7 +86,7 @@
 			g.deliver(0, false, false)
 		}
 	}
-	lease := leader.core.Status().Lease
+	lease := leader.core.Status().LeaseEnd
 	if lease.After(sent.Add(timing.Lease)) || !lease.After(before) {
 		t.Errorf("lease ends %s after the sending, want at most %s", lease.Sub(sent), timing.Lease)
 	}
@@ -98,15 +98,15 @@
 	if !leader.core.TransferTo(g.now(leader), b.id) {
 		t.Fatal("no transfer")
 	}
-	if lease := leader.core.Status().Lease; !lease.IsZero() {
+	if lease := leader.core.Status().LeaseEnd; !lease.IsZero() {
 		t.Errorf("lease until %s after the transfer", lease)
 	}
 	// The receiver is silent: the old leader may not take its lease up again in this term.
 	g.cut[b.id] = true
 	term := leader.core.Status().Term
 	g.run(2*timing.Election, func() {
-		if s := leader.core.Status(); s.Term == term && !s.Lease.IsZero() {
-			t.Fatalf("lease until %s after the transfer", s.Lease)
+		if s := leader.core.Status(); s.Term == term && !s.LeaseEnd.IsZero() {
+			t.Fatalf("lease until %s after the transfer", s.LeaseEnd)
 		}
 	})
 }
@@ -137,13 +137,13 @@
 	}
 	core.Step(late, &quorum.Message{Kind: quorum.MessageVote, From: ids[1], To: ids[0], Term: 5})
 	rd := core.Ready()
-	if rd.Hard == nil {
+	if rd.HardState == nil {
 		t.Fatal("a vote was given and nothing has to be synced")
 	}
-	if diff := cmp.Diff(quorum.HardState{Term: 5, Vote: ids[1]}, *rd.Hard); diff != "" {
+	if diff := cmp.Diff(quorum.HardState{Term: 5, Vote: ids[1]}, *rd.HardState); diff != "" {
 		t.Fatalf("hard state (-want +got):\n%s", diff)
 	}
-	again, _ := direct(*rd.Hard, nil, late)
+	again, _ := direct(*rd.HardState, nil, late)
 	if ask(again, ids[2], late.Add(time.Hour)) {
 		t.Error("a second vote in the same term after a restart")
 	}
@@ -208,7 +208,7 @@
 		core, ids := direct(quorum.HardState{Term: 3}, log, now)
 		c.m.Kind, c.m.From, c.m.To = quorum.MessageAppend, ids[1], ids[0]
 		core.Step(now, &c.m)
-		if got := core.Status().Current; got != c.want {
+		if got := core.Status().KnowsCommitted; got != c.want {
 			t.Errorf("%s: current %t, want %t", c.name, got, c.want)
 		}
 	}
@@ -226,7 +226,7 @@
 	}
 	c := clock.New(read, func() time.Duration { return away })
 	before := c.Now().Sub(g.base)
-	lease := leader.core.Status().Lease.Sub(g.base)
+	lease := leader.core.Status().LeaseEnd.Sub(g.base)
 	leader.up = false
 	slept := g.elapsed
 	g.run(5*timing.Election, func() {})
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -35,16 +35,16 @@
 	Commit  Index
 	Applied Index
 	Members []Member
-	// Current is set once since the start of the process this member has known everything that was committed before: a
+	// KnowsCommitted is set once since the start of the process this member has known everything that was committed before: a
 	// log read from disk alone does not tell how much of it is.
-	Current bool
+	KnowsCommitted bool
 	// Expelled is set when the leader proved that this folder lost synced entries.
 	Expelled bool
-	// Lease is the end of the leader's lease, Elected the moment it was elected; both zero on others.
-	Lease   time.Time
-	Elected time.Time
-	// Heard is when a leader was heard last.
-	Heard time.Time
+	// LeaseEnd is the end of the leader's lease, Elected the moment it was elected; both zero on others.
+	LeaseEnd  time.Time
+	ElectedAt time.Time
+	// LastContact is when a leader was heard last.
+	LastContact time.Time
 	// Followers is what a leader knows of the other members.
 	Followers []Follower
 }
@@ -52,10 +52,10 @@
 // Follower is what a leader knows of one other member.
 type Follower struct {
 	ID MemberID
-	// Acked is when it last answered, or when this leader began to send to it.
-	Acked time.Time
-	// Lost is set when it was proved to have lost what it had synced.
-	Lost bool
+	// LastAck is when it last answered, or when this leader began to send to it.
+	LastAck time.Time
+	// LostData is set when it was proved to have lost what it had synced.
+	LostData bool
 }
 
 type proposal struct {
@@ -198,8 +198,8 @@
 	}
 }
 
-// HandOver asks the best follower to lead and reports whether one was asked.
-func (n *Node) HandOver(ctx context.Context) bool {
+// TransferLeadership asks the best follower to lead and reports whether one was asked.
+func (n *Node) TransferLeadership(ctx context.Context) bool {
 	done := make(chan bool, 1)
 	select {
 	case n.transfers <- done:
@@ -305,7 +305,7 @@
 }
 
 func (n *Node) transfer() bool {
-	best, ok := n.core.CaughtUp()
+	best, ok := n.core.CaughtUpVoter()
 	asked := ok && n.core.TransferTo(n.Now(), best)
 	// Readers must not see the lease any more when the other member learns that it may lead.
 	n.publish()
@@ -326,8 +326,8 @@
 			return err
 		}
 	}
-	if rd.Hard != nil || len(rd.Entries) > 0 {
-		if err := n.save(ctx, rd.Hard, rd.Entries); err != nil {
+	if rd.HardState != nil || len(rd.Entries) > 0 {
+		if err := n.save(ctx, rd.HardState, rd.Entries); err != nil {
 			return err
 		}
 	}
@@ -361,19 +361,19 @@
 func (n *Node) publish() {
 	s := n.core.Status()
 	s.Applied = n.applied
-	s.Current = s.Current && n.applied >= n.core.currentFrom
+	s.KnowsCommitted = s.KnowsCommitted && n.applied >= n.core.currentFrom
 	n.status.Store(&s)
 }
 
 // HoldsLease reports whether this member led with a majority's support at now, counted on its own clock.
 func (n *Node) HoldsLease(now time.Time) bool {
 	s := n.status.Load()
-	return s.Role == RoleLeader && now.Before(s.Lease)
+	return s.Role == RoleLeader && now.Before(s.LeaseEnd)
 }
 
-// OutlivedPredecessors reports whether every lease of an earlier leader has run out, clock drift included.
-func (n *Node) OutlivedPredecessors(now time.Time) bool {
+// PriorLeasesExpired reports whether every lease of an earlier leader has run out, clock drift included.
+func (n *Node) PriorLeasesExpired(now time.Time) bool {
 	s := n.status.Load()
 	wait := time.Duration(float64(n.Timing.Lease) * driftFactor)
-	return s.Role == RoleLeader && now.Sub(s.Elected) > wait
+	return s.Role == RoleLeader && now.Sub(s.ElectedAt) > wait
 }
--- a/quorum/reads_test.go
+++ b/quorum/reads_test.go
@@ -116,7 +116,7 @@
 	o.acknowledge()
 	for _, m := range o.members {
 		s := m.core.Status()
-		if !m.up || s.Role != quorum.RoleLeader || !o.now(m).Before(s.Lease) || !s.Current {
+		if !m.up || s.Role != quorum.RoleLeader || !o.now(m).Before(s.LeaseEnd) || !s.KnowsCommitted {
 			continue
 		}
 		got := o.held(m)
@@ -185,7 +185,7 @@
 func (o *orders) admitted(m *machine) bool {
 	for _, l := range o.members {
 		s := l.core.Status()
-		if !l.up || s.Role != quorum.RoleLeader || !s.Current {
+		if !l.up || s.Role != quorum.RoleLeader || !s.KnowsCommitted {
 			continue
 		}
 		return slices.Contains(s.Members, quorum.Member{ID: m.id, Voter: true}) && len(s.Members) == len(o.members)
@@ -286,7 +286,7 @@
 			g.deliver(0, false, false)
 		}
 		s := holder[0].core.Status()
-		if s.Role == quorum.RoleLeader && g.now(holder[0]).Before(s.Lease) && s.Current && s.Commit < last {
+		if s.Role == quorum.RoleLeader && g.now(holder[0]).Before(s.LeaseEnd) && s.KnowsCommitted && s.Commit < last {
 			reads++
 		}
 	}
--- a/ratelimit/grants.go
+++ b/ratelimit/grants.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// Patience is how long a request waits for its turn that could go elsewhere: without that the turns that nobody happens to ask for in
+	// MaxWaitWithAlternatives is how long a request waits for its turn that could go elsewhere: without that the turns that nobody happens to ask for in
 	// time are lost, which at high rates is most of them.
-	Patience = 20 * time.Millisecond
+	MaxWaitWithAlternatives = 20 * time.Millisecond
 	// asksPerSecond is how often an upstream is asked for by entries whose requests wait there, all together: hundreds of them would
 	// otherwise all ask for each turn. Once half as many come, those that are refused are told to come at different times.
 	asksPerSecond = 200.0
@@ -25,14 +25,14 @@
 	Sharers int `cbor:"7,keyasint,omitempty"`
 }
 
-// Grants let requests go to upstreams one after the other, each at least the interval of the limit after the one before. Nothing is
+// Pacer let requests go to upstreams one after the other, each at least the interval of the limit after the one before. Nothing is
 // saved up while nobody asks. It is not safe for concurrent use.
-type Grants[K comparable] struct {
-	// Over is the part of the first interval that is over when an upstream is asked for the first time: what was sent before is not
+type Pacer[K comparable] struct {
+	// InitialElapsed is the part of the first interval that is over when an upstream is asked for the first time: what was sent before is not
 	// known.
-	Over func() float64
-	// Draw returns a random number from 0 to 1.
-	Draw func() float64
+	InitialElapsed func() float64
+	// Random returns a random number from 0 to 1.
+	Random func() float64
 
 	turns map[K]*turn
 }
@@ -54,14 +54,14 @@
 	lately float64
 }
 
-// NewGrants returns grants of nothing yet.
-func NewGrants[K comparable](over, draw func() float64) *Grants[K] {
-	return &Grants[K]{Over: over, Draw: draw, turns: map[K]*turn{}}
+// NewPacer returns grants of nothing yet.
+func NewPacer[K comparable](over, draw func() float64) *Pacer[K] {
+	return &Pacer[K]{InitialElapsed: over, Random: draw, turns: map[K]*turn{}}
 }
 
-// Ask asks for a request at an upstream with a limit, on behalf of who, which can wait for its turn as long as its patience. One that has
+// Reserve asks for a request at an upstream with a limit, on behalf of who, which can wait for its turn as long as its patience. One that has
 // nowhere else to go gets the next turn that is free within that time, or knows at once that there is none.
-func (g *Grants[K]) Ask(now time.Time, k K, rate Rate, who string, patience time.Duration) Grant {
+func (g *Pacer[K]) Reserve(now time.Time, k K, rate Rate, who string, patience time.Duration) Grant {
 	interval := rate.Interval()
 	t := g.turn(now, k, interval)
 	t.ask(now, who, interval)
@@ -70,34 +70,34 @@
 		t.last = now
 	}
 	free := t.last.Add(interval)
-	wait, early := free.Sub(now), min(patience, Patience)
+	wait, early := free.Sub(now), min(patience, MaxWaitWithAlternatives)
 	if who == t.to && t.sharers > 1 {
 		// Whoever got the last one is the first to know of the next, and would get all.
 		early = 0
 	}
-	if wait <= early || wait <= patience && patience > Patience {
+	if wait <= early || wait <= patience && patience > MaxWaitWithAlternatives {
 		t.last, t.to, t.rate = later(free, now), who, rate
 		return Grant{OK: true, After: max(0, wait), Sharers: t.sharers}
 	}
 	spread := 0.0
 	if t.lately > asksPerSecond/2 {
-		spread = g.Draw() * 2 * float64(t.sharers-1) / asksPerSecond
+		spread = g.Random() * 2 * float64(t.sharers-1) / asksPerSecond
 	}
 	return Grant{After: wait - early + time.Duration(spread*float64(time.Second)), Sharers: t.sharers}
 }
 
-// Hold lets no request go to an upstream before a time.
-func (g *Grants[K]) Hold(now time.Time, k K, rate Rate, until time.Time) {
+// HoldUntil lets no request go to an upstream before a time.
+func (g *Pacer[K]) HoldUntil(now time.Time, k K, rate Rate, until time.Time) {
 	interval := rate.Interval()
 	t := g.turn(now, k, interval)
 	t.last = later(t.last, until.Add(-interval))
 }
 
 // turn returns where an upstream stands.
-func (g *Grants[K]) turn(now time.Time, k K, interval time.Duration) *turn {
+func (g *Pacer[K]) turn(now time.Time, k K, interval time.Duration) *turn {
 	t := g.turns[k]
 	if t == nil {
-		t = &turn{last: now.Add(-time.Duration(g.Over() * float64(interval))), askers: map[string]time.Time{}}
+		t = &turn{last: now.Add(-time.Duration(g.InitialElapsed() * float64(interval))), askers: map[string]time.Time{}}
 		g.turns[k] = t
 	}
 	return t
@@ -130,8 +130,8 @@
 	t.sharers, t.counted = len(t.askers), now
 }
 
-// Keep drops what is known of upstreams that keep does not name.
-func (g *Grants[K]) Keep(keep func(k K) bool) {
+// Retain drops what is known of upstreams that keep does not name.
+func (g *Pacer[K]) Retain(keep func(k K) bool) {
 	for k := range g.turns {
 		if !keep(k) {
 			delete(g.turns, k)
@@ -140,6 +140,6 @@
 }
 
 // Len returns how many upstreams something is known of.
-func (g *Grants[K]) Len() int {
+func (g *Pacer[K]) Len() int {
 	return len(g.turns)
 }
--- a/ratelimit/grants_test.go
+++ b/ratelimit/grants_test.go
@@ -22,8 +22,8 @@
 	os.Exit(m.Run())
 }
 
-func newGrants(seed uint64, over float64) *ratelimit.Grants[string] {
-	return ratelimit.NewGrants[string](func() float64 { return over }, rand.New(rand.NewPCG(seed, 1)).Float64)
+func newGrants(seed uint64, over float64) *ratelimit.Pacer[string] {
+	return ratelimit.NewPacer[string](func() float64 { return over }, rand.New(rand.NewPCG(seed, 1)).Float64)
 }
 
 // beyond returns by how many requests a list of moments is beyond the rate in the span where it is furthest beyond it.
@@ -48,7 +48,7 @@
 		var sent []time.Time
 		for range rapid.IntRange(1, 300).Draw(t, "asks") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400_000).Draw(t, "pause")) * time.Microsecond)
-			got := g.Ask(now, "u", rate, fmt.Sprint(rapid.IntRange(1, askers).Draw(t, "who")),
+			got := g.Reserve(now, "u", rate, fmt.Sprint(rapid.IntRange(1, askers).Draw(t, "who")),
 				time.Duration(rapid.IntRange(0, 3000).Draw(t, "patience"))*time.Millisecond)
 			if got.After < 0 || !got.OK && got.After == 0 {
 				t.Fatalf("%+v", got)
@@ -71,14 +71,14 @@
 // Nothing is saved up: not before the first request, and not while nobody asks.
 func TestNothingIsSavedUp(t *testing.T) {
 	g := newGrants(1, 0)
-	if got := g.Ask(at(0), "u", 2, "a", ratelimit.Patience); got.OK || got.After != 480*time.Millisecond {
+	if got := g.Reserve(at(0), "u", 2, "a", ratelimit.MaxWaitWithAlternatives); got.OK || got.After != 480*time.Millisecond {
 		t.Errorf("at the start %+v", got)
 	}
-	if got := g.Ask(at(480), "u", 2, "a", ratelimit.Patience); !got.OK || got.After != 20*time.Millisecond {
+	if got := g.Reserve(at(480), "u", 2, "a", ratelimit.MaxWaitWithAlternatives); !got.OK || got.After != 20*time.Millisecond {
 		t.Errorf("before its turn %+v", got)
 	}
 	for n, want := range []bool{true, false, false} {
-		if got := g.Ask(at(60_000), "u", 2, "a", ratelimit.Patience); got.OK != want {
+		if got := g.Reserve(at(60_000), "u", 2, "a", ratelimit.MaxWaitWithAlternatives); got.OK != want {
 			t.Errorf("ask %d after a minute: %+v", n, got)
 		}
 	}
@@ -87,11 +87,11 @@
 // The limit of the moment counts: a higher one does not wait for the turn of the lower one, nor a lower one use that of the higher.
 func TestTheLimitChanges(t *testing.T) {
 	g := newGrants(1, 0)
-	g.Ask(at(0), "u", 0.1, "a", ratelimit.Patience)
-	if got := g.Ask(at(100), "u", 50, "a", ratelimit.Patience); !got.OK {
+	g.Reserve(at(0), "u", 0.1, "a", ratelimit.MaxWaitWithAlternatives)
+	if got := g.Reserve(at(100), "u", 50, "a", ratelimit.MaxWaitWithAlternatives); !got.OK {
 		t.Errorf("a higher limit: %+v", got)
 	}
-	if got := g.Ask(at(200), "u", 0.5, "a", ratelimit.Patience); got.OK || got.After != 1880*time.Millisecond {
+	if got := g.Reserve(at(200), "u", 0.5, "a", ratelimit.MaxWaitWithAlternatives); got.OK || got.After != 1880*time.Millisecond {
 		t.Errorf("a lower limit: %+v", got)
 	}
 }
@@ -115,7 +115,7 @@
 					delete(due, ms)
 					random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 					for _, i := range list {
-						a := g.Ask(at(ms), "u", rate, fmt.Sprint(i), ratelimit.Patience)
+						a := g.Reserve(at(ms), "u", rate, fmt.Sprint(i), ratelimit.MaxWaitWithAlternatives)
 						asks++
 						next := ms + 1 + int(a.After/time.Millisecond)
 						due[next] = append(due[next], i)
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -25,30 +25,30 @@
 	"time"
 )
 
-// Seat says who coordinates an upstream.
-type Seat struct {
+// Coordinator says who coordinates an upstream.
+type Coordinator struct {
 	// Name is the coordinator, nothing when this entry can't know it; Self is set when it is this entry.
 	Name string
 	Self bool
 	// Entries is how many entries there are.
 	Entries int
-	// Quiet is how long this entry grants nothing yet, since another may still do.
-	Quiet time.Duration
+	// HoldOff is how long this entry grants nothing yet, since another may still do.
+	HoldOff time.Duration
 }
 
-// Gate is whether a request may be meant for an upstream at a moment.
-type Gate struct {
+// Availability is whether a request may be meant for an upstream at a moment.
+type Availability struct {
 	// Limited is set when the upstream has named a limit.
 	Limited bool
-	// Left is how long there is nothing to be had, Busy is set while it is being asked for.
-	Left time.Duration
-	Busy bool
+	// Remaining is how long there is nothing to be had, Busy is set while it is being asked for.
+	Remaining time.Duration
+	Busy      bool
 	// Rate is what this entry can expect of the limit.
 	Rate Rate
 }
 
-// Open reports whether it is worth asking.
-func (g Gate) Open() bool { return g.Left <= 0 && !g.Busy }
+// Available reports whether it is worth asking.
+func (g Availability) Available() bool { return g.Remaining <= 0 && !g.Busy }
 
 // Permit is whether a request may be sent to an upstream.
 type Permit struct {
@@ -62,22 +62,22 @@
 
 // Limiter keeps one entry within the limits of upstreams, together with all others; exported fields are set before use.
 type Limiter[K comparable] struct {
-	Words *Words[K]
+	Table *LimitTable[K]
 	Now   func() time.Time
-	// Draw returns a random number from 0 to 1.
-	Draw func() float64
-	// Seat says who coordinates an upstream.
-	Seat func(k K) Seat
-	// Ask sends a question to a coordinator, Observe takes each outcome; neither must block.
-	Ask     func(to string, q *Question[K])
+	// Random returns a random number from 0 to 1.
+	Random func() float64
+	// Coordinator says who coordinates an upstream.
+	Coordinator func(k K) Coordinator
+	// Send sends a question to a coordinator, Observe takes each outcome; neither must block.
+	Send    func(to string, q *PermitRequest[K])
 	Observe func(o Outcome)
 
 	mu sync.Mutex
 	// granted are the requests that were let go as coordinator, own those of this entry's own part.
-	granted *Grants[K]
-	own     *Grants[K]
+	granted *Pacer[K]
+	own     *Pacer[K]
 	states  map[K]*state
-	asked   map[uint64]chan *Answer[K]
+	asked   map[uint64]chan *PermitReply[K]
 	// apart is how many entries go by their own parts of the limits that this one coordinates.
 	apart map[K]int
 	// apartOf are the limits of which each entry takes its own part.
@@ -97,49 +97,49 @@
 // NewLimiter returns a limiter of an entry that is alone.
 func NewLimiter[K comparable]() *Limiter[K] {
 	l := &Limiter[K]{
-		Words: NewWords[K](), Now: time.Now, Draw: rand.Float64,
-		Seat: func(K) Seat { return Seat{Self: true, Entries: 1} },
-		Ask:  func(string, *Question[K]) {}, Observe: func(Outcome) {},
-		states: map[K]*state{}, asked: map[uint64]chan *Answer[K]{}, apartOf: map[string]map[K]bool{},
+		Table: NewLimitTable[K](), Now: time.Now, Random: rand.Float64,
+		Coordinator: func(K) Coordinator { return Coordinator{Self: true, Entries: 1} },
+		Send:        func(string, *PermitRequest[K]) {}, Observe: func(Outcome) {},
+		states: map[K]*state{}, asked: map[uint64]chan *PermitReply[K]{}, apartOf: map[string]map[K]bool{},
 	}
-	draw := func() float64 { return l.Draw() }
+	draw := func() float64 { return l.Random() }
 	// A coordinator begins with a whole interval, whatever was sent before. Parts of many entries begin at random, so that they do not
 	// all send at the same moment.
-	l.granted = NewGrants[K](func() float64 { return 0 }, draw)
-	l.own = NewGrants[K](draw, draw)
+	l.granted = NewPacer[K](func() float64 { return 0 }, draw)
+	l.own = NewPacer[K](draw, draw)
 	return l
 }
 
-// Any reports whether any upstream has a limit.
-func (l *Limiter[K]) Any() bool {
-	return l.Words.Limited() > 0
+// HasLimits reports whether any upstream has a limit.
+func (l *Limiter[K]) HasLimits() bool {
+	return l.Table.Count() > 0
 }
 
-// Of returns whether a request may be meant for an upstream.
-func (l *Limiter[K]) Of(now time.Time, k K) Gate {
-	if !l.Any() {
-		return Gate{}
+// Availability returns whether a request may be meant for an upstream.
+func (l *Limiter[K]) Availability(now time.Time, k K) Availability {
+	if !l.HasLimits() {
+		return Availability{}
 	}
-	w := l.Words.Of(k)
+	w := l.Table.Effective(k)
 	if !w.Limited() {
-		return Gate{}
+		return Availability{}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.states[k]
 	if s == nil {
-		return Gate{Limited: true, Rate: w.Rate}
+		return Availability{Limited: true, Rate: w.Rate}
 	}
-	return Gate{Limited: true, Left: max(0, s.until.Sub(now)), Busy: s.asking >= asksMost, Rate: w.Rate / Rate(max(1, s.sharers))}
+	return Availability{Limited: true, Remaining: max(0, s.until.Sub(now)), Busy: s.asking >= asksMost, Rate: w.Rate / Rate(max(1, s.sharers))}
 }
 
-// Take asks for one request at an upstream that can wait so long for its turn; it returns at once where there is no limit.
-func (l *Limiter[K]) Take(ctx context.Context, k K, patience time.Duration) Permit {
-	w := l.Words.Of(k)
+// Acquire asks for one request at an upstream that can wait so long for its turn; it returns at once where there is no limit.
+func (l *Limiter[K]) Acquire(ctx context.Context, k K, patience time.Duration) Permit {
+	w := l.Table.Effective(k)
 	if !w.Limited() {
 		return Permit{OK: true}
 	}
-	seat := l.Seat(k)
+	seat := l.Coordinator(k)
 	if seat.Self {
 		return l.takeHere(k, w.Rate, seat, patience)
 	}
@@ -152,38 +152,38 @@
 }
 
 // takeHere asks this entry as coordinator.
-func (l *Limiter[K]) takeHere(k K, rate Rate, seat Seat, patience time.Duration) Permit {
+func (l *Limiter[K]) takeHere(k K, rate Rate, seat Coordinator, patience time.Duration) Permit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.obey(k, rate, l.grant(k, rate, seat, "", patience))
 }
 
 // grant answers who asks this entry as coordinator; the mutex is held.
-func (l *Limiter[K]) grant(k K, rate Rate, seat Seat, who string, patience time.Duration) Grant {
+func (l *Limiter[K]) grant(k K, rate Rate, seat Coordinator, who string, patience time.Duration) Grant {
 	if apart := l.apart[k]; apart > 0 {
 		// Those that can't ask take their parts all the same: without this an upstream would get these beside its whole limit where
 		// datagrams between entries are filtered.
 		rate *= Rate(max(1, seat.Entries-apart)) / Rate(max(1, seat.Entries))
 	}
 	if l.granted.Len() > sweepAt {
-		l.granted.Keep(l.isLimited)
+		l.granted.Retain(l.isLimited)
 	}
 	now := l.Now()
-	if seat.Quiet > 0 {
-		l.granted.Hold(now, k, rate, now.Add(seat.Quiet))
+	if seat.HoldOff > 0 {
+		l.granted.HoldUntil(now, k, rate, now.Add(seat.HoldOff))
 	}
-	return l.granted.Ask(now, k, rate, who, patience)
+	return l.granted.Reserve(now, k, rate, who, patience)
 }
 
-// SetApart tells how many entries go by their own parts of limits.
-func (l *Limiter[K]) SetApart(apart map[K]int) {
+// SetLocalShares tells how many entries go by their own parts of limits.
+func (l *Limiter[K]) SetLocalShares(apart map[K]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.apart = apart
 }
 
-// HearApart takes of which limits one entry takes its own part, where entries tell each other and nobody counts them.
-func (l *Limiter[K]) HearApart(entry string, of map[K]bool) {
+// MergeLocalShares takes of which limits one entry takes its own part, where entries tell each other and nobody counts them.
+func (l *Limiter[K]) MergeLocalShares(entry string, of map[K]bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.apartOf[entry] = of
@@ -201,7 +201,7 @@
 	}
 }
 
-func (l *Limiter[K]) isLimited(k K) bool { return l.Words.Of(k).Limited() }
+func (l *Limiter[K]) isLimited(k K) bool { return l.Table.Effective(k).Limited() }
 
 // obey notes what was granted, and makes a permit of it; the mutex is held.
 func (l *Limiter[K]) obey(k K, rate Rate, g Grant) Permit {
@@ -221,7 +221,7 @@
 }
 
 // takeOwn takes a request of this entry's own part once nobody can be asked, or none meanwhile.
-func (l *Limiter[K]) takeOwn(k K, rate Rate, seat Seat, patience time.Duration) Permit {
+func (l *Limiter[K]) takeOwn(k K, rate Rate, seat Coordinator, patience time.Duration) Permit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now, s := l.Now(), l.state(k)
@@ -230,9 +230,9 @@
 		return Permit{Limited: true, After: s.until.Sub(now)}
 	}
 	if l.own.Len() > sweepAt {
-		l.own.Keep(l.isLimited)
+		l.own.Retain(l.isLimited)
 	}
-	g := l.own.Ask(now, k, rate/Rate(max(1, seat.Entries)), "", patience)
+	g := l.own.Reserve(now, k, rate/Rate(max(1, seat.Entries)), "", patience)
 	g.Sharers = seat.Entries
 	if g.OK {
 		s.Own++
--- a/ratelimit/questions.go
+++ b/ratelimit/questions.go
@@ -19,8 +19,8 @@
 	asksMost = 4
 )
 
-// Question asks the coordinator of an upstream for one request there, and tells it what the upstream said.
-type Question[K comparable] struct {
+// PermitRequest asks the coordinator of an upstream for one request there, and tells it what the upstream said.
+type PermitRequest[K comparable] struct {
 	ID   uint64        `cbor:"1,keyasint"`
 	Key  K             `cbor:"2,keyasint"`
 	Rate Rate          `cbor:"3,keyasint"`
@@ -31,8 +31,8 @@
 	Capped bool `cbor:"6,keyasint,omitempty"`
 }
 
-// Answer is the coordinator's answer, and the newest word of the upstream that it knows.
-type Answer[K comparable] struct {
+// PermitReply is the coordinator's answer, and the newest word of the upstream that it knows.
+type PermitReply[K comparable] struct {
 	ID   uint64        `cbor:"1,keyasint"`
 	Key  K             `cbor:"2,keyasint"`
 	Rate Rate          `cbor:"3,keyasint,omitempty"`
@@ -43,7 +43,7 @@
 }
 
 // ask asks the coordinator and waits for its answer.
-func (l *Limiter[K]) ask(ctx context.Context, to string, k K, w Word, patience time.Duration) (*Answer[K], bool) {
+func (l *Limiter[K]) ask(ctx context.Context, to string, k K, w Limit, patience time.Duration) (*PermitReply[K], bool) {
 	now := l.Now()
 	l.mu.Lock()
 	s := l.state(k)
@@ -52,13 +52,13 @@
 		return nil, false
 	}
 	s.asking++
-	id, answer := rand.Uint64(), make(chan *Answer[K], 1)
+	id, answer := rand.Uint64(), make(chan *PermitReply[K], 1)
 	l.asked[id] = answer
 	l.mu.Unlock()
-	l.Ask(to, &Question[K]{ID: id, Key: k, Rate: w.Rate, Age: now.Sub(w.At), Patience: patience, Capped: w.Capped})
+	l.Send(to, &PermitRequest[K]{ID: id, Key: k, Rate: w.Rate, Age: now.Sub(w.LastSeen), Patience: patience, Capped: w.Capped})
 	timer := time.NewTimer(answerTime)
 	defer timer.Stop()
-	var a *Answer[K]
+	var a *PermitReply[K]
 	select {
 	case a = <-answer:
 	case <-timer.C:
@@ -76,8 +76,8 @@
 }
 
 // take does what the coordinator answered.
-func (l *Limiter[K]) take(k K, a *Answer[K]) Permit {
-	l.Words.Hear(k, a.Rate, l.Now().Add(-a.Age))
+func (l *Limiter[K]) take(k K, a *PermitReply[K]) Permit {
+	l.Table.Merge(k, a.Rate, l.Now().Add(-a.Age))
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.state(k)
@@ -85,9 +85,9 @@
 	return l.obey(k, cmp.Or(a.Cap, a.Rate), a.Grant)
 }
 
-// Asked answers a question of another entry; there is no answer when this one can't know whether it coordinates the upstream.
-func (l *Limiter[K]) Asked(q *Question[K], from string) (*Answer[K], bool) {
-	seat := l.Seat(q.Key)
+// HandleRequest answers a question of another entry; there is no answer when this one can't know whether it coordinates the upstream.
+func (l *Limiter[K]) HandleRequest(q *PermitRequest[K], from string) (*PermitReply[K], bool) {
+	seat := l.Coordinator(q.Key)
 	if !seat.Self && seat.Name == "" {
 		return nil, false
 	}
@@ -95,11 +95,11 @@
 	rate := q.Rate
 	if !q.Capped {
 		rate = 0
-		l.Words.Hear(q.Key, max(l.Words.Least, q.Rate), now.Add(-max(0, q.Age)))
+		l.Table.Merge(q.Key, max(l.Table.MinRate, q.Rate), now.Add(-max(0, q.Age)))
 	}
-	w := l.Words.Newest(q.Key)
-	a := &Answer[K]{ID: q.ID, Key: q.Key, Rate: w.Rate, Age: now.Sub(w.At)}
-	if limit := lowest(rate, l.Words.Cap(q.Key)); limit > 0 && (!w.Limited() || limit < w.Rate) {
+	w := l.Table.Newest(q.Key)
+	a := &PermitReply[K]{ID: q.ID, Key: q.Key, Rate: w.Rate, Age: now.Sub(w.LastSeen)}
+	if limit := lowest(rate, l.Table.Cap(q.Key)); limit > 0 && (!w.Limited() || limit < w.Rate) {
 		a.Cap = limit
 	}
 	if w.Rate == q.Rate {
@@ -127,8 +127,8 @@
 	return min(a, b)
 }
 
-// Answered takes the answer to a question; one that is not waited for any more is dropped, and the request that it granted is lost.
-func (l *Limiter[K]) Answered(a *Answer[K]) {
+// HandleReply takes the answer to a question; one that is not waited for any more is dropped, and the request that it granted is lost.
+func (l *Limiter[K]) HandleReply(a *PermitReply[K]) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if answer := l.asked[a.ID]; answer != nil {
--- a/ratelimit/rate.go
+++ b/ratelimit/rate.go
@@ -24,9 +24,9 @@
 	return time.Duration(math.Ceil(float64(time.Second) / float64(r)))
 }
 
-// Named returns the rate that an answer names in a header, and whether it names any; of several the lowest counts. What can't be read is
+// ParseHeader returns the rate that an answer names in a header, and whether it names any; of several the lowest counts. What can't be read is
 // an error, so that it is taken neither for a rate nor for none.
-func Named(h http.Header, name string) (lowest Rate, named bool, err error) {
+func ParseHeader(h http.Header, name string) (lowest Rate, named bool, err error) {
 	for _, text := range h.Values(name) {
 		r, err := read(strings.TrimSpace(text))
 		if err != nil {
@@ -39,8 +39,8 @@
 	return lowest, named, nil
 }
 
-// Say names a rate in the header of an answer, none when it is 0.
-func Say(h http.Header, r Rate) {
+// SetHeader names a rate in the header of an answer, none when it is 0.
+func SetHeader(h http.Header, r Rate) {
 	if r > 0 {
 		h.Set(Header, strconv.FormatFloat(float64(r), 'f', -1, 64))
 	}
--- a/ratelimit/rate_test.go
+++ b/ratelimit/rate_test.go
@@ -43,7 +43,7 @@
 			if c.text != nil {
 				h["Limit"] = c.text
 			}
-			got, named, err := ratelimit.Named(h, "limit")
+			got, named, err := ratelimit.ParseHeader(h, "limit")
 			if got != c.want || named != (!c.none && !c.bad) || (err != nil) != c.bad {
 				t.Errorf("%v, named %t, and %v, want %v, an error: %v", got, named, err, c.want, c.bad)
 			}
@@ -60,7 +60,7 @@
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		got, named, err := ratelimit.Named(http.Header{"Limit": {text}}, "Limit")
+		got, named, err := ratelimit.ParseHeader(http.Header{"Limit": {text}}, "Limit")
 		if !(got >= 0 && got <= math.MaxFloat64) || named != (err == nil) {
 			t.Errorf("%v, named %t, and %v", got, named, err)
 		}
--- a/ratelimit/seats.go
+++ b/ratelimit/seats.go
@@ -10,14 +10,14 @@
 // listSpread is how long after one entry another one may have the same list of entries: until it has asked for it again.
 const listSpread = time.Second
 
-// Seats say which entry coordinates an upstream, by the list of entries; exported fields are set before use.
-type Seats struct {
+// Coordinators say which entry coordinates an upstream, by the list of entries; exported fields are set before use.
+type Coordinators struct {
 	Now func() time.Time
-	// Fresh reports whether this entry may still coordinate upstreams: one that has lost control does not know whether others have taken
+	// MayCoordinate reports whether this entry may still coordinate upstreams: one that has lost control does not know whether others have taken
 	// its place.
-	Fresh func() bool
-	// All is how many entries there are when the list has only those that are known to be alive, 0 when it has all.
-	All int
+	MayCoordinate func() bool
+	// TotalEntries is how many entries there are when the list has only those that are known to be alive, 0 when it has all.
+	TotalEntries int
 
 	mu      sync.Mutex
 	entries *sharing.Entries
@@ -26,8 +26,8 @@
 	changed time.Time
 }
 
-// Set takes another list of entries.
-func (s *Seats) Set(entries *sharing.Entries) {
+// SetEntries takes another list of entries.
+func (s *Coordinators) SetEntries(entries *sharing.Entries) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
@@ -38,29 +38,29 @@
 }
 
 // Of says which entry coordinates an upstream.
-func (s *Seats) Of(upstream string) Seat {
-	fresh := s.Fresh()
+func (s *Coordinators) Of(upstream string) Coordinator {
+	fresh := s.MayCoordinate()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.entries == nil {
-		return Seat{Self: true, Entries: 1}
+		return Coordinator{Self: true, Entries: 1}
 	}
-	seat := Seat{Name: s.entries.First(upstream), Entries: max(s.All, s.entries.Total())}
+	seat := Coordinator{Name: s.entries.Owner(upstream), Entries: max(s.TotalEntries, s.entries.Total())}
 	switch {
 	case seat.Name != s.entries.Self():
 	case !fresh && seat.Entries > 1:
 		seat.Name = ""
 	default:
-		seat.Self, seat.Quiet = true, s.quiet(upstream)
+		seat.Self, seat.HoldOff = true, s.quiet(upstream)
 	}
 	return seat
 }
 
 // quiet is how long this entry, which coordinates an upstream now, lets nothing go there yet: others whose list of entries is older may
 // still ask the former coordinator. The mutex is held.
-func (s *Seats) quiet(upstream string) time.Duration {
+func (s *Coordinators) quiet(upstream string) time.Duration {
 	left := s.changed.Add(listSpread).Sub(s.Now())
-	if left <= 0 || s.former != nil && s.former.First(upstream) == s.former.Self() {
+	if left <= 0 || s.former != nil && s.former.Owner(upstream) == s.former.Self() {
 		return 0
 	}
 	return left
--- a/ratelimit/state.go
+++ b/ratelimit/state.go
@@ -78,8 +78,8 @@
 	return !s.silent.IsZero() && now.Sub(s.silent) >= deafAfter
 }
 
-// Look returns what became of this entry's questions on an upstream, and whether it goes by its own part of the limit.
-func (l *Limiter[K]) Look(k K) (c Counts, apart bool) {
+// Stats returns what became of this entry's questions on an upstream, and whether it goes by its own part of the limit.
+func (l *Limiter[K]) Stats(k K) (c Counts, apart bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.states[k]
