--- a/relay/answer.go
+++ b/relay/answer.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// maxAnswer bounds an answer that is read whole before it is passed on.
-	maxAnswer = 8 << 20
-	// maxForeign is how many answers to other requests are skipped on one connection.
-	maxForeign = 2
+	// maxAnswerBytes bounds an answer that is read whole before it is passed on.
+	maxAnswerBytes = 8 << 20
+	// maxForeignAnswers is how many answers to other requests are skipped on one connection.
+	maxForeignAnswers = 2
 )
 
 // answer is an upstream's whole answer.
@@ -25,170 +25,170 @@
 }
 
 var (
-	errForeign = errors.New("answers to other requests on the connection")
-	errTooLong = errors.New("answer too long")
+	errForeignAnswers = errors.New("answers to other requests on the connection")
+	errAnswerTooLong  = errors.New("answer too long")
 )
 
-// follow reads the answer and passes it on.
-func (f *follower) follow() verdict {
+// forwardAnswer reads the answer and passes it on.
+func (f *forwarder) forwardAnswer() attemptOutcome {
 	x := f.x
-	resp, err := f.readHead()
+	resp, err := f.readAnswerHead()
 	if err != nil {
 		f.conn.Close()
-		x.ran()
-		return f.broken(err)
+		x.noteRun()
+		return f.brokenOutcome(err)
 	}
-	f.sign()
-	if f.refusedByUpstream(resp) {
-		f.keepIfWhole(resp)
-		return verdictNotRun
+	f.noteProgress()
+	if f.notRunByUpstream(resp) {
+		f.reuseAfterRefusal(resp)
+		return outcomeNotRun
 	}
-	x.endTrial(f.t.id, !backoff.TurnsAway(resp.StatusCode))
-	x.ran()
+	x.endBackoffProbe(f.target.id, !backoff.IsRefusal(resp.StatusCode))
+	x.noteRun()
 	if resp.StatusCode == http.StatusOK && x.route.Kind == httproute.KindStream {
-		return f.followStream(resp)
+		return f.forwardStream(resp)
 	}
-	return f.followWhole(resp)
+	return f.forwardWhole(resp)
 }
 
-// ran notes that an upstream may have worked on the request.
-func (x *exchange) ran() {
+// noteRun notes that an upstream may have worked on the request.
+func (x *exchange) noteRun() {
 	x.mayHaveRun = true
-	x.runs++
+	x.runCount++
 }
 
-// readHead returns the head of the answer to this request; a late answer to an earlier one is skipped.
-func (f *follower) readHead() (*http.Response, error) {
-	for range maxForeign + 1 {
+// readAnswerHead returns the head of the answer to this request; a late answer to an earlier one is skipped.
+func (f *forwarder) readAnswerHead() (*http.Response, error) {
+	for range maxForeignAnswers + 1 {
 		resp, err := http.ReadResponse(f.conn.br, f.x.r)
 		if err != nil {
 			return nil, err
 		}
-		f.heed(resp)
+		f.applyBackpressure(resp)
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		id := resp.Header.Get(f.x.s.Names.RequestID)
-		if id == f.x.id || id == "" && f.ownRefusal(resp) {
-			f.missLimit()
+		id := resp.Header.Get(f.x.s.Headers.RequestID)
+		if id == f.x.requestID || id == "" && f.refusesThisRequest(resp) {
+			f.noteNoLimit()
 			return resp, nil
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswer)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswerBytes)); err != nil {
 			return nil, err
 		}
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 			break
 		}
 	}
-	return nil, errForeign
+	return nil, errForeignAnswers
 }
 
-// ownRefusal reports whether an answer without a request's id can only be a refusal of this request.
-func (f *follower) ownRefusal(resp *http.Response) bool {
-	return resp.StatusCode == http.StatusMisdirectedRequest || resp.Header.Get(f.x.s.Names.NotRun) != ""
+// refusesThisRequest reports whether an answer without a request's id can only be a refusal of this request.
+func (f *forwarder) refusesThisRequest(resp *http.Response) bool {
+	return resp.StatusCode == http.StatusMisdirectedRequest || resp.Header.Get(f.x.s.Headers.NotRun) != ""
 }
 
-// refusedByUpstream reports whether the upstream certainly did not run the request.
-func (f *follower) refusedByUpstream(resp *http.Response) bool {
+// notRunByUpstream reports whether the upstream certainly did not run the request.
+func (f *forwarder) notRunByUpstream(resp *http.Response) bool {
 	s := f.x.s
 	misdirected := resp.StatusCode == http.StatusMisdirectedRequest
-	if !misdirected && resp.Header.Get(s.Names.NotRun) == "" {
+	if !misdirected && resp.Header.Get(s.Headers.NotRun) == "" {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
 	if misdirected {
-		f.state.fail(now)
+		f.state.markSuspect(now)
 		f.x.displaced = true
 	}
-	if blamed := resp.Header.Get(s.Names.Blamed); blamed != "" {
-		f.state.blamed = blamed
+	if blamed := resp.Header.Get(s.Headers.Blamed); blamed != "" {
+		f.state.blamedMember = blamed
 		f.x.displaced = true
-		f.state.fail(now)
+		f.state.markSuspect(now)
 	}
 	return true
 }
 
-// keepIfWhole reads the rest of a refusal and keeps the connection.
-func (f *follower) keepIfWhole(resp *http.Response) {
-	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswer)); err != nil {
+// reuseAfterRefusal reads the rest of a refusal and keeps the connection.
+func (f *forwarder) reuseAfterRefusal(resp *http.Response) {
+	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswerBytes)); err != nil {
 		f.conn.Close()
 		return
 	}
-	f.keep(resp)
+	f.returnConn(resp)
 }
 
-// followWhole reads a whole answer before anything goes to the caller.
-func (f *follower) followWhole(resp *http.Response) verdict {
+// forwardWhole reads a whole answer before anything goes to the caller.
+func (f *forwarder) forwardWhole(resp *http.Response) attemptOutcome {
 	x := f.x
 	// What an earlier try brought is passed on only if this one brings nothing better, and is then as small as a failure.
 	x.releaseAnswer()
-	err := x.holdAnswer(resp)
+	err := x.reserveAnswer(resp)
 	var body []byte
 	if err == nil {
-		body, err = readWhole(resp)
+		body, err = readAnswerBody(resp)
 	}
 	if err != nil {
 		f.conn.Close()
-		return f.broken(err)
+		return f.brokenOutcome(err)
 	}
-	f.keep(resp)
-	signed := resp.Header.Get(x.s.Names.Signature) != ""
+	f.returnConn(resp)
+	signed := resp.Header.Get(x.s.Headers.Signature) != ""
 	success := resp.StatusCode < http.StatusMultipleChoices
 	if success && (!signed || resp.Header.Get("Content-Encoding") != "") {
-		return verdictBroken
+		return outcomeBroken
 	}
 	a := &answer{resp.StatusCode, resp.Header, body}
-	if failedOnIts(resp.StatusCode) {
-		x.failure = a
-		return verdictFailed
+	if isUpstreamFailure(resp.StatusCode) {
+		x.failureAnswer = a
+		return outcomeFailed
 	}
-	if x.started {
+	if x.headSent {
 		// The stream that this was to continue has another answer already.
-		return verdictBroken
+		return outcomeBroken
 	}
-	x.first = x.s.Now().Sub(x.began)
+	x.firstEventAfter = x.s.Now().Sub(x.arrivedAt)
 	x.writeAnswer(a)
-	return verdictDone
+	return outcomeDone
 }
 
-// failedOnIts reports whether another upstream might do better.
-func failedOnIts(status int) bool {
+// isUpstreamFailure reports whether another upstream might do better.
+func isUpstreamFailure(status int) bool {
 	return status >= http.StatusInternalServerError
 }
 
-func readWhole(resp *http.Response) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+func readAnswerBody(resp *http.Response) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maxAnswer {
-		return nil, errTooLong
+	if len(body) > maxAnswerBytes {
+		return nil, errAnswerTooLong
 	}
 	return body, nil
 }
 
 // writeAnswer gives the caller an upstream's answer unchanged.
 func (x *exchange) writeAnswer(a *answer) {
-	x.copyHead(a.header)
+	x.copyHeader(a.header)
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 	x.status = a.status
-	x.started = true
+	x.headSent = true
 	x.w.WriteHeader(a.status)
 	if _, err := x.w.Write(a.body); err != nil {
-		x.tries = append(x.tries, Try{Result: "answer not delivered: " + err.Error()})
+		x.attempts = append(x.attempts, Attempt{Result: "answer not delivered: " + err.Error()})
 	}
 }
 
-func (x *exchange) copyHead(from http.Header) {
+func (x *exchange) copyHeader(from http.Header) {
 	h := x.w.Header()
-	named := namedByConnection(from)
+	named := connectionOptions(from)
 	for name, values := range from {
-		if connectionHeaders[name] || named[name] {
+		if hopByHopHeaders[name] || named[name] {
 			continue
 		}
 		h[name] = values
 	}
-	x.closeIfLeaving()
+	x.closeIfStopping()
 }
--- a/relay/backoff_test.go
+++ b/relay/backoff_test.go
@@ -36,41 +36,41 @@
 )
 
 const (
-	// askTrip is a round trip to an upstream, askWork how long it works on a request.
-	askTrip = 2 * time.Millisecond
-	askWork = 60 * time.Millisecond
-	// askEvery is how often a request comes, askLasts for how long.
-	askEvery = 10 * time.Millisecond
-	askLasts = 8 * time.Second
-	// askAt is when the first upstream begins to say something.
-	askAt = time.Second
-	// underWay is how long after an upstream's word a request may still reach it: one that was sent before the word came.
-	underWay = askTrip + time.Millisecond
+	// upstreamRoundTrip is a round trip to an upstream, upstreamServiceTime how long it works on a request.
+	upstreamRoundTrip   = 2 * time.Millisecond
+	upstreamServiceTime = 60 * time.Millisecond
+	// backoffRequestInterval is how often a request comes, backoffLoadDuration for how long.
+	backoffRequestInterval = 10 * time.Millisecond
+	backoffLoadDuration    = 8 * time.Second
+	// signalAt is when the first upstream begins to say something.
+	signalAt = time.Second
+	// maxInFlight is how long after an upstream's word a request may still reach it: one that was sent before the word came.
+	maxInFlight = upstreamRoundTrip + time.Millisecond
 )
 
-// asker is an upstream that says what it wants.
-type asker struct {
+// signalingUpstream is an upstream that says what it wants.
+type signalingUpstream struct {
 	mu sync.Mutex
 	// busyUntil is until when it turns away what comes, asking for rest with the text asks when that is not empty.
-	busyUntil time.Time
-	asks      string
-	leaving   bool
+	busyUntil  time.Time
+	retryAfter string
+	leaving    bool
 	// limit is what it names in its answers while that is not empty, named when the first answer with one left it.
-	limit string
-	named time.Time
-	// arrived is when requests came, refused when it turned one away, said when it first said that it leaves, and served when it
+	limit        string
+	limitNamedAt time.Time
+	// arrivedAt is when requests came, refused when it turned one away, said when it first said that it leaves, and served when it
 	// first gave a whole answer after its last refusal.
-	arrived []time.Time
-	refused []time.Time
-	said    time.Time
-	served  time.Time
-	conns   []net.Conn
-	// slowDial is how much longer its connections take to open.
-	slowDial time.Duration
+	arrivedAt     []time.Time
+	refusedAt     []time.Time
+	leavingSaidAt time.Time
+	servedAt      time.Time
+	conns         []net.Conn
+	// extraDialTime is how much longer its connections take to open.
+	extraDialTime time.Duration
 }
 
-func (u *asker) dial(ctx context.Context, _ string) (net.Conn, error) {
-	time.Sleep(askTrip + u.slowDial)
+func (u *signalingUpstream) dial(ctx context.Context, _ string) (net.Conn, error) {
+	time.Sleep(upstreamRoundTrip + u.extraDialTime)
 	near, far := net.Pipe()
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -79,7 +79,7 @@
 	return near, ctx.Err()
 }
 
-func (u *asker) serve(c net.Conn) {
+func (u *signalingUpstream) serve(c net.Conn) {
 	br := bufio.NewReader(c)
 	for {
 		r, err := http.ReadRequest(br)
@@ -89,16 +89,16 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		extra, refuses := u.take()
+		extra, refuses := u.admit()
 		if refuses {
-			time.Sleep(askTrip)
-			_, err = io.WriteString(c, head(r, 503, append(extra, "Not-Run: 1", "Content-Length: 0")...))
+			time.Sleep(upstreamRoundTrip)
+			_, err = io.WriteString(c, answerHead(r, 503, append(extra, "Not-Run: 1", "Content-Length: 0")...))
 		} else {
-			time.Sleep(askWork)
-			extra = u.done(extra)
+			time.Sleep(upstreamServiceTime)
+			extra = u.complete(extra)
 			extra = append(extra, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
-			piece := events(1, 2)
-			_, err = io.WriteString(c, head(r, 200, extra...)+fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(piece), piece))
+			piece := eventText(1, 2)
+			_, err = io.WriteString(c, answerHead(r, 200, extra...)+fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(piece), piece))
 		}
 		if err != nil {
 			return
@@ -106,53 +106,53 @@
 	}
 }
 
-// take notes that a request came and returns what the answer says beside, and whether it is a refusal.
-func (u *asker) take() (extra []string, refuses bool) {
+// admit notes that a request came and returns what the answer says beside, and whether it is a refusal.
+func (u *signalingUpstream) admit() (extra []string, refuses bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := time.Now()
-	u.arrived = append(u.arrived, now)
+	u.arrivedAt = append(u.arrivedAt, now)
 	if u.leaving {
 		extra = append(extra, "Leaving: 1")
-		if u.said.IsZero() {
-			u.said = now.Add(askWork)
+		if u.leavingSaidAt.IsZero() {
+			u.leavingSaidAt = now.Add(upstreamServiceTime)
 		}
 	}
 	if !now.Before(u.busyUntil) {
 		return extra, false
 	}
-	extra = u.name(extra)
-	u.refused = append(u.refused, now)
-	u.served = time.Time{}
-	if u.asks != "" {
-		extra = append(extra, "Retry-After: "+u.asks)
+	extra = u.addLimit(extra)
+	u.refusedAt = append(u.refusedAt, now)
+	u.servedAt = time.Time{}
+	if u.retryAfter != "" {
+		extra = append(extra, "Retry-After: "+u.retryAfter)
 	}
 	return extra, true
 }
 
-// done notes that an answer leaves and returns what it says beside.
-func (u *asker) done(extra []string) []string {
+// complete notes that an answer leaves and returns what it says beside.
+func (u *signalingUpstream) complete(extra []string) []string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.served.IsZero() {
-		u.served = time.Now()
+	if u.servedAt.IsZero() {
+		u.servedAt = time.Now()
 	}
-	return u.name(extra)
+	return u.addLimit(extra)
 }
 
-// name adds the limit to what an answer says; the mutex is held.
-func (u *asker) name(extra []string) []string {
+// addLimit adds the limit to what an answer says; the mutex is held.
+func (u *signalingUpstream) addLimit(extra []string) []string {
 	if u.limit == "" {
 		return extra
 	}
-	if u.named.IsZero() {
-		u.named = time.Now()
+	if u.limitNamedAt.IsZero() {
+		u.limitNamedAt = time.Now()
 	}
 	return append(extra, "Limit: "+u.limit)
 }
 
-// limits lets an upstream name a limit, or none.
-func (u *asker) limits(rate ratelimit.Rate) {
+// setLimit lets an upstream name a limit, or none.
+func (u *signalingUpstream) setLimit(rate ratelimit.Rate) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.limit = ""
@@ -161,12 +161,12 @@
 	}
 }
 
-// between returns how many requests came after one moment and before another.
-func (u *asker) between(from, to time.Time) int {
+// countBetween returns how many requests came after one moment and before another.
+func (u *signalingUpstream) countBetween(from, to time.Time) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	n := 0
-	for _, at := range u.arrived {
+	for _, at := range u.arrivedAt {
 		if at.After(from) && at.Before(to) {
 			n++
 		}
@@ -174,37 +174,37 @@
 	return n
 }
 
-// askSite is one entry before upstreams that say what they want.
-type askSite struct {
+// signalEntry is one entry before upstreams that say what they want.
+type signalEntry struct {
 	relay     *relay.Relay
-	upstreams []*asker
+	upstreams []*signalingUpstream
 
 	mu       sync.Mutex
 	revision roster.Revision
 	records  []*relay.Record
 }
 
-func newAskSite(n int) *askSite {
-	var upstreams []*asker
+func newSignalEntry(n int) *signalEntry {
+	var upstreams []*signalingUpstream
 	for range n {
-		upstreams = append(upstreams, &asker{})
+		upstreams = append(upstreams, &signalingUpstream{})
 	}
-	return askSiteBefore(upstreams)
+	return newSignalEntryFor(upstreams)
 }
 
-// askSiteBefore returns one more entry before the same upstreams.
-func askSiteBefore(upstreams []*asker) *askSite {
-	s := &askSite{upstreams: upstreams}
-	byAddress := map[string]*asker{}
+// newSignalEntryFor returns one more entry before the same upstreams.
+func newSignalEntryFor(upstreams []*signalingUpstream) *signalEntry {
+	s := &signalEntry{upstreams: upstreams}
+	byAddress := map[string]*signalingUpstream{}
 	for i, u := range upstreams {
 		byAddress["h"+strconv.Itoa(i)] = u
 	}
-	s.relay = relay.New(names(), func(ctx context.Context, address string) (net.Conn, error) {
+	s.relay = relay.New(headerNames(), func(ctx context.Context, address string) (net.Conn, error) {
 		return byAddress[address].dial(ctx, address)
 	})
-	s.relay.KeysLapse = time.Hour
-	s.relay.Budget = relay.NewBudget(relay.BudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 1000})
-	s.relay.Draw = rand.New(rand.NewPCG(1, 1)).IntN
+	s.relay.KeyValidity = time.Hour
+	s.relay.Budget = relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 1000})
+	s.relay.RandomInt = rand.New(rand.NewPCG(1, 1)).IntN
 	s.relay.Observe = func(r *relay.Record) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -214,12 +214,12 @@
 	cfg.Services[1].Engine.Slots = excessSlots
 	s.relay.SetConfig(cfg)
 	s.relay.SetConfirmed(time.Now())
-	s.list(nil, "")
+	s.setRoster(nil, "")
 	return s
 }
 
-// list tells the entry of all upstreams but those that are missed; groups have names that end in suffix.
-func (s *askSite) list(missed map[int]bool, suffix string) {
+// setRoster tells the entry of all upstreams but those that are missed; groups have names that end in suffix.
+func (s *signalEntry) setRoster(missed map[int]bool, suffix string) {
 	s.mu.Lock()
 	s.revision++
 	d := roster.Delta{Full: true, Revision: s.revision}
@@ -236,11 +236,11 @@
 			Name: ident.Group("g" + string(head) + suffix), Service: "model", Model: "m", Phase: roster.PhaseOpen, Members: []ident.Incarnation{head},
 		})
 	}
-	s.relay.SetRoster(&d)
+	s.relay.ApplyRoster(&d)
 }
 
-// ask sends one request and returns the answer.
-func (s *askSite) ask(path, id string) *httptest.ResponseRecorder {
+// send sends one request and returns the answer.
+func (s *signalEntry) send(path, id string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, path, strings.NewReader("body "+id))
 	r.Host = "h"
 	for name, value := range map[string]string{
@@ -254,13 +254,13 @@
 	return w
 }
 
-// load lets a request come every askEvery until askLasts is over.
-func (s *askSite) load(path string) {
+// load lets a request come every backoffRequestInterval until backoffLoadDuration is over.
+func (s *signalEntry) load(path string) {
 	began := time.Now()
 	var wg sync.WaitGroup
-	for n := 0; time.Since(began) < askLasts; n++ {
-		wg.Go(func() { s.ask(path, strconv.Itoa(n)) })
-		time.Sleep(askEvery)
+	for n := 0; time.Since(began) < backoffLoadDuration; n++ {
+		wg.Go(func() { s.send(path, strconv.Itoa(n)) })
+		time.Sleep(backoffRequestInterval)
 	}
 	wg.Wait()
 	for _, u := range s.upstreams {
@@ -269,7 +269,7 @@
 }
 
 // close closes all connections.
-func (u *asker) close() {
+func (u *signalingUpstream) close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range u.conns {
@@ -278,32 +278,32 @@
 	u.conns = nil
 }
 
-// asking is a load on a route, and what the first upstream does in it.
-type asking struct {
+// signalScenario is a load on a route, and what the first upstream does in it.
+type signalScenario struct {
 	path string
-	says func(s *askSite, u *asker)
+	act  func(s *signalEntry, u *signalingUpstream)
 }
 
-// playAsks plays p before three upstreams.
-func playAsks(t *testing.T, p asking) *askSite {
+// runSignals plays p before three upstreams.
+func runSignals(t *testing.T, p signalScenario) *signalEntry {
 	t.Helper()
-	var s *askSite
+	var s *signalEntry
 	synctest.Test(t, func(*testing.T) {
-		s = newAskSite(3)
-		time.AfterFunc(askAt, func() { p.says(s, s.upstreams[0]) })
+		s = newSignalEntry(3)
+		time.AfterFunc(signalAt, func() { p.act(s, s.upstreams[0]) })
 		s.load(p.path)
 	})
 	return s
 }
 
-// busy lets an upstream turn away what comes for a time, and ask for rest.
-func (u *asker) busy(d time.Duration, asks string) {
+// setBusy lets an upstream turn away what comes for a time, and ask for rest.
+func (u *signalingUpstream) setBusy(d time.Duration, asks string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.busyUntil, u.asks = time.Now().Add(d), asks
+	u.busyUntil, u.retryAfter = time.Now().Add(d), asks
 }
 
-func (u *asker) leave() {
+func (u *signalingUpstream) setLeaving() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.leaving = true
@@ -312,20 +312,20 @@
 // An upstream that has asked an entry for rest is reached by nothing that the entry sends before that time is over.
 func TestBackoffIsKept(t *testing.T) {
 	const asked = 3 * time.Second
-	asksForTime := func(_ *askSite, u *asker) { u.busy(asked-time.Second, "3") }
-	changes := func(s *askSite, u *asker) {
+	asksForTime := func(_ *signalEntry, u *signalingUpstream) { u.setBusy(asked-time.Second, "3") }
+	changes := func(s *signalEntry, u *signalingUpstream) {
 		asksForTime(s, u)
-		time.AfterFunc(700*time.Millisecond, func() { s.list(map[int]bool{0: true}, "") })
-		time.AfterFunc(900*time.Millisecond, func() { s.list(nil, " again") })
+		time.AfterFunc(700*time.Millisecond, func() { s.setRoster(map[int]bool{0: true}, "") })
+		time.AfterFunc(900*time.Millisecond, func() { s.setRoster(nil, " again") })
 	}
-	slow := func(s *askSite, u *asker) {
+	slow := func(s *signalEntry, u *signalingUpstream) {
 		asksForTime(s, u)
-		u.slowDial = 40 * time.Millisecond
+		u.extraDialTime = 40 * time.Millisecond
 		for n := range 12 {
-			go s.ask("/safe/x", "at once "+strconv.Itoa(n))
+			go s.send("/safe/x", "at once "+strconv.Itoa(n))
 		}
 	}
-	for name, play := range map[string]asking{
+	for name, play := range map[string]signalScenario{
 		"connections open slowly":         {"/safe/x", slow},
 		"a plain worker":                  {"/safe/x", asksForTime},
 		"a plain worker, once":            {"/unsafe/x", asksForTime},
@@ -334,17 +334,17 @@
 		"its group is formed again":       {"/stream/x", changes},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := playAsks(t, play)
+			s := runSignals(t, play)
 			u := s.upstreams[0]
-			if len(u.refused) == 0 {
+			if len(u.refusedAt) == 0 {
 				t.Fatal("nothing came while it turned requests away: the test shows nothing")
 			}
-			for _, at := range u.refused {
-				if n := u.between(at.Add(underWay), at.Add(asked)); n > 0 {
-					t.Errorf("%d requests reached it in the %v that it had asked for at %v", n, asked, at.Sub(u.refused[0]))
+			for _, at := range u.refusedAt {
+				if n := u.countBetween(at.Add(maxInFlight), at.Add(asked)); n > 0 {
+					t.Errorf("%d requests reached it in the %v that it had asked for at %v", n, asked, at.Sub(u.refusedAt[0]))
 				}
 			}
-			if u.served.IsZero() {
+			if u.servedAt.IsZero() {
 				t.Error("it serves nothing after its rest")
 			}
 		})
@@ -353,29 +353,29 @@
 
 // An upstream that says that it leaves gets nothing new, whether or not the roster tells.
 func TestALeavingUpstreamGetsNothingNew(t *testing.T) {
-	leaves := func(_ *askSite, u *asker) { u.leave() }
-	changes := func(s *askSite, u *asker) {
-		u.leave()
-		time.AfterFunc(700*time.Millisecond, func() { s.list(map[int]bool{0: true}, "") })
-		time.AfterFunc(900*time.Millisecond, func() { s.list(nil, " again") })
+	leaves := func(_ *signalEntry, u *signalingUpstream) { u.setLeaving() }
+	changes := func(s *signalEntry, u *signalingUpstream) {
+		u.setLeaving()
+		time.AfterFunc(700*time.Millisecond, func() { s.setRoster(map[int]bool{0: true}, "") })
+		time.AfterFunc(900*time.Millisecond, func() { s.setRoster(nil, " again") })
 	}
-	turnsAway := func(_ *askSite, u *asker) {
-		u.leave()
-		u.busy(time.Second, "")
+	turnsAway := func(_ *signalEntry, u *signalingUpstream) {
+		u.setLeaving()
+		u.setBusy(time.Second, "")
 	}
-	for name, play := range map[string]asking{
+	for name, play := range map[string]signalScenario{
 		"a plain worker":                  {"/safe/x", leaves},
 		"the head of a group":             {"/stream/x", leaves},
 		"the list misses it for a moment": {"/stream/x", changes},
 		"it says so in refusals":          {"/stream/x", turnsAway},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := playAsks(t, play)
+			s := runSignals(t, play)
 			u := s.upstreams[0]
-			if u.said.IsZero() {
+			if u.leavingSaidAt.IsZero() {
 				t.Fatal("nothing came once it was leaving: the test shows nothing")
 			}
-			if n := u.between(u.said.Add(underWay), u.said.Add(askLasts)); n > 0 {
+			if n := u.countBetween(u.leavingSaidAt.Add(maxInFlight), u.leavingSaidAt.Add(backoffLoadDuration)); n > 0 {
 				t.Errorf("%d requests reached it after it had said that it leaves", n)
 			}
 		})
@@ -389,16 +389,16 @@
 	for name, path := range map[string]string{"plain workers": "/safe/x", "heads of groups": "/stream/x"} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newAskSite(3)
+				s := newSignalEntry(3)
 				for _, u := range s.upstreams {
-					u.busy(asked, "4")
+					u.setBusy(asked, "4")
 				}
-				s.ask(path, "asks all")
+				s.send(path, "asks all")
 				time.Sleep(100 * time.Millisecond)
 				began := time.Now()
 				var earliest, latest time.Duration
 				for n := range 20 {
-					w := s.ask(path, "refused "+strconv.Itoa(n))
+					w := s.send(path, "refused "+strconv.Itoa(n))
 					seconds, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 					if w.Code != http.StatusServiceUnavailable || err != nil {
 						t.Fatalf("status %d, %v, want 503 with Retry-After", w.Code, err)
@@ -415,18 +415,18 @@
 				}
 				first := asked
 				for _, u := range s.upstreams {
-					first = min(first, u.refused[0].Add(asked).Sub(began))
+					first = min(first, u.refusedAt[0].Add(asked).Sub(began))
 				}
-				if earliest < first || latest > first*3/2+askTrip*4 || latest-earliest < first/8 {
+				if earliest < first || latest > first*3/2+upstreamRoundTrip*4 || latest-earliest < first/8 {
 					t.Errorf("callers are told to come back after %v to %v, the first upstream may be tried after %v", earliest, latest, first)
 				}
 				for _, r := range s.records[1:] {
-					if r.Code != result.BackedOff || len(r.Tries) > 0 {
-						t.Errorf("code %d after %d tries, want %d after none", r.Code, len(r.Tries), result.BackedOff)
+					if r.Code != result.BackedOff || len(r.Attempts) > 0 {
+						t.Errorf("code %d after %d tries, want %d after none", r.Code, len(r.Attempts), result.BackedOff)
 					}
 				}
 				for i, u := range s.upstreams {
-					if n := u.between(began, began.Add(asked)); n > 0 {
+					if n := u.countBetween(began, began.Add(asked)); n > 0 {
 						t.Errorf("%d requests reached upstream %d", n, i)
 					}
 				}
@@ -442,31 +442,31 @@
 // one, and not all that has waited.
 func TestWhatWaitedDoesNotComeAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newAskSite(3)
+		s := newSignalEntry(3)
 		for _, u := range s.upstreams {
-			u.busy(100*time.Millisecond, "0.5")
+			u.setBusy(100*time.Millisecond, "0.5")
 		}
-		s.ask("/stream/x", "asks all")
+		s.send("/stream/x", "asks all")
 		time.Sleep(100 * time.Millisecond)
 		began := time.Now()
 		var wg sync.WaitGroup
 		for n := range 30 {
-			wg.Go(func() { s.ask("/stream/x", strconv.Itoa(n)) })
+			wg.Go(func() { s.send("/stream/x", strconv.Itoa(n)) })
 		}
 		wg.Wait()
 		s.relay.Wait()
 		for i, u := range s.upstreams {
-			over := u.refused[0].Add(500 * time.Millisecond)
-			if n := u.between(began, over); n > 0 {
+			over := u.refusedAt[0].Add(500 * time.Millisecond)
+			if n := u.countBetween(began, over); n > 0 {
 				t.Errorf("%d requests reached upstream %d before its time was over", n, i)
 			}
-			if n := u.between(over, u.served); n > 1 {
+			if n := u.countBetween(over, u.servedAt); n > 1 {
 				t.Errorf("%d requests reached upstream %d before it had taken one, want 1", n, i)
 			}
 		}
 		served := 0
 		for _, r := range s.records[1:] {
-			if r.Code == 0 && r.First < config().Routes[2].Aim {
+			if r.Code == 0 && r.FirstEvent < config().Routes[2].Aim {
 				served++
 			}
 		}
@@ -481,31 +481,31 @@
 
 // What an upstream asks for is not lengthened by a suspension of this VM, and not forgotten by one: its clock counts meanwhile.
 func TestASuspensionCountsAsBackoff(t *testing.T) {
-	vm := &suspendable{began: time.Now()}
+	vm := &suspendableClock{startedAt: time.Now()}
 	busy := true
 	u := newUpstream(t, always(func(c net.Conn, r *http.Request) bool {
 		if busy {
-			_, err := io.WriteString(c, head(r, 503, "Not-Run: 1", "Retry-After: 3", "Content-Length: 0"))
+			_, err := io.WriteString(c, answerHead(r, 503, "Not-Run: 1", "Retry-After: 3", "Content-Length: 0"))
 			return err == nil
 		}
-		return whole(c, r)
+		return respondComplete(c, r)
 	}))
-	s := newSite(t, []*upstream{u}, nil)
+	s := newTestEntry(t, []*upstream{u}, nil)
 	s.relay.Now = vm.clock().Now
 	s.relay.SetConfirmed(s.relay.Now())
 	s.do(s.request("POST", "/safe/x", "refused", ""))
 	busy = false
-	vm.away = 2 * time.Second
+	vm.suspendedFor = 2 * time.Second
 	s.relay.SetConfirmed(s.relay.Now())
 	if got := s.do(s.request("POST", "/safe/x", "early", "")); got.Status != http.StatusServiceUnavailable {
 		t.Errorf("status %d after two of three seconds, want 503", got.Status)
 	}
-	vm.away = 3 * time.Second
+	vm.suspendedFor = 3 * time.Second
 	s.relay.SetConfirmed(s.relay.Now())
 	if got := s.do(s.request("POST", "/safe/x", "after", "")); got.Status != http.StatusOK {
 		t.Errorf("status %d after three seconds, want 200", got.Status)
 	}
-	if n := len(u.arrivals()); n != 2 {
+	if n := len(u.received()); n != 2 {
 		t.Errorf("%d requests reached the upstream, want the one before and the one after", n)
 	}
 }
@@ -513,15 +513,15 @@
 // Another life of an upstream has asked for nothing.
 func TestANewLifeHasAskedForNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newAskSite(1)
+		s := newSignalEntry(1)
 		u := s.upstreams[0]
-		u.busy(time.Millisecond, "60")
-		s.ask("/safe/x", "refused")
+		u.setBusy(time.Millisecond, "60")
+		s.send("/safe/x", "refused")
 		time.Sleep(10 * time.Millisecond)
 		d := roster.Delta{Full: true, Revision: 9}
 		d.Upstreams = append(d.Upstreams, roster.Upstream{ID: "p0@2", Service: "plain", Address: "h0", Slots: excessSlots})
-		s.relay.SetRoster(&d)
-		if w := s.ask("/safe/x", "to the new life"); w.Code != http.StatusOK {
+		s.relay.ApplyRoster(&d)
+		if w := s.send("/safe/x", "to the new life"); w.Code != http.StatusOK {
 			t.Errorf("status %d, want 200", w.Code)
 		}
 		u.close()
--- a/relay/bench_test.go
+++ b/relay/bench_test.go
@@ -41,9 +41,9 @@
 
 func benchRelay(b *testing.B, address string) *httptest.Server {
 	b.Helper()
-	s := relay.New(names(), transport.TCP())
-	s.KeysLapse = time.Hour
-	s.Budget = relay.NewBudget(relay.BudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 100})
+	s := relay.New(headerNames(), transport.TCP())
+	s.KeyValidity = time.Hour
+	s.Budget = relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 100})
 	cfg := config()
 	for i := range cfg.Routes {
 		cfg.Routes[i].Kind = httproute.KindSafe
@@ -52,7 +52,7 @@
 		}
 	}
 	s.SetConfig(cfg)
-	s.SetRoster(&roster.Delta{
+	s.ApplyRoster(&roster.Delta{
 		Full: true, Revision: 1,
 		Upstreams: []roster.Upstream{
 			{ID: "p", Service: "plain", Address: address, Slots: 100},
@@ -116,7 +116,7 @@
 	for _, c := range []struct{ groups, asked int }{{16, 0}, {200, 0}, {200, 1}} {
 		groups := c.groups
 		b.Run(fmt.Sprintf("%d-groups-%d-asked", groups, c.asked), func(b *testing.B) {
-			s := relay.New(names(), transport.TCP())
+			s := relay.New(headerNames(), transport.TCP())
 			cfg := timedConfig()
 			s.SetConfig(cfg)
 			d := roster.Delta{Full: true, Revision: 1}
@@ -127,11 +127,11 @@
 					Name: ident.Group(id), Service: "model", Model: "m", Phase: roster.PhaseOpen, Members: []ident.Incarnation{id},
 				})
 			}
-			s.SetRoster(&d)
+			s.ApplyRoster(&d)
 			for i := range c.asked {
-				s.Backoff.Refuse(s.Now(), ident.Incarnation(fmt.Sprintf("i-%08x", i)), time.Minute)
+				s.Backoff.NoteRefusal(s.Now(), ident.Incarnation(fmt.Sprintf("i-%08x", i)), time.Minute)
 			}
-			choose := relay.Chooser(s, &cfg.Routes[2], "m", 1000)
+			choose := relay.GroupChooser(s, &cfg.Routes[2], "m", 1000)
 			b.ReportAllocs()
 			for b.Loop() {
 				if err := choose(); err != nil {
--- a/relay/budget.go
+++ b/relay/budget.go
@@ -12,94 +12,94 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// BudgetRule bounds the repeats of one service within each window.
-type BudgetRule struct {
+// RetryBudgetRule bounds the repeats of one service within each window.
+type RetryBudgetRule struct {
 	Ratio  float64
 	Window time.Duration
 	// Allowance is the number of repeats beyond the ratio, over all entries.
 	Allowance float64
 }
 
-// budgetUse is the part of the rule that is used: entries come and go, and clocks of windows differ.
-const budgetUse = 0.85
+// usableFraction is the part of the rule that is used: entries come and go, and clocks of windows differ.
+const usableFraction = 0.85
 
-type second struct {
-	at       int64
+type secondCounts struct {
+	index    int64
 	requests float64
-	repeats  float64
+	retries  float64
 }
 
-// Budget counts requests and repeats of each service; exported fields are set before use.
-type Budget struct {
-	Rule BudgetRule
+// RetryBudget counts requests and repeats of each service; exported fields are set before use.
+type RetryBudget struct {
+	Rule RetryBudgetRule
 	Now  func() time.Time
 
-	mu       sync.Mutex
-	start    time.Time
-	entries  int
-	services map[ident.Service][]second
+	mu               sync.Mutex
+	start            time.Time
+	entries          int
+	secondsByService map[ident.Service][]secondCounts
 }
 
-// NewBudget returns an empty budget for one entry.
-func NewBudget(rule BudgetRule) *Budget {
-	return &Budget{Rule: rule, Now: clock.Now, entries: 1, services: map[ident.Service][]second{}}
+// NewRetryBudget returns an empty budget for one entry.
+func NewRetryBudget(rule RetryBudgetRule) *RetryBudget {
+	return &RetryBudget{Rule: rule, Now: clock.Now, entries: 1, secondsByService: map[ident.Service][]secondCounts{}}
 }
 
 // SetEntries tells how many entries share the rule.
-func (b *Budget) SetEntries(n int) {
+func (b *RetryBudget) SetEntries(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.entries = max(1, n)
 }
 
 // Entries returns how many entries share the rule.
-func (b *Budget) Entries() int {
+func (b *RetryBudget) Entries() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.entries
 }
 
-// Request counts a request for a service.
-func (b *Budget) Request(service ident.Service) {
+// CountRequest counts a request for a service.
+func (b *RetryBudget) CountRequest(service ident.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.slot(service).requests++
+	b.currentSecond(service).requests++
 }
 
-// Repeat reports whether a request may be sent once more, and counts that.
-func (b *Budget) Repeat(service ident.Service) bool {
+// AllowRetry reports whether a request may be sent once more, and counts that.
+func (b *RetryBudget) AllowRetry(service ident.Service) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	slot := b.slot(service)
+	slot := b.currentSecond(service)
 	requests, repeats := 0.0, 0.0
-	for _, s := range b.services[service] {
+	for _, s := range b.secondsByService[service] {
 		requests += s.requests
-		repeats += s.repeats
+		repeats += s.retries
 	}
-	allowed := budgetUse * (b.Rule.Ratio*requests + b.Rule.Allowance/float64(b.entries))
+	allowed := usableFraction * (b.Rule.Ratio*requests + b.Rule.Allowance/float64(b.entries))
 	if repeats+1 > allowed {
 		return false
 	}
-	slot.repeats++
+	slot.retries++
 	return true
 }
 
-// slot returns the present second of a service and forgets those outside the window.
-func (b *Budget) slot(service ident.Service) *second {
+// currentSecond returns the present second of a service and forgets those outside the window.
+func (b *RetryBudget) currentSecond(service ident.Service) *secondCounts {
 	// Differences of Now follow the steady clock, which the time of day does not.
 	now := b.Now()
 	if b.start.IsZero() {
 		b.start = now
 	}
 	at := int64(now.Sub(b.start) / time.Second)
-	list := b.services[service]
+	list := b.secondsByService[service]
 	oldest := at - int64(b.Rule.Window/time.Second)
-	for len(list) > 0 && list[0].at <= oldest {
+	for len(list) > 0 && list[0].index <= oldest {
 		list = list[1:]
 	}
-	if len(list) == 0 || list[len(list)-1].at != at {
-		list = append(list, second{at: at})
+	if len(list) == 0 || list[len(list)-1].index != at {
+		list = append(list, secondCounts{index: at})
 	}
-	b.services[service] = list
+	b.secondsByService[service] = list
 	return &list[len(list)-1]
 }
--- a/relay/budget_test.go
+++ b/relay/budget_test.go
@@ -12,14 +12,14 @@
 // The repeats of all entries together stay within the rule in every window, however unevenly requests come, while entries come and go and the
 // others hear of it up to three seconds later.
 func TestRepeatsOfAllEntriesTogether(t *testing.T) {
-	rule := relay.BudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 50}
+	rule := relay.RetryBudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 50}
 	for _, entries := range []int{1, 8, 100, 300} {
 		t.Run(fmt.Sprintf("%d entries", entries), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(uint64(entries), 1))
 			now := time.Unix(1000, 0)
-			var list []*relay.Budget
+			var list []*relay.RetryBudget
 			add := func(known int) {
-				b := relay.NewBudget(rule)
+				b := relay.NewRetryBudget(rule)
 				b.Now = func() time.Time { return now }
 				b.SetEntries(known)
 				list = append(list, b)
@@ -33,9 +33,9 @@
 				for i, b := range list {
 					wanted := random.IntN(2 + 400/(1+i%40))
 					for range wanted {
-						b.Request("s")
+						b.CountRequest("s")
 						came++
-						for b.Repeat("s") && random.IntN(3) > 0 {
+						for b.AllowRetry("s") && random.IntN(3) > 0 {
 							again++
 						}
 					}
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -21,150 +21,150 @@
 )
 
 const (
-	// otherHallScore stands for the bytes between halls, in parts of the aim, or of a full plain worker.
-	otherHallScore = 0.08
-	// failureScore weighs the share of failures, slowScore the pause between events against the route's aim.
-	failureScore = 3.0
-	slowScore    = 0.6
-	// silentScore puts an upstream that does not report behind those that do.
-	silentScore = 0.5
-	// farFactor is how many times slower a group across domains is taken to be when the engine does not say.
-	farFactor = 3.0
-	// limitScore is how much worse an upstream with a limit may be than the one that is chosen in its place.
-	limitScore = 0.1
-	// suspectScore puts a target that failed a moment ago behind all others.
-	suspectScore = 100
-	// queuePart is the part of the slots that may wait at an engine beyond those that it works on.
-	queuePart = 0.2
-	// plainQueue is the same for a plain worker, in requests for each slot.
-	plainQueue = 1.0
+	// otherHallPenalty stands for the bytes between halls, in parts of the aim, or of a full plain worker.
+	otherHallPenalty = 0.08
+	// failureRateWeight weighs the share of failures, eventGapWeight the pause between events against the route's aim.
+	failureRateWeight = 3.0
+	eventGapWeight    = 0.6
+	// noReportPenalty puts an upstream that does not report behind those that do.
+	noReportPenalty = 0.5
+	// crossDomainSlowdown is how many times slower a group across domains is taken to be when the engine does not say.
+	crossDomainSlowdown = 3.0
+	// limitedTolerance is how much worse an upstream with a limit may be than the one that is chosen in its place.
+	limitedTolerance = 0.1
+	// suspectPenalty puts a target that failed a moment ago behind all others.
+	suspectPenalty = 100
+	// engineQueuePerSlot is the part of the slots that may wait at an engine beyond those that it works on.
+	engineQueuePerSlot = 0.2
+	// plainQueuePerSlot is the same for a plain worker, in requests for each slot.
+	plainQueuePerSlot = 1.0
 )
 
-type scored struct {
+type candidate struct {
 	*target
-	score float64
-	load  float64
-	// first is the time to the first word by the estimate, 0 where there is none; at is what it was worked out from.
-	first time.Duration
-	at    estimate.Load
-	// fits is set when there is room, spared when the upstream asked other entries for time, limited when it has named a limit.
-	fits    bool
-	spared  bool
-	limited bool
+	score       float64
+	utilization float64
+	// firstEvent is the time to the first word by the estimate, 0 where there is none; at is what it was worked out from.
+	firstEvent time.Duration
+	knownLoad  estimate.Load
+	// hasCapacity is set when there is room, spared when the upstream asked other entries for time, limited when it has named a limit.
+	hasCapacity   bool
+	deprioritized bool
+	limited       bool
 }
 
 // choice is where a request goes next.
 type choice struct {
-	scored
-	// patience is how long it waits for its turn at an upstream with a limit, waits is set where it has nowhere else to go.
-	patience time.Duration
-	waits    bool
-	// free is, where there is no target, or one to wait for, how long until the first one takes requests again, 0 when that is not known;
+	candidate
+	// maxPermitWait is how long it waits for its turn at an upstream with a limit, waits is set where it has nowhere else to go.
+	maxPermitWait time.Duration
+	mustWait      bool
+	// availableIn is, where there is no target, or one to wait for, how long until the first one takes requests again, 0 when that is not known;
 	// rate is then how many requests a second can be expected within limits.
-	free time.Duration
-	rate ratelimit.Rate
+	availableIn  time.Duration
+	expectedRate ratelimit.Rate
 }
 
 // targets returns where a request for service and model can go.
-func (f *fleet) targets(s *httproute.Service, model ident.Model) []target {
+func (f *targetIndex) targets(s *httproute.Service, model ident.Model) []target {
 	if s.Engine == nil {
-		return f.plain[s.Name]
+		return f.plainTargets[s.Name]
 	}
-	return f.groups[s.Name][model]
+	return f.groupTargets[s.Name][model]
 }
 
 // choose picks a target that was not tried yet and has room for a request of that rank, or says why there is none; the mutex is held.
 func (s *Relay) choose(x *exchange, rank overload.Rank, now time.Time) (choice, error) {
-	list := s.fleet.targets(x.service, x.model)
+	list := s.index.targets(x.service, x.model)
 	c := &s.candidates
 	c.reset()
 	full := 0
-	var away away
-	var gate ratelimit.Gate
-	limits := s.Limits.Any()
+	var away unavailable
+	var gate ratelimit.Availability
+	limits := s.Limits.HasLimits()
 	for i := range list {
 		t := &list[i]
-		if !x.mayGoTo(t) {
-			away.elsewhere++
+		if !x.regionAllowed(t) {
+			away.outsideRegion++
 			continue
 		}
 		// Whoever asked for time was overrun, and gets nothing in it.
-		asked := s.Backoff.Of(now, t.id)
+		asked := s.Backoff.StateOf(now, t.id)
 		if limits {
-			gate = s.Limits.Of(now, t.id)
+			gate = s.Limits.Availability(now, t.id)
 		}
-		if away.add(asked) || away.limit(gate) || x.wasTried(t.id) {
+		if away.addBackoff(asked) || away.addLimit(gate) || x.wasAttempted(t.id) {
 			continue
 		}
-		rated := s.rate(x, t, rank, now)
-		if !asked.Admits() || !x.hasRoom(&rated) {
+		rated := s.scoreTarget(x, t, rank, now)
+		if !asked.Admits() || !x.hasQueueSpace(&rated) {
 			full++
 			continue
 		}
-		rated.fits = rated.fits && s.mayFill(x, t)
+		rated.hasCapacity = rated.hasCapacity && s.mayUseCapacity(x, t)
 		rated.limited = gate.Limited
 		c.add(rated)
 	}
-	best := c.best()
+	best := c.bestTier()
 	if len(best) == 0 {
-		return s.turnless(x, list, full, &away, now)
+		return s.waitOrFail(x, list, full, &away, now)
 	}
-	x.passedOver = away.number()
-	if best[0].known && s.entries != nil && !s.entries.Together() {
-		return choice{scored: lowest(best), patience: ratelimit.Patience}, nil
+	x.skippedUpstreams = away.total()
+	if best[0].inSubset && s.entries != nil && !s.entries.AllUseAll() {
+		return choice{candidate: lowestScore(best), maxPermitWait: ratelimit.MaxWaitWithAlternatives}, nil
 	}
-	return choice{scored: withLimits(best, s.betterOfTwo(best)), patience: ratelimit.Patience}, nil
+	return choice{candidate: preferLimited(best, s.betterOfTwo(best)), maxPermitWait: ratelimit.MaxWaitWithAlternatives}, nil
 }
 
-// turnless is the choice where no target takes the request now: it can wait for its turn at one with a limit, if there is any.
-func (s *Relay) turnless(x *exchange, list []target, full int, away *away, now time.Time) (choice, error) {
-	none := choice{free: away.soonest, rate: away.rate}
-	if t := s.nextTurn(x, list, now); t != nil && full == 0 {
+// waitOrFail is the choice where no target takes the request now: it can wait for its turn at one with a limit, if there is any.
+func (s *Relay) waitOrFail(x *exchange, list []target, full int, away *unavailable, now time.Time) (choice, error) {
+	none := choice{availableIn: away.soonest, expectedRate: away.limitRate}
+	if t := s.soonestLimitedTarget(x, list, now); t != nil && full == 0 {
 		s.stateOf(t)
-		none.target, none.limited, none.waits = t, true, true
+		none.target, none.limited, none.mustWait = t, true, true
 		return none, nil
 	}
-	return none, noTarget(len(list), full, away)
+	return none, noTargetError(len(list), full, away)
 }
 
-// nextTurn returns the upstream with a limit that may take a request soonest, of those that have not said that they can't take this one in
+// soonestLimitedTarget returns the upstream with a limit that may take a request soonest, of those that have not said that they can't take this one in
 // time.
-func (s *Relay) nextTurn(x *exchange, list []target, now time.Time) *target {
+func (s *Relay) soonestLimitedTarget(x *exchange, list []target, now time.Time) *target {
 	var next *target
 	var soonest time.Duration
 	for i := range list {
 		id := list[i].id
-		gate := s.Limits.Of(now, id)
-		if !gate.Limited || !x.mayGoTo(&list[i]) || x.wasTried(id) || x.noTurn[id] || s.Backoff.Of(now, id).Left > 0 {
+		gate := s.Limits.Availability(now, id)
+		if !gate.Limited || !x.regionAllowed(&list[i]) || x.wasAttempted(id) || x.noPermitAt[id] || s.Backoff.StateOf(now, id).Remaining > 0 {
 			continue
 		}
-		if next == nil || gate.Left < soonest {
-			next, soonest = &list[i], gate.Left
+		if next == nil || gate.Remaining < soonest {
+			next, soonest = &list[i], gate.Remaining
 		}
 	}
 	return next
 }
 
-// mayFill reports whether the request may take room of a target that this entry does not use: a stream that has begun goes on wherever it
+// mayUseCapacity reports whether the request may take room of a target that this entry does not use: a stream that has begun goes on wherever it
 // can. The mutex is held.
-func (s *Relay) mayFill(x *exchange, t *target) bool {
-	return t.known || x.events > 0 || x.service.Engine == nil || s.counts.spill[x.model] >= 1 || !s.fleet.uses[x.model]
+func (s *Relay) mayUseCapacity(x *exchange, t *target) bool {
+	return t.inSubset || x.eventCount > 0 || x.service.Engine == nil || s.peerCounts.spillCredit[x.model] >= 1 || !s.index.usedModels[x.model]
 }
 
-// withLimits returns an upstream with a limit that is hardly worse than the chosen one, if there is any. What it takes is little and can't be
+// preferLimited returns an upstream with a limit that is hardly worse than the chosen one, if there is any. What it takes is little and can't be
 // saved up: if it were tried only as often as others are, a part of it would be lost while the others do its work.
-func withLimits(list []scored, chosen scored) scored {
+func preferLimited(list []candidate, chosen candidate) candidate {
 	for i := range list {
-		if list[i].limited && list[i].score <= chosen.score+limitScore && !chosen.limited {
+		if list[i].limited && list[i].score <= chosen.score+limitedTolerance && !chosen.limited {
 			chosen = list[i]
 		}
 	}
 	return chosen
 }
 
-// lowest returns the target with the lowest score: where an entry uses a few groups and hears of all that others send there, the
+// lowestScore returns the target with the lowest score: where an entry uses a few groups and hears of all that others send there, the
 // best one is not the best for everybody.
-func lowest(list []scored) scored {
+func lowestScore(list []candidate) candidate {
 	best := 0
 	for i := range list {
 		if list[i].score < list[best].score {
@@ -177,31 +177,31 @@
 // candidates are the targets of one choice that are not full; the lists are used again for the next one. Elsewhere are those with
 // room that this entry does not use, spared those with room that asked other entries for time.
 type candidates struct {
-	roomy, elsewhere, spared, crowded, suspect []scored
+	withCapacity, outsideSubset, deprioritized, atCapacity, suspect []candidate
 }
 
 func (c *candidates) reset() {
-	c.roomy, c.elsewhere, c.spared, c.crowded, c.suspect = c.roomy[:0], c.elsewhere[:0], c.spared[:0], c.crowded[:0], c.suspect[:0]
+	c.withCapacity, c.outsideSubset, c.deprioritized, c.atCapacity, c.suspect = c.withCapacity[:0], c.outsideSubset[:0], c.deprioritized[:0], c.atCapacity[:0], c.suspect[:0]
 }
 
-func (c *candidates) add(t scored) {
+func (c *candidates) add(t candidate) {
 	switch {
-	case t.score >= suspectScore:
+	case t.score >= suspectPenalty:
 		c.suspect = append(c.suspect, t)
-	case t.fits && t.spared:
-		c.spared = append(c.spared, t)
-	case t.fits && t.known:
-		c.roomy = append(c.roomy, t)
-	case t.fits:
-		c.elsewhere = append(c.elsewhere, t)
+	case t.hasCapacity && t.deprioritized:
+		c.deprioritized = append(c.deprioritized, t)
+	case t.hasCapacity && t.inSubset:
+		c.withCapacity = append(c.withCapacity, t)
+	case t.hasCapacity:
+		c.outsideSubset = append(c.outsideSubset, t)
 	default:
-		c.crowded = append(c.crowded, t)
+		c.atCapacity = append(c.atCapacity, t)
 	}
 }
 
-// best returns those with room, or else all that are sound, or else those that failed a moment ago.
-func (c *candidates) best() []scored {
-	for _, list := range [][]scored{c.roomy, c.elsewhere, c.spared, c.crowded} {
+// bestTier returns those with room, or else all that are sound, or else those that failed a moment ago.
+func (c *candidates) bestTier() []candidate {
+	for _, list := range [][]candidate{c.withCapacity, c.outsideSubset, c.deprioritized, c.atCapacity} {
 		if len(list) > 0 {
 			return list
 		}
@@ -210,12 +210,12 @@
 }
 
 // betterOfTwo draws two different targets and returns the one with the lower score.
-func (s *Relay) betterOfTwo(list []scored) scored {
-	first := s.Draw(len(list))
+func (s *Relay) betterOfTwo(list []candidate) candidate {
+	first := s.RandomInt(len(list))
 	if len(list) == 1 {
 		return list[first]
 	}
-	second := s.Draw(len(list) - 1)
+	second := s.RandomInt(len(list) - 1)
 	if second >= first {
 		second++
 	}
@@ -225,37 +225,37 @@
 	return list[first]
 }
 
-// hasRoom reports whether a target takes one more request: it has slots and a queue, and each request needs a connection of its own.
-func (x *exchange) hasRoom(r *scored) bool {
-	if takes := x.service.MaxConnections; takes > 0 && r.at.Requests >= takes {
+// hasQueueSpace reports whether a target takes one more request: it has slots and a queue, and each request needs a connection of its own.
+func (x *exchange) hasQueueSpace(r *candidate) bool {
+	if takes := x.service.MaxConnections; takes > 0 && r.knownLoad.Requests >= takes {
 		return false
 	}
-	return r.load < 1+queueOf(x.service)
+	return r.utilization < 1+queuePerSlot(x.service)
 }
 
-func queueOf(s *httproute.Service) float64 {
+func queuePerSlot(s *httproute.Service) float64 {
 	if s.Engine == nil {
-		return plainQueue
+		return plainQueuePerSlot
 	}
-	return queuePart
+	return engineQueuePerSlot
 }
 
-// mayGoTo reports whether the homes of the route and of the customer allow the region of a target.
-func (x *exchange) mayGoTo(t *target) bool {
-	return allows(x.route.Homes, x.s.Regions[t.hall]) && (x.customer == nil || allows(x.customer.Homes, x.s.Regions[t.hall]))
+// regionAllowed reports whether the homes of the route and of the customer allow the region of a target.
+func (x *exchange) regionAllowed(t *target) bool {
+	return homesInclude(x.route.Homes, x.s.Regions[t.hall]) && (x.customer == nil || homesInclude(x.customer.Homes, x.s.Regions[t.hall]))
 }
 
-// allows reports whether a region is among the homes, or there are none.
-func allows(homes []ident.Region, region ident.Region) bool {
+// homesInclude reports whether a region is among the homes, or there are none.
+func homesInclude(homes []ident.Region, region ident.Region) bool {
 	return len(homes) == 0 || slices.Contains(homes, region)
 }
 
-func noTarget(known, full int, away *away) error {
+func noTargetError(known, full int, away *unavailable) error {
 	switch {
-	case known > 0 && away.elsewhere == known:
+	case known > 0 && away.outsideRegion == known:
 		return result.New(result.OutOfHome, "all %d upstreams are in regions where the request may not go", known)
-	case full > 0 && away.number() > 0:
-		return result.New(result.Overloaded, "%d upstreams are full, %d want nothing", full, away.number())
+	case full > 0 && away.total() > 0:
+		return result.New(result.Overloaded, "%d upstreams are full, %d want nothing", full, away.total())
 	case full > 0:
 		return result.New(result.Overloaded, "all %d upstreams are full", full)
 	case away.limited > 0:
@@ -271,77 +271,77 @@
 	return result.New(result.NoWholeGroup, "no upstream serves this")
 }
 
-func (s *Relay) rate(x *exchange, t *target, rank overload.Rank, now time.Time) scored {
+func (s *Relay) scoreTarget(x *exchange, t *target, rank overload.Rank, now time.Time) candidate {
 	ts := s.stateOf(t)
-	ts.calm(now)
+	ts.decay(now)
 	at := s.loadOf(t, now)
 	load := float64(at.Requests) / float64(max(1, t.slots))
-	first := t.times.FirstWord(at, x.toRead())
+	first := t.timing.FirstEvent(at, x.prefillTokens())
 	score := x.waitScore(t, first, load)
 	if t.hall != s.Hall {
-		score += otherHallScore
+		score += otherHallPenalty
 	}
 	if t.silent {
-		score += silentScore
+		score += noReportPenalty
 	}
 	if aim := x.route.GapAim; aim > 0 {
-		score += slowScore * float64(ts.gap) / float64(aim)
+		score += eventGapWeight * float64(ts.eventGap) / float64(aim)
 	}
-	if ts.outcomes >= outcomesNeeded {
-		score += failureScore * ts.failures
+	if ts.outcomeCount >= minOutcomes {
+		score += failureRateWeight * ts.failureRate
 	}
-	if now.Before(ts.suspect) || s.stands(ts, now) || !ts.suspected.IsZero() && now.Sub(ts.suspected) < suspectAgain {
-		score += suspectScore
+	if now.Before(ts.suspectUntil) || s.unresponsive(ts, now) || !ts.suspectedAt.IsZero() && now.Sub(ts.suspectedAt) < suspicionInterval {
+		score += suspectPenalty
 	}
-	fits := x.fits(t, rank, at, first, now)
-	return scored{target: t, score: score, load: load, first: first, at: at, fits: fits, spared: now.Before(ts.askedOthers)}
+	fits := x.hasCapacityAt(t, rank, at, first, now)
+	return candidate{target: t, score: score, utilization: load, firstEvent: first, knownLoad: at, hasCapacity: fits, deprioritized: now.Before(ts.peerBackoffUntil)}
 }
 
 // waitScore is the time to the first word in parts of the route's aim. Where the engine does not publish its figures, and at
 // plain workers, the load stands for it.
 func (x *exchange) waitScore(t *target, first time.Duration, load float64) float64 {
 	if first > 0 {
-		return x.partOfAim(first)
+		return x.fractionOfAim(first)
 	}
-	if t.far || t.slow {
-		return slowdown(x.service) * (load + 1/float64(max(1, t.slots)))
+	if t.crossDomain || t.hasSlowMember {
+		return groupSlowdown(x.service) * (load + 1/float64(max(1, t.slots)))
 	}
 	return load
 }
 
-// partOfAim returns d in parts of the route's aim.
-func (x *exchange) partOfAim(d time.Duration) float64 {
-	return float64(d) / float64(cmp.Or(x.route.Aim, usualAim))
+// fractionOfAim returns d in parts of the route's aim.
+func (x *exchange) fractionOfAim(d time.Duration) float64 {
+	return float64(d) / float64(cmp.Or(x.route.Aim, defaultAim))
 }
 
-// usualAim stands for the aim of a route that declares none.
-const usualAim = time.Second
+// defaultAim stands for the aim of a route that declares none.
+const defaultAim = time.Second
 
-// slowdown is how many times slower a group across domains is, or one with a member that is slow.
-func slowdown(s *httproute.Service) float64 {
+// groupSlowdown is how many times slower a group across domains is, or one with a member that is slow.
+func groupSlowdown(s *httproute.Service) float64 {
 	if s.Engine != nil && s.Engine.FarFactor > 0 {
 		return s.Engine.FarFactor
 	}
-	return farFactor
+	return crossDomainSlowdown
 }
 
-// stands reports whether requests wait there for longer than an engine that works would let them, here or at enough entries.
-func (s *Relay) stands(ts *targetState, now time.Time) bool {
-	return ts.silence(now) > stallSuspect || s.stalled(ts, now)
+// unresponsive reports whether requests wait there for longer than an engine that works would let them, here or at enough entries.
+func (s *Relay) unresponsive(ts *targetState, now time.Time) bool {
+	return ts.waitWithoutProgress(now) > silenceLimit || s.declaredStalled(ts, now)
 }
 
 // stateOf returns what is known of a target, which is looked for once: a choice asks several times for each of hundreds.
 func (s *Relay) stateOf(t *target) *targetState {
 	if t.state == nil {
-		t.state = s.state(t.id)
+		t.state = s.stateFor(t.id)
 	}
 	return t.state
 }
 
-func (s *Relay) state(id ident.Incarnation) *targetState {
+func (s *Relay) stateFor(id ident.Incarnation) *targetState {
 	ts := s.states[id]
 	if ts == nil {
-		ts = &targetState{followers: map[*follower]struct{}{}}
+		ts = &targetState{forwarders: map[*forwarder]struct{}{}}
 		s.states[id] = ts
 	}
 	return ts
--- a/relay/choose_test.go
+++ b/relay/choose_test.go
@@ -16,22 +16,22 @@
 	const targets = 5
 	var upstreams []*upstream
 	for range targets {
-		upstreams = append(upstreams, newUpstream(t, always(whole)))
+		upstreams = append(upstreams, newUpstream(t, always(respondComplete)))
 	}
-	s := newSite(t, upstreams, nil)
-	s.relay.Draw = rand.New(rand.NewPCG(1, 1)).IntN
+	s := newTestEntry(t, upstreams, nil)
+	s.relay.RandomInt = rand.New(rand.NewPCG(1, 1)).IntN
 	others := map[ident.Incarnation]int{}
 	for i := range targets {
 		others[ident.Incarnation("p"+strconv.Itoa(i))] = i
 	}
-	s.relay.SetOthers(others)
+	s.relay.SetPeerCounts(others)
 	const requests = 300
 	for i := range requests {
 		s.do(s.request("GET", "/safe/x", strconv.Itoa(i), ""))
 	}
 	got := map[ident.Incarnation]int{}
 	for _, r := range s.records {
-		got[r.Tries[0].To]++
+		got[r.Attempts[0].Upstream]++
 	}
 	if got["p0"] > requests/2 || got["p0"] < requests/4 {
 		t.Errorf("the least loaded of %d got %d of %d requests, want between a quarter and half", targets, got["p0"], requests)
--- a/relay/conn.go
+++ b/relay/conn.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	readBuffer  = 4 << 10
-	writeBuffer = 4 << 10
-	// idlePerUpstream bounds the kept connections to one upstream, where it does not take fewer.
-	idlePerUpstream = 16
-	// idleDefault is how long a connection is kept when the upstream does not say; idleMargin is taken off what it says.
-	idleDefault = 10 * time.Second
-	idleMargin  = 700 * time.Millisecond
-	// freshEnough is how long a connection may have been idle to carry a request that can't be repeated.
-	freshEnough = 500 * time.Millisecond
+	readBufferBytes  = 4 << 10
+	writeBufferBytes = 4 << 10
+	// maxIdlePerUpstream bounds the kept connections to one upstream, where it does not take fewer.
+	maxIdlePerUpstream = 16
+	// defaultIdleTimeout is how long a connection is kept when the upstream does not say; idleTimeoutMargin is taken off what it says.
+	defaultIdleTimeout = 10 * time.Second
+	idleTimeoutMargin  = 700 * time.Millisecond
+	// maxIdleForOnce is how long a connection may have been idle to carry a request that can't be repeated.
+	maxIdleForOnce = 500 * time.Millisecond
 )
 
 // upstreamConn is one connection to an upstream; it carries one request at a time.
@@ -66,8 +66,8 @@
 	return err == nil && errors.Is(peek, syscall.EAGAIN)
 }
 
-// pool keeps idle connections by address, the one used last on top.
-type pool struct {
+// connPool keeps idle connections by address, the one used last on top.
+type connPool struct {
 	dial transport.Dial
 	now  func() time.Time
 
@@ -75,18 +75,18 @@
 	idle map[string][]*upstreamConn
 }
 
-func newPool(dial transport.Dial, now func() time.Time) *pool {
-	return &pool{dial: dial, now: now, idle: map[string][]*upstreamConn{}}
+func newConnPool(dial transport.Dial, now func() time.Time) *connPool {
+	return &connPool{dial: dial, now: now, idle: map[string][]*upstreamConn{}}
 }
 
 // get returns a kept connection, or a new one; once is set for a request that must not meet a stale connection.
-func (p *pool) get(ctx context.Context, address string, once bool) (*upstreamConn, error) {
+func (p *connPool) get(ctx context.Context, address string, once bool) (*upstreamConn, error) {
 	for {
-		c := p.take(address)
+		c := p.pop(address)
 		if c == nil {
 			break
 		}
-		stale := once && p.now().Sub(c.idleSince) > freshEnough
+		stale := once && p.now().Sub(c.idleSince) > maxIdleForOnce
 		if !stale && p.now().Before(c.expires) && c.alive() {
 			c.reused = true
 			return c, nil
@@ -99,11 +99,11 @@
 	}
 	return &upstreamConn{
 		Conn: conn, address: address,
-		br: bufio.NewReaderSize(conn, readBuffer), bw: bufio.NewWriterSize(conn, writeBuffer),
+		br: bufio.NewReaderSize(conn, readBufferBytes), bw: bufio.NewWriterSize(conn, writeBufferBytes),
 	}, nil
 }
 
-func (p *pool) take(address string) *upstreamConn {
+func (p *connPool) pop(address string) *upstreamConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -116,13 +116,13 @@
 }
 
 // put keeps c for the next request when the answer allows it, and fewer than most are kept.
-func (p *pool) put(c *upstreamConn, answer *http.Response, most int) {
+func (p *connPool) put(c *upstreamConn, answer *http.Response, most int) {
 	if answer.Close || answer.ContentLength < 0 && len(answer.TransferEncoding) == 0 || c.br.Buffered() > 0 {
 		c.Close()
 		return
 	}
 	c.idleSince = p.now()
-	c.expires = c.idleSince.Add(keepFor(answer.Header.Get("Keep-Alive")))
+	c.expires = c.idleSince.Add(keepAliveTimeout(answer.Header.Get("Keep-Alive")))
 	if c.SetDeadline(time.Time{}) != nil {
 		c.Close()
 		return
@@ -136,22 +136,22 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// keepFor reads the time in a Keep-Alive header.
-func keepFor(header string) time.Duration {
+// keepAliveTimeout reads the time in a Keep-Alive header.
+func keepAliveTimeout(header string) time.Duration {
 	for _, part := range strings.Split(header, ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
 			continue
 		}
 		if seconds, err := strconv.Atoi(value); err == nil {
-			return max(0, time.Duration(seconds)*time.Second-idleMargin)
+			return max(0, time.Duration(seconds)*time.Second-idleTimeoutMargin)
 		}
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
 
 // prune closes connections that have expired and those to addresses that are no longer used.
-func (p *pool) prune(used func(address string) bool) {
+func (p *connPool) prune(used func(address string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
@@ -172,29 +172,29 @@
 	}
 }
 
-// keep keeps the connection of a try whose answer has been read.
-func (f *follower) keep(answer *http.Response) {
-	f.x.s.pool.put(f.conn, answer, f.x.keptMost(f.t))
+// returnConn keeps the connection of a try whose answer has been read.
+func (f *forwarder) returnConn(answer *http.Response) {
+	f.x.s.pool.put(f.conn, answer, f.x.maxIdleConns(f.target))
 }
 
-// keptMost returns how many connections to an upstream are kept: this entry's part of those that it takes from all entries, without
+// maxIdleConns returns how many connections to an upstream are kept: this entry's part of those that it takes from all entries, without
 // those that can be in use. It resets any more.
-func (x *exchange) keptMost(t *target) int {
+func (x *exchange) maxIdleConns(t *target) int {
 	takes := x.service.MaxConnections
 	if takes <= 0 {
-		return idlePerUpstream
+		return maxIdlePerUpstream
 	}
-	spare := takes - int(float64(t.slots)*(1+queueOf(x.service)))
-	return min(idlePerUpstream, x.s.part(spare, t.id))
+	spare := takes - int(float64(t.slots)*(1+queuePerSlot(x.service)))
+	return min(maxIdlePerUpstream, x.s.localShare(spare, t.id))
 }
 
-// part returns this entry's part of what an upstream has for all entries. The mutex is not held.
-func (s *Relay) part(n int, id ident.Incarnation) int {
+// localShare returns this entry's part of what an upstream has for all entries. The mutex is not held.
+func (s *Relay) localShare(n int, id ident.Incarnation) int {
 	s.mu.Lock()
 	entries := s.entries
 	s.mu.Unlock()
 	if entries == nil {
 		return max(1, n/s.Budget.Entries())
 	}
-	return entries.Part(n, string(id))
+	return entries.Share(n, string(id))
 }
--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -33,58 +33,58 @@
 
 const (
 	crashGroups = 12
-	// crashAt is when the request that ends upstreams first comes, crashEvery how often it comes again, crashLasts how long all of it
+	// crashAt is when the request that ends upstreams first comes, crashInterval how often it comes again, crashTestDuration how long all of it
 	// takes.
-	crashAt    = time.Second
-	crashEvery = 300 * time.Millisecond
-	crashLasts = 14 * time.Second
+	crashAt           = time.Second
+	crashInterval     = 300 * time.Millisecond
+	crashTestDuration = 14 * time.Second
 	// crashRate is the traffic of others in requests a second.
 	crashRate = 60
-	// crashHeard is when the roster tells that an upstream has ended, crashBack when it is back as another life.
-	crashHeard = 300 * time.Millisecond
-	crashBack  = 3 * time.Second
-	// crashKnown is how long after the third end a try may still be on its way, crashMore how many may come later.
-	crashKnown = 500 * time.Millisecond
-	crashMore  = 3
-	crashBody  = "ends what runs it"
+	// crashRosterDelay is when the roster tells that an upstream has ended, crashRestartDelay when it is back as another life.
+	crashRosterDelay  = 300 * time.Millisecond
+	crashRestartDelay = 3 * time.Second
+	// crashGrace is how long after the third end a try may still be on its way, maxLateCrashes how many may come later.
+	crashGrace     = 500 * time.Millisecond
+	maxLateCrashes = 3
+	crashBody      = "ends what runs it"
 )
 
-// crashPlay is a site at which a request comes that ends what runs it.
-type crashPlay struct {
+// crashScenario is a site at which a request comes that ends what runs it.
+type crashScenario struct {
 	entries int
 	// copies is how many entries it comes to at the same moment.
 	copies int
-	// drops is the part of the news between entries that is lost.
-	drops float64
+	// lossRate is the part of the news between entries that is lost.
+	lossRate float64
 	// path is the route that it comes on.
 	path string
 }
 
-// crashSite is what a play has: entries before engines, and who has ended when.
-type crashSite struct {
-	play    crashPlay
-	began   time.Time
-	entries []*relay.Relay
-	engines []*passEngine
+// crashCluster is what a play has: entries before engines, and who has ended when.
+type crashCluster struct {
+	scenario  crashScenario
+	startedAt time.Time
+	entries   []*relay.Relay
+	engines   []*iterationEngine
 
 	mu       sync.Mutex
 	revision roster.Revision
-	// lives numbers the lives of each engine, gone is set while it is not in the roster.
-	lives []int
-	gone  []bool
-	// ends and reached are when upstreams ended under the request and when it began to run.
-	ends, reached []time.Duration
+	// incarnations numbers the lives of each engine, gone is set while it is not in the roster.
+	incarnations []int
+	gone         []bool
+	// crashes and reached are when upstreams ended under the request and when it began to run.
+	crashes, runStarts []time.Duration
 	// records are the ends of all other requests.
-	records []*relay.Record
-	late    []*relay.Record
+	records     []*relay.Record
+	lateRecords []*relay.Record
 }
 
-func newCrashSite(p crashPlay) *crashSite {
-	c := &crashSite{play: p, began: time.Now(), lives: make([]int, crashGroups), gone: make([]bool, crashGroups)}
-	byAddress := map[string]*passEngine{}
+func newCrashCluster(p crashScenario) *crashCluster {
+	c := &crashCluster{scenario: p, startedAt: time.Now(), incarnations: make([]int, crashGroups), gone: make([]bool, crashGroups)}
+	byAddress := map[string]*iterationEngine{}
 	for i := range crashGroups {
-		e := &passEngine{slots: excessSlots}
-		e.ran = func(body string) bool { return c.runs(i, body) }
+		e := &iterationEngine{slots: excessSlots}
+		e.onRun = func(body string) bool { return c.noteRun(i, body) }
 		c.engines = append(c.engines, e)
 		byAddress["h"+strconv.Itoa(i)] = e
 	}
@@ -94,8 +94,8 @@
 	}
 	random := rand.New(rand.NewPCG(5, 5))
 	for i := range names {
-		s := beforeEngines(byAddress)
-		s.Tell = func(n relay.News, to []string) { c.tell(random, names, i, n, to) }
+		s := relayForEngines(byAddress)
+		s.SendUpdate = func(n relay.EntryUpdate, to []string) { c.deliver(random, names, i, n, to) }
 		s.Observe = c.observe
 		s.Budget.SetEntries(p.entries)
 		s.SetConfig(crashConfig())
@@ -103,7 +103,7 @@
 		s.SetEntries(sharing.New(names[i], map[ident.Hall][]string{"hall": names}))
 		c.entries = append(c.entries, s)
 	}
-	c.renew()
+	c.publishRoster()
 	return c
 }
 
@@ -111,57 +111,57 @@
 	cfg := timedConfig()
 	e := cfg.Services[1].Engine
 	e.Slots, e.Usual = excessSlots, httproute.Usual{Prompt: 800, Answer: floodEvents * 5}
-	cfg.Routes = []httproute.Route{routeOf("stream", httproute.KindStream, "model", 2), routeOf("once", httproute.KindStream, "model", 1)}
+	cfg.Routes = []httproute.Route{newRoute("stream", httproute.KindStream, "model", 2), newRoute("once", httproute.KindStream, "model", 1)}
 	cfg.Routes[1].Resumable = false
 	for i := range cfg.Routes {
-		cfg.Routes[i].Aim, cfg.Routes[i].GapAim, cfg.Routes[i].Timeout = stopAim, stopPause, excessWait
+		cfg.Routes[i].Aim, cfg.Routes[i].GapAim, cfg.Routes[i].Timeout = stallFirstEventAim, stallGapAim, excessCallerTimeout
 	}
 	return cfg
 }
 
-// tell carries news from one entry to others.
-func (c *crashSite) tell(random *rand.Rand, names []string, from int, n relay.News, to []string) {
+// deliver carries news from one entry to others.
+func (c *crashCluster) deliver(random *rand.Rand, names []string, from int, n relay.EntryUpdate, to []string) {
 	for j, o := range c.entries {
 		c.mu.Lock()
-		lost := random.Float64() < c.play.drops
+		lost := random.Float64() < c.scenario.lossRate
 		c.mu.Unlock()
 		if j == from || lost || to != nil && !slices.Contains(to, names[j]) {
 			continue
 		}
-		time.AfterFunc(datagramTime, func() { o.Hear(n, netip.MustParseAddrPort(names[from])) })
+		time.AfterFunc(datagramDelay, func() { o.Receive(n, netip.MustParseAddrPort(names[from])) })
 	}
 }
 
-// runs notes that an engine begins to run a body and reports whether that ends it.
-func (c *crashSite) runs(i int, body string) bool {
+// noteRun notes that an engine begins to run a body and reports whether that ends it.
+func (c *crashCluster) noteRun(i int, body string) bool {
 	if body != crashBody {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reached = append(c.reached, time.Since(c.began))
-	c.ends = append(c.ends, time.Since(c.began))
-	time.AfterFunc(crashHeard, func() { c.set(i, true) })
-	time.AfterFunc(crashBack, func() {
+	c.runStarts = append(c.runStarts, time.Since(c.startedAt))
+	c.crashes = append(c.crashes, time.Since(c.startedAt))
+	time.AfterFunc(crashRosterDelay, func() { c.setGone(i, true) })
+	time.AfterFunc(crashRestartDelay, func() {
 		c.engines[i].restart()
-		c.set(i, false)
+		c.setGone(i, false)
 	})
 	return true
 }
 
-// set takes an engine out of the roster, or in as another life.
-func (c *crashSite) set(i int, gone bool) {
+// setGone takes an engine out of the roster, or in as another life.
+func (c *crashCluster) setGone(i int, gone bool) {
 	c.mu.Lock()
 	c.gone[i] = gone
 	if !gone {
-		c.lives[i]++
+		c.incarnations[i]++
 	}
 	c.mu.Unlock()
-	c.renew()
+	c.publishRoster()
 }
 
-// renew tells all entries of the roster.
-func (c *crashSite) renew() {
+// publishRoster tells all entries of the roster.
+func (c *crashCluster) publishRoster() {
 	c.mu.Lock()
 	c.revision++
 	d := roster.Delta{Full: true, Revision: c.revision}
@@ -169,7 +169,7 @@
 		if c.gone[i] {
 			continue
 		}
-		id := ident.Incarnation("h" + strconv.Itoa(i) + "@" + strconv.Itoa(c.lives[i]))
+		id := ident.Incarnation("h" + strconv.Itoa(i) + "@" + strconv.Itoa(c.incarnations[i]))
 		d.Upstreams = append(d.Upstreams, roster.Upstream{ID: id, Service: "model", Address: "h" + strconv.Itoa(i), Slots: excessSlots})
 		d.Groups = append(d.Groups, roster.Group{
 			Name: ident.Group("g" + id), Service: "model", Model: "m", Phase: roster.PhaseOpen, Members: []ident.Incarnation{id},
@@ -177,24 +177,24 @@
 	}
 	c.mu.Unlock()
 	for _, s := range c.entries {
-		s.SetRoster(&d)
+		s.ApplyRoster(&d)
 	}
 }
 
-func (c *crashSite) observe(r *relay.Record) {
+func (c *crashCluster) observe(r *relay.Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if strings.HasPrefix(r.ID, "crash") {
 		return
 	}
 	c.records = append(c.records, r)
-	if time.Since(c.began) > crashLasts-4*time.Second {
-		c.late = append(c.late, r)
+	if time.Since(c.startedAt) > crashTestDuration-4*time.Second {
+		c.lateRecords = append(c.lateRecords, r)
 	}
 }
 
-// ask sends one request to an entry.
-func (c *crashSite) ask(s *relay.Relay, path, id, body string) {
+// send sends one request to an entry.
+func (c *crashCluster) send(s *relay.Relay, path, id, body string) {
 	r := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 	r.Host = "h"
 	for name, value := range map[string]string{
@@ -207,55 +207,55 @@
 }
 
 // run lets callers come until the play is over.
-func (c *crashSite) run() {
+func (c *crashCluster) run() {
 	random := rand.New(rand.NewPCG(6, 6))
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		time.Sleep(crashAt)
-		for n := 0; time.Since(c.began) < crashLasts; n++ {
-			for i := range c.play.copies {
+		for n := 0; time.Since(c.startedAt) < crashTestDuration; n++ {
+			for i := range c.scenario.copies {
 				s := c.entries[(n*7+i*3)%len(c.entries)]
-				wg.Go(func() { c.ask(s, c.play.path, "crash-"+strconv.Itoa(n)+"."+strconv.Itoa(i), crashBody) })
+				wg.Go(func() { c.send(s, c.scenario.path, "crash-"+strconv.Itoa(n)+"."+strconv.Itoa(i), crashBody) })
 			}
-			time.Sleep(crashEvery)
+			time.Sleep(crashInterval)
 		}
 	})
-	for n := 0; time.Since(c.began) < crashLasts; n++ {
+	for n := 0; time.Since(c.startedAt) < crashTestDuration; n++ {
 		time.Sleep(time.Duration(random.ExpFloat64() / crashRate * float64(time.Second)))
 		s := c.entries[random.IntN(len(c.entries))]
 		id := strconv.Itoa(n)
-		wg.Go(func() { c.ask(s, "/stream/x", id, "body "+id) })
+		wg.Go(func() { c.send(s, "/stream/x", id, "body "+id) })
 	}
 	wg.Wait()
 }
 
-// after returns how often the request began to run later than crashKnown after the third end.
-func (c *crashSite) after() int {
-	if len(c.ends) < 3 {
+// lateRuns returns how often the request began to run later than crashGrace after the third end.
+func (c *crashCluster) lateRuns() int {
+	if len(c.crashes) < 3 {
 		return 0
 	}
 	n := 0
-	for _, at := range c.reached {
-		if at > c.ends[2]+crashKnown {
+	for _, at := range c.runStarts {
+		if at > c.crashes[2]+crashGrace {
 			n++
 		}
 	}
 	return n
 }
 
-// playCrash plays p and returns what became of it.
-func playCrash(t *testing.T, p crashPlay) *crashSite {
+// runCrash plays p and returns what became of it.
+func runCrash(t *testing.T, p crashScenario) *crashCluster {
 	t.Helper()
-	var c *crashSite
+	var c *crashCluster
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		c = newCrashSite(p)
+		c = newCrashCluster(p)
 		var running sync.WaitGroup
 		for _, e := range c.engines {
 			running.Go(func() { e.run(ctx) })
 		}
 		c.run()
-		time.Sleep(crashBack + time.Second)
+		time.Sleep(crashRestartDelay + time.Second)
 		for _, e := range c.engines {
 			e.close()
 		}
@@ -267,27 +267,27 @@
 
 // A request that has ended three upstreams reaches at most three more, wherever it comes again, and the others are served.
 func TestARequestThatEndsWhatRunsIt(t *testing.T) {
-	for name, p := range map[string]crashPlay{
+	for name, p := range map[string]crashScenario{
 		"nine entries":                 {entries: 9, copies: 1, path: "/stream/x"},
 		"thirty entries":               {entries: 30, copies: 1, path: "/stream/x"},
 		"copies side by side":          {entries: 9, copies: 3, path: "/stream/x"},
-		"a third of the news are lost": {entries: 9, copies: 1, drops: 0.33, path: "/stream/x"},
+		"a third of the news are lost": {entries: 9, copies: 1, lossRate: 0.33, path: "/stream/x"},
 		"may run once":                 {entries: 9, copies: 1, path: "/once/x"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := playCrash(t, p)
-			t.Logf("%d upstreams ended, %d tries later than %v after the third end", len(c.ends), c.after(), crashKnown)
-			if c.after() > crashMore {
-				t.Errorf("%d tries later than %v after the third end, want %d at most", c.after(), crashKnown, crashMore)
+			c := runCrash(t, p)
+			t.Logf("%d upstreams ended, %d tries later than %v after the third end", len(c.crashes), c.lateRuns(), crashGrace)
+			if c.lateRuns() > maxLateCrashes {
+				t.Errorf("%d tries later than %v after the third end, want %d at most", c.lateRuns(), crashGrace, maxLateCrashes)
 			}
 			served := 0
-			for _, r := range c.late {
+			for _, r := range c.lateRecords {
 				if r.Code == 0 {
 					served++
 				}
 			}
-			if served < len(c.late)*95/100 {
-				t.Errorf("%d of %d others served in the last seconds, want 95 in 100", served, len(c.late))
+			if served < len(c.lateRecords)*95/100 {
+				t.Errorf("%d of %d others served in the last seconds, want 95 in 100", served, len(c.lateRecords))
 			}
 		})
 	}
--- a/relay/demand_test.go
+++ b/relay/demand_test.go
@@ -26,7 +26,7 @@
 		{"a negative number", "-5,-1", "-1", relay.Demand{Requests: 1, Answer: 116}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newSite(t, nil, nil)
+			s := newTestEntry(t, nil, nil)
 			cfg := config()
 			cfg.Services[1].Engine.Usual.Answer = 116
 			s.relay.SetConfig(cfg)
@@ -34,7 +34,7 @@
 			r.Header.Set("Tokens", c.tokens)
 			r.Header.Set("Estimate", c.estimate)
 			s.do(r)
-			_, demand := s.relay.Look()
+			_, demand := s.relay.CollectObservations()
 			if diff := cmp.Diff(map[ident.Model]relay.Demand{"m": c.want}, demand); diff != "" {
 				t.Errorf("demand (-want +got):\n%s", diff)
 			}
--- a/relay/drain_test.go
+++ b/relay/drain_test.go
@@ -13,7 +13,7 @@
 )
 
 // placeUpstreams puts the upstreams of an entry into halls, "a" for the first and "b" for the others, cold ones as named.
-func (s *askSite) placeUpstreams(cold ...int) {
+func (s *signalEntry) placeUpstreams(cold ...int) {
 	s.mu.Lock()
 	s.revision++
 	d := roster.Delta{Full: true, Revision: s.revision}
@@ -35,16 +35,16 @@
 			Name: ident.Group("g" + string(head)), Service: "model", Model: "m", Phase: roster.PhaseOpen, Members: []ident.Incarnation{head},
 		})
 	}
-	s.relay.SetRoster(&d)
+	s.relay.ApplyRoster(&d)
 }
 
 // Nothing new goes to the upstreams of a drained hall by any way, until it is taken back; an entry that starts knows of it before its first
 // request, since both come with one reply.
-func TestADrainedHallGetsNothing(t *testing.T) {
+func TestDrainedHallGetsNoRequests(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/stream/x"} {
 		t.Run(path[1:len(path)-2], func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newAskSite(3)
+				s := newSignalEntry(3)
 				s.placeUpstreams()
 				u := s.upstreams[0]
 				began := time.Now()
@@ -56,7 +56,7 @@
 				if n := len(u.arrivals(began, drainAt)); n == 0 {
 					t.Error("nothing came before: the test shows nothing")
 				}
-				if n := len(u.arrivals(drainAt.Add(askTrip), backAt)); n != 0 {
+				if n := len(u.arrivals(drainAt.Add(upstreamRoundTrip), backAt)); n != 0 {
 					t.Errorf("%d requests came while the hall was drained", n)
 				}
 				if n := len(u.arrivals(backAt, backAt.Add(time.Hour))); n == 0 {
@@ -65,7 +65,7 @@
 				s.relay.Wait()
 				for _, r := range s.records {
 					if r.Code != result.OK {
-						t.Errorf("request %s: %d, %s", r.ID, r.Code, r.Text)
+						t.Errorf("request %s: %d, %s", r.ID, r.Code, r.ErrorText)
 					}
 				}
 			})
@@ -74,15 +74,15 @@
 }
 
 // A request that waits for room, or whose connection is being opened, when its hall is drained does not go there.
-func TestARequestOnItsWayToADrainedHall(t *testing.T) {
+func TestHallDrainedWhileRequestIsBeingSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newAskSite(1)
+		s := newSignalEntry(1)
 		s.placeUpstreams()
 		u := s.upstreams[0]
-		u.slowDial = 40 * time.Millisecond
+		u.extraDialTime = 40 * time.Millisecond
 		time.AfterFunc(20*time.Millisecond, func() { s.relay.SetDrained([]ident.Hall{"a"}) })
 		began := time.Now()
-		w := s.ask("/unsafe/x", "one")
+		w := s.send("/unsafe/x", "one")
 		if w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" {
 			t.Errorf("status %d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 		}
@@ -97,11 +97,11 @@
 func TestAllHallsDrained(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/stream/x"} {
 		synctest.Test(t, func(t *testing.T) {
-			s := newAskSite(2)
+			s := newSignalEntry(2)
 			s.placeUpstreams()
 			s.relay.SetDrained([]ident.Hall{"a", "b"})
 			began := time.Now()
-			w := s.ask(path, "one")
+			w := s.send(path, "one")
 			if took := time.Since(began); w.Code != http.StatusServiceUnavailable || took > 0 {
 				t.Errorf("status %d after %v", w.Code, took)
 			}
@@ -110,45 +110,45 @@
 }
 
 // A cold upstream gets nine tenths of what it takes from all entries together, and more once it is warm.
-func TestAColdUpstreamGetsNoMoreThanItTakes(t *testing.T) {
+func TestColdUpstreamGetsNoMoreThanItsRate(t *testing.T) {
 	const coldRate = 14
 	for _, entries := range []int{1, 8, 60} {
 		for _, path := range []string{"/safe/x", "/stream/x"} {
 			t.Run(strconv.Itoa(entries)+path, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					g := newTeam(entries, limitHeads)
+					g := newCluster(entries, limitHeads)
 					cfg := config()
 					for i := range cfg.Services {
 						cfg.Services[i].ColdRate = coldRate
 					}
-					for _, s := range g.sites {
+					for _, s := range g.entries {
 						s.relay.SetConfig(cfg)
 						s.placeUpstreams(0)
 					}
-					u := g.sites[0].upstreams[0]
+					u := g.entries[0].upstreams[0]
 					began := time.Now()
 					const cold = 5 * time.Second
 					time.AfterFunc(cold, func() {
-						for _, s := range g.sites {
+						for _, s := range g.entries {
 							s.placeUpstreams()
 						}
 					})
 					g.load(path, limitPerSecond, 8*time.Second)
 					// The first second belongs to a coordinator that may have taken another one's place.
 					list := u.arrivals(began.Add(time.Second), began.Add(cold))
-					if got := mostIn(u.arrivals(began, began.Add(cold)), time.Second); float64(got) > 1.2*coldRate {
+					if got := maxInSpan(u.arrivals(began, began.Add(cold)), time.Second); float64(got) > 1.2*coldRate {
 						t.Errorf("%d requests in a second, %d a second are taken", got, coldRate)
 					}
 					if got, wants := float64(len(list)), 0.9*coldRate*(cold-time.Second).Seconds(); got < 0.9*wants-1 {
 						t.Errorf("%.0f requests in all, want nearly %.0f", got, wants)
 					}
 					warm := u.arrivals(began.Add(cold+time.Second), began.Add(8*time.Second))
-					if got := mostIn(warm, time.Second); got <= coldRate {
+					if got := maxInSpan(warm, time.Second); got <= coldRate {
 						t.Errorf("%d requests in a second once it is warm", got)
 					}
 					for _, r := range g.records() {
 						if r.Code != 0 {
-							t.Errorf("request %s: code %d, %s", r.ID, r.Code, r.Text)
+							t.Errorf("request %s: code %d, %s", r.ID, r.Code, r.ErrorText)
 						}
 					}
 				})
@@ -158,30 +158,30 @@
 }
 
 // A hall that is taken back counts as cold until the leader says otherwise, since its upstreams may have turned cold meanwhile.
-func TestAHallThatIsTakenBackIsCold(t *testing.T) {
+func TestHallIsColdAfterDrainEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newAskSite(2)
+		s := newSignalEntry(2)
 		cfg := config()
 		cfg.Services[0].ColdRate = 5
 		s.relay.SetConfig(cfg)
 		s.placeUpstreams()
 		s.relay.SetDrained([]ident.Hall{"a"})
 		s.relay.SetDrained(nil)
-		if w := s.relay.Limits.Words.Of("p0"); !w.Capped || w.Rate != 0.9*5 {
+		if w := s.relay.Limits.Table.Effective("p0"); !w.Capped || w.Rate != 0.9*5 {
 			t.Errorf("taken back with the limit %+v", w)
 		}
-		if w := s.relay.Limits.Words.Of("p1"); w.Limited() {
+		if w := s.relay.Limits.Table.Effective("p1"); w.Limited() {
 			t.Errorf("an upstream of another hall has the limit %+v", w)
 		}
 		s.placeUpstreams()
-		if w := s.relay.Limits.Words.Of("p0"); w.Limited() {
+		if w := s.relay.Limits.Table.Effective("p0"); w.Limited() {
 			t.Errorf("warm with the limit %+v", w)
 		}
 	})
 }
 
 // The homes of routes and of customers both bind, for first tries and for others.
-func TestHomes(t *testing.T) {
+func TestHomeRegions(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		route, customer []ident.Region
@@ -198,7 +198,7 @@
 		for _, path := range []string{"/safe/x", "/stream/x"} {
 			t.Run(c.name+path, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					s := newAskSite(2)
+					s := newSignalEntry(2)
 					cfg := config()
 					for i := range cfg.Routes {
 						cfg.Routes[i].Homes = c.route
@@ -209,7 +209,7 @@
 					s.placeUpstreams()
 					began := time.Now()
 					for n := range 20 {
-						s.ask(path, strconv.Itoa(n))
+						s.send(path, strconv.Itoa(n))
 					}
 					for i, may := range []bool{c.first, c.second} {
 						u := s.upstreams[i]
--- a/relay/excess_test.go
+++ b/relay/excess_test.go
@@ -22,37 +22,37 @@
 	excessSlots  = 26
 	// excessRate is what the groups carry with room for a burst, in requests a second.
 	excessRate = 60
-	// excessAim and excessPause are within what the first word must come, and the others after it.
-	excessAim   = 400 * time.Millisecond
-	excessPause = 200 * time.Millisecond
-	// excessWait is how long callers wait for an answer.
-	excessWait = 6 * time.Second
+	// excessAim and excessGapAim are within what the first word must come, and the others after it.
+	excessAim    = 400 * time.Millisecond
+	excessGapAim = 200 * time.Millisecond
+	// excessCallerTimeout is how long callers wait for an answer.
+	excessCallerTimeout = 6 * time.Second
 )
 
 // excessPattern is a load that is more than the groups take.
 type excessPattern struct {
 	name string
-	// lasts is how long callers come, times how many times the usual traffic comes at a moment.
-	lasts time.Duration
-	times func(at time.Duration) float64
-	// lost is how many groups are gone from lostAt on for lostFor.
-	lost    int
-	lostAt  time.Duration
-	lostFor time.Duration
-	// early is set when callers come back at once and three times as often, whatever they are told.
-	early bool
-	// inAim is the least part of the usual traffic that must be answered in time, of the callers that came from its start to its end.
+	// duration is how long callers come, times how many times the usual traffic comes at a moment.
+	duration   time.Duration
+	loadFactor func(at time.Duration) float64
+	// lostGroups is how many groups are gone from lostAt on for lostFor.
+	lostGroups int
+	lostAt     time.Duration
+	lostFor    time.Duration
+	// impatient is set when callers come back at once and three times as often, whatever they are told.
+	impatient bool
+	// countInAim is the least part of the usual traffic that must be answered in time, of the callers that came from its start to its end.
 	from, to time.Duration
-	inAim    float64
-	// held is the longest time on average that requests which are refused for good may have been held.
-	held time.Duration
+	minInAim float64
+	// maxHeld is the longest time on average that requests which are refused for good may have been held.
+	maxHeld time.Duration
 }
 
 // excessResult is what became of the callers that came within the time that counts.
 type excessResult struct {
-	asked, inAim, late, refused int
-	// held is the time for which tries of refused callers were kept, in all.
-	held time.Duration
+	total, inAim, late, refused int
+	// heldTotal is the time for which tries of refused callers were kept, in all.
+	heldTotal time.Duration
 	// bySize counts by prompt those that asked and those that were in time, tokens are the prompts of these.
 	bySize map[int][2]int
 	tokens int
@@ -60,22 +60,22 @@
 
 // caller sends one request, and again when it is told to come back.
 type excessCaller struct {
-	s      *relay.Relay
-	id     string
-	tokens string
-	early  bool
+	entry     *relay.Relay
+	id        string
+	tokens    string
+	impatient bool
 }
 
-// do returns when the first word came after the first try, 0 if none did, the longest pause after it, and how long tries were held
+// call returns when the first word came after the first try, 0 if none did, the longest pause after it, and how long tries were held
 // in vain.
-func (c *excessCaller) do(records *sync.Map) (first, gap, held time.Duration) {
+func (c *excessCaller) call(records *sync.Map) (first, gap, held time.Duration) {
 	began := time.Now()
 	tries := 2
-	if c.early {
+	if c.impatient {
 		tries = 4
 	}
 	for n := range tries {
-		left := excessWait - time.Since(began)
+		left := excessCallerTimeout - time.Since(began)
 		if left <= 0 {
 			break
 		}
@@ -92,56 +92,56 @@
 		sent := time.Now()
 		func() {
 			defer func() { _ = recover() }() // an answer that is cut off ends in a panic, as in net/http
-			c.s.ServeHTTP(w, r)
+			c.entry.ServeHTTP(w, r)
 		}()
 		cancel()
 		value, _ := records.Load(id)
 		if rec, ok := value.(*relay.Record); ok && rec.Code == 0 {
-			return sent.Sub(began) + rec.First, rec.Gap, 0
+			return sent.Sub(began) + rec.FirstEvent, rec.MaxEventGap, 0
 		}
 		held += time.Since(sent)
 		seconds, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 		if err != nil {
 			break
 		}
-		if !c.early {
-			time.Sleep(min(time.Duration(seconds*float64(time.Second)), (excessWait-time.Since(began))/3))
+		if !c.impatient {
+			time.Sleep(min(time.Duration(seconds*float64(time.Second)), (excessCallerTimeout-time.Since(began))/3))
 		}
 	}
 	return 0, 0, held
 }
 
-// playExcess plays a pattern before engines with slots.
-func playExcess(t *testing.T, p *excessPattern) excessResult {
+// runExcess plays a pattern before engines with slots.
+func runExcess(t *testing.T, p *excessPattern) excessResult {
 	t.Helper()
 	var got excessResult
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
-		engines := map[string]*passEngine{}
+		engines := map[string]*iterationEngine{}
 		cfg := timedConfig()
 		cfg.Services[1].Engine.Slots = excessSlots
 		cfg.Services[1].Engine.PerSequence = 200 * time.Microsecond
 		cfg.Services[1].Engine.Usual = httproute.Usual{Prompt: 1400, Answer: floodEvents * 5}
-		cfg.Routes = []httproute.Route{routeOf("stream", httproute.KindStream, "model", 1)}
+		cfg.Routes = []httproute.Route{newRoute("stream", httproute.KindStream, "model", 1)}
 		cfg.Routes[0].Aim = excessAim
-		cfg.Routes[0].Timeout = excessWait
+		cfg.Routes[0].Timeout = excessCallerTimeout
 		for i := range excessGroups {
-			e := &passEngine{slots: excessSlots}
+			e := &iterationEngine{slots: excessSlots}
 			engines["h"+strconv.Itoa(i)] = e
 			running.Go(func() { e.run(ctx) })
 		}
-		s := beforeEngines(engines)
+		s := relayForEngines(engines)
 		var records sync.Map
 		s.Observe = func(r *relay.Record) { records.Store(r.ID, r) }
 		s.SetConfig(cfg)
 		s.SetConfirmed(time.Now())
 		setGroups(s, 1, excessGroups)
-		if p.lost > 0 {
-			time.AfterFunc(p.lostAt, func() { setGroups(s, 2, excessGroups-p.lost) })
+		if p.lostGroups > 0 {
+			time.AfterFunc(p.lostAt, func() { setGroups(s, 2, excessGroups-p.lostGroups) })
 			time.AfterFunc(p.lostAt+p.lostFor, func() { setGroups(s, 3, excessGroups) })
 		}
-		got = askAll(s, p, &records)
+		got = sendExcess(s, p, &records)
 		for _, e := range engines {
 			e.close()
 		}
@@ -161,39 +161,39 @@
 			Name: ident.Group("g" + id), Service: "model", Model: "m", Phase: roster.PhaseOpen, Members: []ident.Incarnation{id},
 		})
 	}
-	s.SetRoster(&d)
+	s.ApplyRoster(&d)
 }
 
-// askAll lets callers come at random moments, with prompts that differ by twenty times in size, and waits for their ends.
-func askAll(s *relay.Relay, p *excessPattern, records *sync.Map) excessResult {
+// sendExcess lets callers come at random moments, with prompts that differ by twenty times in size, and waits for their ends.
+func sendExcess(s *relay.Relay, p *excessPattern, records *sync.Map) excessResult {
 	random := rand.New(rand.NewPCG(2, 2))
 	prompts := []int{200, 400, 800, 1600, 4000}
 	began := time.Now()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	got := excessResult{bySize: map[int][2]int{}}
-	for n := 0; time.Since(began) < p.lasts; n++ {
-		time.Sleep(time.Duration(random.ExpFloat64() / (excessRate * p.times(time.Since(began))) * float64(time.Second)))
-		c := &excessCaller{s: s, id: strconv.Itoa(n), early: p.early}
+	for n := 0; time.Since(began) < p.duration; n++ {
+		time.Sleep(time.Duration(random.ExpFloat64() / (excessRate * p.loadFactor(time.Since(began))) * float64(time.Second)))
+		c := &excessCaller{entry: s, id: strconv.Itoa(n), impatient: p.impatient}
 		prompt := prompts[random.IntN(len(prompts))]
 		c.tokens = strconv.Itoa(prompt) + ",40"
 		at := time.Since(began)
 		wg.Go(func() {
-			first, gap, held := c.do(records)
+			first, gap, held := c.call(records)
 			if at < p.from || at >= p.to {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			got.asked++
+			got.total++
 			size := got.bySize[prompt]
 			size[0]++
 			defer func() { got.bySize[prompt] = size }()
 			switch {
 			case first == 0:
 				got.refused++
-				got.held += held
-			case first <= excessAim && gap <= excessPause:
+				got.heldTotal += held
+			case first <= excessAim && gap <= excessGapAim:
 				got.inAim++
 				size[1]++
 				got.tokens += prompt
@@ -206,12 +206,12 @@
 	return got
 }
 
-func steady(times float64) func(time.Duration) float64 {
+func constantLoad(times float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return times }
 }
 
-// between is times within a span, and once outside.
-func between(from, to time.Duration, times float64) func(time.Duration) float64 {
+// loadBetween is times within a span, and once outside.
+func loadBetween(from, to time.Duration, times float64) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at >= from && at < to {
 			return times
@@ -225,25 +225,25 @@
 func TestExcess(t *testing.T) {
 	s := time.Second
 	for _, p := range []excessPattern{
-		{name: "usual", lasts: 6 * s, times: steady(1), to: 6 * s, inAim: 0.97},
-		{name: "a burst of 1.7 times for 3 s", lasts: 8 * s, times: between(2*s, 5*s, 1.7), from: 2 * s, to: 5 * s, inAim: 1.3, held: 700 * time.Millisecond},
-		{name: "three times for 10 s", lasts: 12 * s, times: between(s, 11*s, 3), from: s, to: 11 * s, inAim: 1.2, held: 700 * time.Millisecond},
-		{name: "after three times for 10 s", lasts: 15 * s, times: between(0, 10*s, 3), from: 11 * s, to: 15 * s, inAim: 0.75},
-		{name: "half of the groups gone for 3 s", lasts: 8 * s, times: steady(1), lost: 2, lostAt: 2 * s, lostFor: 3 * s, from: 2 * s, to: 5 * s, inAim: 0.6, held: 700 * time.Millisecond},
-		{name: "everybody back after 2 s", lasts: 8 * s, times: between(2*s, 2100*time.Millisecond, 20), from: 2200 * time.Millisecond, to: 5 * s, inAim: 0.9, held: 1500 * time.Millisecond},
-		{name: "callers that come back at once, three times", lasts: 8 * s, times: between(s, 7*s, 2), early: true, from: s, to: 7 * s, inAim: 1.2, held: 700 * time.Millisecond},
+		{name: "usual", duration: 6 * s, loadFactor: constantLoad(1), to: 6 * s, minInAim: 0.97},
+		{name: "a burst of 1.7 times for 3 s", duration: 8 * s, loadFactor: loadBetween(2*s, 5*s, 1.7), from: 2 * s, to: 5 * s, minInAim: 1.3, maxHeld: 700 * time.Millisecond},
+		{name: "three times for 10 s", duration: 12 * s, loadFactor: loadBetween(s, 11*s, 3), from: s, to: 11 * s, minInAim: 1.2, maxHeld: 700 * time.Millisecond},
+		{name: "after three times for 10 s", duration: 15 * s, loadFactor: loadBetween(0, 10*s, 3), from: 11 * s, to: 15 * s, minInAim: 0.75},
+		{name: "half of the groups gone for 3 s", duration: 8 * s, loadFactor: constantLoad(1), lostGroups: 2, lostAt: 2 * s, lostFor: 3 * s, from: 2 * s, to: 5 * s, minInAim: 0.6, maxHeld: 700 * time.Millisecond},
+		{name: "everybody back after 2 s", duration: 8 * s, loadFactor: loadBetween(2*s, 2100*time.Millisecond, 20), from: 2200 * time.Millisecond, to: 5 * s, minInAim: 0.9, maxHeld: 1500 * time.Millisecond},
+		{name: "callers that come back at once, three times", duration: 8 * s, loadFactor: loadBetween(s, 7*s, 2), impatient: true, from: s, to: 7 * s, minInAim: 1.2, maxHeld: 700 * time.Millisecond},
 	} {
 		t.Run(p.name, func(t *testing.T) {
-			got := playExcess(t, &p)
+			got := runExcess(t, &p)
 			usual := excessRate * (p.to - p.from).Seconds()
-			held := got.held / time.Duration(max(1, got.refused))
-			t.Logf("%d asked: %d in time (%.2f of usual, %d tokens, by prompt %v), %d late, %d refused after %v on average", got.asked, got.inAim,
+			held := got.heldTotal / time.Duration(max(1, got.refused))
+			t.Logf("%d asked: %d in time (%.2f of usual, %d tokens, by prompt %v), %d late, %d refused after %v on average", got.total, got.inAim,
 				float64(got.inAim)/usual, got.tokens, got.bySize, got.late, got.refused, held.Round(time.Millisecond))
-			if float64(got.inAim) < p.inAim*usual {
-				t.Errorf("%d answered in time, want %.2f of the usual %.0f", got.inAim, p.inAim, usual)
+			if float64(got.inAim) < p.minInAim*usual {
+				t.Errorf("%d answered in time, want %.2f of the usual %.0f", got.inAim, p.minInAim, usual)
 			}
-			if held > p.held && p.held > 0 {
-				t.Errorf("held for %v on average before the last refusal, want %v at most", held, p.held)
+			if held > p.maxHeld && p.maxHeld > 0 {
+				t.Errorf("held for %v on average before the last refusal, want %v at most", held, p.maxHeld)
 			}
 		})
 	}
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -17,88 +17,88 @@
 
 // exchange is one request on its way through the relay.
 type exchange struct {
-	s        *Relay
-	w        http.ResponseWriter
-	r        *http.Request
-	began    time.Time
-	deadline time.Time
-	table    *httproute.Table
-	route    *httproute.Route
-	service  *httproute.Service
-	customer *httproute.Customer
-	model    ident.Model
-	body     []byte
-	// bodyLate is set when the time was up before the body had arrived; net/http then ends the request as if its caller had left.
-	bodyLate bool
+	s         *Relay
+	w         http.ResponseWriter
+	r         *http.Request
+	arrivedAt time.Time
+	deadline  time.Time
+	table     *httproute.Table
+	route     *httproute.Route
+	service   *httproute.Service
+	customer  *httproute.Customer
+	model     ident.Model
+	body      []byte
+	// bodyTimedOut is set when the time was up before the body had arrived; net/http then ends the request as if its caller had left.
+	bodyTimedOut bool
 	// content is the digest of path and body.
-	content ident.Content
-	id      string
-	// prompt and answer are the tokens that it brings and those that are expected of the answer.
-	prompt ident.Tokens
-	answer ident.Tokens
-	// launch is what first words take beyond the estimate, as it was known when the request looked for a group.
-	launch launch
-	// spent is what the caller spent on earlier tries, as far as that is known; limit is when the first word must come by the
+	content   ident.Content
+	requestID string
+	// promptTokens and answer are the tokens that it brings and those that are expected of the answer.
+	promptTokens ident.Tokens
+	answerTokens ident.Tokens
+	// dispatchDelay is what first words take beyond the estimate, as it was known when the request looked for a group.
+	dispatchDelay dispatchDelay
+	// priorElapsed is what the caller spent on earlier tries, as far as that is known; limit is when the first word must come by the
 	// estimate to be in time, idle when it would come at a group with nothing to do, lost when the caller began to wait for it.
-	spent time.Duration
-	limit time.Time
-	idle  time.Duration
-	lost  time.Time
-	// unread is the part of the prompt that counts as unread at the target of the present try.
-	unread ident.Tokens
+	priorElapsed    time.Duration
+	aimDeadline     time.Time
+	idleFirstEvent  time.Duration
+	callerWaitStart time.Time
+	// pendingTokens is the part of the prompt that counts as unread at the target of the present try.
+	pendingTokens ident.Tokens
 
-	tries    []Try
-	tried    map[ident.Incarnation]bool
-	arrivals int
-	runs     int
+	attempts       []Attempt
+	triedUpstreams map[ident.Incarnation]bool
+	sendCount      int
+	runCount       int
 	// mayHaveRun is set once an upstream may have worked on the request.
 	mayHaveRun bool
 	// displaced is set once it was sent to a group that has ended, or stands still.
 	displaced bool
-	// failure is an upstream's own failure that is passed on when nothing better comes.
-	failure *answer
+	// failureAnswer is an upstream's own failure that is passed on when nothing better comes.
+	failureAnswer *answer
 
-	// started is set once the head of the answer went to the caller.
-	started   bool
-	lastEvent string
-	lastAt    time.Time
-	events    int
-	first     time.Duration
-	// expected is when the first word was to come by the estimate of the first try.
-	expected time.Duration
-	gap      time.Duration
-	retry    time.Duration
-	// comeBack is the least time after which the caller shall come back, when that is known.
-	comeBack time.Duration
-	status   int
-	// kept is set when the request waited for the entry's first confirmation.
-	kept bool
-	// trial is set while the present try finds out whether an upstream takes requests again, passedOver is how many others wanted
+	// headSent is set once the head of the answer went to the caller.
+	headSent        bool
+	lastEventID     string
+	lastEventAt     time.Time
+	eventCount      int
+	firstEventAfter time.Duration
+	// expectedFirstEvent is when the first word was to come by the estimate of the first try.
+	expectedFirstEvent time.Duration
+	longestGap         time.Duration
+	sentRetryAfter     time.Duration
+	// minRetryAfter is the least time after which the caller shall come back, when that is known.
+	minRetryAfter time.Duration
+	status        int
+	// heldAtStart is set when the request waited for the entry's first confirmation.
+	heldAtStart bool
+	// backoffProbe is set while the present try finds out whether an upstream takes requests again, skippedUpstreams is how many others wanted
 	// nothing when it was chosen.
-	trial      bool
-	passedOver int
-	// counted is set while it counts at the target of the present try.
-	counted bool
-	// noTurn are the upstreams that take no more within their limits in the time that it can wait, limitWaits how often there was nothing
+	backoffProbe     bool
+	skippedUpstreams int
+	// countedAtTarget is set while it counts at the target of the present try.
+	countedAtTarget bool
+	// noPermitAt are the upstreams that take no more within their limits in the time that it can wait, permitDenials how often there was nothing
 	// to be had.
-	noTurn     map[ident.Incarnation]bool
-	limitWaits int
-	// heldBody and heldAnswer are the bytes that are counted for it.
-	heldBody, heldAnswer int64
-	// repeatPaid is set while the budget for repeats has let the next try go.
-	repeatPaid bool
+	noPermitAt    map[ident.Incarnation]bool
+	permitDenials int
+	// bodyBytes and answerBytes are the bytes that are counted for it.
+	bodyBytes, answerBytes int64
+	// retryCharged is set while the budget for repeats has let the next try go.
+	retryCharged bool
 }
 
 func (s *Relay) newExchange(w http.ResponseWriter, r *http.Request) *exchange {
 	return &exchange{
-		s: s, w: w, r: r, began: s.Now(), table: s.table.Load(),
-		id: r.Header.Get(s.Names.RequestID), tried: map[ident.Incarnation]bool{},
+		s: s, w: w, r: r, arrivedAt: s.Now(), table: s.table.Load(),
+		requestID: r.Header.Get(s.Headers.RequestID), triedUpstreams: map[ident.Incarnation]bool{},
 	}
 }
 
 // admit finds out what the request is and whether it may run.
 func (x *exchange) admit() error {
-	x.awaitStart()
+	x.awaitFirstConfirmation()
 	if x.table == nil {
 		return result.New(result.ControlUnreachable, "no configuration has arrived yet")
 	}
@@ -115,10 +115,10 @@
 	if x.service == nil {
 		return result.New(result.NoWholeGroup, "the route's service is not declared")
 	}
-	x.model = ident.Model(x.r.Header.Get(x.s.Names.Model))
-	x.lastEvent = x.r.Header.Get(x.s.Names.EventID)
-	x.spent = x.s.spentBefore(x.route.Name, x.told())
-	x.s.Budget.Request(x.service.Name)
+	x.model = ident.Model(x.r.Header.Get(x.s.Headers.Model))
+	x.lastEventID = x.r.Header.Get(x.s.Headers.EventID)
+	x.priorElapsed = x.s.estimatePriorElapsed(x.route.Name, x.callerTimeout())
+	x.s.Budget.CountRequest(x.service.Name)
 	x.countDemand()
 	return x.readBody()
 }
@@ -129,7 +129,7 @@
 	switch {
 	case x.route != nil:
 		return nil
-	case x.s.ConfirmedAge() > unknownAfter:
+	case x.s.ConfirmedAge() > staleConfigAge:
 		return result.New(result.ControlUnreachable, "no route here, and newer configuration may not have arrived")
 	}
 	return result.New(result.NotFound, "no route for this host and path")
@@ -140,14 +140,14 @@
 		return nil
 	}
 	age := x.s.ConfirmedAge()
-	if age > x.s.KeysLapse {
+	if age > x.s.KeyValidity {
 		return result.New(result.ControlUnreachable, "keys were last confirmed %s ago", age)
 	}
-	x.customer = x.table.Owner(x.r.Header.Get(x.s.Names.Key))
+	x.customer = x.table.Owner(x.r.Header.Get(x.s.Headers.Key))
 	switch {
 	case x.customer != nil:
 		return nil
-	case age > unknownAfter:
+	case age > staleConfigAge:
 		return result.New(result.ControlUnreachable, "the key is not known, and newer configuration may not have arrived")
 	}
 	return result.New(result.Unauthorized, "the key is not known")
@@ -155,32 +155,32 @@
 
 func (x *exchange) findDeadline() error {
 	wait := x.route.Timeout
-	if text := x.r.Header.Get(x.s.Names.Deadline); text != "" {
+	if text := x.r.Header.Get(x.s.Headers.Deadline); text != "" {
 		ms, err := strconv.Atoi(text)
 		if err != nil {
 			return result.New(result.BadRequest, "the deadline is not a whole number of milliseconds")
 		}
 		wait = min(wait, time.Duration(ms)*time.Millisecond)
 	}
-	x.deadline = x.began.Add(wait)
+	x.deadline = x.arrivedAt.Add(wait)
 	return nil
 }
 
 func (x *exchange) readBody() error {
 	limit := x.table.Config.Limits.BodyBytes
 	if limit <= 0 {
-		limit = defaultBodyBytes
+		limit = defaultMaxBodyBytes
 	}
-	body, err := x.readAll(limit)
+	body, err := x.readBodyBytes(limit)
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		x.bodyLate = true
+		x.bodyTimedOut = true
 		x.w.Header().Set("Connection", "close")
 		return result.New(result.DeadlineUnreachable, "the body had not arrived when the time was up")
 	case errors.As(err, &tooLarge):
 		return result.New(result.TooLarge, "the body is over %d bytes", limit)
-	case errors.Is(err, errNoMemory):
+	case errors.Is(err, errMemoryLimit):
 		x.w.Header().Set("Connection", "close")
 		return result.Wrap(err, result.Overloaded, "the body can't be held")
 	case err != nil:
@@ -191,14 +191,14 @@
 	return nil
 }
 
-// readAll reads the body by the time at which the request must have its answer.
-func (x *exchange) readAll(limit int64) ([]byte, error) {
+// readBodyBytes reads the body by the time at which the request must have its answer.
+func (x *exchange) readBodyBytes(limit int64) ([]byte, error) {
 	if x.r.ContentLength == 0 {
 		return nil, nil
 	}
 	control := http.NewResponseController(x.w)
 	// Where the connection can't have a deadline, the caller's own time bounds it.
-	_ = control.SetReadDeadline(time.Now().Add(x.left()))
+	_ = control.SetReadDeadline(time.Now().Add(x.timeLeft()))
 	body, err := io.ReadAll(&bodyReader{http.MaxBytesReader(x.w, x.r.Body, limit), x})
 	if err == nil {
 		_ = control.SetReadDeadline(time.Time{})
@@ -206,39 +206,39 @@
 	return body, err
 }
 
-// defaultBodyBytes bounds a body where the configuration does not.
-const defaultBodyBytes = 4 << 20
+// defaultMaxBodyBytes bounds a body where the configuration does not.
+const defaultMaxBodyBytes = 4 << 20
 
 // countDemand notes what the request asks of its model, whether it will be served or not.
 func (x *exchange) countDemand() {
 	if x.service.Engine == nil {
 		return
 	}
-	x.prompt, x.answer = x.tokens()
+	x.promptTokens, x.answerTokens = x.tokenCounts()
 	x.s.mu.Lock()
 	defer x.s.mu.Unlock()
 	d := x.s.demand[x.model]
 	d.Requests++
-	d.Prompt += x.prompt
-	d.Answer += x.answer
+	d.Prompt += x.promptTokens
+	d.Answer += x.answerTokens
 	x.s.demand[x.model] = d
 }
 
-// claimMost bounds the tokens that a caller may claim where an engine does not say what it can hold. Without a bound one request
+// maxClaimedTokens bounds the tokens that a caller may claim where an engine does not say what it can hold. Without a bound one request
 // with the largest number made the demand of its model, which the leader plans by, negative.
-const claimMost = 1 << 20
+const maxClaimedTokens = 1 << 20
 
-// tokens returns the tokens of the prompt, and those expected of the answer: the caller's estimate within the most that it
+// tokenCounts returns the tokens of the prompt, and those expected of the answer: the caller's estimate within the most that it
 // allows, or without one what is usual. More than an engine can hold runs nowhere and counts for no more than that.
-func (x *exchange) tokens() (prompt, answer ident.Tokens) {
-	before, after, _ := strings.Cut(x.r.Header.Get(x.s.Names.Tokens), ",")
-	holds := ident.Tokens(claimMost)
+func (x *exchange) tokenCounts() (prompt, answer ident.Tokens) {
+	before, after, _ := strings.Cut(x.r.Header.Get(x.s.Headers.Tokens), ",")
+	holds := ident.Tokens(maxClaimedTokens)
 	if x.service.Engine.Memory > 0 {
 		holds = x.service.Engine.Memory
 	}
-	prompt, _ = tokenCount(before, holds)
-	most, bounded := tokenCount(after, holds)
-	answer, known := tokenCount(x.r.Header.Get(x.s.Names.Estimate), holds)
+	prompt, _ = parseTokenCount(before, holds)
+	most, bounded := parseTokenCount(after, holds)
+	answer, known := parseTokenCount(x.r.Header.Get(x.s.Headers.AnswerEstimate), holds)
 	if !known {
 		answer = x.service.Engine.Usual.Answer
 	}
@@ -248,9 +248,9 @@
 	return prompt, answer
 }
 
-// tokenCount reads a number of tokens, of which no more than most count; one that can't be read is not known here, the engine answers
+// parseTokenCount reads a number of tokens, of which no more than most count; one that can't be read is not known here, the engine answers
 // for it.
-func tokenCount(text string, most ident.Tokens) (ident.Tokens, bool) {
+func parseTokenCount(text string, most ident.Tokens) (ident.Tokens, bool) {
 	n, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil || n < 0 {
 		return 0, false
@@ -258,28 +258,28 @@
 	return min(ident.Tokens(n), most), true
 }
 
-// toRead are the tokens that an engine has to read before the next event: the prompt, and what was written of the answer before.
-func (x *exchange) toRead() ident.Tokens {
-	if x.lastEvent == "" {
+// prefillTokens are the tokens that an engine has to read before the next event: the prompt, and what was written of the answer before.
+func (x *exchange) prefillTokens() ident.Tokens {
+	if x.lastEventID == "" {
 		// It is asked for each group, and reading no number costs an allocation.
-		return x.prompt
+		return x.promptTokens
 	}
-	written, known := eventNumber(x.lastEvent)
+	written, known := eventNumber(x.lastEventID)
 	if !known || x.service.Engine == nil {
-		return x.prompt
+		return x.promptTokens
 	}
-	return x.prompt + ident.Tokens(min(written, writtenMost)*int64(max(1, x.service.Engine.Stride)))
+	return x.promptTokens + ident.Tokens(min(written, maxClaimedEvents)*int64(max(1, x.service.Engine.Stride)))
 }
 
-// writtenMost bounds the events of an answer that a caller may claim to have: it is told to other entries, and engines turn away
+// maxClaimedEvents bounds the events of an answer that a caller may claim to have: it is told to other entries, and engines turn away
 // what does not fit.
-const writtenMost = 10_000
+const maxClaimedEvents = 10_000
 
-func (x *exchange) wasTried(id ident.Incarnation) bool {
-	return x.tried[id]
+func (x *exchange) wasAttempted(id ident.Incarnation) bool {
+	return x.triedUpstreams[id]
 }
 
-// left is the time until the request must have its final answer.
-func (x *exchange) left() time.Duration {
+// timeLeft is the time until the request must have its final answer.
+func (x *exchange) timeLeft() time.Duration {
 	return x.deadline.Sub(x.s.Now())
 }
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -13,95 +13,95 @@
 
 // target is where a request may be sent: a worker of a plain service, or the head of an open group.
 type target struct {
-	id      ident.Incarnation
-	address string
-	hall    ident.Hall
-	slots   int
-	group   ident.Group
-	model   ident.Model
-	far     bool
-	slow    bool
-	silent  bool
-	// known is set when this entry hears of all prompts that are sent there, users are the entries that do, nil when all do.
-	known bool
-	users []string
-	// times are the figures of a group of engines, prompt is the usual size of a prompt there; a plain worker has none.
-	times  estimate.Group
-	prompt ident.Tokens
+	id            ident.Incarnation
+	address       string
+	hall          ident.Hall
+	slots         int
+	group         ident.Group
+	model         ident.Model
+	crossDomain   bool
+	hasSlowMember bool
+	silent        bool
+	// inSubset is set when this entry hears of all prompts that are sent there, users are the entries that do, nil when all do.
+	inSubset bool
+	users    []string
+	// timing are the figures of a group of engines, prompt is the usual size of a prompt there; a plain worker has none.
+	timing        estimate.Group
+	typicalPrompt ident.Tokens
 	// state is what this entry knows of the upstream, once it was looked for; it is guarded by the relay's mutex.
 	state *targetState
 }
 
-// fleet lays a copy of the roster out for routing; but for the states of its targets it is never changed after newFleet.
-type fleet struct {
-	plain     map[ident.Service][]target
-	groups    map[ident.Service]map[ident.Model][]target
-	addresses map[string]bool
-	lives     map[ident.Incarnation]bool
-	heads     map[ident.Group]ident.Incarnation
+// targetIndex lays a copy of the roster out for routing; but for the states of its targets it is never changed after newTargetIndex.
+type targetIndex struct {
+	plainTargets map[ident.Service][]target
+	groupTargets map[ident.Service]map[ident.Model][]target
+	addresses    map[string]bool
+	incarnations map[ident.Incarnation]bool
+	heads        map[ident.Group]ident.Incarnation
 	// byHead are the groups by their heads.
 	byHead map[ident.Incarnation]*target
-	// uses are the models of which this entry uses any group.
-	uses map[ident.Model]bool
-	// caps are the limits of cold upstreams.
-	caps map[ident.Incarnation]ratelimit.Rate
-	// drained are the halls whose upstreams get nothing new, left the groups there, which may have streams yet.
-	drained map[ident.Hall]bool
-	left    []target
+	// usedModels are the models of which this entry uses any group.
+	usedModels map[ident.Model]bool
+	// coldLimits are the limits of cold upstreams.
+	coldLimits map[ident.Incarnation]ratelimit.Rate
+	// drainedHalls are the halls whose upstreams get nothing new, left the groups there, which may have streams yet.
+	drainedHalls  map[ident.Hall]bool
+	drainedGroups []target
 }
 
-func newFleet(c *roster.Copy, table *httproute.Table, entries *sharing.Entries, drained map[ident.Hall]bool) *fleet {
-	f := &fleet{
-		plain:     map[ident.Service][]target{},
-		groups:    map[ident.Service]map[ident.Model][]target{},
-		addresses: map[string]bool{},
-		lives:     map[ident.Incarnation]bool{},
-		heads:     map[ident.Group]ident.Incarnation{},
-		byHead:    map[ident.Incarnation]*target{},
-		uses:      map[ident.Model]bool{},
-		caps:      map[ident.Incarnation]ratelimit.Rate{},
-		drained:   drained,
+func newTargetIndex(c *roster.Copy, table *httproute.Table, entries *sharing.Entries, drained map[ident.Hall]bool) *targetIndex {
+	f := &targetIndex{
+		plainTargets: map[ident.Service][]target{},
+		groupTargets: map[ident.Service]map[ident.Model][]target{},
+		addresses:    map[string]bool{},
+		incarnations: map[ident.Incarnation]bool{},
+		heads:        map[ident.Group]ident.Incarnation{},
+		byHead:       map[ident.Incarnation]*target{},
+		usedModels:   map[ident.Model]bool{},
+		coldLimits:   map[ident.Incarnation]ratelimit.Rate{},
+		drainedHalls: drained,
 	}
 	for id, u := range c.Upstreams {
 		f.addresses[u.Address] = true
-		f.lives[id] = true
+		f.incarnations[id] = true
 		if rate := coldRate(table, &u); rate > 0 {
-			f.caps[id] = rate
+			f.coldLimits[id] = rate
 		}
 		if u.Draining || drained[u.Hall] || hasEngine(table, u.Service) {
 			continue
 		}
-		f.plain[u.Service] = append(f.plain[u.Service], target{
-			id: id, address: u.Address, hall: u.Hall, slots: u.Slots, silent: u.Silent, known: true,
+		f.plainTargets[u.Service] = append(f.plainTargets[u.Service], target{
+			id: id, address: u.Address, hall: u.Hall, slots: u.Slots, silent: u.Silent, inSubset: true,
 		})
 	}
 	for name := range c.Groups {
 		g := c.Groups[name]
 		f.addGroup(c, table, &g)
 	}
-	for _, list := range f.plain {
+	for _, list := range f.plainTargets {
 		sortTargets(list)
 	}
-	for _, models := range f.groups {
+	for _, models := range f.groupTargets {
 		for model, list := range models {
 			sortTargets(list)
-			f.uses[model] = shareOut(list, entries) || f.uses[model]
+			f.usedModels[model] = assignUsers(list, entries) || f.usedModels[model]
 			for i := range list {
 				f.byHead[list[i].id] = &list[i]
 			}
 		}
 	}
-	for i := range f.left {
-		f.byHead[f.left[i].id] = &f.left[i]
+	for i := range f.drainedGroups {
+		f.byHead[f.drainedGroups[i].id] = &f.drainedGroups[i]
 	}
 	return f
 }
 
-// shareOut notes which entries use each of the groups of one model, and reports whether this one uses any.
-func shareOut(list []target, entries *sharing.Entries) bool {
-	if entries == nil || entries.Together() {
+// assignUsers notes which entries use each of the groups of one model, and reports whether this one uses any.
+func assignUsers(list []target, entries *sharing.Entries) bool {
+	if entries == nil || entries.AllUseAll() {
 		for i := range list {
-			list[i].known = true
+			list[i].inSubset = true
 		}
 		return true
 	}
@@ -110,7 +110,7 @@
 		halls[list[i].hall] = append(halls[list[i].hall], sharing.Group{Name: list[i].group})
 	}
 	for hall, groups := range halls {
-		entries.Users(hall, groups)
+		entries.AssignUsers(hall, groups)
 	}
 	used := false
 	for i := range list {
@@ -118,14 +118,14 @@
 		// Both lists are in the same order.
 		g := halls[t.hall][0]
 		halls[t.hall] = halls[t.hall][1:]
-		t.known, t.users = g.Used, g.Users
+		t.inSubset, t.users = g.Used, g.Users
 		used = used || g.Used
 	}
 	return used
 }
 
-// coldPart is the part of what a cold upstream takes that it gets.
-const coldPart = 0.9
+// coldRateFraction is the part of what a cold upstream takes that it gets.
+const coldRateFraction = 0.9
 
 // coldRate is how many requests a second an upstream gets from all entries while it is cold, 0 when it is not or its service has no bound.
 func coldRate(table *httproute.Table, u *roster.Upstream) ratelimit.Rate {
@@ -136,7 +136,7 @@
 	if s == nil {
 		return 0
 	}
-	return ratelimit.Rate(coldPart * s.ColdRate)
+	return ratelimit.Rate(coldRateFraction * s.ColdRate)
 }
 
 func hasEngine(table *httproute.Table, service ident.Service) bool {
@@ -148,7 +148,7 @@
 }
 
 // addGroup adds an open group all of whose members stay.
-func (f *fleet) addGroup(c *roster.Copy, table *httproute.Table, g *roster.Group) {
+func (f *targetIndex) addGroup(c *roster.Copy, table *httproute.Table, g *roster.Group) {
 	if g.Phase != roster.PhaseOpen || table == nil {
 		return
 	}
@@ -159,27 +159,27 @@
 	}
 	head := c.Upstreams[g.Head()]
 	if g.Far {
-		head.Slots = min(head.Slots, farSlotsOf(table, g))
+		head.Slots = min(head.Slots, crossDomainSlotsOf(table, g))
 	}
 	t := target{
-		id: head.ID, address: head.Address, hall: head.Hall, slots: head.Slots, group: g.Name, model: g.Model, far: g.Far, slow: g.Slow, silent: head.Silent,
-		times: timesOf(table, g), prompt: usualPrompt(table, g),
+		id: head.ID, address: head.Address, hall: head.Hall, slots: head.Slots, group: g.Name, model: g.Model, crossDomain: g.Far, hasSlowMember: g.Slow, silent: head.Silent,
+		timing: timingOf(table, g), typicalPrompt: typicalPromptOf(table, g),
 	}
 	f.heads[g.Name] = head.ID
-	if f.drained[head.Hall] {
-		f.left = append(f.left, t)
+	if f.drainedHalls[head.Hall] {
+		f.drainedGroups = append(f.drainedGroups, t)
 		return
 	}
-	models := f.groups[g.Service]
+	models := f.groupTargets[g.Service]
 	if models == nil {
 		models = map[ident.Model][]target{}
-		f.groups[g.Service] = models
+		f.groupTargets[g.Service] = models
 	}
 	models[g.Model] = append(models[g.Model], t)
 }
 
-// timesOf returns the figures by which requests at g are rated, none for a model that the engine does not publish.
-func timesOf(table *httproute.Table, g *roster.Group) estimate.Group {
+// timingOf returns the figures by which requests at g are rated, none for a model that the engine does not publish.
+func timingOf(table *httproute.Table, g *roster.Group) estimate.Group {
 	s := table.Service(g.Service)
 	if s == nil || s.Engine == nil {
 		return estimate.Group{}
@@ -189,32 +189,32 @@
 		return estimate.Group{}
 	}
 	if g.Far || g.Slow {
-		return estimate.Of(s.Engine, m, slowdown(s))
+		return estimate.NewGroup(s.Engine, m, groupSlowdown(s))
 	}
-	return estimate.Of(s.Engine, m, 1)
+	return estimate.NewGroup(s.Engine, m, 1)
 }
 
-// usualPrompt returns the mean size of prompts of the service of g.
-func usualPrompt(table *httproute.Table, g *roster.Group) ident.Tokens {
+// typicalPromptOf returns the mean size of prompts of the service of g.
+func typicalPromptOf(table *httproute.Table, g *roster.Group) ident.Tokens {
 	if s := table.Service(g.Service); s != nil && s.Engine != nil {
 		return s.Engine.Usual.Prompt
 	}
 	return 0
 }
 
-// farSlots is how many requests a group across domains gets at pace 1: with more, its pauses grow past the usual aims.
-const farSlots = 7
+// crossDomainSlots is how many requests a group across domains gets at pace 1: with more, its pauses grow past the usual aims.
+const crossDomainSlots = 7
 
-func farSlotsOf(table *httproute.Table, g *roster.Group) int {
+func crossDomainSlotsOf(table *httproute.Table, g *roster.Group) int {
 	s := table.Service(g.Service)
 	if s == nil || s.Engine == nil {
-		return farSlots
+		return crossDomainSlots
 	}
 	m, ok := s.Engine.Model(g.Model)
 	if !ok || m.Pace <= 0 {
-		return farSlots
+		return crossDomainSlots
 	}
-	return int(farSlots / m.Pace)
+	return int(crossDomainSlots / m.Pace)
 }
 
 func sortTargets(list []target) {
--- a/relay/flood_test.go
+++ b/relay/flood_test.go
@@ -24,52 +24,52 @@
 const (
 	floodGroups = 3
 	floodEvents = 8
-	// floodRate is about what the groups carry in time, floodTime how long it lasts.
-	floodRate = 60
-	floodTime = 10 * time.Second
+	// floodRate is about what the groups carry in time, floodDuration how long it lasts.
+	floodRate     = 60
+	floodDuration = 10 * time.Second
 )
 
-// passEngine works as the published engine model says: each pass reads all that waits and has a slot, then every sequence has an
+// iterationEngine works as the published engine model says: each pass reads all that waits and has a slot, then every sequence has an
 // event.
-type passEngine struct {
+type iterationEngine struct {
 	// slots bounds the sequences that write, 0 does not. What waits for them beyond as many again is turned away.
 	slots int
 
-	mu      sync.Mutex
-	stopped time.Time
-	// pace is how many times longer a pass takes until slowTo.
-	pace   time.Duration
-	slowTo time.Time
-	turned int
+	mu           sync.Mutex
+	stalledUntil time.Time
+	// slowdown is how many times longer a pass takes until slowUntil.
+	slowdown  time.Duration
+	slowUntil time.Time
+	rejected  int
 	// down is set while the engine has ended, ran is told of each body that it begins to run; when that returns true it ends.
-	down    bool
-	ran     func(body string) bool
-	waiting []*sequence
-	writing []*sequence
-	conns   []net.Conn
+	down     bool
+	onRun    func(body string) bool
+	waiting  []*sequence
+	decoding []*sequence
+	conns    []net.Conn
 }
 
 type sequence struct {
-	body   string
-	prompt int
-	left   int
-	event  chan int
-	// cut is closed when the engine ends.
-	cut chan struct{}
+	body       string
+	prompt     int
+	eventsLeft int
+	event      chan int
+	// crashed is closed when the engine ends.
+	crashed chan struct{}
 }
 
-func (e *passEngine) run(ctx context.Context) {
+func (e *iterationEngine) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		e.mu.Lock()
 		read := e.waiting
 		if e.slots > 0 {
-			read = read[:min(len(read), e.slots-len(e.writing))]
+			read = read[:min(len(read), e.slots-len(e.decoding))]
 		}
 		e.waiting = e.waiting[len(read):]
-		e.writing = append(e.writing, read...)
-		n := len(e.writing)
+		e.decoding = append(e.decoding, read...)
+		n := len(e.decoding)
 		e.mu.Unlock()
-		if n == 0 || e.stands() {
+		if n == 0 || e.stalled() {
 			time.Sleep(time.Millisecond)
 			continue
 		}
@@ -77,63 +77,63 @@
 		for _, s := range read {
 			pass += time.Duration(s.prompt) * time.Second / 50_000
 		}
-		time.Sleep(pass * e.paceNow())
-		if e.fatal(read) {
+		time.Sleep(pass * e.slowdownNow())
+		if e.anyCrashes(read) {
 			e.crash()
 			continue
 		}
-		e.endPass()
+		e.endIteration()
 	}
 }
 
-// stop lets nothing come of the engine for a time, whatever it takes.
-func (e *passEngine) stop(d time.Duration) {
+// stall lets nothing come of the engine for a time, whatever it takes.
+func (e *iterationEngine) stall(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.stopped = time.Now().Add(d)
+	e.stalledUntil = time.Now().Add(d)
 }
 
 // slow lets passes take so many times longer for a time.
-func (e *passEngine) slow(pace time.Duration, d time.Duration) {
+func (e *iterationEngine) slow(pace time.Duration, d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.pace, e.slowTo = pace, time.Now().Add(d)
+	e.slowdown, e.slowUntil = pace, time.Now().Add(d)
 }
 
-func (e *passEngine) paceNow() time.Duration {
+func (e *iterationEngine) slowdownNow() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Now().Before(e.slowTo) {
-		return e.pace
+	if time.Now().Before(e.slowUntil) {
+		return e.slowdown
 	}
 	return 1
 }
 
-func (e *passEngine) stands() bool {
+func (e *iterationEngine) stalled() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return time.Now().Before(e.stopped)
+	return time.Now().Before(e.stalledUntil)
 }
 
-func (e *passEngine) endPass() {
+func (e *iterationEngine) endIteration() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var rest []*sequence
-	for _, s := range e.writing {
-		s.event <- floodEvents - s.left + 1
-		s.left--
-		if s.left > 0 {
+	for _, s := range e.decoding {
+		s.event <- floodEvents - s.eventsLeft + 1
+		s.eventsLeft--
+		if s.eventsLeft > 0 {
 			rest = append(rest, s)
 		}
 	}
-	e.writing = rest
+	e.decoding = rest
 }
 
-// fatal reports whether one of those that were just read ends the engine.
-func (e *passEngine) fatal(read []*sequence) bool {
+// anyCrashes reports whether one of those that were just read ends the engine.
+func (e *iterationEngine) anyCrashes(read []*sequence) bool {
 	ends := false
 	for _, s := range read {
-		if e.ran != nil && e.ran(s.body) {
+		if e.onRun != nil && e.onRun(s.body) {
 			ends = true
 		}
 	}
@@ -141,27 +141,27 @@
 }
 
 // crash ends the engine: all connections close, and new ones are refused until restart.
-func (e *passEngine) crash() {
+func (e *iterationEngine) crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.down = true
-	for _, s := range append(e.waiting, e.writing...) {
-		close(s.cut)
+	for _, s := range append(e.waiting, e.decoding...) {
+		close(s.crashed)
 	}
-	e.waiting, e.writing = nil, nil
+	e.waiting, e.decoding = nil, nil
 	for _, c := range e.conns {
 		c.Close()
 	}
 	e.conns = nil
 }
 
-func (e *passEngine) restart() {
+func (e *iterationEngine) restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.down = false
 }
 
-func (e *passEngine) dial(context.Context, string) (net.Conn, error) {
+func (e *iterationEngine) dial(context.Context, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -173,7 +173,7 @@
 	return near, nil
 }
 
-func (e *passEngine) serve(c net.Conn) {
+func (e *iterationEngine) serve(c net.Conn) {
 	br := bufio.NewReader(c)
 	for {
 		r, err := http.ReadRequest(br)
@@ -197,13 +197,13 @@
 		}
 		full := e.slots > 0 && len(e.waiting) >= e.slots
 		if full {
-			e.turned++
+			e.rejected++
 		} else {
 			e.waiting = append(e.waiting, s)
 		}
 		e.mu.Unlock()
 		if full {
-			if !notRun(c, r) {
+			if !respondNotRun(c, r) {
 				return
 			}
 			continue
@@ -215,15 +215,15 @@
 }
 
 func (s *sequence) write(c net.Conn, r *http.Request) bool {
-	text := head(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
+	text := answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
 	for range floodEvents {
 		var n int
 		select {
 		case n = <-s.event:
-		case <-s.cut:
+		case <-s.crashed:
 			return false
 		}
-		piece := events(n, n)
+		piece := eventText(n, n)
 		text += fmt.Sprintf("%x\r\n%s\r\n", len(piece), piece)
 		if n == floodEvents {
 			text += "0\r\n\r\n"
@@ -236,7 +236,7 @@
 	return true
 }
 
-func (e *passEngine) close() {
+func (e *iterationEngine) close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, c := range e.conns {
@@ -244,19 +244,19 @@
 	}
 }
 
-// beforeEngines returns a relay whose upstreams are engines, by their addresses.
-func beforeEngines(engines map[string]*passEngine) *relay.Relay {
-	s := relay.New(names(), func(ctx context.Context, address string) (net.Conn, error) {
+// relayForEngines returns a relay whose upstreams are engines, by their addresses.
+func relayForEngines(engines map[string]*iterationEngine) *relay.Relay {
+	s := relay.New(headerNames(), func(ctx context.Context, address string) (net.Conn, error) {
 		return engines[address].dial(ctx, address)
 	})
-	s.KeysLapse = time.Hour
-	s.Budget = relay.NewBudget(relay.BudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 100})
-	s.Draw = rand.New(rand.NewPCG(1, 1)).IntN
+	s.KeyValidity = time.Hour
+	s.Budget = relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 100})
+	s.RandomInt = rand.New(rand.NewPCG(1, 1)).IntN
 	return s
 }
 
-// inAim plays so many times the usual traffic and returns how many requests were answered within both aims.
-func inAim(t *testing.T, times float64) int {
+// countInAim plays so many times the usual traffic and returns how many requests were answered within both aims.
+func countInAim(t *testing.T, times float64) int {
 	t.Helper()
 	var (
 		mu   sync.Mutex
@@ -265,29 +265,29 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
-		engines := map[string]*passEngine{}
+		engines := map[string]*iterationEngine{}
 		cfg := timedConfig()
 		cfg.Services[1].Engine.Slots = 26
 		cfg.Services[1].Engine.PerSequence = 200 * time.Microsecond
-		cfg.Routes = []httproute.Route{routeOf("stream", httproute.KindStream, "model", 1)}
+		cfg.Routes = []httproute.Route{newRoute("stream", httproute.KindStream, "model", 1)}
 		cfg.Routes[0].Aim = 400 * time.Millisecond
 		for i := range floodGroups {
-			e := &passEngine{}
+			e := &iterationEngine{}
 			engines["h"+strconv.Itoa(i)] = e
 			running.Go(func() { e.run(ctx) })
 		}
-		s := beforeEngines(engines)
+		s := relayForEngines(engines)
 		s.Observe = func(r *relay.Record) {
 			mu.Lock()
 			defer mu.Unlock()
-			if r.Code == 0 && r.First <= 400*time.Millisecond && r.Gap <= 200*time.Millisecond {
+			if r.Code == 0 && r.FirstEvent <= 400*time.Millisecond && r.MaxEventGap <= 200*time.Millisecond {
 				good++
 			}
 		}
 		s.SetConfig(cfg)
 		setGroups(s, 1, floodGroups)
 		s.SetConfirmed(time.Now())
-		flood(s, times)
+		sendFlood(s, times)
 		for _, e := range engines {
 			e.close()
 		}
@@ -297,13 +297,13 @@
 	return good
 }
 
-// flood sends requests at random moments, with prompts that differ by twenty times in size, and waits for their ends.
-func flood(s *relay.Relay, times float64) {
+// sendFlood sends requests at random moments, with prompts that differ by twenty times in size, and waits for their ends.
+func sendFlood(s *relay.Relay, times float64) {
 	random := rand.New(rand.NewPCG(2, 2))
 	prompts := []int{200, 400, 800, 1600, 4000}
 	began := time.Now()
 	var wg sync.WaitGroup
-	for n := 0; time.Since(began) < floodTime; n++ {
+	for n := 0; time.Since(began) < floodDuration; n++ {
 		time.Sleep(time.Duration(random.ExpFloat64() / (floodRate * times) * float64(time.Second)))
 		r := httptest.NewRequest(http.MethodPost, "/stream/x", http.NoBody)
 		r.Host = "h"
@@ -321,12 +321,12 @@
 
 // In a flood as many requests are answered in time as at full load.
 func TestAFlood(t *testing.T) {
-	full := inAim(t, 1)
-	if full < floodRate*int(floodTime.Seconds())*8/10 {
+	full := countInAim(t, 1)
+	if full < floodRate*int(floodDuration.Seconds())*8/10 {
 		t.Fatalf("%d requests are in time at full load: the test asks for too much", full)
 	}
 	for _, times := range []float64{2, 3} {
-		if got := inAim(t, times); float64(got) < 0.95*float64(full) {
+		if got := countInAim(t, times); float64(got) < 0.95*float64(full) {
 			t.Errorf("%d requests in time at %v times the traffic, %d without", got, times, full)
 		}
 	}
--- a/relay/held.go
+++ b/relay/held.go
@@ -17,203 +17,203 @@
 )
 
 const (
-	// tellAgain is how often one other entry is told of works by turns, tellWorks of how many: an entry that has just started hears
+	// quarantineSyncInterval is how often one other entry is told of works by turns, quarantineSyncBatch of how many: an entry that has just started hears
 	// of what is held from each of the others four times a second, shared by their number.
-	tellAgain = 250 * time.Millisecond
-	tellWorks = 4
-	// proofTimeout bounds the question whether an upstream has ended: a VM whose process is gone refuses within a round trip.
-	proofTimeout = dialTimeout
-	// tellEnds is from how many ends on, and tellEvents until how many events, all entries are told at once. Of a batch that is cut off
+	quarantineSyncInterval = 250 * time.Millisecond
+	quarantineSyncBatch    = 4
+	// crashProbeTimeout bounds the question whether an upstream has ended: a VM whose process is gone refuses within a round trip.
+	crashProbeTimeout = dialTimeout
+	// publishMinCrashes is from how many ends on, and publishMaxEvents until how many events, all entries are told at once. Of a batch that is cut off
 	// most have had events for many passes; of those that could be at fault a few.
-	tellEnds   = 2
-	tellEvents = 1
+	publishMinCrashes = 2
+	publishMaxEvents  = 1
 )
 
-// Holding tells operators that work is held, was let in once more, or has been cleared.
-type Holding struct {
+// QuarantineEvent tells operators that work is held, was let in once more, or has been cleared.
+type QuarantineEvent struct {
 	quarantine.Report
-	// For is how long it is held, 0 when it is not.
-	For time.Duration
+	// Remaining is how long it is held, 0 when it is not.
+	Remaining time.Duration
 	// From is the entry that told of it, invalid for this one.
 	From netip.AddrPort
 }
 
-// proof is the question whether an upstream that cut a connection off has ended.
-type proof struct {
-	done  chan struct{}
-	ended bool
+// crashProbe is the question whether an upstream that cut a connection off has ended.
+type crashProbe struct {
+	done    chan struct{}
+	crashed bool
 }
 
-func (x *exchange) work() quarantine.Work {
-	w := quarantine.Work{Content: x.content}
+func (x *exchange) fingerprint() quarantine.Fingerprint {
+	w := quarantine.Fingerprint{Content: x.content}
 	if x.customer != nil {
 		w.Customer = x.customer.Name
 	}
 	return w
 }
 
-// held is the error of a request whose work must not be sent to an upstream, nil of any other.
-func (x *exchange) held() error {
+// quarantineError is the error of a request whose work must not be sent to an upstream, nil of any other.
+func (x *exchange) quarantineError() error {
 	x.s.mu.Lock()
 	defer x.s.mu.Unlock()
-	return x.heldAt(x.s.Now())
+	return x.quarantineErrorLocked(x.s.Now())
 }
 
-// heldAt is held for callers that hold the mutex.
-func (x *exchange) heldAt(now time.Time) error {
-	left := x.s.Quarantine.Held(now, x.work())
+// quarantineErrorLocked is held for callers that hold the mutex.
+func (x *exchange) quarantineErrorLocked(now time.Time) error {
+	left := x.s.Quarantine.Remaining(now, x.fingerprint())
 	if left <= 0 {
 		return nil
 	}
-	x.comeBack = left
+	x.minRetryAfter = left
 	return result.New(result.WorkHeld, "upstreams ended while they ran the same, content %v; held for another %v", x.content, left.Round(time.Millisecond))
 }
 
-// begin notes that the request is about to be sent, unless its work has come to be held meanwhile.
-func (x *exchange) begin() error {
+// beginAttempt notes that the request is about to be sent, unless its work has come to be held meanwhile.
+func (x *exchange) beginAttempt() error {
 	s := x.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
-	if err := x.heldAt(now); err != nil {
+	if err := x.quarantineErrorLocked(now); err != nil {
 		return err
 	}
-	if tell, ok := s.Quarantine.Begin(now, x.work()); ok {
-		s.Note(&Holding{Report: tell})
-		s.tellWork(&tell)
+	if tell, ok := s.Quarantine.BeginTrial(now, x.fingerprint()); ok {
+		s.OnQuarantine(&QuarantineEvent{Report: tell})
+		s.publishQuarantine(&tell)
 	}
 	return nil
 }
 
-// concluded takes what the end of a try says of the request's work.
-func (x *exchange) concluded(t *target, f *follower, v verdict) {
+// noteEvidence takes what the end of a try says of the request's work.
+func (x *exchange) noteEvidence(t *target, f *forwarder, v attemptOutcome) {
 	switch v {
-	case verdictDone, verdictFailed:
-		x.s.answered(x.work())
-	case verdictBroken:
-		if f.cut != nil && cutOf(f.cut) != CutUnusable && x.s.hasEnded(t) {
-			x.s.ended(x.work(), t.id, f.events)
+	case outcomeDone, outcomeFailed:
+		x.s.noteSurvived(x.fingerprint())
+	case outcomeBroken:
+		if f.cutErr != nil && connFailureOf(f.cutErr) != ConnUnusable && x.s.upstreamCrashed(t) {
+			x.s.noteCrash(x.fingerprint(), t.id, f.eventCount)
 		}
 	}
 }
 
-// answered notes that an upstream lives on after it has run the work.
-func (s *Relay) answered(w quarantine.Work) {
+// noteSurvived notes that an upstream lives on after it has run the work.
+func (s *Relay) noteSurvived(w quarantine.Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ends := s.Quarantine.Ends(w)
+	ends := s.Quarantine.Crashes(w)
 	tell, ok := s.Quarantine.Answered(s.Now(), w)
 	if !ok {
 		return
 	}
-	if ends >= s.Quarantine.Rule.Ends {
-		s.Note(&Holding{Report: tell})
+	if ends >= s.Quarantine.Rule.Crashes {
+		s.OnQuarantine(&QuarantineEvent{Report: tell})
 	}
-	s.tellWork(&tell)
+	s.publishQuarantine(&tell)
 }
 
-// hasEnded reports whether the upstream of t, which cut a connection off, has ended: nothing listens there any more. A connection may
+// upstreamCrashed reports whether the upstream of t, which cut a connection off, has ended: nothing listens there any more. A connection may
 // also be cut by a link, a proxy or an upstream that goes on, and work must not be held for that. The request waits for the answer, a
 // round trip, because its next try would end one more upstream.
-func (s *Relay) hasEnded(t *target) bool {
+func (s *Relay) upstreamCrashed(t *target) bool {
 	s.mu.Lock()
 	ts := s.stateOf(t)
-	if ts.refused {
+	if ts.connectionRefused {
 		s.mu.Unlock()
 		return true
 	}
-	p := ts.proof
+	p := ts.crashProbe
 	if p == nil {
-		p = &proof{done: make(chan struct{})}
-		ts.proof = p
+		p = &crashProbe{done: make(chan struct{})}
+		ts.crashProbe = p
 		s.mu.Unlock()
-		s.prove(t, ts, p)
-		return p.ended
+		s.probeCrash(t, ts, p)
+		return p.crashed
 	}
 	s.mu.Unlock()
 	<-p.done
-	return p.ended
+	return p.crashed
 }
 
-func (s *Relay) prove(t *target, ts *targetState, p *proof) {
-	ctx, cancel := context.WithTimeout(context.Background(), proofTimeout)
+func (s *Relay) probeCrash(t *target, ts *targetState, p *crashProbe) {
+	ctx, cancel := context.WithTimeout(context.Background(), crashProbeTimeout)
 	defer cancel()
 	ended := transport.Refuses(ctx, s.pool.dial, t.address)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p.ended = ended
-	if p.ended {
-		ts.refused = true
+	p.crashed = ended
+	if p.crashed {
+		ts.connectionRefused = true
 	}
-	ts.proof = nil
+	ts.crashProbe = nil
 	close(p.done)
 }
 
-// ended notes that the life of an upstream ended while it ran the work, of which so many events had come from there.
-func (s *Relay) ended(w quarantine.Work, life ident.Incarnation, events int) {
+// noteCrash notes that the life of an upstream ended while it ran the work, of which so many events had come from there.
+func (s *Relay) noteCrash(w quarantine.Fingerprint, life ident.Incarnation, events int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
-	tell := s.Quarantine.Ended(now, w, quarantine.EndOf(life))
-	s.noteHeld(now, &tell, netip.AddrPort{})
-	if len(tell.Ends) >= tellEnds || events <= tellEvents {
-		s.tellWork(&tell)
+	tell := s.Quarantine.Crashed(now, w, quarantine.CrashIDOf(life))
+	s.sendQuarantineEvent(now, &tell, netip.AddrPort{})
+	if len(tell.Ends) >= publishMinCrashes || events <= publishMaxEvents {
+		s.publishQuarantine(&tell)
 		return
 	}
-	s.tellByTurns()
+	s.startQuarantineSync()
 }
 
-// noteHeld passes on that the work of a report is held, if it is; the mutex is held.
-func (s *Relay) noteHeld(now time.Time, n *quarantine.Report, from netip.AddrPort) {
-	if left := s.Quarantine.Held(now, n.Work()); left > 0 {
-		s.Note(&Holding{*n, left, from})
+// sendQuarantineEvent passes on that the work of a report is held, if it is; the mutex is held.
+func (s *Relay) sendQuarantineEvent(now time.Time, n *quarantine.Report, from netip.AddrPort) {
+	if left := s.Quarantine.Remaining(now, n.Fingerprint()); left > 0 {
+		s.OnQuarantine(&QuarantineEvent{*n, left, from})
 	}
 }
 
-// tellWork tells all entries of one work; the mutex is held.
-func (s *Relay) tellWork(n *quarantine.Report) {
-	s.Tell(News{Work: n}, nil)
-	s.tellByTurns()
+// publishQuarantine tells all entries of one work; the mutex is held.
+func (s *Relay) publishQuarantine(n *quarantine.Report) {
+	s.SendUpdate(EntryUpdate{QuarantineReport: n}, nil)
+	s.startQuarantineSync()
 }
 
-// HearWork takes what another entry, or the leader, knows of works.
-func (s *Relay) HearWork(list []quarantine.Report, from netip.AddrPort) {
+// ApplyQuarantineReports takes what another entry, or the leader, knows of works.
+func (s *Relay) ApplyQuarantineReports(list []quarantine.Report, from netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range list {
-		s.hearWork(&list[i], from)
+		s.applyQuarantineReport(&list[i], from)
 	}
 }
 
-// hearWork takes what somebody else knows of one work; the mutex is held.
-func (s *Relay) hearWork(n *quarantine.Report, from netip.AddrPort) {
+// applyQuarantineReport takes what somebody else knows of one work; the mutex is held.
+func (s *Relay) applyQuarantineReport(n *quarantine.Report, from netip.AddrPort) {
 	now := s.Now()
-	if !s.Quarantine.Hear(now, n) {
+	if !s.Quarantine.Merge(now, n) {
 		return
 	}
-	s.noteHeld(now, n, from)
-	s.tellByTurns()
+	s.sendQuarantineEvent(now, n, from)
+	s.startQuarantineSync()
 }
 
-// tellByTurns begins to tell other entries again and again, as long as there is something to tell; the mutex is held.
-func (s *Relay) tellByTurns() {
-	if s.telling {
+// startQuarantineSync begins to tell other entries again and again, as long as there is something to tell; the mutex is held.
+func (s *Relay) startQuarantineSync() {
+	if s.quarantineSyncScheduled {
 		return
 	}
-	s.telling = true
-	time.AfterFunc(tellAgain, s.tellOne)
+	s.quarantineSyncScheduled = true
+	time.AfterFunc(quarantineSyncInterval, s.syncQuarantine)
 }
 
-// tellOne tells one other entry of some works.
-func (s *Relay) tellOne() {
+// syncQuarantine tells one other entry of some works.
+func (s *Relay) syncQuarantine() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := s.Quarantine.ToTell(s.Now(), tellWorks)
-	s.telling = len(list) > 0
-	if !s.telling {
+	list := s.Quarantine.ToSend(s.Now(), quarantineSyncBatch)
+	s.quarantineSyncScheduled = len(list) > 0
+	if !s.quarantineSyncScheduled {
 		return
 	}
-	time.AfterFunc(tellAgain, s.tellOne)
+	time.AfterFunc(quarantineSyncInterval, s.syncQuarantine)
 	if s.entries == nil {
 		return
 	}
@@ -221,8 +221,8 @@
 	if len(others) == 0 {
 		return
 	}
-	to := []string{others[s.Draw(len(others))]}
+	to := []string{others[s.RandomInt(len(others))]}
 	for i := range list {
-		s.Tell(News{Work: &list[i]}, to)
+		s.SendUpdate(EntryUpdate{QuarantineReport: &list[i]}, to)
 	}
 }
--- a/relay/lapse_test.go
+++ b/relay/lapse_test.go
@@ -19,8 +19,8 @@
 		{2200 * time.Millisecond, false, true, http.StatusOK},
 		{4500 * time.Millisecond, false, true, http.StatusServiceUnavailable},
 	} {
-		u := newUpstream(t, always(whole))
-		s := newSite(t, []*upstream{u}, nil)
+		u := newUpstream(t, always(respondComplete))
+		s := newTestEntry(t, []*upstream{u}, nil)
 		s.relay.SetConfirmed(time.Now().Add(-c.age))
 		if got := s.relay.Ready(); got != c.ready {
 			t.Errorf("ready %v at %v", got, c.age)
--- a/relay/launch.go
+++ b/relay/launch.go
@@ -7,49 +7,49 @@
 )
 
 const (
-	// launchTime is what a first word takes beyond the passes of the estimate until it has been measured: what engines
-	// usually need. launchOff is how far first words are off that.
-	launchTime = 100 * time.Millisecond
-	launchOff  = 30 * time.Millisecond
-	// launchSmoothing is the weight of a new first word in what is known, launchClip how far off it may be taken to be: without
+	// defaultDispatchDelay is what a first word takes beyond the passes of the estimate until it has been measured: what engines
+	// usually need. defaultDelayDeviation is how far first words are off that.
+	defaultDispatchDelay  = 100 * time.Millisecond
+	defaultDelayDeviation = 30 * time.Millisecond
+	// delaySmoothing is the weight of a new first word in what is known, maxDelayError how far off it may be taken to be: without
 	// that a few first words of a group that stood still for a moment make an entry believe for long that nothing can be in time,
 	// and refuse what others take.
-	launchSmoothing = 0.05
-	launchClip      = 100 * time.Millisecond
-	// launchMost, launchOffLeast and launchOffMost bound them.
-	launchMost     = 200 * time.Millisecond
-	launchOffLeast = 10 * time.Millisecond
-	launchOffMost  = 60 * time.Millisecond
+	delaySmoothing = 0.05
+	maxDelayError  = 100 * time.Millisecond
+	// maxDispatchDelay, minDelayDeviation and maxDelayDeviation bound them.
+	maxDispatchDelay  = 200 * time.Millisecond
+	minDelayDeviation = 10 * time.Millisecond
+	maxDelayDeviation = 60 * time.Millisecond
 )
 
-// launch is what first words of a model take beyond the estimate: the average, and how far they are off it on average.
-type launch struct {
-	usual time.Duration
-	off   time.Duration
+// dispatchDelay is what first words of a model take beyond the estimate: the average, and how far they are off it on average.
+type dispatchDelay struct {
+	mean      time.Duration
+	deviation time.Duration
 }
 
-// learn takes how long a first word took beyond the estimate.
-func (l launch) learn(took time.Duration) launch {
-	off := min(launchClip, max(-launchClip, took-l.usual))
-	l.usual += time.Duration(launchSmoothing * float64(off))
-	l.usual = min(launchMost, max(-launchMost, l.usual))
-	l.off += time.Duration(launchSmoothing * float64(off.Abs()-l.off))
-	l.off = min(launchOffMost, max(launchOffLeast, l.off))
+// update takes how long a first word took beyond the estimate.
+func (l dispatchDelay) update(took time.Duration) dispatchDelay {
+	off := min(maxDelayError, max(-maxDelayError, took-l.mean))
+	l.mean += time.Duration(delaySmoothing * float64(off))
+	l.mean = min(maxDispatchDelay, max(-maxDispatchDelay, l.mean))
+	l.deviation += time.Duration(delaySmoothing * float64(off.Abs()-l.deviation))
+	l.deviation = min(maxDelayDeviation, max(minDelayDeviation, l.deviation))
 	return l
 }
 
-// launchOf returns what first words of a model take beyond the estimate; the mutex is held.
-func (s *Relay) launchOf(model ident.Model) launch {
-	if l, ok := s.launch[model]; ok {
+// dispatchDelayOf returns what first words of a model take beyond the estimate; the mutex is held.
+func (s *Relay) dispatchDelayOf(model ident.Model) dispatchDelay {
+	if l, ok := s.dispatchDelays[model]; ok {
 		return l
 	}
-	return launch{launchTime, launchOff}
+	return dispatchDelay{defaultDispatchDelay, defaultDelayDeviation}
 }
 
-// learnLaunch takes the first word of the first try of a request; the mutex is held.
-func (x *exchange) learnLaunch() {
-	if x.expected == 0 || len(x.tries) != 1 {
+// learnDispatchDelay takes the first word of the first try of a request; the mutex is held.
+func (x *exchange) learnDispatchDelay() {
+	if x.expectedFirstEvent == 0 || len(x.attempts) != 1 {
 		return
 	}
-	x.s.launch[x.model] = x.s.launchOf(x.model).learn(x.first - x.expected)
+	x.s.dispatchDelays[x.model] = x.s.dispatchDelayOf(x.model).update(x.firstEventAfter - x.expectedFirstEvent)
 }
--- a/relay/limit.go
+++ b/relay/limit.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	// seatLapse is how old the leader's newest confirmation may be until an entry takes no part of an upstream's limit for granted: by
+	// coordinatorLapse is how old the leader's newest confirmation may be until an entry takes no part of an upstream's limit for granted: by
 	// the time the leader has dropped it from the list, and another one coordinates the upstream, it has stopped.
-	seatLapse = 2500 * time.Millisecond
-	// promiseMost bounds the time to come back that is worked out from limits.
-	promiseMost = time.Minute
+	coordinatorLapse = 2500 * time.Millisecond
+	// maxLimitRetryAfter bounds the time to come back that is worked out from limits.
+	maxLimitRetryAfter = time.Minute
 )
 
-// LimitNews tells of an upstream's limit, 0 when it has none any more, and how long ago it said so, in ms.
-type LimitNews struct {
+// LimitUpdate tells of an upstream's limit, 0 when it has none any more, and how long ago it said so, in ms.
+type LimitUpdate struct {
 	Rate  ratelimit.Rate `cbor:"1,keyasint"`
 	AgeMS int64          `cbor:"2,keyasint,omitempty"`
 }
 
-// LimitSeen is what an entry knows of an upstream's limit.
-type LimitSeen struct {
+// LimitObservation is what an entry knows of an upstream's limit.
+type LimitObservation struct {
 	Rate ratelimit.Rate
 	// Own is set when the upstream said so to this entry; Said is how long ago it last did, Since how long ago it first did.
 	Own   bool
@@ -43,117 +43,119 @@
 	ratelimit.Counts
 }
 
-// newLimits returns the limiter of this entry.
-func (s *Relay) newLimits() *ratelimit.Limiter[ident.Incarnation] {
-	s.seats = &ratelimit.Seats{Now: func() time.Time { return s.Now() }, Fresh: func() bool { return s.ConfirmedAge() < seatLapse }}
+// newLimiter returns the limiter of this entry.
+func (s *Relay) newLimiter() *ratelimit.Limiter[ident.Incarnation] {
+	s.coordinators = &ratelimit.Coordinators{Now: func() time.Time { return s.Now() }, MayCoordinate: func() bool { return s.ConfirmedAge() < coordinatorLapse }}
 	l := ratelimit.NewLimiter[ident.Incarnation]()
 	l.Now = func() time.Time { return s.Now() }
-	l.Draw = rand.Float64
-	l.Seat = func(id ident.Incarnation) ratelimit.Seat { return s.seats.Of(string(id)) }
-	l.Ask = func(to string, q *ratelimit.Question[ident.Incarnation]) { s.Tell(News{Question: q}, []string{to}) }
+	l.Random = rand.Float64
+	l.Coordinator = func(id ident.Incarnation) ratelimit.Coordinator { return s.coordinators.Of(string(id)) }
+	l.Send = func(to string, q *ratelimit.PermitRequest[ident.Incarnation]) {
+		s.SendUpdate(EntryUpdate{PermitRequest: q}, []string{to})
+	}
 	return l
 }
 
-func (n *News) ofLimit() bool {
-	return n.Limit != nil || n.Question != nil || n.Answer != nil
+func (n *EntryUpdate) isLimit() bool {
+	return n.Limit != nil || n.PermitRequest != nil || n.PermitReply != nil
 }
 
-// hearOfLimit takes news of limits.
-func (s *Relay) hearOfLimit(n *News, from netip.AddrPort) {
+// receiveLimitUpdate takes news of limits.
+func (s *Relay) receiveLimitUpdate(n *EntryUpdate, from netip.AddrPort) {
 	switch {
 	case n.Limit != nil:
-		s.HearLimit(n.Head, n.Limit.Rate, time.Duration(n.Limit.AgeMS)*time.Millisecond)
-	case n.Answer != nil:
-		s.Limits.Answered(n.Answer)
+		s.ApplyLimit(n.Head, n.Limit.Rate, time.Duration(n.Limit.AgeMS)*time.Millisecond)
+	case n.PermitReply != nil:
+		s.Limits.HandleReply(n.PermitReply)
 	default:
 		name := from.String()
-		if a, ok := s.Limits.Asked(n.Question, name); ok {
-			s.Tell(News{Answer: a}, []string{name})
+		if a, ok := s.Limits.HandleRequest(n.PermitRequest, name); ok {
+			s.SendUpdate(EntryUpdate{PermitReply: a}, []string{name})
 		}
 	}
 }
 
-// HearLimit takes what others know of an upstream's limit, 0 for none any more, and how long ago it said so.
-func (s *Relay) HearLimit(id ident.Incarnation, rate ratelimit.Rate, age time.Duration) {
-	s.Limits.Words.Hear(id, rate, s.Now().Add(-max(0, age)))
+// ApplyLimit takes what others know of an upstream's limit, 0 for none any more, and how long ago it said so.
+func (s *Relay) ApplyLimit(id ident.Incarnation, rate ratelimit.Rate, age time.Duration) {
+	s.Limits.Table.Merge(id, rate, s.Now().Add(-max(0, age)))
 }
 
-// tellLimit tells all entries that a limit has begun, or ended. How it changes they hear with the answers to their questions.
-func (f *follower) tellLimit(rate ratelimit.Rate) {
-	f.x.s.Tell(News{Head: f.t.id, Limit: &LimitNews{Rate: rate}}, nil)
+// publishLimit tells all entries that a limit has begun, or ended. How it changes they hear with the answers to their questions.
+func (f *forwarder) publishLimit(rate ratelimit.Rate) {
+	f.x.s.SendUpdate(EntryUpdate{Head: f.target.id, Limit: &LimitUpdate{Rate: rate}}, nil)
 }
 
-// limitSeen returns what is known of an upstream's limit.
-func (s *Relay) limitSeen(id ident.Incarnation, now time.Time) *LimitSeen {
-	w := s.Limits.Words.Of(id)
+// limitObservation returns what is known of an upstream's limit.
+func (s *Relay) limitObservation(id ident.Incarnation, now time.Time) *LimitObservation {
+	w := s.Limits.Table.Effective(id)
 	if !w.Limited() {
 		return nil
 	}
-	counts, apart := s.Limits.Look(id)
-	return &LimitSeen{Rate: w.Rate, Own: w.Own, Said: now.Sub(w.At), Since: now.Sub(w.Since), Apart: apart, Counts: counts}
+	counts, apart := s.Limits.Stats(id)
+	return &LimitObservation{Rate: w.Rate, Own: w.Direct, Said: now.Sub(w.LastSeen), Since: now.Sub(w.Since), Apart: apart, Counts: counts}
 }
 
-// permit asks for a request within the limit of the target, waits for its turn, and counts it there; what was chosen may have a limit by
+// acquirePermit asks for a request within the limit of the target, waits for its turn, and counts it there; what was chosen may have a limit by
 // now that it had not when it was chosen.
-func (x *exchange) permit(t *choice) ratelimit.Permit {
+func (x *exchange) acquirePermit(t *choice) ratelimit.Permit {
 	s := x.s
-	p := s.Limits.Take(x.r.Context(), t.id, max(t.patience, ratelimit.Patience))
+	p := s.Limits.Acquire(x.r.Context(), t.id, max(t.maxPermitWait, ratelimit.MaxWaitWithAlternatives))
 	if p.OK && p.After > 0 {
-		wait(x.r.Context(), p.After)
-		p.OK = s.keeps(t.id, p)
-	} else if !p.OK && t.waits {
-		x.noTurnAt(t.id)
+		sleepContext(x.r.Context(), p.After)
+		p.OK = s.permitStillValid(t.id, p)
+	} else if !p.OK && t.mustWait {
+		x.noteNoPermit(t.id)
 	}
 	if !p.OK {
-		x.limitWaits++
+		x.permitDenials++
 		return p
 	}
-	if !x.counted {
+	if !x.countedAtTarget {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.count(x, t)
+		s.countAtTarget(x, t)
 	}
 	return p
 }
 
-// keeps reports whether a turn that was waited for still counts: not where the limit has fallen meanwhile.
-func (s *Relay) keeps(id ident.Incarnation, p ratelimit.Permit) bool {
-	w := s.Limits.Words.Of(id)
+// permitStillValid reports whether a turn that was waited for still counts: not where the limit has fallen meanwhile.
+func (s *Relay) permitStillValid(id ident.Incarnation, p ratelimit.Permit) bool {
+	w := s.Limits.Table.Effective(id)
 	return !w.Limited() || w.Rate >= p.Rate
 }
 
-func (x *exchange) noTurnAt(id ident.Incarnation) {
-	if x.noTurn == nil {
-		x.noTurn = map[ident.Incarnation]bool{}
+func (x *exchange) noteNoPermit(id ident.Incarnation) {
+	if x.noPermitAt == nil {
+		x.noPermitAt = map[ident.Incarnation]bool{}
 	}
-	x.noTurn[id] = true
+	x.noPermitAt[id] = true
 }
 
-// chooseFor is choose for a request that is worth sending until a time: where it has to wait for its turn at an upstream with a limit, it
+// chooseUntil is choose for a request that is worth sending until a time: where it has to wait for its turn at an upstream with a limit, it
 // waits as long as that, or not at all. The mutex is held.
-func (s *Relay) chooseFor(x *exchange, rank overload.Rank, until, now time.Time) (choice, error) {
+func (s *Relay) chooseUntil(x *exchange, rank overload.Rank, until, now time.Time) (choice, error) {
 	t, err := s.choose(x, rank, now)
-	if err != nil || !t.waits {
+	if err != nil || !t.mustWait {
 		return t, err
 	}
-	t.patience = until.Sub(now)
-	if t.patience <= max(t.free, ratelimit.Patience) {
-		t.waits = false
-		return t, result.New(result.Limited, "no upstream takes it within its limit in time, the first one takes another in %v", t.free)
+	t.maxPermitWait = until.Sub(now)
+	if t.maxPermitWait <= max(t.availableIn, ratelimit.MaxWaitWithAlternatives) {
+		t.mustWait = false
+		return t, result.New(result.Limited, "no upstream takes it within its limit in time, the first one takes another in %v", t.availableIn)
 	}
 	return t, nil
 }
 
-// comeBackAt returns when the caller of a request that is refused shall come back, 0 when that is not known; the mutex is held.
-func (s *Relay) comeBackAt(x *exchange, now time.Time, t *choice, err error) time.Duration {
+// retryDelay returns when the caller of a request that is refused shall come back, 0 when that is not known; the mutex is held.
+func (s *Relay) retryDelay(x *exchange, now time.Time, t *choice, err error) time.Duration {
 	if result.CodeOf(err) == result.Limited {
-		return s.promise(x.line(), now, t)
+		return s.nextLimitRetry(x.queueKey(), now, t)
 	}
-	return t.free
+	return t.availableIn
 }
 
-// wait waits for d, or until ctx ends.
-func wait(ctx context.Context, d time.Duration) {
+// sleepContext waits for d, or until ctx ends.
+func sleepContext(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -162,24 +164,24 @@
 	}
 }
 
-// limitBegan reports whether the target has come to have a limit that the request was not counted against.
-func (x *exchange) limitBegan(t *choice, p ratelimit.Permit) bool {
-	return !p.Limited && x.s.Limits.Words.Of(t.id).Limited()
+// limitAppeared reports whether the target has come to have a limit that the request was not counted against.
+func (x *exchange) limitAppeared(t *choice, p ratelimit.Permit) bool {
+	return !p.Limited && x.s.Limits.Table.Effective(t.id).Limited()
 }
 
-// promise returns when a caller shall come back for what upstreams take within their limits: after those that were told to come back
+// nextLimitRetry returns when a caller shall come back for what upstreams take within their limits: after those that were told to come back
 // before it. The mutex is held.
-func (s *Relay) promise(key line, now time.Time, t *choice) time.Duration {
-	at := later(now.Add(t.free), s.promised[key])
-	back := min(promiseMost, at.Sub(now))
-	s.promised[key] = now.Add(back)
-	if t.rate > 0 {
-		s.promised[key] = now.Add(min(promiseMost, back+t.rate.Interval()))
+func (s *Relay) nextLimitRetry(key queueKey, now time.Time, t *choice) time.Duration {
+	at := laterOf(now.Add(t.availableIn), s.limitRetryTimes[key])
+	back := min(maxLimitRetryAfter, at.Sub(now))
+	s.limitRetryTimes[key] = now.Add(back)
+	if t.expectedRate > 0 {
+		s.limitRetryTimes[key] = now.Add(min(maxLimitRetryAfter, back+t.expectedRate.Interval()))
 	}
 	return back
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/relay/limit_all_test.go
+++ b/relay/limit_all_test.go
@@ -19,15 +19,15 @@
 	for _, c := range []limitCase{{1, "/safe/x", limit}, {8, "/unsafe/x", limit}, {1, "/stream/x", limit}, {8, "/stream/x", limit}, {40, "/stream/x", limit}} {
 		t.Run(c.name(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := newTeam(c.entries, limitHeads)
+				g := newCluster(c.entries, limitHeads)
 				began := time.Now()
-				for _, u := range g.sites[0].upstreams {
-					u.limits(c.limit)
+				for _, u := range g.entries[0].upstreams {
+					u.setLimit(c.limit)
 				}
 				g.load(c.path, perSecond, lasts)
-				for i, u := range g.sites[0].upstreams {
-					known := u.arrivals(u.named.Add(limitKnown), began.Add(lasts))
-					if over := beyond(known, c.limit); over > 1 {
+				for i, u := range g.entries[0].upstreams {
+					known := u.arrivals(u.limitNamedAt.Add(limitKnown), began.Add(lasts))
+					if over := maxExcess(known, c.limit); over > 1 {
 						t.Errorf("upstream %d: %.1f requests beyond the limit", i, over)
 					}
 					// The first seconds pass until each has been asked and has told its limit.
@@ -39,7 +39,7 @@
 				served, late, refused, held := 0, 0, 0, time.Duration(0)
 				for _, r := range g.records() {
 					switch {
-					case r.Code == 0 && r.First <= aim:
+					case r.Code == 0 && r.FirstEvent <= aim:
 						served++
 					case r.Code == 0:
 						late++
@@ -47,9 +47,9 @@
 						refused++
 						held += r.Total
 						if code := r.Code; code != result.Limited && code != result.Overloaded {
-							t.Errorf("request %s: code %d, %s", r.ID, code, r.Text)
+							t.Errorf("request %s: code %d, %s", r.ID, code, r.ErrorText)
 						}
-						if r.Retry <= 0 {
+						if r.RetryAfter <= 0 {
 							t.Errorf("request %s is refused without a time to come back", r.ID)
 						}
 					}
@@ -71,17 +71,17 @@
 func TestCallersOfLimitedUpstreamsAreToldWhenToComeBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit = ratelimit.Rate(0.25)
-		s := newAskSite(1)
+		s := newSignalEntry(1)
 		u := s.upstreams[0]
-		u.limits(limit)
-		s.ask("/safe/x", "hears of it")
+		u.setLimit(limit)
+		s.send("/safe/x", "hears of it")
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		var told []time.Duration
 		began := time.Now()
 		for n := range 8 {
 			wg.Go(func() {
-				w := s.ask("/safe/x", strconv.Itoa(n))
+				w := s.send("/safe/x", strconv.Itoa(n))
 				seconds, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 				if w.Code != http.StatusServiceUnavailable || err != nil {
 					t.Errorf("status %d, %v, want 503 and a time", w.Code, err)
--- a/relay/limit_sight_test.go
+++ b/relay/limit_sight_test.go
@@ -23,13 +23,13 @@
 	n := 0
 	u := newUpstream(t, always(func(c net.Conn, r *http.Request) bool {
 		body := "answer to " + r.Header.Get("Request")
-		_, err := io.WriteString(c, head(r, 200, signature, says[n], fmt.Sprintf("Content-Length: %d", len(body)))+body)
+		_, err := io.WriteString(c, answerHead(r, 200, signature, says[n], fmt.Sprintf("Content-Length: %d", len(body)))+body)
 		n++
 		return err == nil
 	}))
-	s := newSite(t, []*upstream{u}, nil)
-	var told []relay.Asking
-	s.relay.Asked = func(a *relay.Asking) { told = append(told, *a) }
+	s := newTestEntry(t, []*upstream{u}, nil)
+	var told []relay.BackpressureEvent
+	s.relay.OnBackpressure = func(a *relay.BackpressureEvent) { told = append(told, *a) }
 	for n := range says {
 		if got := s.do(s.request("POST", "/safe/x", fmt.Sprint(n), "")); got.Status != http.StatusOK {
 			t.Fatalf("status %d", got.Status)
@@ -38,16 +38,16 @@
 	}
 	var tried []ratelimit.Rate
 	for _, r := range s.records {
-		tried = append(tried, r.Tries[0].Limit)
+		tried = append(tried, r.Attempts[0].Limit)
 	}
 	id := ident.Incarnation("p0")
-	want := []relay.Asking{
-		{Kind: relay.AskingLimit, Upstream: id, Limit: 3.6},
-		{Kind: relay.AskingLimit, Upstream: id, Limit: 1.8, Was: 3.6},
-		{Kind: relay.AskingUnclear, Upstream: id},
-		{Kind: relay.AskingNoLimit, Upstream: id, Was: 1.8},
+	want := []relay.BackpressureEvent{
+		{Kind: relay.BackpressureLimit, Upstream: id, Limit: 3.6},
+		{Kind: relay.BackpressureLimit, Upstream: id, Limit: 1.8, PreviousLimit: 3.6},
+		{Kind: relay.BackpressureUnreadable, Upstream: id},
+		{Kind: relay.BackpressureLimitRemoved, Upstream: id, PreviousLimit: 1.8},
 	}
-	if diff := cmp.Diff(want, told, cmpopts.IgnoreFields(relay.Asking{}, "Since", "Err")); diff != "" {
+	if diff := cmp.Diff(want, told, cmpopts.IgnoreFields(relay.BackpressureEvent{}, "Since", "Err")); diff != "" {
 		t.Errorf("told (-want +got):\n%s", diff)
 	}
 	if code := result.CodeOf(told[2].Err); code != result.LimitUnreadable {
@@ -62,16 +62,16 @@
 func TestWordsThatNothingReadsAreTold(t *testing.T) {
 	u := newUpstream(t, always(func(c net.Conn, r *http.Request) bool {
 		body := "answer to " + r.Header.Get("Request")
-		_, err := io.WriteString(c, head(r, 200, signature, "Queue-Hint: 7", "Weights: 3", "Limit: 50", fmt.Sprintf("Content-Length: %d", len(body)))+body)
+		_, err := io.WriteString(c, answerHead(r, 200, signature, "Queue-Hint: 7", "Weights: 3", "Limit: 50", fmt.Sprintf("Content-Length: %d", len(body)))+body)
 		return err == nil
 	}))
-	s := newSite(t, []*upstream{u}, nil)
-	n := names()
+	s := newTestEntry(t, []*upstream{u}, nil)
+	n := headerNames()
 	n.Application = []string{"weights"}
-	s.relay.Unread = unread.New[ident.Incarnation](n.Known()...)
-	var told []relay.Asking
-	s.relay.Asked = func(a *relay.Asking) {
-		if a.Kind == relay.AskingUnread {
+	s.relay.Unrecognized = unread.New[ident.Incarnation](n.Recognized()...)
+	var told []relay.BackpressureEvent
+	s.relay.OnBackpressure = func(a *relay.BackpressureEvent) {
+		if a.Kind == relay.BackpressureUnrecognized {
 			told = append(told, *a)
 		}
 	}
@@ -79,7 +79,7 @@
 		s.do(s.request("POST", "/safe/x", fmt.Sprint(n), ""))
 		s.relay.Wait()
 	}
-	want := []relay.Asking{{Kind: relay.AskingUnread, Upstream: "p0", Word: "Queue-Hint", Value: "7"}}
+	want := []relay.BackpressureEvent{{Kind: relay.BackpressureUnrecognized, Upstream: "p0", HeaderName: "Queue-Hint", HeaderValue: "7"}}
 	if diff := cmp.Diff(want, told); diff != "" {
 		t.Errorf("told (-want +got):\n%s", diff)
 	}
--- a/relay/limit_test.go
+++ b/relay/limit_test.go
@@ -28,73 +28,73 @@
 )
 
 const (
-	// limitHeads are the upstreams, of which the first names a limit from askAt on; limitPerSecond requests come to all entries in a second.
-	limitHeads     = 3
-	limitPerSecond = 100
-	limitLasts     = 12 * time.Second
+	// limitHeads are the upstreams, of which the first names a limit from signalAt on; limitPerSecond requests come to all entries in a second.
+	limitHeads        = 3
+	limitPerSecond    = 100
+	limitTestDuration = 12 * time.Second
 	// limitKnown is when all entries know of a limit at the latest after the first answer with it: what was sent before has come, and the
 	// news have been told.
-	limitKnown = askTrip + datagramTime + time.Millisecond
+	limitKnown = upstreamRoundTrip + datagramDelay + time.Millisecond
 	// limitJitter is how much sooner than others a request may come, since connections take a while to open.
-	limitJitter = 3 * askTrip
+	limitJitter = 3 * upstreamRoundTrip
 )
 
-// team is several entries before the same upstreams, which hear each other's news.
-type team struct {
-	mu     sync.Mutex
-	sites  []*askSite
-	names  []string
-	byName map[string]int
-	random *rand.Rand
-	// deaf are entries that get no news from others and whose news get to nobody, cut those that the leader does not confirm anything to,
+// cluster is several entries before the same upstreams, which hear each other's news.
+type cluster struct {
+	mu             sync.Mutex
+	entries        []*signalEntry
+	addresses      []string
+	indexByAddress map[string]int
+	random         *rand.Rand
+	// isolated are entries that get no news from others and whose news get to nobody, cut those that the leader does not confirm anything to,
 	// dead those that no request comes to; loses is the part of the news that is lost.
-	deaf, cut, dead map[int]bool
-	loses           float64
-	// gone are entries that others have taken the place of.
-	gone []*askSite
-	// told are the newest words that the leader has heard of limits.
-	told *ratelimit.Words[ident.Incarnation]
+	isolated, unconfirmed, withoutCallers map[int]bool
+	lossRate                              float64
+	// replaced are entries that others have taken the place of.
+	replaced []*signalEntry
+	// leaderLimits are the newest words that the leader has heard of limits.
+	leaderLimits *ratelimit.LimitTable[ident.Incarnation]
 }
 
-// confirmEvery is how often entries ask the leader.
-const confirmEvery = 100 * time.Millisecond
+// leaderSyncInterval is how often entries ask the leader.
+const leaderSyncInterval = 100 * time.Millisecond
 
-// newTeam returns entries that know each other.
-func newTeam(entries, upstreams int) *team {
-	g := &team{
-		sites: []*askSite{newAskSite(upstreams)}, random: rand.New(rand.NewPCG(3, 3)), byName: map[string]int{},
-		deaf: map[int]bool{}, cut: map[int]bool{}, dead: map[int]bool{}, told: ratelimit.NewWords[ident.Incarnation](),
+// newCluster returns entries that know each other.
+func newCluster(entries, upstreams int) *cluster {
+	g := &cluster{
+		entries: []*signalEntry{newSignalEntry(upstreams)}, random: rand.New(rand.NewPCG(3, 3)), indexByAddress: map[string]int{},
+		isolated: map[int]bool{}, unconfirmed: map[int]bool{}, withoutCallers: map[int]bool{}, leaderLimits: ratelimit.NewLimitTable[ident.Incarnation](),
 	}
 	for range entries - 1 {
-		g.sites = append(g.sites, askSiteBefore(g.sites[0].upstreams))
+		g.entries = append(g.entries, newSignalEntryFor(g.entries[0].upstreams))
 	}
 	for i := range entries {
 		name := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 200), byte(i % 200)}), 7).String()
-		g.names = append(g.names, name)
-		g.byName[name] = i
+		g.addresses = append(g.addresses, name)
+		g.indexByAddress[name] = i
 	}
-	for i := range g.sites {
-		g.join(i)
-		g.sites[i].relay.SetEntries(sharing.New(g.names[i], map[ident.Hall][]string{"": g.names}))
+	for i := range g.entries {
+		g.connect(i)
+		g.entries[i].relay.SetEntries(sharing.New(g.addresses[i], map[ident.Hall][]string{"": g.addresses}))
 	}
 	return g
 }
 
-// join lets an entry tell the others, and hear them.
-func (g *team) join(i int) {
-	s := g.sites[i]
-	s.relay.Draw = rand.New(rand.NewPCG(uint64(i), 1)).IntN
-	s.relay.Limits.Draw = rand.New(rand.NewPCG(uint64(i), 2)).Float64
-	s.relay.Budget.SetEntries(len(g.sites))
-	s.relay.Tell = func(n relay.News, to []string) {
+// connect lets an entry tell the others, and hear them.
+func (g *cluster) connect(i int) {
+	s := g.entries[i]
+	s.relay.RandomInt = rand.New(rand.NewPCG(uint64(i), 1)).IntN
+	s.relay.Limits.Random = rand.New(rand.NewPCG(uint64(i), 2)).Float64
+	s.relay.Budget.SetEntries(len(g.entries))
+	s.relay.SendUpdate = func(n relay.EntryUpdate, to []string) {
 		if to == nil {
-			to = g.names
+			to = g.addresses
 		}
 		for _, name := range to {
-			if j, ok := g.byName[name]; ok && j != i {
-				time.AfterFunc(datagramTime, func() {
-					if hearer := g.hearer(s, i, j); hearer != nil {
-						hearer.relay.Hear(n, netip.MustParseAddrPort(g.names[i]))
+			if j, ok := g.indexByAddress[name]; ok && j != i {
+				time.AfterFunc(datagramDelay, func() {
+					if hearer := g.receiver(s, i, j); hearer != nil {
+						hearer.relay.Receive(n, netip.MustParseAddrPort(g.addresses[i]))
 					}
 				})
 			}
@@ -102,107 +102,107 @@
 	}
 }
 
-// hearer returns who hears news of an entry in the place of another one, nobody when they are lost.
-func (g *team) hearer(from *askSite, i, j int) *askSite {
+// receiver returns who hears news of an entry in the place of another one, nobody when they are lost.
+func (g *cluster) receiver(from *signalEntry, i, j int) *signalEntry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	lost := g.loses > 0 && g.random.Float64() < g.loses
-	if lost || g.sites[i] != from || g.deaf[i] || g.deaf[j] {
+	lost := g.lossRate > 0 && g.random.Float64() < g.lossRate
+	if lost || g.entries[i] != from || g.isolated[i] || g.isolated[j] {
 		return nil
 	}
-	return g.sites[j]
+	return g.entries[j]
 }
 
-// entry returns one that takes a request, the first ones more often than the last ones.
-func (g *team) entry() *askSite {
+// pickEntry returns one that takes a request, the first ones more often than the last ones.
+func (g *cluster) pickEntry() *signalEntry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	i := min(g.random.IntN(len(g.sites)), g.random.IntN(len(g.sites)))
-	for g.dead[i] {
-		i = (i + 1) % len(g.sites)
+	i := min(g.random.IntN(len(g.entries)), g.random.IntN(len(g.entries)))
+	for g.withoutCallers[i] {
+		i = (i + 1) % len(g.entries)
 	}
-	return g.sites[i]
+	return g.entries[i]
 }
 
-// draw returns a random number from 0 to 1.
-func (g *team) draw() float64 {
+// randomFraction returns a random number from 0 to 1.
+func (g *cluster) randomFraction() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.random.Float64()
 }
 
 // load lets requests come to entries, and returns when all have ended.
-func (g *team) load(path string, perSecond float64, lasts time.Duration) {
+func (g *cluster) load(path string, perSecond float64, lasts time.Duration) {
 	began := time.Now()
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for time.Since(began) < lasts {
-			g.confirm()
-			time.Sleep(confirmEvery)
+			g.syncWithLeader()
+			time.Sleep(leaderSyncInterval)
 		}
 	})
 	for n := 0; time.Since(began) < lasts; n++ {
-		time.Sleep(time.Duration(-math.Log(1-g.draw()) / perSecond * float64(time.Second)))
-		s := g.entry()
-		wg.Go(func() { s.ask(path, strconv.Itoa(n)) })
+		time.Sleep(time.Duration(-math.Log(1-g.randomFraction()) / perSecond * float64(time.Second)))
+		s := g.pickEntry()
+		wg.Go(func() { s.send(path, strconv.Itoa(n)) })
 	}
 	wg.Wait()
-	for _, u := range g.sites[0].upstreams {
+	for _, u := range g.entries[0].upstreams {
 		u.close()
 	}
 }
 
-// confirm tells entries, as the leader does, that what they have is the newest, and what the others have at each upstream.
-func (g *team) confirm() {
+// syncWithLeader tells entries, as the leader does, that what they have is the newest, and what the others have at each upstream.
+func (g *cluster) syncWithLeader() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	totals, apart := map[ident.Incarnation]int{}, map[ident.Incarnation]int{}
-	own := make([]map[ident.Incarnation]int, len(g.sites))
-	for i, s := range g.sites {
+	own := make([]map[ident.Incarnation]int, len(g.entries))
+	for i, s := range g.entries {
 		own[i] = map[ident.Incarnation]int{}
-		seen, _ := s.relay.Look()
+		seen, _ := s.relay.CollectObservations()
 		for _, one := range seen {
 			own[i][one.ID] = one.Inflight
 			totals[one.ID] += one.Inflight
-			if one.Limit == nil || g.cut[i] {
+			if one.Limit == nil || g.unconfirmed[i] {
 				continue
 			}
 			if one.Limit.Apart {
 				apart[one.ID]++
 			}
 			if one.Limit.Own {
-				g.told.Hear(one.ID, one.Limit.Rate, time.Now().Add(-one.Limit.Said))
+				g.leaderLimits.Merge(one.ID, one.Limit.Rate, time.Now().Add(-one.Limit.Said))
 			}
 		}
 	}
-	for i, s := range g.sites {
-		if g.cut[i] {
+	for i, s := range g.entries {
+		if g.unconfirmed[i] {
 			continue
 		}
 		others := map[ident.Incarnation]int{}
 		for id, total := range totals {
 			others[id] = total - own[i][id]
 		}
-		s.relay.SetOthers(others)
-		s.relay.Limits.SetApart(apart)
-		g.tell(s)
+		s.relay.SetPeerCounts(others)
+		s.relay.Limits.SetLocalShares(apart)
+		g.sendLimits(s)
 		s.relay.SetConfirmed(time.Now())
 	}
 }
 
-// tell tells an entry of the limits that the leader has heard of lately.
-func (g *team) tell(s *askSite) {
-	g.told.Each(func(id ident.Incarnation, w ratelimit.Word) {
-		if age := time.Since(w.At); w.Limited() && age < 5*time.Second {
-			s.relay.HearLimit(id, w.Rate, age)
+// sendLimits tells an entry of the limits that the leader has heard of lately.
+func (g *cluster) sendLimits(s *signalEntry) {
+	g.leaderLimits.Each(func(id ident.Incarnation, w ratelimit.Limit) {
+		if age := time.Since(w.LastSeen); w.Limited() && age < 5*time.Second {
+			s.relay.ApplyLimit(id, w.Rate, age)
 		}
 	})
 }
 
 // records returns how requests went, at all entries.
-func (g *team) records() []*relay.Record {
+func (g *cluster) records() []*relay.Record {
 	var all []*relay.Record
-	for _, s := range g.sites {
+	for _, s := range g.entries {
 		s.relay.Wait()
 		all = append(all, s.records...)
 	}
@@ -210,11 +210,11 @@
 }
 
 // arrivals returns when requests came to u from a moment on, until another one.
-func (u *asker) arrivals(from, to time.Time) []time.Time {
+func (u *signalingUpstream) arrivals(from, to time.Time) []time.Time {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var list []time.Time
-	for _, at := range u.arrived {
+	for _, at := range u.arrivedAt {
 		if !at.Before(from) && at.Before(to) {
 			list = append(list, at)
 		}
@@ -222,8 +222,8 @@
 	return list
 }
 
-// mostIn returns the most arrivals in any span of that length.
-func mostIn(list []time.Time, span time.Duration) int {
+// maxInSpan returns the most arrivals in any span of that length.
+func maxInSpan(list []time.Time, span time.Duration) int {
 	most, first := 0, 0
 	for i := range list {
 		for list[i].Sub(list[first]) >= span {
@@ -234,8 +234,8 @@
 	return most
 }
 
-// beyond returns by how many requests the arrivals are beyond the rate in the span where they are furthest beyond it.
-func beyond(list []time.Time, rate ratelimit.Rate) float64 {
+// maxExcess returns by how many requests the arrivals are beyond the rate in the span where they are furthest beyond it.
+func maxExcess(list []time.Time, rate ratelimit.Rate) float64 {
 	most := 0.0
 	for i := range list {
 		for j := range i + 1 {
@@ -267,29 +267,29 @@
 	} {
 		t.Run(c.name(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := newTeam(c.entries, limitHeads)
-				u := g.sites[0].upstreams[0]
+				g := newCluster(c.entries, limitHeads)
+				u := g.entries[0].upstreams[0]
 				began := time.Now()
-				time.AfterFunc(askAt, func() { u.limits(c.limit) })
-				g.load(c.path, limitPerSecond, limitLasts)
-				if u.named.IsZero() {
+				time.AfterFunc(signalAt, func() { u.setLimit(c.limit) })
+				g.load(c.path, limitPerSecond, limitTestDuration)
+				if u.limitNamedAt.IsZero() {
 					t.Fatal("nothing came once it named a limit: the test shows nothing")
 				}
-				known := u.arrivals(u.named.Add(limitKnown), began.Add(limitLasts))
+				known := u.arrivals(u.limitNamedAt.Add(limitKnown), began.Add(limitTestDuration))
 				const span = 4 * time.Second
-				if got, most := mostIn(known, span), float64(c.limit)*span.Seconds()*1.5+5; float64(got) > most {
+				if got, most := maxInSpan(known, span), float64(c.limit)*span.Seconds()*1.5+5; float64(got) > most {
 					t.Errorf("%d requests in %v, want %.0f at most", got, span, most)
 				}
-				if got := beyond(known, c.limit); got > 1 {
+				if got := maxExcess(known, c.limit); got > 1 {
 					t.Errorf("%.1f requests beyond the limit in some span, want 1 at most", got)
 				}
-				wants := float64(c.limit) * (limitLasts - askAt).Seconds()
+				wants := float64(c.limit) * (limitTestDuration - signalAt).Seconds()
 				if got := float64(len(known)); got < 0.9*wants-1 {
 					t.Errorf("%.0f requests in all, want nine tenths of %.0f", got, wants)
 				}
 				for _, r := range g.records() {
-					if r.Code != 0 || r.First > config().Routes[0].Aim {
-						t.Errorf("request %s: code %d, %s, after %v", r.ID, r.Code, r.Text, r.First)
+					if r.Code != 0 || r.FirstEvent > config().Routes[0].Aim {
+						t.Errorf("request %s: code %d, %s, after %v", r.ID, r.Code, r.ErrorText, r.FirstEvent)
 					}
 				}
 			})
--- a/relay/memory.go
+++ b/relay/memory.go
@@ -16,23 +16,23 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// memoryDefault bounds bodies, and answers, where nobody sets another bound, in bytes.
-const memoryDefault = 64 << 20
+// defaultMemoryBytes bounds bodies, and answers, where nobody sets another bound, in bytes.
+const defaultMemoryBytes = 64 << 20
 
-var errNoMemory = errors.New("too much is held for other requests")
+var errMemoryLimit = errors.New("too much is held for other requests")
 
 // memory is what may be held for all requests together.
 type memory struct {
 	bodies, answers *semaphore.Weighted
-	most            int64
+	maxBytes        int64
 }
 
 func newMemory(most int64) *memory {
 	return &memory{semaphore.NewWeighted(most), semaphore.NewWeighted(most), most}
 }
 
-// SetMemory bounds the bodies, and the answers, that are held at the same moment, in bytes; it is called before the relay serves.
-func (s *Relay) SetMemory(most int64) {
+// SetMemoryLimit bounds the bodies, and the answers, that are held at the same moment, in bytes; it is called before the relay serves.
+func (s *Relay) SetMemoryLimit(most int64) {
 	s.memory = newMemory(most)
 }
 
@@ -45,36 +45,36 @@
 func (r *bodyReader) Read(b []byte) (int, error) {
 	n, err := r.Reader.Read(b)
 	if n > 0 && !r.x.s.memory.bodies.TryAcquire(int64(n)) {
-		return 0, errNoMemory
+		return 0, errMemoryLimit
 	}
-	r.x.heldBody += int64(n)
+	r.x.bodyBytes += int64(n)
 	return n, err
 }
 
-// holdAnswer waits until there is room for an answer.
-func (x *exchange) holdAnswer(resp *http.Response) error {
+// reserveAnswer waits until there is room for an answer.
+func (x *exchange) reserveAnswer(resp *http.Response) error {
 	size := resp.ContentLength
-	if size < 0 || size > maxAnswer {
-		size = maxAnswer
+	if size < 0 || size > maxAnswerBytes {
+		size = maxAnswerBytes
 	}
-	size = min(size, x.s.memory.most)
-	ctx, cancel := context.WithTimeout(x.r.Context(), x.left())
+	size = min(size, x.s.memory.maxBytes)
+	ctx, cancel := context.WithTimeout(x.r.Context(), x.timeLeft())
 	defer cancel()
 	if err := x.s.memory.answers.Acquire(ctx, size); err != nil {
 		return result.Wrap(err, result.TimedOut, "no room for the answer in time")
 	}
-	x.heldAnswer += size
+	x.answerBytes += size
 	return nil
 }
 
 // releaseMemory gives back what was held for the request.
 func (x *exchange) releaseMemory() {
-	x.s.memory.bodies.Release(x.heldBody)
+	x.s.memory.bodies.Release(x.bodyBytes)
 	x.releaseAnswer()
-	x.heldBody = 0
+	x.bodyBytes = 0
 }
 
 func (x *exchange) releaseAnswer() {
-	x.s.memory.answers.Release(x.heldAnswer)
-	x.heldAnswer = 0
+	x.s.memory.answers.Release(x.answerBytes)
+	x.answerBytes = 0
 }
--- a/relay/memory_test.go
+++ b/relay/memory_test.go
@@ -16,26 +16,26 @@
 
 // slowBody gives half of a body at once, and the rest when it is let go.
 type slowBody struct {
-	half io.Reader
-	rest <-chan struct{}
-	last io.Reader
+	firstHalf  io.Reader
+	resume     <-chan struct{}
+	secondHalf io.Reader
 }
 
 func (b *slowBody) Read(p []byte) (int, error) {
-	if n, err := b.half.Read(p); err == nil {
+	if n, err := b.firstHalf.Read(p); err == nil {
 		return n, nil
 	}
-	<-b.rest
-	return b.last.Read(p)
+	<-b.resume
+	return b.secondHalf.Read(p)
 }
 
 // Bodies that come slowly are held within a bound over all requests: what is beyond it is refused at once as not run, and what is held ends
 // well.
-func TestSlowBodiesAreBounded(t *testing.T) {
+func TestMemoryOfSlowBodiesIsBounded(t *testing.T) {
 	const size, callers, fit = 100 << 10, 12, 4
-	u := newUpstream(t, always(whole))
-	s := newSite(t, []*upstream{u}, nil)
-	s.relay.SetMemory(fit * size)
+	u := newUpstream(t, always(respondComplete))
+	s := newTestEntry(t, []*upstream{u}, nil)
+	s.relay.SetMemoryLimit(fit * size)
 	rest := make(chan struct{})
 	var wg sync.WaitGroup
 	statuses := make(chan int, callers)
@@ -75,20 +75,20 @@
 	}
 	for _, r := range s.records {
 		if r.Code != result.OK && r.Code != result.Overloaded {
-			t.Errorf("code %d, %s", r.Code, r.Text)
+			t.Errorf("code %d, %s", r.Code, r.ErrorText)
 		}
 	}
 }
 
 // An answer that its caller does not read takes room that others wait for, at their upstreams; it is whole all the same.
-func TestSlowReadersOfAnswersAreBounded(t *testing.T) {
+func TestMemoryOfSlowReadersIsBounded(t *testing.T) {
 	body := strings.Repeat("y", 300<<10)
 	u := newUpstream(t, func(c net.Conn, r *http.Request, _ int) bool {
-		_, err := io.WriteString(c, head(r, 200, signature, fmt.Sprintf("Content-Length: %d", len(body)))+body)
+		_, err := io.WriteString(c, answerHead(r, 200, signature, fmt.Sprintf("Content-Length: %d", len(body)))+body)
 		return err == nil
 	})
-	s := newSite(t, []*upstream{u}, nil)
-	s.relay.SetMemory(int64(len(body)) + 1000)
+	s := newTestEntry(t, []*upstream{u}, nil)
+	s.relay.SetMemoryLimit(int64(len(body)) + 1000)
 	var wg sync.WaitGroup
 	for i := range 4 {
 		wg.Go(func() {
@@ -106,7 +106,7 @@
 	event := "id: %d\ndata: " + strings.Repeat("z", 500) + "\n\n"
 	for b.Loop() {
 		u := newUpstream(b, func(c net.Conn, r *http.Request, _ int) bool {
-			_, _ = io.WriteString(c, head(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked"))
+			_, _ = io.WriteString(c, answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked"))
 			for n := range 10_000 {
 				text := fmt.Sprintf(event, n+1)
 				if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text); err != nil {
@@ -115,10 +115,10 @@
 			}
 			return false
 		})
-		s := newSite(b, nil, []*upstream{u})
+		s := newTestEntry(b, nil, []*upstream{u})
 		var conns []net.Conn
 		for i := range readers {
-			c, err := net.Dial("tcp", strings.TrimPrefix(s.front.URL, "http://"))
+			c, err := net.Dial("tcp", strings.TrimPrefix(s.server.URL, "http://"))
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/relay/names.go
+++ b/relay/names.go
@@ -2,8 +2,8 @@
 
 import "github.com/dunlinquay/dunlinquay/backoff"
 
-// Names are the header names that callers and upstreams use; the adapter to a platform fills them in.
-type Names struct {
+// HeaderNames are the header names that callers and upstreams use; the adapter to a platform fills them in.
+type HeaderNames struct {
 	// RequestID names a request; upstreams repeat it in their answers.
 	RequestID string
 	// Deadline is how many milliseconds the caller still waits.
@@ -24,19 +24,19 @@
 	// Model names the model, Tokens has the prompt's tokens and the most tokens of the answer.
 	Model  string
 	Tokens string
-	// Estimate is the caller's guess of the answer's tokens: right at the median, often far off.
-	Estimate string
+	// AnswerEstimate is the caller's guess of the answer's tokens: right at the median, often far off.
+	AnswerEstimate string
 	// Priority orders requests at an engine; 0 goes first.
 	Priority string
-	// Words are those in which upstreams ask for something.
-	Words backoff.Words
+	// Backpressure are those in which upstreams ask for something.
+	Backpressure backoff.HeaderNames
 	// Application are headers of answers that are between the application and its callers.
 	Application []string
 }
 
-// Known returns the headers of answers that are read here, or that are not meant for us.
-func (n *Names) Known() []string {
+// Recognized returns the headers of answers that are read here, or that are not meant for us.
+func (n *HeaderNames) Recognized() []string {
 	return append([]string{
-		n.RequestID, n.Signature, n.NotRun, n.Blamed, n.EventID, n.Words.Leaving, n.Words.Limit,
+		n.RequestID, n.Signature, n.NotRun, n.Blamed, n.EventID, n.Backpressure.Leaving, n.Backpressure.Limit,
 	}, n.Application...)
 }
--- a/relay/pauses_test.go
+++ b/relay/pauses_test.go
@@ -10,13 +10,13 @@
 
 // The leader is told of the events that came since it was told last, once.
 func TestLookTellsPauses(t *testing.T) {
-	head := newUpstream(t, always(func(c net.Conn, r *http.Request) bool { return stream(c, r, 1, 5, true) }))
-	s := newSite(t, nil, []*upstream{head})
-	if got := s.do(s.request("POST", "/stream/x", "1", "")); !got.Whole {
+	head := newUpstream(t, always(func(c net.Conn, r *http.Request) bool { return respondStream(c, r, 1, 5, true) }))
+	s := newTestEntry(t, nil, []*upstream{head})
+	if got := s.do(s.request("POST", "/stream/x", "1", "")); !got.Complete {
 		t.Fatalf("no whole answer: %+v", got)
 	}
-	look := func() relay.Seen {
-		seen, _ := s.relay.Look()
+	look := func() relay.Observation {
+		seen, _ := s.relay.CollectObservations()
 		if len(seen) != 1 {
 			t.Fatalf("%d upstreams were seen", len(seen))
 		}
--- a/relay/place_test.go
+++ b/relay/place_test.go
@@ -23,8 +23,8 @@
 	return cfg
 }
 
-// holding returns heads that keep requests until release is called, and where each request arrived, in order.
-func holding(t *testing.T, n int) (heads []*upstream, arrived chan ident.Incarnation, release func()) {
+// holdingHeads returns heads that keep requests until release is called, and where each request arrived, in order.
+func holdingHeads(t *testing.T, n int) (heads []*upstream, arrived chan ident.Incarnation, release func()) {
 	t.Helper()
 	held := make(chan struct{})
 	arrived = make(chan ident.Incarnation, 16)
@@ -32,7 +32,7 @@
 		heads = append(heads, newUpstream(t, always(func(c net.Conn, r *http.Request) bool {
 			arrived <- ident.Incarnation(r.Header.Get("Life"))
 			<-held
-			return stream(c, r, 1, 2, true)
+			return respondStream(c, r, 1, 2, true)
 		})))
 	}
 	return heads, arrived, sync.OnceFunc(func() { close(held) })
@@ -40,8 +40,8 @@
 
 // A long prompt that is still to be read weighs more than two short ones: the next request goes to where these are.
 func TestRequestsAvoidLongPrompts(t *testing.T) {
-	heads, arrived, release := holding(t, 2)
-	s := newSite(t, nil, heads)
+	heads, arrived, release := holdingHeads(t, 2)
+	s := newTestEntry(t, nil, heads)
 	// Requests are not to be moved while they are held.
 	cfg := timedConfig()
 	cfg.Routes[2].Attempts = 1
@@ -67,13 +67,13 @@
 
 // What another entry sent a moment ago counts like an own prompt, until it is read.
 func TestRequestsAvoidPromptsOfOthers(t *testing.T) {
-	heads, arrived, release := holding(t, 2)
-	s := newSite(t, nil, heads)
+	heads, arrived, release := holdingHeads(t, 2)
+	s := newTestEntry(t, nil, heads)
 	cfg := timedConfig()
 	cfg.Routes[2].Attempts = 1
 	s.relay.SetConfig(cfg)
-	var told []relay.News
-	s.relay.Tell = func(n relay.News, _ []string) { told = append(told, n) }
+	var told []relay.EntryUpdate
+	s.relay.SendUpdate = func(n relay.EntryUpdate, _ []string) { told = append(told, n) }
 	now := time.Now()
 	s.relay.Now = func() time.Time { return now }
 	var wg sync.WaitGroup
@@ -85,8 +85,8 @@
 		wg.Go(func() { s.do(r) })
 		return <-arrived
 	}
-	for _, n := range []relay.News{{Head: "h0", Prompt: 20_000}, {Head: "unknown", Prompt: 5}, {Head: "h1", Prompt: -70_000}} {
-		s.relay.Hear(n, netip.AddrPort{})
+	for _, n := range []relay.EntryUpdate{{Head: "h0", PromptTokens: 20_000}, {Head: "unknown", PromptTokens: 5}, {Head: "h1", PromptTokens: -70_000}} {
+		s.relay.Receive(n, netip.AddrPort{})
 	}
 	got := []ident.Incarnation{send("a"), send("b")}
 	now = now.Add(time.Second)
@@ -94,7 +94,7 @@
 	if diff := cmp.Diff([]ident.Incarnation{"h1", "h1", "h0"}, got); diff != "" {
 		t.Errorf("where requests went beside 20,000 tokens of another entry at h0 (-want +got):\n%s", diff)
 	}
-	want := []relay.News{{Head: "h1", Prompt: 2000}, {Head: "h1", Prompt: 2000}, {Head: "h0", Prompt: 2000}}
+	want := []relay.EntryUpdate{{Head: "h1", PromptTokens: 2000}, {Head: "h1", PromptTokens: 2000}, {Head: "h0", PromptTokens: 2000}}
 	if diff := cmp.Diff(want, told); diff != "" {
 		t.Errorf("what the other entries are told (-want +got):\n%s", diff)
 	}
@@ -102,8 +102,8 @@
 
 // What the leader counted a while ago is brought up to date by what was heard since: some of it has ended, more has come.
 func TestCountsAreBroughtUpToDate(t *testing.T) {
-	heads, arrived, release := holding(t, 1)
-	s := newSite(t, nil, heads)
+	heads, arrived, release := holdingHeads(t, 1)
+	s := newTestEntry(t, nil, heads)
 	cfg := timedConfig()
 	cfg.Services[1].Engine.Usual = httproute.Usual{Prompt: 100, Answer: 100}
 	cfg.Services[1].Engine.Slots = 40
@@ -121,10 +121,10 @@
 		<-arrived
 	}
 	ask("first")
-	s.relay.SetOthers(map[ident.Incarnation]int{"h0": 2})
+	s.relay.SetPeerCounts(map[ident.Incarnation]int{"h0": 2})
 	now = now.Add(1400 * time.Millisecond)
 	for range 2 {
-		s.relay.Hear(relay.News{Head: "h0", Prompt: 100}, netip.AddrPort{})
+		s.relay.Receive(relay.EntryUpdate{Head: "h0", PromptTokens: 100}, netip.AddrPort{})
 	}
 	now = now.Add(200 * time.Millisecond)
 	// An answer of 100 tokens stays for 1.4 s with all slots taken: after 1.6 s one of two is left, and two were sent since.
--- a/relay/priority_test.go
+++ b/relay/priority_test.go
@@ -27,9 +27,9 @@
 			got := make(chan string, 1)
 			u := newUpstream(t, always(func(conn net.Conn, r *http.Request) bool {
 				got <- r.Header.Get("Priority")
-				return stream(conn, r, 3, 4, true)
+				return respondStream(conn, r, 3, 4, true)
 			}))
-			s := newSite(t, nil, []*upstream{u})
+			s := newTestEntry(t, nil, []*upstream{u})
 			// The second look at the clock is the one at which the request is sent on.
 			start := time.Now()
 			var looks atomic.Int64
