--- a/relay/relay.go
+++ b/relay/relay.go
@@ -25,120 +25,120 @@
 )
 
 const (
-	// stallSuspect is how long requests may wait at an engine without a sign before it is avoided: a pass with a full
+	// silenceLimit is how long requests may wait at an engine without a sign before it is avoided: a pass with a full
 	// batch takes 70 ms, with a long prompt read in between 200 ms.
-	stallSuspect = 500 * time.Millisecond
-	// firstEventLimit and eventLimit are how long a stream waits for an event before it is moved to another group.
-	firstEventLimit = 900 * time.Millisecond
-	eventLimit      = 550 * time.Millisecond
-	// answerPart is the part of a repeatable request's aim after which it is tried elsewhere.
-	answerPart = 0.9
-	// lookAgain is how long a stalled stream waits before it looks for another group again.
-	lookAgain = 100 * time.Millisecond
+	silenceLimit = 500 * time.Millisecond
+	// firstEventTimeout and eventGapTimeout are how long a stream waits for an event before it is moved to another group.
+	firstEventTimeout = 900 * time.Millisecond
+	eventGapTimeout   = 550 * time.Millisecond
+	// answerAimFraction is the part of a repeatable request's aim after which it is tried elsewhere.
+	answerAimFraction = 0.9
+	// recheckInterval is how long a stalled stream waits before it looks for another group again.
+	recheckInterval = 100 * time.Millisecond
 	// dialTimeout bounds the opening of a connection; it takes a few milliseconds within a region, and what is sent again after
 	// a loss comes after a second.
 	dialTimeout = 60 * time.Millisecond
-	// maxArrivals bounds how often one request is sent, refusals included.
-	maxArrivals = 4
-	// leaveAhead is how long before keys lapse an entry stops being ready: balancers look each second or so, and want to miss it twice.
-	leaveAhead = 2500 * time.Millisecond
-	// unknownAfter is the age of the newest confirmation from the leader from which on an unknown route or key may be a new one.
-	unknownAfter = 1500 * time.Millisecond
+	// maxSends bounds how often one request is sent, refusals included.
+	maxSends = 4
+	// keyLapseMargin is how long before keys lapse an entry stops being ready: balancers look each second or so, and want to miss it twice.
+	keyLapseMargin = 2500 * time.Millisecond
+	// staleConfigAge is the age of the newest confirmation from the leader from which on an unknown route or key may be a new one.
+	staleConfigAge = 1500 * time.Millisecond
 )
 
 // Relay passes callers' requests on; exported fields are set before it serves.
 type Relay struct {
-	Names  Names
-	Hall   ident.Hall
-	Dial   transport.Dial
-	Now    func() time.Time
-	Budget *Budget
+	Headers HeaderNames
+	Hall    ident.Hall
+	Dial    transport.Dial
+	Now     func() time.Time
+	Budget  *RetryBudget
 	// Regions are those of the halls, for routes and customers that are bound to some.
 	Regions map[ident.Hall]ident.Region
-	// KeysLapse is how long after the leader's newest confirmation keys are still believed.
-	KeysLapse time.Duration
+	// KeyValidity is how long after the leader's newest confirmation keys are still believed.
+	KeyValidity time.Duration
 	// Observe takes each finished request; it must not block.
 	Observe func(r *Record)
-	// Tell passes on that a prompt was sent, to the entries that use the group or to all when there is no list; it must not block.
-	Tell func(n News, to []string)
+	// SendUpdate passes on that a prompt was sent, to the entries that use the group or to all when there is no list; it must not block.
+	SendUpdate func(n EntryUpdate, to []string)
 	// Quarantine is the work that is held because upstreams ended under it.
 	Quarantine *quarantine.List
-	// Note takes what operators are told of held work; it must not block.
-	Note func(h *Holding)
+	// OnQuarantine takes what operators are told of held work; it must not block.
+	OnQuarantine func(h *QuarantineEvent)
 	// Backoff is what upstreams asked this entry for, Asked takes what operators are told of it; it must not block.
-	Backoff *backoff.List[ident.Incarnation]
-	Asked   func(a *Asking)
+	Backoff        *backoff.List[ident.Incarnation]
+	OnBackpressure func(a *BackpressureEvent)
 	// Limits keep this entry, together with all others, within the limits that upstreams named.
 	Limits *ratelimit.Limiter[ident.Incarnation]
-	// Unread is what upstreams say in their answers that nothing here reads.
-	Unread *unread.List[ident.Incarnation]
-	// Draw returns a random number below n.
-	Draw func(n int) int
+	// Unrecognized is what upstreams say in their answers that nothing here reads.
+	Unrecognized *unread.List[ident.Incarnation]
+	// RandomInt returns a random number below n.
+	RandomInt func(n int) int
 
 	// memory bounds what is held for all requests.
 	memory *memory
-	// seats say which entry coordinates an upstream.
-	seats     *ratelimit.Seats
-	pool      *pool
-	table     atomic.Pointer[httproute.Table]
-	confirmed atomic.Pointer[time.Time]
-	stopping  atomic.Bool
-	working   sync.WaitGroup
-	// began is when this relay was made, informed is closed with the first confirmation by control.
-	began    time.Time
-	informed chan struct{}
+	// coordinators say which entry coordinates an upstream.
+	coordinators *ratelimit.Coordinators
+	pool         *connPool
+	table        atomic.Pointer[httproute.Table]
+	confirmedAt  atomic.Pointer[time.Time]
+	stopping     atomic.Bool
+	inProgress   sync.WaitGroup
+	// createdAt is when this relay was made, informed is closed with the first confirmation by control.
+	createdAt         time.Time
+	firstConfirmation chan struct{}
 
-	mu      sync.Mutex
-	copied  *roster.Copy
-	entries *sharing.Entries
-	// entriesSince is when this entry last heard of another one that it had not known.
-	entriesSince time.Time
-	fleet        *fleet
-	states       map[ident.Incarnation]*targetState
-	counts       counts
-	demand       map[ident.Model]Demand
-	// launch is what first words took beyond the estimate, by model.
-	launch map[ident.Model]launch
-	// margins are what is learnt of when events of a model come, firstMargins of its first words.
-	margins      map[ident.Model]*stall.Margin
-	firstMargins map[ident.Model]*stall.Margin
+	mu         sync.Mutex
+	rosterCopy *roster.Copy
+	entries    *sharing.Entries
+	// newEntryAt is when this entry last heard of another one that it had not known.
+	newEntryAt time.Time
+	index      *targetIndex
+	states     map[ident.Incarnation]*targetState
+	peerCounts peerCounts
+	demand     map[ident.Model]Demand
+	// dispatchDelays is what first words took beyond the estimate, by model.
+	dispatchDelays map[ident.Model]dispatchDelay
+	// eventMargins are what is learnt of when events of a model come, firstEventMargins of its first words.
+	eventMargins      map[ident.Model]*stall.Margin
+	firstEventMargins map[ident.Model]*stall.Margin
 	// queues hold the requests that wait for groups, looking is set while any does.
-	queues  map[line]*overload.Queue[*waiting]
-	looking bool
-	// promised are the times until which callers of each line were told to come back for what upstreams take within their limits.
-	promised map[line]time.Time
-	// refused is when a request was last refused here.
-	refused time.Time
-	// usual are the times that callers of a class say they wait.
-	usual map[ident.Class]*overload.Usual
-	// telling is set while other entries are told of works by turns.
-	telling bool
+	queues            map[queueKey]*overload.Queue[*queuedRequest]
+	dispatchScheduled bool
+	// limitRetryTimes are the times until which callers of each line were told to come back for what upstreams take within their limits.
+	limitRetryTimes map[queueKey]time.Time
+	// lastRefusal is when a request was last refused here.
+	lastRefusal time.Time
+	// typicalWaits are the times that callers of a class say they wait.
+	typicalWaits map[ident.Class]*overload.TypicalWait
+	// quarantineSyncScheduled is set while other entries are told of works by turns.
+	quarantineSyncScheduled bool
 	// candidates are those of the choice in progress.
 	candidates candidates
-	// turns hold the stream whose turn it is, of those that were held at the start.
-	turns map[ident.Model]chan struct{}
+	// startSlots hold the stream whose turn it is, of those that were held at the start.
+	startSlots map[ident.Model]chan struct{}
 }
 
 // New returns a relay that knows no configuration yet.
-func New(names Names, dial transport.Dial) *Relay {
+func New(names HeaderNames, dial transport.Dial) *Relay {
 	s := &Relay{
-		Names: names, Dial: dial, Now: clock.Now, Observe: func(*Record) {}, Tell: func(News, []string) {}, Draw: rand.IntN,
-		Quarantine: &quarantine.List{Rule: quarantine.DefaultRule()}, Note: func(*Holding) {},
-		Backoff: backoff.New[ident.Incarnation](backoff.DefaultRule()), Asked: func(*Asking) {},
-		copied: roster.NewCopy(),
-		states: map[ident.Incarnation]*targetState{},
-		counts: counts{spill: map[ident.Model]float64{}},
-		demand: map[ident.Model]Demand{},
-		launch: map[ident.Model]launch{}, margins: map[ident.Model]*stall.Margin{}, firstMargins: map[ident.Model]*stall.Margin{},
-		queues: map[line]*overload.Queue[*waiting]{}, promised: map[line]time.Time{},
-		usual: map[ident.Class]*overload.Usual{},
-		turns: map[ident.Model]chan struct{}{},
-		began: clock.Now(), informed: make(chan struct{}), memory: newMemory(memoryDefault),
+		Headers: names, Dial: dial, Now: clock.Now, Observe: func(*Record) {}, SendUpdate: func(EntryUpdate, []string) {}, RandomInt: rand.IntN,
+		Quarantine: &quarantine.List{Rule: quarantine.DefaultRule()}, OnQuarantine: func(*QuarantineEvent) {},
+		Backoff: backoff.New[ident.Incarnation](backoff.DefaultRule()), OnBackpressure: func(*BackpressureEvent) {},
+		rosterCopy:     roster.NewCopy(),
+		states:         map[ident.Incarnation]*targetState{},
+		peerCounts:     peerCounts{spillCredit: map[ident.Model]float64{}},
+		demand:         map[ident.Model]Demand{},
+		dispatchDelays: map[ident.Model]dispatchDelay{}, eventMargins: map[ident.Model]*stall.Margin{}, firstEventMargins: map[ident.Model]*stall.Margin{},
+		queues: map[queueKey]*overload.Queue[*queuedRequest]{}, limitRetryTimes: map[queueKey]time.Time{},
+		typicalWaits: map[ident.Class]*overload.TypicalWait{},
+		startSlots:   map[ident.Model]chan struct{}{},
+		createdAt:    clock.Now(), firstConfirmation: make(chan struct{}), memory: newMemory(defaultMemoryBytes),
 	}
-	s.fleet = newFleet(s.copied, nil, nil, nil)
-	s.Limits = s.newLimits()
-	s.Unread = unread.New[ident.Incarnation](names.Known()...)
-	s.pool = newPool(dial, func() time.Time { return s.Now() })
+	s.index = newTargetIndex(s.rosterCopy, nil, nil, nil)
+	s.Limits = s.newLimiter()
+	s.Unrecognized = unread.New[ident.Incarnation](names.Recognized()...)
+	s.pool = newConnPool(dial, func() time.Time { return s.Now() })
 	return s
 }
 
@@ -148,9 +148,9 @@
 	s.table.Store(table)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.setFleet(newFleet(s.copied, table, s.entries, s.fleet.drained))
-	s.forgetClasses(cfg)
-	s.inform()
+	s.setIndex(newTargetIndex(s.rosterCopy, table, s.entries, s.index.drainedHalls))
+	s.dropUndeclaredClasses(cfg)
+	s.signalFirstConfirmation()
 }
 
 // Version returns the version in force, 0 when there is none.
@@ -161,27 +161,27 @@
 	return 0
 }
 
-// SetRoster applies what changed of upstreams and groups.
-func (s *Relay) SetRoster(d *roster.Delta) {
+// ApplyRoster applies what changed of upstreams and groups.
+func (s *Relay) ApplyRoster(d *roster.Delta) {
 	s.mu.Lock()
-	s.copied.Apply(d)
+	s.rosterCopy.Apply(d)
 	if d.Empty() {
 		s.mu.Unlock()
 		return
 	}
-	f := newFleet(s.copied, s.table.Load(), s.entries, s.fleet.drained)
-	s.setFleet(f)
+	f := newTargetIndex(s.rosterCopy, s.table.Load(), s.entries, s.index.drainedHalls)
+	s.setIndex(f)
 	now := s.Now()
 	for group, head := range f.heads {
-		s.state(head).belong(now, group)
+		s.stateFor(head).resetForGroup(now, group)
 	}
 	for id, ts := range s.states {
-		if !f.lives[id] && ts.inflight == 0 {
+		if !f.incarnations[id] && ts.inflight == 0 {
 			delete(s.states, id)
 		}
 	}
 	s.mu.Unlock()
-	s.Unread.Keep(func(id ident.Incarnation) bool { return f.lives[id] })
+	s.Unrecognized.Retain(func(id ident.Incarnation) bool { return f.incarnations[id] })
 	s.pool.prune(func(address string) bool { return f.addresses[address] })
 }
 
@@ -189,18 +189,18 @@
 func (s *Relay) SetEntries(entries *sharing.Entries) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.entries != nil && entries.Adds(s.entries) {
-		s.entriesSince = s.Now()
+	if s.entries != nil && entries.AddsTo(s.entries) {
+		s.newEntryAt = s.Now()
 	}
 	s.entries = entries
-	s.seats.Set(entries)
-	s.setFleet(newFleet(s.copied, s.table.Load(), entries, s.fleet.drained))
+	s.coordinators.SetEntries(entries)
+	s.setIndex(newTargetIndex(s.rosterCopy, s.table.Load(), entries, s.index.drainedHalls))
 }
 
-// setFleet puts targets in force; the mutex is held.
-func (s *Relay) setFleet(f *fleet) {
-	s.fleet = f
-	s.Limits.Words.SetCaps(f.caps)
+// setIndex puts targets in force; the mutex is held.
+func (s *Relay) setIndex(f *targetIndex) {
+	s.index = f
+	s.Limits.Table.SetCaps(f.coldLimits)
 }
 
 // SetDrained replaces the halls whose upstreams get no request from now on; what runs there goes on.
@@ -211,44 +211,44 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for hall := range s.fleet.drained {
+	for hall := range s.index.drainedHalls {
 		if !drained[hall] {
-			s.chill(hall)
+			s.markCold(hall)
 		}
 	}
-	s.setFleet(newFleet(s.copied, s.table.Load(), s.entries, drained))
+	s.setIndex(newTargetIndex(s.rosterCopy, s.table.Load(), s.entries, drained))
 }
 
-// Sums returns the digests of what this entry has of the roster, nil when it has nothing.
-func (s *Relay) Sums() *roster.Sums {
+// RosterSums returns the digests of what this entry has of the roster, nil when it has nothing.
+func (s *Relay) RosterSums() *roster.Digests {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.copied.Upstreams) == 0 {
+	if len(s.rosterCopy.Upstreams) == 0 {
 		return nil
 	}
-	return s.copied.Sums()
+	return s.rosterCopy.Digests()
 }
 
 // Upstreams returns the lives of upstreams that this entry knows.
 func (s *Relay) Upstreams() []ident.Incarnation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Collect(maps.Keys(s.fleet.lives))
+	return slices.Collect(maps.Keys(s.index.incarnations))
 }
 
 // Drained returns the halls whose upstreams get nothing new, in order.
 func (s *Relay) Drained() []ident.Hall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Sorted(maps.Keys(s.fleet.drained))
+	return slices.Sorted(maps.Keys(s.index.drainedHalls))
 }
 
-// chill takes the upstreams of a hall for cold until the leader says otherwise, as it does once they have reported; the mutex is held.
-func (s *Relay) chill(hall ident.Hall) {
-	for id, u := range s.copied.Upstreams {
+// markCold takes the upstreams of a hall for cold until the leader says otherwise, as it does once they have reported; the mutex is held.
+func (s *Relay) markCold(hall ident.Hall) {
+	for id, u := range s.rosterCopy.Upstreams {
 		if u.Hall == hall {
 			u.Cold = true
-			s.copied.Upstreams[id] = u
+			s.rosterCopy.Upstreams[id] = u
 		}
 	}
 }
@@ -257,20 +257,20 @@
 func (s *Relay) isDrained(hall ident.Hall) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fleet.drained[hall]
+	return s.index.drainedHalls[hall]
 }
 
 // SetConfirmed notes that everything the leader had confirmed at that moment is in force here.
 func (s *Relay) SetConfirmed(at time.Time) {
-	s.confirmed.Store(&at)
+	s.confirmedAt.Store(&at)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.inform()
+	s.signalFirstConfirmation()
 }
 
 // ConfirmedAge returns how old the leader's newest confirmation is; it is very large before the first.
 func (s *Relay) ConfirmedAge() time.Duration {
-	if at := s.confirmed.Load(); at != nil {
+	if at := s.confirmedAt.Load(); at != nil {
 		return s.Now().Sub(*at)
 	}
 	return time.Hour
@@ -278,13 +278,13 @@
 
 // Ready reports whether callers may come here: requests can be served, also when those that come now are.
 func (s *Relay) Ready() bool {
-	return !s.stopping.Load() && s.table.Load() != nil && !s.lapsesSoon()
+	return !s.stopping.Load() && s.table.Load() != nil && !s.keysLapseSoon()
 }
 
-// lapsesSoon reports whether keys are believed for less time than the balancer and callers need to go elsewhere: an entry that is cut off
+// keysLapseSoon reports whether keys are believed for less time than the balancer and callers need to go elsewhere: an entry that is cut off
 // from control would refuse them then.
-func (s *Relay) lapsesSoon() bool {
-	return s.ConfirmedAge() > s.KeysLapse-min(leaveAhead, s.KeysLapse/2)
+func (s *Relay) keysLapseSoon() bool {
+	return s.ConfirmedAge() > s.KeyValidity-min(keyLapseMargin, s.KeyValidity/2)
 }
 
 // Stop makes answers close their connections; requests go on being served.
@@ -304,8 +304,8 @@
 	Answer   ident.Tokens
 }
 
-// Seen is what this entry saw of one upstream that it has requests at or heard from.
-type Seen struct {
+// Observation is what this entry saw of one upstream that it has requests at or heard from.
+type Observation struct {
 	ID       ident.Incarnation
 	Group    ident.Group
 	Inflight int
@@ -320,36 +320,36 @@
 	Backoff time.Duration
 	Leaving bool
 	// Limit is what is known of its limit, nil where it has none.
-	Limit *LimitSeen
+	Limit *LimitObservation
 	// Events and Pauses are the events that came since the last look and the time between them, over all streams.
 	Events int
 	Pauses time.Duration
 }
 
-// Look returns what was seen of every upstream, and the demand since the last look.
-func (s *Relay) Look() ([]Seen, map[ident.Model]Demand) {
+// CollectObservations returns what was seen of every upstream, and the demand since the last look.
+func (s *Relay) CollectObservations() ([]Observation, map[ident.Model]Demand) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
 	groups := map[ident.Incarnation]ident.Group{}
-	for name, head := range s.fleet.heads {
+	for name, head := range s.index.heads {
 		groups[head] = name
 	}
-	var seen []Seen
+	var seen []Observation
 	for id, ts := range s.states {
-		stands := s.stalled(ts, now)
-		asked := s.Backoff.Of(now, id)
-		limit := s.limitSeen(id, now)
-		if ts.inflight == 0 && ts.answered.IsZero() && !ts.refused && !stands && asked.Left == 0 && limit == nil {
+		stands := s.declaredStalled(ts, now)
+		asked := s.Backoff.StateOf(now, id)
+		limit := s.limitObservation(id, now)
+		if ts.inflight == 0 && ts.lastContact.IsZero() && !ts.connectionRefused && !stands && asked.Remaining == 0 && limit == nil {
 			continue
 		}
-		one := Seen{ID: id, Group: groups[id], Inflight: ts.inflight, Answered: -1, Silence: ts.silence(now), Refused: ts.refused, Blamed: ts.blamed}
+		one := Observation{ID: id, Group: groups[id], Inflight: ts.inflight, Answered: -1, Silence: ts.waitWithoutProgress(now), Refused: ts.connectionRefused, Blamed: ts.blamedMember}
 		one.Stands = stands
-		one.Backoff, one.Leaving, one.Limit = asked.Left, asked.Leaving, limit
-		one.Events, one.Pauses = ts.events, ts.pauses
-		ts.events, ts.pauses = 0, 0
-		if !ts.answered.IsZero() {
-			one.Answered = now.Sub(ts.answered)
+		one.Backoff, one.Leaving, one.Limit = asked.Remaining, asked.Leaving, limit
+		one.Events, one.Pauses = ts.eventCount, ts.eventGapTotal
+		ts.eventCount, ts.eventGapTotal = 0, 0
+		if !ts.lastContact.IsZero() {
+			one.Answered = now.Sub(ts.lastContact)
 		}
 		seen = append(seen, one)
 	}
@@ -360,8 +360,8 @@
 
 // ServeHTTP takes one caller's request.
 func (s *Relay) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.working.Add(1)
-	defer s.working.Done()
+	s.inProgress.Add(1)
+	defer s.inProgress.Done()
 	x := s.newExchange(w, r)
 	defer x.releaseMemory()
 	err := x.admit()
@@ -373,7 +373,7 @@
 
 // Wait returns when no request is in progress.
 func (s *Relay) Wait() {
-	s.working.Wait()
+	s.inProgress.Wait()
 }
 
 // Record tells how one request went.
@@ -383,50 +383,50 @@
 	Customer ident.Customer
 	Model    ident.Model
 	// Content is the digest of the request's path and body.
-	Content ident.Content
-	Code    result.Code
-	Status  int
-	Text    string
+	Content   ident.Content
+	Code      result.Code
+	Status    int
+	ErrorText string
 	// Version and Revision are the configuration and the roster that decided, ConfirmedAge the age of the leader's confirmation.
 	Version      httproute.Version
 	Revision     roster.Revision
 	ConfirmedAge time.Duration
-	Tries        []Try
+	Attempts     []Attempt
 	Prompt       ident.Tokens
 	Events       int
-	First        time.Duration
-	// Expected is when the first word was to come by the estimate of the first try, 0 where there is none.
-	Expected time.Duration
-	// Gap is the longest pause between two events.
-	Gap   time.Duration
-	Total time.Duration
-	// Spent is what the caller spent on earlier tries, as far as that is known.
-	Spent time.Duration
+	FirstEvent   time.Duration
+	// ExpectedFirstEvent is when the first word was to come by the estimate of the first try, 0 where there is none.
+	ExpectedFirstEvent time.Duration
+	// MaxEventGap is the longest pause between two events.
+	MaxEventGap time.Duration
+	Total       time.Duration
+	// PriorElapsed is what the caller spent on earlier tries, as far as that is known.
+	PriorElapsed time.Duration
 	// LimitWaits is how often nothing was to be had of the limit of an upstream that the request was meant for.
 	LimitWaits int
-	// Retry is when the caller was told to come back.
-	Retry time.Duration
+	// RetryAfter is when the caller was told to come back.
+	RetryAfter time.Duration
 }
 
-// Try is one upstream that a request was meant for.
-type Try struct {
-	To     ident.Incarnation `json:"to"`
-	Group  ident.Group       `json:"group,omitempty"`
-	Result string            `json:"result"`
-	// AtMS is when it began, in ms after the request came.
-	AtMS int64 `json:"at-ms"`
-	// FirstMS is the estimated time to the first word in ms, Unread and Requests are what this entry knew to be there.
-	FirstMS  int64        `json:"first-ms,omitempty"`
-	Unread   ident.Tokens `json:"unread,omitempty"`
-	Requests int          `json:"requests,omitempty"`
+// Attempt is one upstream that a request was meant for.
+type Attempt struct {
+	Upstream ident.Incarnation `json:"to"`
+	Group    ident.Group       `json:"group,omitempty"`
+	Result   string            `json:"result"`
+	// StartMS is when it began, in ms after the request came.
+	StartMS int64 `json:"at-ms"`
+	// EstimateMS is the estimated time to the first word in ms, Unread and Requests are what this entry knew to be there.
+	EstimateMS    int64        `json:"first-ms,omitempty"`
+	PendingPrompt ident.Tokens `json:"unread,omitempty"`
+	Requests      int          `json:"requests,omitempty"`
 	// SilentMS is how long it had been silent in ms when it was given up, and Suspicions how many entries suspected its group.
 	SilentMS   int64 `json:"silent-ms,omitempty"`
 	Suspicions int   `json:"suspicions,omitempty"`
-	// Cut says how the connection of a try ended that has no whole answer, RanMS is how long after the request was sent in ms, and
+	// ConnFailure says how the connection of a try ended that has no whole answer, RanMS is how long after the request was sent in ms, and
 	// Events how many events had come of it.
-	Cut    Cut   `json:"cut,omitempty"`
-	RanMS  int64 `json:"ran-ms,omitempty"`
-	Events int   `json:"events,omitempty"`
+	ConnFailure ConnFailure `json:"cut,omitempty"`
+	RanMS       int64       `json:"ran-ms,omitempty"`
+	Events      int         `json:"events,omitempty"`
 	// Status is the upstream's answer where that was a failure or a refusal, RetryAfter what it said of when to come back, and
 	// Leaving is set when it said that it leaves.
 	Status     int    `json:"status,omitempty"`
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -24,15 +24,15 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-func names() relay.Names {
-	return relay.Names{
+func headerNames() relay.HeaderNames {
+	return relay.HeaderNames{
 		RequestID: "Request", Deadline: "Deadline", Key: "Key", Customer: "Customer", Incarnation: "Life", Signature: "Signature",
-		NotRun: "Not-Run", Blamed: "Blamed", EventID: "Event", Model: "Model", Tokens: "Tokens", Estimate: "Estimate", Priority: "Priority",
-		Words: backoff.Words{Leaving: "Leaving", Limit: "Limit"},
+		NotRun: "Not-Run", Blamed: "Blamed", EventID: "Event", Model: "Model", Tokens: "Tokens", AnswerEstimate: "Estimate", Priority: "Priority",
+		Backpressure: backoff.HeaderNames{Leaving: "Leaving", Limit: "Limit"},
 	}
 }
 
-func routeOf(name ident.Class, kind httproute.Kind, service ident.Service, attempts int) httproute.Route {
+func newRoute(name ident.Class, kind httproute.Kind, service ident.Service, attempts int) httproute.Route {
 	return httproute.Route{
 		Name: name, Host: "h", Prefix: "/" + string(name) + "/", Kind: kind, Resumable: kind == httproute.KindStream,
 		Split:   []httproute.Share{{Service: service, Weight: 1}},
@@ -44,9 +44,9 @@
 	cfg := &httproute.Config{
 		Version: 1,
 		Routes: []httproute.Route{
-			routeOf("safe", httproute.KindSafe, "plain", 2), routeOf("unsafe", httproute.KindUnsafe, "plain", 1),
-			routeOf("stream", httproute.KindStream, "model", 2), routeOf("once", httproute.KindStream, "model", 2),
-			routeOf("public", httproute.KindSafe, "plain", 2),
+			newRoute("safe", httproute.KindSafe, "plain", 2), newRoute("unsafe", httproute.KindUnsafe, "plain", 1),
+			newRoute("stream", httproute.KindStream, "model", 2), newRoute("once", httproute.KindStream, "model", 2),
+			newRoute("public", httproute.KindSafe, "plain", 2),
 		},
 		Services: []httproute.Service{
 			{Name: "plain"},
@@ -59,21 +59,21 @@
 	return cfg
 }
 
-// site is a relay before some upstreams, with its finished requests.
-type site struct {
-	t     testing.TB
-	relay *relay.Relay
-	front *httptest.Server
+// testEntry is a relay before some upstreams, with its finished requests.
+type testEntry struct {
+	t      testing.TB
+	relay  *relay.Relay
+	server *httptest.Server
 
 	mu      sync.Mutex
 	records []*relay.Record
 }
 
-func newSite(t testing.TB, plain, heads []*upstream) *site {
+func newTestEntry(t testing.TB, plain, heads []*upstream) *testEntry {
 	t.Helper()
-	s := &site{t: t, relay: relay.New(names(), transport.TCP())}
-	s.relay.KeysLapse = 4 * time.Second
-	s.relay.Budget = relay.NewBudget(relay.BudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 100})
+	s := &testEntry{t: t, relay: relay.New(headerNames(), transport.TCP())}
+	s.relay.KeyValidity = 4 * time.Second
+	s.relay.Budget = relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 100})
 	s.relay.Observe = func(r *relay.Record) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -93,21 +93,21 @@
 			Name: ident.Group(fmt.Sprintf("g%d", i)), Service: "model", Model: "m", Phase: roster.PhaseOpen, Members: []ident.Incarnation{id},
 		})
 	}
-	s.relay.SetRoster(&d)
+	s.relay.ApplyRoster(&d)
 	s.relay.SetConfirmed(time.Now())
-	s.front = httptest.NewServer(s.relay)
-	t.Cleanup(s.front.Close)
+	s.server = httptest.NewServer(s.relay)
+	t.Cleanup(s.server.Close)
 	return s
 }
 
 type reply struct {
-	Status int
-	Body   string
-	Whole  bool
+	Status   int
+	Body     string
+	Complete bool
 }
 
-func (s *site) request(method, path, id, body string) *http.Request {
-	r, err := http.NewRequest(method, s.front.URL+path, strings.NewReader(body))
+func (s *testEntry) request(method, path, id, body string) *http.Request {
+	r, err := http.NewRequest(method, s.server.URL+path, strings.NewReader(body))
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 	return r
 }
 
-func (s *site) do(r *http.Request) reply {
+func (s *testEntry) do(r *http.Request) reply {
 	s.t.Helper()
 	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
 	if err != nil {
@@ -129,17 +129,17 @@
 	return reply{resp.StatusCode, string(body), err == nil}
 }
 
-// play is a short name for what an upstream does.
-type play = func(c net.Conn, r *http.Request, n int) bool
+// responder is a short name for what an upstream does.
+type responder = func(c net.Conn, r *http.Request, n int) bool
 
-func always(f func(c net.Conn, r *http.Request) bool) play {
+func always(f func(c net.Conn, r *http.Request) bool) responder {
 	return func(c net.Conn, r *http.Request, _ int) bool { return f(c, r) }
 }
 
 // Each fault strikes the upstream that is asked first; the second one is sound. A request that may not be repeated runs at
 // most once, and what is called not run did not.
-func TestFaultsOfUpstreams(t *testing.T) {
-	write := func(text func(r *http.Request) string, keep bool) play {
+func TestUpstreamFaults(t *testing.T) {
+	write := func(text func(r *http.Request) string, keep bool) responder {
 		return func(c net.Conn, r *http.Request, _ int) bool {
 			_, err := io.WriteString(c, text(r))
 			return keep && err == nil
@@ -147,49 +147,49 @@
 	}
 	for _, c := range []struct {
 		name         string
-		first        play
+		first        responder
 		safe, unsafe int // statuses; 200 means the sound upstream's or this one's whole answer
 		ran          bool
 	}{
-		{"sound", always(whole), 200, 200, true},
-		{"refuses", always(notRun), 200, 200, false},
+		{"sound", always(respondComplete), 200, 200, true},
+		{"refuses", always(respondNotRun), 200, 200, false},
 		{"is another life", func(c net.Conn, _ *http.Request, _ int) bool {
 			_, err := io.WriteString(c, "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n")
 			return err == nil
 		}, 200, 200, false},
 		{"closes without an answer", func(net.Conn, *http.Request, int) bool { return false }, 200, 502, true},
-		{"resets", func(c net.Conn, _ *http.Request, _ int) bool { return reset(c) }, 200, 502, true},
-		{"cuts the answer", write(func(r *http.Request) string { return head(r, 200, signature, "Content-Length: 50") + "part" }, false), 200, 502, true},
+		{"resets", func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) }, 200, 502, true},
+		{"cuts the answer", write(func(r *http.Request) string { return answerHead(r, 200, signature, "Content-Length: 50") + "part" }, false), 200, 502, true},
 		{"answers another request only", write(func(*http.Request) string {
 			return "HTTP/1.1 200 X\r\nRequest: other\r\n" + signature + "\r\nContent-Length: 5\r\n\r\nother"
 		}, false), 200, 502, true},
 		{"answers another request first", write(func(r *http.Request) string {
 			body := "answer to " + r.Header.Get("Request")
 			return "HTTP/1.1 200 X\r\nRequest: other\r\n" + signature + "\r\nContent-Length: 5\r\n\r\nother" +
-				head(r, 200, signature, fmt.Sprintf("Content-Length: %d", len(body))) + body
+				answerHead(r, 200, signature, fmt.Sprintf("Content-Length: %d", len(body))) + body
 		}, true), 200, 200, true},
-		{"success without a signature", write(func(r *http.Request) string { return head(r, 200, "Content-Length: 2") + "ok" }, true), 200, 502, true},
+		{"success without a signature", write(func(r *http.Request) string { return answerHead(r, 200, "Content-Length: 2") + "ok" }, true), 200, 502, true},
 		{"an encoded body", write(func(r *http.Request) string {
-			return head(r, 200, signature, "Content-Encoding: gzip", "Content-Length: 2") + "ok"
+			return answerHead(r, 200, signature, "Content-Encoding: gzip", "Content-Length: 2") + "ok"
 		}, true), 200, 502, true},
 		{"bytes that are no answer", write(func(*http.Request) string { return "\x00\x01 nothing like an answer\r\n\r\n" }, false), 200, 502, true},
-		{"fails", write(func(r *http.Request) string { return head(r, 500, signature, "Content-Length: 4") + "fail" }, true), 200, 500, true},
+		{"fails", write(func(r *http.Request) string { return answerHead(r, 500, signature, "Content-Length: 4") + "fail" }, true), 200, 500, true},
 		{"ends its answer with the connection", write(func(r *http.Request) string {
-			return head(r, 200, signature) + "answer to " + r.Header.Get("Request")
+			return answerHead(r, 200, signature) + "answer to " + r.Header.Get("Request")
 		}, false), 200, 200, true},
 		{"sends a second answer", write(func(r *http.Request) string {
 			body := "answer to " + r.Header.Get("Request")
-			one := head(r, 200, signature, fmt.Sprintf("Content-Length: %d", len(body))) + body
+			one := answerHead(r, 200, signature, fmt.Sprintf("Content-Length: %d", len(body))) + body
 			return one + one
 		}, true), 200, 200, true},
 	} {
 		for _, kind := range []string{"safe", "unsafe"} {
 			t.Run(c.name+"/"+kind, func(t *testing.T) {
 				first := newUpstream(t, c.first)
-				second := newUpstream(t, always(whole))
-				s := newSite(t, []*upstream{first, second}, nil)
+				second := newUpstream(t, always(respondComplete))
+				s := newTestEntry(t, []*upstream{first, second}, nil)
 				// Load on the second makes the first the better choice.
-				s.relay.SetOthers(map[ident.Incarnation]int{"p1": 3})
+				s.relay.SetPeerCounts(map[ident.Incarnation]int{"p1": 3})
 				want := c.safe
 				if kind == "unsafe" {
 					want = c.unsafe
@@ -200,12 +200,12 @@
 					if i == 0 && got.Status != want {
 						t.Errorf("status %d, want %d", got.Status, want)
 					}
-					if got.Status == 200 && (got.Body != "answer to "+id || !got.Whole) {
+					if got.Status == 200 && (got.Body != "answer to "+id || !got.Complete) {
 						t.Errorf("got %+v for request %s", got, id)
 					}
 				}
 				ran := map[string]int{}
-				for _, a := range append(first.arrivals(), second.arrivals()...) {
+				for _, a := range append(first.received(), second.received()...) {
 					ran[a.ID]++
 				}
 				if kind == "unsafe" && c.ran && ran["unsafe-0"] != 1 {
@@ -216,9 +216,9 @@
 	}
 }
 
-func TestWhatArrivesIsWhatWasSent(t *testing.T) {
-	u := newUpstream(t, always(whole))
-	s := newSite(t, []*upstream{u}, nil)
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	u := newUpstream(t, always(respondComplete))
+	s := newTestEntry(t, []*upstream{u}, nil)
 	r := s.request("POST", "/safe/a%2Fb?x=1&y=%20", "id-1", "the body")
 	r.Header.Set("Customer", "somebody else")
 	r.Header.Set("Connection", "Secret")
@@ -226,8 +226,8 @@
 	if got := s.do(r); got.Status != 200 {
 		t.Fatalf("got %+v", got)
 	}
-	want := []seen{{ID: "id-1", Method: "POST", Path: "/safe/a%2Fb?x=1&y=%20", Body: "the body", Customer: "office", Incarnation: "p0"}}
-	if diff := cmp.Diff(want, u.arrivals()); diff != "" {
+	want := []receivedRequest{{ID: "id-1", Method: "POST", Path: "/safe/a%2Fb?x=1&y=%20", Body: "the body", Customer: "office", Incarnation: "p0"}}
+	if diff := cmp.Diff(want, u.received()); diff != "" {
 		t.Errorf("arrivals (-want +got):\n%s", diff)
 	}
 }
@@ -235,31 +235,31 @@
 func TestRefusals(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(s *site, r *http.Request)
+		change func(s *testEntry, r *http.Request)
 		status int
 		code   result.Code
 		retry  bool
 	}{
-		{"no such route", func(_ *site, r *http.Request) { r.URL.Path = "/none/" }, 404, result.NotFound, false},
-		{"no such host", func(_ *site, r *http.Request) { r.Host = "i" }, 404, result.NotFound, false},
-		{"unknown key", func(_ *site, r *http.Request) { r.Header.Set("Key", "wrong") }, 401, result.Unauthorized, false},
-		{"no key", func(_ *site, r *http.Request) { r.Header.Del("Key") }, 401, result.Unauthorized, false},
-		{"deadline is no number", func(_ *site, r *http.Request) { r.Header.Set("Deadline", "soon") }, 400, result.BadRequest, false},
-		{"no such route, word is old", func(s *site, r *http.Request) {
+		{"no such route", func(_ *testEntry, r *http.Request) { r.URL.Path = "/none/" }, 404, result.NotFound, false},
+		{"no such host", func(_ *testEntry, r *http.Request) { r.Host = "i" }, 404, result.NotFound, false},
+		{"unknown key", func(_ *testEntry, r *http.Request) { r.Header.Set("Key", "wrong") }, 401, result.Unauthorized, false},
+		{"no key", func(_ *testEntry, r *http.Request) { r.Header.Del("Key") }, 401, result.Unauthorized, false},
+		{"deadline is no number", func(_ *testEntry, r *http.Request) { r.Header.Set("Deadline", "soon") }, 400, result.BadRequest, false},
+		{"no such route, word is old", func(s *testEntry, r *http.Request) {
 			r.URL.Path = "/none/"
 			s.relay.SetConfirmed(time.Now().Add(-2 * time.Second))
 		}, 503, result.ControlUnreachable, true},
-		{"unknown key, word is old", func(s *site, r *http.Request) {
+		{"unknown key, word is old", func(s *testEntry, r *http.Request) {
 			r.Header.Set("Key", "new")
 			s.relay.SetConfirmed(time.Now().Add(-2 * time.Second))
 		}, 503, result.ControlUnreachable, true},
-		{"keys have lapsed", func(s *site, _ *http.Request) { s.relay.SetConfirmed(time.Now().Add(-5 * time.Second)) }, 503, result.ControlUnreachable, true},
-		{"nothing serves", func(s *site, _ *http.Request) { s.relay.SetRoster(&roster.Delta{Full: true}) }, 503, result.NoWholeGroup, true},
-		{"all are full", func(s *site, _ *http.Request) { s.relay.SetOthers(map[ident.Incarnation]int{"p0": 100}) }, 503, result.Overloaded, true},
+		{"keys have lapsed", func(s *testEntry, _ *http.Request) { s.relay.SetConfirmed(time.Now().Add(-5 * time.Second)) }, 503, result.ControlUnreachable, true},
+		{"nothing serves", func(s *testEntry, _ *http.Request) { s.relay.ApplyRoster(&roster.Delta{Full: true}) }, 503, result.NoWholeGroup, true},
+		{"all are full", func(s *testEntry, _ *http.Request) { s.relay.SetPeerCounts(map[ident.Incarnation]int{"p0": 100}) }, 503, result.Overloaded, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			u := newUpstream(t, always(whole))
-			s := newSite(t, []*upstream{u}, nil)
+			u := newUpstream(t, always(respondComplete))
+			s := newTestEntry(t, []*upstream{u}, nil)
 			r := s.request("GET", "/safe/x", "id", "")
 			c.change(s, r)
 			resp, err := http.DefaultClient.Do(r)
@@ -270,7 +270,7 @@
 			if resp.StatusCode != c.status || (resp.Header.Get("Retry-After") != "") != c.retry {
 				t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 			}
-			if n := len(u.arrivals()); n != 0 {
+			if n := len(u.received()); n != 0 {
 				t.Errorf("%d requests arrived although refused", n)
 			}
 			s.relay.Wait()
@@ -282,7 +282,7 @@
 }
 
 func TestNoConfigurationYet(t *testing.T) {
-	s := relay.New(names(), transport.TCP())
+	s := relay.New(headerNames(), transport.TCP())
 	if s.Ready() {
 		t.Error("ready without a configuration")
 	}
@@ -294,8 +294,8 @@
 }
 
 func TestAPublicRouteNeedsNoKey(t *testing.T) {
-	u := newUpstream(t, always(whole))
-	s := newSite(t, []*upstream{u}, nil)
+	u := newUpstream(t, always(respondComplete))
+	s := newTestEntry(t, []*upstream{u}, nil)
 	s.relay.SetConfirmed(time.Now().Add(-time.Hour))
 	r := s.request("GET", "/public/x", "id", "")
 	r.Header.Del("Key")
@@ -313,47 +313,47 @@
 		if r.Header.Get("Event") != "" {
 			from++
 		}
-		return stream(c, r, from, 5, true)
+		return respondStream(c, r, from, 5, true)
 	}
-	part := func(text string) play {
+	part := func(text string) responder {
 		return func(c net.Conn, r *http.Request, _ int) bool {
-			out := head(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
+			out := answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
 			if text != "" {
 				out += fmt.Sprintf("%x\r\n%s\r\n", len(text), text)
 			}
 			_, _ = io.WriteString(c, out)
-			return reset(c)
+			return resetConn(c)
 		}
 	}
-	ended := func(text string) play {
+	ended := func(text string) responder {
 		return func(c net.Conn, r *http.Request, _ int) bool {
-			_, err := io.WriteString(c, head(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+
+			_, err := io.WriteString(c, answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+
 				fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(text), text))
 			return err == nil
 		}
 	}
 	for _, c := range []struct {
 		name  string
-		first play
+		first responder
 		// once tells whether the stream is whole when it may not be continued.
 		once bool
 	}{
 		{"sound", rest, true},
-		{"breaks off after three events", part(events(1, 3)), false},
-		{"breaks off within an event", part(events(1, 3) + "id: 4\ndata: pie"), false},
-		{"ends within an event", ended(events(1, 3) + "id: 4\ndata: pie"), false},
-		{"leaves an event out", ended(events(1, 2) + events(4, 5)), false},
-		{"sends an event twice", ended(events(1, 3) + events(3, 5)), true},
+		{"breaks off after three events", part(eventText(1, 3)), false},
+		{"breaks off within an event", part(eventText(1, 3) + "id: 4\ndata: pie"), false},
+		{"ends within an event", ended(eventText(1, 3) + "id: 4\ndata: pie"), false},
+		{"leaves an event out", ended(eventText(1, 2) + eventText(4, 5)), false},
+		{"sends an event twice", ended(eventText(1, 3) + eventText(3, 5)), true},
 		{"breaks off before the first event", part(""), false},
 		{"ends without any event", func(c net.Conn, r *http.Request, _ int) bool {
-			_, err := io.WriteString(c, head(r, 200, signature, "Transfer-Encoding: chunked")+"0\r\n\r\n")
+			_, err := io.WriteString(c, answerHead(r, 200, signature, "Transfer-Encoding: chunked")+"0\r\n\r\n")
 			return err == nil
 		}, false},
 		{"goes silent after three events", func(c net.Conn, r *http.Request, _ int) bool {
-			stream(c, r, 1, 3, false)
-			return silent(c)
+			respondStream(c, r, 1, 3, false)
+			return stayOpenSilent(c)
 		}, false},
-		{"goes silent before the head", func(c net.Conn, _ *http.Request, _ int) bool { return silent(c) }, false},
+		{"goes silent before the head", func(c net.Conn, _ *http.Request, _ int) bool { return stayOpenSilent(c) }, false},
 	} {
 		for _, kind := range []string{"stream", "once"} {
 			if kind == "once" && strings.Contains(c.name, "silent") {
@@ -361,19 +361,19 @@
 			}
 			t.Run(c.name+"/"+kind, func(t *testing.T) {
 				first, second := newUpstream(t, c.first), newUpstream(t, rest)
-				s := newSite(t, nil, []*upstream{first, second})
-				s.relay.SetOthers(map[ident.Incarnation]int{"h1": 3})
+				s := newTestEntry(t, nil, []*upstream{first, second})
+				s.relay.SetPeerCounts(map[ident.Incarnation]int{"h1": 3})
 				got := s.do(s.request("POST", "/"+kind+"/x", "id", "prompt"))
 				if kind == "stream" || c.once {
-					if diff := cmp.Diff(reply{200, events(1, 5), true}, got); diff != "" {
+					if diff := cmp.Diff(reply{200, eventText(1, 5), true}, got); diff != "" {
 						t.Errorf("reply (-want +got):\n%s", diff)
 					}
 					return
 				}
-				if got.Whole && got.Status == 200 {
+				if got.Complete && got.Status == 200 {
 					t.Errorf("a broken stream looks whole: %+v", got)
 				}
-				if n := len(first.arrivals()) + len(second.arrivals()); n != 1 {
+				if n := len(first.received()) + len(second.received()); n != 1 {
 					t.Errorf("a stream that may not be continued arrived %d times", n)
 				}
 			})
@@ -382,35 +382,35 @@
 }
 
 func TestAResumedStreamStartsAfterTheCallersLastEvent(t *testing.T) {
-	u := newUpstream(t, func(c net.Conn, r *http.Request, _ int) bool { return stream(c, r, 3, 5, true) })
-	s := newSite(t, nil, []*upstream{u})
+	u := newUpstream(t, func(c net.Conn, r *http.Request, _ int) bool { return respondStream(c, r, 3, 5, true) })
+	s := newTestEntry(t, nil, []*upstream{u})
 	r := s.request("POST", "/stream/x", "id", "prompt")
 	r.Header.Set("Event", "2")
-	if diff := cmp.Diff(reply{200, events(3, 5), true}, s.do(r)); diff != "" {
+	if diff := cmp.Diff(reply{200, eventText(3, 5), true}, s.do(r)); diff != "" {
 		t.Errorf("reply (-want +got):\n%s", diff)
 	}
-	if got := u.arrivals()[0].Event; got != "2" {
+	if got := u.received()[0].Event; got != "2" {
 		t.Errorf("the upstream was asked to go on after %q", got)
 	}
 }
 
 // When the caller leaves, the upstream's connection ends.
-func TestACallerThatLeaves(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/stream/x"} {
 		t.Run(path, func(t *testing.T) {
 			arrived := make(chan struct{}, 4)
 			ended := make(chan struct{}, 4)
 			hang := func(c net.Conn, r *http.Request, _ int) bool {
 				if strings.HasPrefix(r.RequestURI, "/stream/") {
-					stream(c, r, 1, 1, false)
+					respondStream(c, r, 1, 1, false)
 				}
 				arrived <- struct{}{}
-				silent(c)
+				stayOpenSilent(c)
 				ended <- struct{}{}
 				return false
 			}
 			u := newUpstream(t, hang)
-			s := newSite(t, []*upstream{u}, []*upstream{u})
+			s := newTestEntry(t, []*upstream{u}, []*upstream{u})
 			ctx, leave := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			go func() {
@@ -429,14 +429,14 @@
 	}
 }
 
-func TestTimeIsUp(t *testing.T) {
+func TestDeadlineExpires(t *testing.T) {
 	for _, c := range []struct {
 		path   string
 		status int
 	}{{"/safe/x", 504}, {"/unsafe/x", 504}, {"/stream/x", 504}} {
 		t.Run(c.path, func(t *testing.T) {
-			u := newUpstream(t, func(c net.Conn, _ *http.Request, _ int) bool { return silent(c) })
-			s := newSite(t, []*upstream{u}, []*upstream{u})
+			u := newUpstream(t, func(c net.Conn, _ *http.Request, _ int) bool { return stayOpenSilent(c) })
+			s := newTestEntry(t, []*upstream{u}, []*upstream{u})
 			r := s.request("POST", c.path, "id", "x")
 			r.Header.Set("Deadline", "150")
 			if got := s.do(r); got.Status != c.status {
@@ -448,11 +448,11 @@
 
 func TestBudget(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b := relay.NewBudget(relay.BudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 20})
+	b := relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 20})
 	b.Now = func() time.Time { return now }
 	use := func() int {
 		n := 0
-		for b.Repeat("s") {
+		for b.AllowRetry("s") {
 			n++
 		}
 		return n
@@ -461,7 +461,7 @@
 		t.Errorf("%d repeats without requests, want 17: 0.85 of the allowance", got)
 	}
 	for range 100 {
-		b.Request("s")
+		b.CountRequest("s")
 	}
 	if got := use(); got != 17 {
 		t.Errorf("%d repeats for 100 requests, want 17: 0.85 of a fifth", got)
@@ -479,28 +479,28 @@
 	if got := use(); got != 4 {
 		t.Errorf("%d repeats with four entries, want 4", got)
 	}
-	if !b.Repeat("other") {
+	if !b.AllowRetry("other") {
 		t.Error("services share a budget")
 	}
 }
 
-func TestRepeatsStopWithTheBudget(t *testing.T) {
-	broken := newUpstream(t, func(c net.Conn, _ *http.Request, _ int) bool { return reset(c) })
-	other := newUpstream(t, func(c net.Conn, _ *http.Request, _ int) bool { return reset(c) })
-	s := newSite(t, []*upstream{broken, other}, nil)
-	s.relay.Budget = relay.NewBudget(relay.BudgetRule{Ratio: 0, Window: time.Hour, Allowance: 10})
+func TestRetriesStopWhenBudgetIsExhausted(t *testing.T) {
+	broken := newUpstream(t, func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) })
+	other := newUpstream(t, func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) })
+	s := newTestEntry(t, []*upstream{broken, other}, nil)
+	s.relay.Budget = relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0, Window: time.Hour, Allowance: 10})
 	const requests = 30
 	for i := range requests {
 		s.do(s.request("GET", "/safe/x", fmt.Sprint(i), ""))
 	}
-	if got := len(broken.arrivals()) + len(other.arrivals()); got != requests+8 {
+	if got := len(broken.received()) + len(other.received()); got != requests+8 {
 		t.Errorf("%d arrivals for %d requests, want 8 repeats", got, requests)
 	}
 }
 
 func TestStopping(t *testing.T) {
-	u := newUpstream(t, always(whole))
-	s := newSite(t, []*upstream{u}, nil)
+	u := newUpstream(t, always(respondComplete))
+	s := newTestEntry(t, []*upstream{u}, nil)
 	if !s.relay.Ready() {
 		t.Error("not ready")
 	}
--- a/relay/request.go
+++ b/relay/request.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// connectionHeaders concern one connection only and are not passed on (RFC 9110, section 7.6.1).
-var connectionHeaders = map[string]bool{
+// hopByHopHeaders concern one connection only and are not passed on (RFC 9110, section 7.6.1).
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 }
@@ -17,17 +17,17 @@
 // writeRequest writes the caller's request, with what the relay sets itself.
 func (x *exchange) writeRequest(conn *upstreamConn, t *target) error {
 	bw := conn.bw
-	text(bw, x.r.Method, " ", x.r.RequestURI, " HTTP/1.1\r\n")
+	writeStrings(bw, x.r.Method, " ", x.r.RequestURI, " HTTP/1.1\r\n")
 	writeHeader(bw, "Host", x.r.Host)
-	names := &x.s.Names
+	names := &x.s.Headers
 	own := map[string]bool{
 		http.CanonicalHeaderKey(names.Key): true, http.CanonicalHeaderKey(names.Customer): true,
 		http.CanonicalHeaderKey(names.Incarnation): true, http.CanonicalHeaderKey(names.Deadline): true,
 		http.CanonicalHeaderKey(names.EventID): true, http.CanonicalHeaderKey(names.Priority): true,
 	}
-	named := namedByConnection(x.r.Header)
+	named := connectionOptions(x.r.Header)
 	for name, values := range x.r.Header {
-		if connectionHeaders[name] || own[name] || named[name] {
+		if hopByHopHeaders[name] || own[name] || named[name] {
 			continue
 		}
 		for _, v := range values {
@@ -35,20 +35,20 @@
 		}
 	}
 	writeHeader(bw, names.Incarnation, t.id.UpstreamID())
-	writeHeader(bw, names.Deadline, strconv.FormatInt(max(1, x.left().Milliseconds()), 10))
+	writeHeader(bw, names.Deadline, strconv.FormatInt(max(1, x.timeLeft().Milliseconds()), 10))
 	if x.customer != nil {
 		writeHeader(bw, names.Customer, string(x.customer.Name))
 	}
-	if x.lastEvent != "" {
-		writeHeader(bw, names.EventID, x.lastEvent)
+	if x.lastEventID != "" {
+		writeHeader(bw, names.EventID, x.lastEventID)
 	}
 	if x.service.Engine != nil {
-		writeHeader(bw, names.Priority, strconv.Itoa(x.priority()))
+		writeHeader(bw, names.Priority, strconv.Itoa(x.enginePriority()))
 	}
 	if len(x.body) > 0 || x.r.Method != http.MethodGet && x.r.Method != http.MethodHead {
 		writeHeader(bw, "Content-Length", strconv.Itoa(len(x.body)))
 	}
-	text(bw, "\r\n")
+	writeStrings(bw, "\r\n")
 	if _, err := bw.Write(x.body); err != nil {
 		return err
 	}
@@ -56,18 +56,18 @@
 }
 
 func writeHeader(bw *bufio.Writer, name, value string) {
-	text(bw, name, ": ", value, "\r\n")
+	writeStrings(bw, name, ": ", value, "\r\n")
 }
 
-// text writes parts; an error of a bufio.Writer stays until Flush returns it.
-func text(bw *bufio.Writer, parts ...string) {
+// writeStrings writes parts; an error of a bufio.Writer stays until Flush returns it.
+func writeStrings(bw *bufio.Writer, parts ...string) {
 	for _, part := range parts {
 		_, _ = bw.WriteString(part)
 	}
 }
 
-// namedByConnection returns the headers that the caller's Connection header names.
-func namedByConnection(h http.Header) map[string]bool {
+// connectionOptions returns the headers that the caller's Connection header names.
+func connectionOptions(h http.Header) map[string]bool {
 	list := h["Connection"]
 	if len(list) == 0 {
 		return nil
@@ -88,38 +88,38 @@
 	agingStep = 150 * time.Millisecond
 )
 
-// priority is the customer's or the route's rank; a request that was held up goes before its equals.
-func (x *exchange) priority() int {
+// enginePriority is the customer's or the route's rank; a request that was held up goes before its equals.
+func (x *exchange) enginePriority() int {
 	p := x.route.Priority
 	if x.customer != nil && x.customer.HasPriority {
 		p = x.customer.Priority
 	}
-	if x.late() {
-		p += priorityLate
+	if x.missesAim() {
+		p += latePenalty
 	} else {
-		p += priorityRoom - int(x.s.Now().Sub(x.began)/agingStep)
+		p += priorityHeadroom - int(x.s.Now().Sub(x.arrivedAt)/agingStep)
 	}
 	return min(lowestPriority, max(highestPriority, p))
 }
 
-// late reports whether the answer misses the route's aim whatever an engine does: those that can still make it go first.
-func (x *exchange) late() bool {
-	return x.lateAt(x.s.Now())
+// missesAim reports whether the answer misses the route's aim whatever an engine does: those that can still make it go first.
+func (x *exchange) missesAim() bool {
+	return x.missesAimAt(x.s.Now())
 }
 
-// lateAt reports the same for an answer that goes on at that time.
-func (x *exchange) lateAt(at time.Time) bool {
-	if x.kept || x.r.Header.Get(x.s.Names.EventID) != "" {
+// missesAimAt reports the same for an answer that goes on at that time.
+func (x *exchange) missesAimAt(at time.Time) bool {
+	if x.heldAtStart || x.r.Header.Get(x.s.Headers.EventID) != "" {
 		return true
 	}
-	if x.events == 0 {
-		return at.Sub(x.began)+x.spent > x.route.Aim
+	if x.eventCount == 0 {
+		return at.Sub(x.arrivedAt)+x.priorElapsed > x.route.Aim
 	}
-	return x.route.GapAim > 0 && at.Sub(x.lastAt) > x.route.GapAim
+	return x.route.GapAim > 0 && at.Sub(x.lastEventAt) > x.route.GapAim
 }
 
-// priorityLate puts requests that are late behind those that are not.
-const priorityLate = 5
+// latePenalty puts requests that are late behind those that are not.
+const latePenalty = 5
 
-// priorityRoom leaves ranks above the declared ones for requests that were held up.
-const priorityRoom = 3
+// priorityHeadroom leaves ranks above the declared ones for requests that were held up.
+const priorityHeadroom = 3
--- a/relay/request_fuzz_test.go
+++ b/relay/request_fuzz_test.go
@@ -35,7 +35,7 @@
 		if err != nil || !strings.HasPrefix(path, "/") {
 			t.Skip()
 		}
-		s, end := wholeEntry()
+		s, end := newFuzzEntry()
 		defer end()
 		r.RequestURI = r.URL.RequestURI()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -45,23 +45,23 @@
 		} {
 			r.Header.Set(name, value)
 		}
-		serveSafely(t, s, r.WithContext(ctx))
+		serveWithoutPanic(t, s, r.WithContext(ctx))
 		next := httptest.NewRequest(http.MethodPost, "/stream/x", strings.NewReader("next"))
 		next.Host = "h"
 		for name, value := range map[string]string{"Request": "next", "Key": "secret", "Model": "m", "Tokens": "800,40", "Deadline": "6000"} {
 			next.Header.Set(name, value)
 		}
-		if got := serveSafely(t, s, next); got != http.StatusOK {
+		if got := serveWithoutPanic(t, s, next); got != http.StatusOK {
 			t.Errorf("the next request got status %d", got)
 		}
-		if _, demand := s.Look(); demand["m"].Prompt < 0 || demand["m"].Answer < 0 {
+		if _, demand := s.CollectObservations(); demand["m"].Prompt < 0 || demand["m"].Answer < 0 {
 			t.Errorf("demand below zero: %+v", demand["m"])
 		}
 	})
 }
 
-// serveSafely serves one request, which may end in no other panic than an answer that is cut off, and returns its status.
-func serveSafely(t *testing.T, s *relay.Relay, r *http.Request) int {
+// serveWithoutPanic serves one request, which may end in no other panic than an answer that is cut off, and returns its status.
+func serveWithoutPanic(t *testing.T, s *relay.Relay, r *http.Request) int {
 	w := httptest.NewRecorder()
 	func() {
 		defer func() {
@@ -76,12 +76,12 @@
 	return w.Code
 }
 
-// wholeEntry returns an entry before two engines that answer at once.
-func wholeEntry() (s *relay.Relay, end func()) {
+// newFuzzEntry returns an entry before two engines that answer at once.
+func newFuzzEntry() (s *relay.Relay, end func()) {
 	var conns []net.Conn
 	var mu sync.Mutex
-	u := &upstream{play: always(func(c net.Conn, r *http.Request) bool { return stream(c, r, 1, 2, true) })}
-	s = relay.New(names(), func(context.Context, string) (net.Conn, error) {
+	u := &upstream{respond: always(func(c net.Conn, r *http.Request) bool { return respondStream(c, r, 1, 2, true) })}
+	s = relay.New(headerNames(), func(context.Context, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		mu.Lock()
 		defer mu.Unlock()
@@ -89,8 +89,8 @@
 		go u.serve(far)
 		return near, nil
 	})
-	s.KeysLapse = time.Hour
-	s.Budget = relay.NewBudget(relay.BudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 100})
+	s.KeyValidity = time.Hour
+	s.Budget = relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 100})
 	s.SetConfig(timedConfig())
 	d := roster.Delta{Full: true, Revision: 1}
 	for _, id := range []ident.Incarnation{"h0", "h1"} {
@@ -99,7 +99,7 @@
 			Name: ident.Group("g" + id), Service: "model", Model: "m", Phase: roster.PhaseOpen, Members: []ident.Incarnation{id},
 		})
 	}
-	s.SetRoster(&d)
+	s.ApplyRoster(&d)
 	s.SetConfirmed(time.Now())
 	return s, func() {
 		mu.Lock()
@@ -110,31 +110,31 @@
 	}
 }
 
-// FuzzNews lets an entry hear anything of another one: it goes on, and the next request is served.
-func FuzzNews(f *testing.F) {
+// FuzzEntryUpdates lets an entry hear anything of another one: it goes on, and the next request is served.
+func FuzzEntryUpdates(f *testing.F) {
 	f.Add("h0", int64(700), int64(0), int64(0), uint32(0), int64(0), 0)
 	f.Add("h0", int64(0), int64(1<<62), int64(0), uint32(0), int64(0), 0)
 	f.Add("h1", int64(0), int64(0), int64(-1<<62), uint32(0), int64(0), 0)
 	f.Add("", int64(1<<62), int64(-5), int64(-5), uint32(1<<31), int64(-1<<62), 40)
 	f.Fuzz(func(t *testing.T, head string, prompt, silent, worked int64, cleared uint32, age int64, ends int) {
-		s, end := wholeEntry()
+		s, end := newFuzzEntry()
 		defer end()
-		n := relay.News{Head: ident.Incarnation(head), Prompt: ident.Tokens(prompt), Silent: silent, Worked: worked}
+		n := relay.EntryUpdate{Head: ident.Incarnation(head), PromptTokens: ident.Tokens(prompt), SilentMS: silent, ProgressAgeMS: worked}
 		if ends > 0 {
-			n.Work = &quarantine.Report{Customer: "office", Content: quarantine.ContentOf("/stream/x", []byte("other")), Cleared: cleared, AgeMS: age}
+			n.QuarantineReport = &quarantine.Report{Customer: "office", Content: quarantine.ContentOf("/stream/x", []byte("other")), Cleared: cleared, AgeMS: age}
 			for i := range min(ends, 100) {
-				n.Work.Ends = append(n.Work.Ends, quarantine.End(i*i))
+				n.QuarantineReport.Ends = append(n.QuarantineReport.Ends, quarantine.CrashID(i*i))
 			}
 		}
 		for i := range 3 {
-			s.Hear(n, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7))
+			s.Receive(n, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7))
 		}
 		next := httptest.NewRequest(http.MethodPost, "/stream/x", strings.NewReader("next"))
 		next.Host = "h"
 		for name, value := range map[string]string{"Request": "next", "Key": "secret", "Model": "m", "Tokens": "800,40", "Deadline": "6000"} {
 			next.Header.Set(name, value)
 		}
-		if got := serveSafely(t, s, next); got != http.StatusOK {
+		if got := serveWithoutPanic(t, s, next); got != http.StatusOK {
 			t.Errorf("the next request got status %d after %+v", got, n)
 		}
 	})
--- a/relay/room_test.go
+++ b/relay/room_test.go
@@ -13,15 +13,15 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// crowded is a site with one group that reads a prompt which takes longer than streams there may pause, and a second request.
+// busyGroupEntry is a site with one group that reads a prompt which takes longer than streams there may pause, and a second request.
 // It returns once the second one is at the group, or was twice found no room for.
-func crowded(t *testing.T) (s *site, second chan reply, reached *atomic.Bool, elapse func(time.Duration), release func()) {
+func busyGroupEntry(t *testing.T) (s *testEntry, second chan reply, reached *atomic.Bool, elapse func(time.Duration), release func()) {
 	t.Helper()
-	return crowdedFor(t, "5000")
+	return busyGroupEntryWithDeadline(t, "5000")
 }
 
-// crowdedFor is crowded with a caller of the second request that waits for so many ms.
-func crowdedFor(t *testing.T, deadline string) (s *site, second chan reply, reached *atomic.Bool, elapse func(time.Duration), release func()) {
+// busyGroupEntryWithDeadline is crowded with a caller of the second request that waits for so many ms.
+func busyGroupEntryWithDeadline(t *testing.T, deadline string) (s *testEntry, second chan reply, reached *atomic.Bool, elapse func(time.Duration), release func()) {
 	t.Helper()
 	held := make(chan struct{})
 	arrived := make(chan struct{}, 2)
@@ -32,16 +32,16 @@
 		}
 		arrived <- struct{}{}
 		<-held
-		return stream(c, r, 1, 2, true)
+		return respondStream(c, r, 1, 2, true)
 	}))
-	s = newSite(t, nil, []*upstream{u})
+	s = newTestEntry(t, nil, []*upstream{u})
 	cfg := timedConfig()
 	cfg.Routes[2].Attempts = 1
 	s.relay.SetConfig(cfg)
 	var skipped atomic.Int64
 	s.relay.Now = func() time.Time { return time.Now().Add(time.Duration(skipped.Load())) }
 	looks := make(chan struct{}, 1000)
-	s.relay.Draw = func(int) int {
+	s.relay.RandomInt = func(int) int {
 		looks <- struct{}{}
 		return 0
 	}
@@ -76,18 +76,18 @@
 
 // A request that would make the pauses of a group's streams too long waits at the entry until there is room.
 func TestARequestWaitsForRoom(t *testing.T) {
-	_, second, reached, _, release := crowded(t)
+	_, second, reached, _, release := busyGroupEntry(t)
 	early := reached.Load()
 	release()
 	got := <-second
-	if diff := cmp.Diff([]any{false, 200, true}, []any{early, got.Status, got.Whole}); diff != "" {
+	if diff := cmp.Diff([]any{false, 200, true}, []any{early, got.Status, got.Complete}); diff != "" {
 		t.Errorf("sent before there was room, status, whole (-want +got):\n%s", diff)
 	}
 }
 
 // One that finds none within its aim of two seconds is refused as not run, and told to come back.
 func TestARequestThatFindsNoRoom(t *testing.T) {
-	s, second, reached, elapse, _ := crowded(t)
+	s, second, reached, elapse, _ := busyGroupEntry(t)
 	elapse(2500 * time.Millisecond)
 	got := <-second
 	if diff := cmp.Diff([]any{503, false}, []any{got.Status, reached.Load()}); diff != "" {
@@ -96,14 +96,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.records[0]
-	if r.Code != result.Overloaded || r.Retry <= 0 || len(r.Tries) != 0 {
-		t.Errorf("code %d, to come back after %v, tries %v; want code %d, a time and no try", r.Code, r.Retry, r.Tries, result.Overloaded)
+	if r.Code != result.Overloaded || r.RetryAfter <= 0 || len(r.Attempts) != 0 {
+		t.Errorf("code %d, to come back after %v, tries %v; want code %d, a time and no try", r.Code, r.RetryAfter, r.Attempts, result.Overloaded)
 	}
 }
 
 // A request whose time is up while it waits is refused at once, however long it could still wait for room.
 func TestARequestWhoseTimeIsUpWhileItWaits(t *testing.T) {
-	s, second, reached, elapse, _ := crowdedFor(t, "300")
+	s, second, reached, elapse, _ := busyGroupEntryWithDeadline(t, "300")
 	elapse(400 * time.Millisecond)
 	got := <-second
 	if diff := cmp.Diff([]any{503, false}, []any{got.Status, reached.Load()}); diff != "" {
@@ -111,7 +111,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r := s.records[0]; len(r.Tries) != 0 || r.Total > time.Second {
-		t.Errorf("tries %v after %v; want none, and an answer when the time is up", r.Tries, r.Total)
+	if r := s.records[0]; len(r.Attempts) != 0 || r.Total > time.Second {
+		t.Errorf("tries %v after %v; want none, and an answer when the time is up", r.Attempts, r.Total)
 	}
 }
--- a/relay/share_test.go
+++ b/relay/share_test.go
@@ -13,11 +13,11 @@
 	"github.com/dunlinquay/dunlinquay/sharing"
 )
 
-// largeSite is a site of 100 entries in one hall, among them the one called self, that share eight groups.
-func largeSite(t *testing.T) (s *site, release func()) {
+// newLargeSiteEntry is a site of 100 entries in one hall, among them the one called self, that share eight groups.
+func newLargeSiteEntry(t *testing.T) (s *testEntry, release func()) {
 	t.Helper()
-	heads, arrived, release := holding(t, 8)
-	s = newSite(t, nil, heads)
+	heads, arrived, release := holdingHeads(t, 8)
+	s = newTestEntry(t, nil, heads)
 	cfg := timedConfig()
 	cfg.Routes[2].Attempts = 1
 	s.relay.SetConfig(cfg)
@@ -34,9 +34,9 @@
 	return s, release
 }
 
-// sendAll sends so many requests, which are held until release, and returns which groups they went to, by the news of them, and who
+// sendHeld sends so many requests, which are held until release, and returns which groups they went to, by the news of them, and who
 // was told.
-func sendAll(t *testing.T, s *site, release func(), n int) (heads map[ident.Incarnation]int, told map[ident.Incarnation][]string) {
+func sendHeld(t *testing.T, s *testEntry, release func(), n int) (heads map[ident.Incarnation]int, told map[ident.Incarnation][]string) {
 	t.Helper()
 	var wg sync.WaitGroup
 	t.Cleanup(func() {
@@ -45,7 +45,7 @@
 	})
 	heads, told = map[ident.Incarnation]int{}, map[ident.Incarnation][]string{}
 	sent := make(chan struct{}, n)
-	s.relay.Tell = func(news relay.News, to []string) {
+	s.relay.SendUpdate = func(news relay.EntryUpdate, to []string) {
 		heads[news.Head]++
 		told[news.Head] = to
 		sent <- struct{}{}
@@ -64,9 +64,9 @@
 
 // At a large site an entry uses a few groups, and tells of a prompt only those that use the group too.
 func TestGroupsAreSharedOut(t *testing.T) {
-	s, release := largeSite(t)
-	s.relay.SetOthers(map[ident.Incarnation]int{})
-	heads, told := sendAll(t, s, release, 12)
+	s, release := newLargeSiteEntry(t)
+	s.relay.SetPeerCounts(map[ident.Incarnation]int{})
+	heads, told := sendHeld(t, s, release, 12)
 	if len(heads) != 4 {
 		t.Errorf("requests went to %v, want four of eight groups", heads)
 	}
@@ -79,9 +79,9 @@
 
 // When the groups that an entry uses are full it sends to others, but no more than its part of the room that all entries see there.
 func TestWhatOthersHaveRoomForIsDivided(t *testing.T) {
-	s, release := largeSite(t)
-	s.relay.SetOthers(map[ident.Incarnation]int{})
-	own, _ := sendAll(t, s, release, 4)
+	s, release := newLargeSiteEntry(t)
+	s.relay.SetPeerCounts(map[ident.Incarnation]int{})
+	own, _ := sendHeld(t, s, release, 4)
 	others := map[ident.Incarnation]int{}
 	for i := range 8 {
 		if head := ident.Incarnation("h" + strconv.Itoa(i)); own[head] > 0 {
@@ -91,8 +91,8 @@
 	// Four groups with four free slots each, of which half may be filled: each word gives every one of 100 entries 0.08 of a
 	// request, and one came before.
 	for word := 1; word <= 20; word++ {
-		s.relay.SetOthers(others)
-		head, fits := relay.Chosen(s.relay, &timedConfig().Routes[2], "m", 100)
+		s.relay.SetPeerCounts(others)
+		head, fits := relay.ChooseGroup(s.relay, &timedConfig().Routes[2], "m", 100)
 		if elsewhere := fits && own[head] == 0; elsewhere != (word >= 12) {
 			t.Errorf("word %d: the choice is %s, which has room: %v; want another group from the twelfth word on", word, head, fits)
 		}
--- a/relay/spared_test.go
+++ b/relay/spared_test.go
@@ -14,42 +14,42 @@
 )
 
 const (
-	// spareEntries is so many that each sends a head hardly a request in the time that it asks for.
-	spareEntries = 60
-	spareHeads   = 6
-	// spareBusy is how many heads turn all away for spareTime, and ask for spareAsked; at spareRate requests a second the others have room.
-	spareBusy  = 3
-	spareTime  = 9 * time.Second
-	spareAsked = 3 * time.Second
-	spareRate  = 40
+	// backoffEntries is so many that each sends a head hardly a request in the time that it asks for.
+	backoffEntries = 60
+	backoffHeads   = 6
+	// busyHeads is how many heads turn all away for busyTime, and ask for busyRetryAfter; at backoffRate requests a second the others have room.
+	busyHeads      = 3
+	busyTime       = 9 * time.Second
+	busyRetryAfter = 3 * time.Second
+	backoffRate    = 40
 )
 
 // A head that asked one entry for time is spared by the others as long as the rest have room: with many entries, each of which knows
 // only what it was asked itself, a head that is overrun would be reached as often as before.
 func TestOtherEntriesSpareWhoAskedForTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sites := newTeam(spareEntries, spareHeads).sites
+		sites := newCluster(backoffEntries, backoffHeads).entries
 		heads := sites[0].upstreams
 		time.AfterFunc(time.Second, func() {
-			for _, u := range heads[:spareBusy] {
-				u.busy(spareTime, strconv.Itoa(int(spareAsked.Seconds())))
+			for _, u := range heads[:busyHeads] {
+				u.setBusy(busyTime, strconv.Itoa(int(busyRetryAfter.Seconds())))
 			}
 		})
 		began := time.Now()
 		random := rand.New(rand.NewPCG(3, 3))
 		var wg sync.WaitGroup
-		for n := 0; time.Since(began) < spareTime+5*time.Second; n++ {
-			time.Sleep(time.Duration(random.ExpFloat64() / spareRate * float64(time.Second)))
+		for n := 0; time.Since(began) < busyTime+5*time.Second; n++ {
+			time.Sleep(time.Duration(random.ExpFloat64() / backoffRate * float64(time.Second)))
 			s := sites[random.IntN(len(sites))]
-			wg.Go(func() { s.ask("/stream/x", strconv.Itoa(n)) })
+			wg.Go(func() { s.send("/stream/x", strconv.Itoa(n)) })
 		}
 		wg.Wait()
 		// Each time that a head asks for costs the request that it refuses, and one that is sent before the news have come.
-		most := spareBusy * 2 * int(spareTime/spareAsked+1)
+		most := busyHeads * 2 * int(busyTime/busyRetryAfter+1)
 		turned, served := 0, 0
-		for _, u := range heads[:spareBusy] {
-			turned += len(u.refused)
-			if u.served.IsZero() {
+		for _, u := range heads[:busyHeads] {
+			turned += len(u.refusedAt)
+			if u.servedAt.IsZero() {
 				t.Error("a head serves nothing after its time is over")
 			}
 		}
@@ -72,18 +72,18 @@
 
 // What a head asked of another entry does not bind this one: where nobody else has room it is tried.
 func TestASparedHeadIsTriedWhereNoOtherHasRoom(t *testing.T) {
-	s := newAskSite(2)
+	s := newSignalEntry(2)
 	cfg := config()
 	s.relay.SetConfig(cfg)
 	other := netip.MustParseAddrPort("10.0.0.1:7")
-	s.relay.Hear(relay.News{Head: "h0", Asked: 60_000}, other)
+	s.relay.Receive(relay.EntryUpdate{Head: "h0", BackoffMS: 60_000}, other)
 	for range 20 {
-		if head, ok := relay.Chosen(s.relay, &cfg.Routes[2], "m", 100); head != "h1" || !ok {
+		if head, ok := relay.ChooseGroup(s.relay, &cfg.Routes[2], "m", 100); head != "h1" || !ok {
 			t.Fatalf("chosen %s, %t, want h1", head, ok)
 		}
 	}
-	s.list(map[int]bool{1: true}, "")
-	if head, ok := relay.Chosen(s.relay, &cfg.Routes[2], "m", 100); head != ident.Incarnation("h0") || !ok {
+	s.setRoster(map[int]bool{1: true}, "")
+	if head, ok := relay.ChooseGroup(s.relay, &cfg.Routes[2], "m", 100); head != ident.Incarnation("h0") || !ok {
 		t.Errorf("chosen %s, %t, want h0, the only one", head, ok)
 	}
 }
--- a/relay/start_test.go
+++ b/relay/start_test.go
@@ -38,9 +38,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := relay.New(names(), transport.TCP())
-				s.KeysLapse = 4 * time.Second
-				s.Budget = relay.NewBudget(relay.BudgetRule{Ratio: 0.2, Window: time.Second, Allowance: 1})
+				s := relay.New(headerNames(), transport.TCP())
+				s.KeyValidity = 4 * time.Second
+				s.Budget = relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0.2, Window: time.Second, Allowance: 1})
 				word := time.AfterFunc(c.word, func() {
 					s.SetConfig(config())
 					s.SetConfirmed(time.Now())
@@ -73,9 +73,9 @@
 			sent = append(sent, time.Since(start))
 			return nil, errors.New("refused")
 		}
-		s := relay.New(names(), refuse)
-		s.KeysLapse = 4 * time.Second
-		s.Budget = relay.NewBudget(relay.BudgetRule{Ratio: 0.2, Window: time.Second, Allowance: 1})
+		s := relay.New(headerNames(), refuse)
+		s.KeyValidity = 4 * time.Second
+		s.Budget = relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0.2, Window: time.Second, Allowance: 1})
 		s.Budget.SetEntries(8)
 		ask := func(event string) {
 			r := httptest.NewRequest("POST", "/stream/x", nil)
@@ -99,7 +99,7 @@
 			d.Upstreams = append(d.Upstreams, roster.Upstream{ID: id, Service: "model", Address: string(id) + ":1", Slots: 4})
 			d.Groups = append(d.Groups, roster.Group{Name: ident.Group("g-" + id), Service: "model", Model: "m", Members: []ident.Incarnation{id}, Phase: roster.PhaseOpen})
 		}
-		s.SetRoster(&d)
+		s.ApplyRoster(&d)
 		s.SetConfirmed(time.Now())
 		time.Sleep(50 * time.Millisecond)
 		ask("")
--- a/relay/state.go
+++ b/relay/state.go
@@ -9,170 +9,170 @@
 )
 
 const (
-	// smoothing is the weight of a new observation in the averages of a target.
-	smoothing = 0.15
-	// calmAfter halves what is known of a target that is not used, so that it is tried again.
-	calmAfter = 2 * time.Second
-	// suspectFor is how long a target that failed is avoided.
-	suspectFor = 1500 * time.Millisecond
-	// stalledFor is how long the wait of a request that was moved away goes on counting.
-	stalledFor = 2 * time.Second
-	// outcomesNeeded is the number of outcomes from which on a failure rate is believed.
-	outcomesNeeded = 4
+	// observationWeight is the weight of a new observation in the averages of a target.
+	observationWeight = 0.15
+	// decayInterval halves what is known of a target that is not used, so that it is tried again.
+	decayInterval = 2 * time.Second
+	// suspectPeriod is how long a target that failed is avoided.
+	suspectPeriod = 1500 * time.Millisecond
+	// movedAwayPeriod is how long the wait of a request that was moved away goes on counting.
+	movedAwayPeriod = 2 * time.Second
+	// minOutcomes is the number of outcomes from which on a failure rate is believed.
+	minOutcomes = 4
 )
 
 // targetState is what this entry knows of one life of an upstream; it is guarded by the relay's mutex.
 type targetState struct {
 	// group is the group that the upstream was the head of when the state was last used.
 	group ident.Group
-	// since is when this entry heard of that group.
-	since time.Time
+	// groupSince is when this entry heard of that group.
+	groupSince time.Time
 	// inflight counts the requests that this entry has there.
 	inflight int
-	// unread are the tokens of the prompts among them of which no word came yet.
-	unread ident.Tokens
-	// heard are prompts that other entries sent there.
-	heard []heard
+	// pendingTokens are the tokens of the prompts among them of which no word came yet.
+	pendingTokens ident.Tokens
+	// peerPrompts are prompts that other entries sent there.
+	peerPrompts []peerPrompt
 	// waitingSince is when the first of the requests that wait without any sign began to wait.
 	waitingSince time.Time
-	// stalled is set when a request was moved away because nothing came; its wait goes on counting until something does.
-	stalled time.Time
-	// answered is when the upstream last sent anything.
-	answered time.Time
-	// gap is the average time between events, failures the average share of failed requests.
-	gap      time.Duration
-	failures float64
-	outcomes int
-	observed time.Time
-	// passed is when the last pass ended, by the events of any request. Peak are the most tokens that were unread there since,
+	// movedAwayAt is set when a request was moved away because nothing came; its wait goes on counting until something does.
+	movedAwayAt time.Time
+	// lastContact is when the upstream last sent anything.
+	lastContact time.Time
+	// eventGap is the average time between events, failures the average share of failed requests.
+	eventGap     time.Duration
+	failureRate  float64
+	outcomeCount int
+	observedAt   time.Time
+	// iterationEndedAt is when the last pass ended, by the events of any request. Peak are the most tokens that were unread there since,
 	// came the requests that were sent there since.
-	passed time.Time
-	peak   ident.Tokens
-	came   int
-	// suspects are the entries that wait in vain, this one since suspected; suspectTold is when it last said so, stoodAt when there
+	iterationEndedAt   time.Time
+	peakPendingTokens  ident.Tokens
+	sentSinceIteration int
+	// suspects are the entries that wait in vain, this one since suspected; suspicionSentAt is when it last said so, stalledAt when there
 	// were enough of them.
-	suspicions  stall.Suspicions[netip.AddrPort]
-	suspected   time.Time
-	suspectTold time.Time
-	stoodAt     time.Time
-	// stoodLast is when there last were, stoodAgain how often before that within a short time.
-	stoodLast  time.Time
-	stoodAgain int
-	// confirmedAt is when the group gave a sign to another entry that said so, or to this one when it last did.
-	confirmedAt time.Time
-	// followers watch the tries that wait there.
-	followers map[*follower]struct{}
-	// events and pauses are the number of events and the time between them since the leader was told.
-	events int
-	pauses time.Duration
-	// suspect is until when the target is avoided.
-	suspect time.Time
-	// refused is set when nothing listens there any more, proof while that is being found out.
-	refused bool
-	proof   *proof
-	blamed  string
-	// askedOthers is until when the upstream wants nothing from other entries.
-	askedOthers time.Time
+	suspicions      stall.Suspicions[netip.AddrPort]
+	suspectedAt     time.Time
+	suspicionSentAt time.Time
+	stalledAt       time.Time
+	// lastStalledAt is when there last were, stallRepeats how often before that within a short time.
+	lastStalledAt time.Time
+	stallRepeats  int
+	// confirmedAliveAt is when the group gave a sign to another entry that said so, or to this one when it last did.
+	confirmedAliveAt time.Time
+	// forwarders watch the tries that wait there.
+	forwarders map[*forwarder]struct{}
+	// eventCount and pauses are the number of events and the time between them since the leader was told.
+	eventCount    int
+	eventGapTotal time.Duration
+	// suspectUntil is until when the target is avoided.
+	suspectUntil time.Time
+	// connectionRefused is set when nothing listens there any more, proof while that is being found out.
+	connectionRefused bool
+	crashProbe        *crashProbe
+	blamedMember      string
+	// peerBackoffUntil is until when the upstream wants nothing from other entries.
+	peerBackoffUntil time.Time
 }
 
-// belong forgets what was seen when the upstream was the head of another group.
-func (ts *targetState) belong(now time.Time, group ident.Group) {
+// resetForGroup forgets what was seen when the upstream was the head of another group.
+func (ts *targetState) resetForGroup(now time.Time, group ident.Group) {
 	if ts.group == group {
 		return
 	}
 	*ts = targetState{
-		group: group, since: now, inflight: ts.inflight, unread: ts.unread, outcomes: ts.outcomes, failures: ts.failures, waitingSince: ts.waitingSince,
-		followers: ts.followers, proof: ts.proof,
+		group: group, groupSince: now, inflight: ts.inflight, pendingTokens: ts.pendingTokens, outcomeCount: ts.outcomeCount, failureRate: ts.failureRate, waitingSince: ts.waitingSince,
+		forwarders: ts.forwarders, crashProbe: ts.crashProbe,
 	}
 	if ts.inflight == 0 {
 		ts.waitingSince = time.Time{}
 	}
 }
 
-func (ts *targetState) begin(now time.Time, prompt ident.Tokens) {
-	if ts.inflight == 0 && ts.stalled.IsZero() {
+func (ts *targetState) addRequest(now time.Time, prompt ident.Tokens) {
+	if ts.inflight == 0 && ts.movedAwayAt.IsZero() {
 		ts.waitingSince = now
 	}
 	if ts.inflight == 0 {
 		// Nothing has shown the ends of passes meanwhile.
-		ts.peak, ts.came = 0, 0
+		ts.peakPendingTokens, ts.sentSinceIteration = 0, 0
 	}
 	ts.inflight++
-	ts.unread += prompt
-	ts.sent(now)
+	ts.pendingTokens += prompt
+	ts.notePromptSent(now)
 }
 
-// sent notes that a prompt was sent there, by any entry.
-func (ts *targetState) sent(now time.Time) {
-	ts.peak = max(ts.peak, ts.mayBeUnread(now))
-	ts.came++
+// notePromptSent notes that a prompt was sent there, by any entry.
+func (ts *targetState) notePromptSent(now time.Time) {
+	ts.peakPendingTokens = max(ts.peakPendingTokens, ts.maxPendingTokens(now))
+	ts.sentSinceIteration++
 }
 
-// pass notes that a pass ended. One that took far too long ends no suspicion of how the group works.
-func (ts *targetState) pass(now time.Time, tooLong bool) {
-	ts.peak, ts.came = ts.mayBeUnread(now), 0
-	ts.passed = now
+// noteIteration notes that a pass ended. One that took far too long ends no suspicion of how the group works.
+func (ts *targetState) noteIteration(now time.Time, tooLong bool) {
+	ts.peakPendingTokens, ts.sentSinceIteration = ts.maxPendingTokens(now), 0
+	ts.iterationEndedAt = now
 	ts.suspicions.Clear()
 	if !tooLong {
-		ts.suspected, ts.stoodAt = time.Time{}, time.Time{}
+		ts.suspectedAt, ts.stalledAt = time.Time{}, time.Time{}
 	}
 }
 
-func (ts *targetState) end() {
+func (ts *targetState) removeRequest() {
 	ts.inflight--
 }
 
-// sign notes that the upstream sent something.
-func (ts *targetState) sign(now time.Time) {
-	ts.answered = now
+// noteProgress notes that the upstream sent something.
+func (ts *targetState) noteProgress(now time.Time) {
+	ts.lastContact = now
 	ts.waitingSince = now
-	ts.stalled = time.Time{}
-	ts.refused = false
-	ts.blamed = ""
+	ts.movedAwayAt = time.Time{}
+	ts.connectionRefused = false
+	ts.blamedMember = ""
 }
 
-// event notes a pause between two events of one stream.
-func (ts *targetState) event(now time.Time, gap time.Duration) {
-	ts.sign(now)
-	ts.gap += time.Duration(smoothing * float64(gap-ts.gap))
-	ts.events++
-	ts.pauses += gap
-	ts.observed = now
+// noteEvent notes a pause between two events of one stream.
+func (ts *targetState) noteEvent(now time.Time, gap time.Duration) {
+	ts.noteProgress(now)
+	ts.eventGap += time.Duration(observationWeight * float64(gap-ts.eventGap))
+	ts.eventCount++
+	ts.eventGapTotal += gap
+	ts.observedAt = now
 }
 
-// outcome notes whether a request succeeded.
-func (ts *targetState) outcome(now time.Time, ok bool) {
+// noteOutcome notes whether a request succeeded.
+func (ts *targetState) noteOutcome(now time.Time, ok bool) {
 	value := 1.0
 	if ok {
 		value = 0
 	}
-	ts.outcomes++
-	ts.failures += smoothing * (value - ts.failures)
-	ts.observed = now
+	ts.outcomeCount++
+	ts.failureRate += observationWeight * (value - ts.failureRate)
+	ts.observedAt = now
 }
 
-// calm lets old observations fade.
-func (ts *targetState) calm(now time.Time) {
-	for now.Sub(ts.observed) > calmAfter && !ts.observed.IsZero() {
-		ts.gap /= 2
-		ts.failures /= 2
-		ts.observed = ts.observed.Add(calmAfter)
-		if ts.gap < time.Millisecond && ts.failures < smoothing/2 {
-			ts.observed = time.Time{}
+// decay lets old observations fade.
+func (ts *targetState) decay(now time.Time) {
+	for now.Sub(ts.observedAt) > decayInterval && !ts.observedAt.IsZero() {
+		ts.eventGap /= 2
+		ts.failureRate /= 2
+		ts.observedAt = ts.observedAt.Add(decayInterval)
+		if ts.eventGap < time.Millisecond && ts.failureRate < observationWeight/2 {
+			ts.observedAt = time.Time{}
 		}
 	}
 }
 
-func (ts *targetState) fail(now time.Time) {
-	ts.suspect = now.Add(suspectFor)
+func (ts *targetState) markSuspect(now time.Time) {
+	ts.suspectUntil = now.Add(suspectPeriod)
 }
 
-// silence is how long requests have waited there without any sign.
-func (ts *targetState) silence(now time.Time) time.Duration {
-	if now.Sub(ts.stalled) > stalledFor {
-		ts.stalled = time.Time{}
+// waitWithoutProgress is how long requests have waited there without any sign.
+func (ts *targetState) waitWithoutProgress(now time.Time) time.Duration {
+	if now.Sub(ts.movedAwayAt) > movedAwayPeriod {
+		ts.movedAwayAt = time.Time{}
 	}
-	if ts.inflight == 0 && ts.stalled.IsZero() {
+	if ts.inflight == 0 && ts.movedAwayAt.IsZero() {
 		return 0
 	}
 	return now.Sub(ts.waitingSince)
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -18,19 +18,19 @@
 	"strconv"
 )
 
-// maxEvent bounds one event.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event.
+const maxEventBytes = 1 << 20
 
 var (
-	errPartEvent = errors.New("the stream ends within an event")
-	errLongEvent = errors.New("an event is too long")
-	errEmpty     = errors.New("the stream has no event")
-	errGap       = errors.New("events are missing")
-	errUnsigned  = errors.New("the answer has no signature")
-	errCaller    = errors.New("the caller does not read")
+	errPartialEvent     = errors.New("the stream ends within an event")
+	errEventTooLong     = errors.New("an event is too long")
+	errNoEvents         = errors.New("the stream has no event")
+	errMissingEvents    = errors.New("events are missing")
+	errNoSignature      = errors.New("the answer has no signature")
+	errCallerNotReading = errors.New("the caller does not read")
 )
 
-var idField = []byte("id:")
+var idFieldPrefix = []byte("id:")
 
 // event is one event as it stands in the stream.
 type event struct {
@@ -52,98 +52,98 @@
 		line, err := e.br.ReadSlice('\n')
 		e.buf = append(e.buf, line...)
 		if errors.Is(err, bufio.ErrBufferFull) {
-			if len(e.buf) > maxEvent {
-				return ev, errLongEvent
+			if len(e.buf) > maxEventBytes {
+				return ev, errEventTooLong
 			}
 			continue
 		}
 		if errors.Is(err, io.EOF) && len(e.buf) > 0 {
-			return ev, errPartEvent
+			return ev, errPartialEvent
 		}
 		if err != nil {
 			return ev, err
 		}
 		text := bytes.TrimRight(line, "\r\n")
-		if id, ok := bytes.CutPrefix(text, idField); ok {
+		if id, ok := bytes.CutPrefix(text, idFieldPrefix); ok {
 			ev.id = string(bytes.TrimSpace(id))
 		}
 		if len(text) == 0 {
 			ev.raw = e.buf
 			return ev, nil
 		}
-		if len(e.buf) > maxEvent {
-			return ev, errLongEvent
+		if len(e.buf) > maxEventBytes {
+			return ev, errEventTooLong
 		}
 	}
 }
 
-// followStream passes events on until the stream ends, breaks off or is given up.
-func (f *follower) followStream(resp *http.Response) verdict {
-	err := f.startStream(resp)
+// forwardStream passes events on until the stream ends, breaks off or is given up.
+func (f *forwarder) forwardStream(resp *http.Response) attemptOutcome {
+	err := f.checkSignature(resp)
 	if err == nil {
-		err = f.passEvents(resp)
+		err = f.forwardEvents(resp)
 	}
-	if errors.Is(err, errCaller) {
+	if errors.Is(err, errCallerNotReading) {
 		f.conn.Close()
-		return verdictGone
+		return outcomeCallerGone
 	}
 	if err != nil {
 		f.conn.Close()
-		return f.broken(err)
+		return f.brokenOutcome(err)
 	}
-	f.keep(resp)
-	return verdictDone
+	f.returnConn(resp)
+	return outcomeDone
 }
 
-// startStream gives the caller the head of the first upstream's answer; a stream that is continued keeps it.
-func (f *follower) startStream(resp *http.Response) error {
-	if resp.Header.Get(f.x.s.Names.Signature) == "" || resp.Header.Get("Content-Encoding") != "" {
-		return errUnsigned
+// checkSignature gives the caller the head of the first upstream's answer; a stream that is continued keeps it.
+func (f *forwarder) checkSignature(resp *http.Response) error {
+	if resp.Header.Get(f.x.s.Headers.Signature) == "" || resp.Header.Get("Content-Encoding") != "" {
+		return errNoSignature
 	}
 	return nil
 }
 
-func (f *follower) passEvents(resp *http.Response) error {
+func (f *forwarder) forwardEvents(resp *http.Response) error {
 	x := f.x
-	events := &eventReader{br: bufio.NewReaderSize(resp.Body, readBuffer)}
+	events := &eventReader{br: bufio.NewReaderSize(resp.Body, readBufferBytes)}
 	for {
 		ev, err := events.next()
-		if errors.Is(err, io.EOF) && x.lastEvent == "" {
-			return errEmpty
+		if errors.Is(err, io.EOF) && x.lastEventID == "" {
+			return errNoEvents
 		}
 		if errors.Is(err, io.EOF) {
-			f.startOnce(resp)
+			f.writeHeadOnce(resp)
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		skip, err := x.check(&ev)
+		skip, err := x.checkEventOrder(&ev)
 		if err != nil {
 			return err
 		}
 		if skip {
-			f.sign()
+			f.noteProgress()
 			continue
 		}
-		f.startOnce(resp)
+		f.writeHeadOnce(resp)
 		if _, err := x.w.Write(ev.raw); err != nil {
-			return errCaller
+			return errCallerNotReading
 		}
 		if err := x.flush(); err != nil {
-			return errCaller
+			return errCallerNotReading
 		}
-		f.event(&ev)
+		f.recordEvent(&ev)
 	}
 }
 
-func (f *follower) startOnce(resp *http.Response) {
+func (f *forwarder) writeHeadOnce(resp *http.Response) {
 	x := f.x
-	if x.started {
+	if x.headSent {
 		return
 	}
-	x.started = true
-	x.copyHead(resp.Header)
+	x.headSent = true
+	x.copyHeader(resp.Header)
 	x.status = resp.StatusCode
 	x.w.WriteHeader(resp.StatusCode)
 }
@@ -152,15 +152,15 @@
 	return http.NewResponseController(x.w).Flush()
 }
 
-// check reports whether ev was passed on before; an event that leaves others out is an error.
-func (x *exchange) check(ev *event) (skip bool, err error) {
-	last, known := eventNumber(x.lastEvent)
+// checkEventOrder reports whether ev was passed on before; an event that leaves others out is an error.
+func (x *exchange) checkEventOrder(ev *event) (skip bool, err error) {
+	last, known := eventNumber(x.lastEventID)
 	now, numbered := eventNumber(ev.id)
 	switch {
 	case !known || !numbered:
 		return false, nil
 	case now > last+1:
-		return false, errGap
+		return false, errMissingEvents
 	}
 	return now <= last, nil
 }
@@ -171,30 +171,30 @@
 	return n, err == nil
 }
 
-// event notes that ev went to the caller.
-func (f *follower) event(ev *event) {
+// recordEvent notes that ev went to the caller.
+func (f *forwarder) recordEvent(ev *event) {
 	x, s := f.x, f.x.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
-	tooLong := f.learnSign(now)
-	x.readAt(f.state)
-	f.state.pass(now, tooLong)
-	f.running = true
-	if x.events == 0 {
-		x.first = now.Sub(x.began)
-		f.state.sign(now)
-		x.lastAt = now
-		x.learnLaunch()
+	tooLong := f.learnProgress(now)
+	x.clearPendingLocked(f.state)
+	f.state.noteIteration(now, tooLong)
+	f.streaming = true
+	if x.eventCount == 0 {
+		x.firstEventAfter = now.Sub(x.arrivedAt)
+		f.state.noteProgress(now)
+		x.lastEventAt = now
+		x.learnDispatchDelay()
 	} else {
-		f.state.event(now, now.Sub(f.waited))
+		f.state.noteEvent(now, now.Sub(f.waitingSince))
 	}
-	x.gap = max(x.gap, now.Sub(x.lastAt))
-	x.lastAt = now
-	f.waited = now
-	f.events++
-	x.events++
+	x.longestGap = max(x.longestGap, now.Sub(x.lastEventAt))
+	x.lastEventAt = now
+	f.waitingSince = now
+	f.eventCount++
+	x.eventCount++
 	if ev.id != "" {
-		x.lastEvent = ev.id
+		x.lastEventID = ev.id
 	}
 }
--- a/relay/suspect.go
+++ b/relay/suspect.go
@@ -23,46 +23,46 @@
 )
 
 const (
-	// suspectAgain is how often an entry that waits says again that it suspects a group: before its last word counts no more.
-	suspectAgain = 150 * time.Millisecond
-	// confirmers is how many entries with a sign of a group tell those who suspect it so, on average, and confirmAgain how old the last
+	// suspicionInterval is how often an entry that waits says again that it suspects a group: before its last word counts no more.
+	suspicionInterval = 150 * time.Millisecond
+	// targetRefuters is how many entries with a sign of a group tell those who suspect it so, on average, and refuteInterval how old the last
 	// such word is at least: where a part of the entries is cut off from a group, they suspect it all the time.
-	confirmers   = 4
-	confirmAgain = 100 * time.Millisecond
-	// stoodFor is how long a group that stands still is avoided when nothing more is heard of it: the leader ends it within a
+	targetRefuters = 4
+	refuteInterval = 100 * time.Millisecond
+	// stallPeriod is how long a group that stands still is avoided when nothing more is heard of it: the leader ends it within a
 	// second, and one that works again has to be found out.
-	stoodFor = 1500 * time.Millisecond
-	// stoodMost is how often that time doubles for a group that is found to stand still again and again, no more than stoodApart
+	stallPeriod = 1500 * time.Millisecond
+	// maxStallDoublings is how often that time doubles for a group that is found to stand still again and again, no more than stallRepeatWindow
 	// apart: at most the time after which an engine itself ends a group that stands still.
-	stoodMost  = 2
-	stoodApart = 8 * time.Second
-	// newGroup is how long a group is not suspected after this entry heard of it: what entries that heard sooner send there is not
+	maxStallDoublings = 2
+	stallRepeatWindow = 8 * time.Second
+	// newGroupGrace is how long a group is not suspected after this entry heard of it: what entries that heard sooner send there is not
 	// known, and the leader tells all of them within 100 ms.
-	newGroup = 300 * time.Millisecond
-	// standAgain is how often one whose group stands still looks for room elsewhere: some times in a pass.
-	standAgain = 20 * time.Millisecond
-	// newEntries is how long nothing is suspected after this entry heard of another one: until all know each other, they do not tell
+	newGroupGrace = 300 * time.Millisecond
+	// stalledCheckInterval is how often one whose group stands still looks for room elsewhere: some times in a pass.
+	stalledCheckInterval = 20 * time.Millisecond
+	// newEntryGrace is how long nothing is suspected after this entry heard of another one: until all know each other, they do not tell
 	// each other of all prompts, and groups that work would be taken for standing still.
-	newEntries = 600 * time.Millisecond
-	// standingMost is the part of the groups of a model that may be taken for standing still at once: a domain that goes dark is a
+	newEntryGrace = 600 * time.Millisecond
+	// maxStalledFraction is the part of the groups of a model that may be taken for standing still at once: a domain that goes dark is a
 	// third of a small site, and beyond that it is rather the bound of passes that does not hold.
-	standingMost = 0.4
-	// boundSlack is how much longer than estimated a prompt of another entry may be unread when a pass is bounded.
-	boundSlack = 15 * time.Millisecond
-	// slowSign is how late beyond the margin an event must be to show a slow group and not only one long pass.
-	slowSign = 50 * time.Millisecond
-	// samePass is how far apart events of one pass arrive at one entry at most.
-	samePass = 10 * time.Millisecond
+	maxStalledFraction = 0.4
+	// iterationBoundSlack is how much longer than estimated a prompt of another entry may be unread when a pass is bounded.
+	iterationBoundSlack = 15 * time.Millisecond
+	// slowGroupDelay is how late beyond the margin an event must be to show a slow group and not only one long pass.
+	slowGroupDelay = 50 * time.Millisecond
+	// sameIterationSpan is how far apart events of one pass arrive at one entry at most.
+	sameIterationSpan = 10 * time.Millisecond
 )
 
-// self stands for this entry among those that suspect a group.
-var self netip.AddrPort
+// thisEntry stands for this entry among those that suspect a group.
+var thisEntry netip.AddrPort
 
-// marginOf returns what is learnt of when signs of a model come, of first words or of events; the mutex is held.
-func (s *Relay) marginOf(model ident.Model, running bool) *stall.Margin {
-	margins := s.firstMargins
+// marginFor returns what is learnt of when signs of a model come, of first words or of events; the mutex is held.
+func (s *Relay) marginFor(model ident.Model, running bool) *stall.Margin {
+	margins := s.firstEventMargins
 	if running {
-		margins = s.margins
+		margins = s.eventMargins
 	}
 	m := margins[model]
 	if m == nil {
@@ -72,38 +72,38 @@
 	return m
 }
 
-// passAt bounds the length of the pass in progress at t: it may read all that was unread at any time since the last one ended. What
+// maxIterationTime bounds the length of the pass in progress at t: it may read all that was unread at any time since the last one ended. What
 // was sent while that one was on its way is a closer bound, but misses what an engine leaves for the next pass: streams
 // would be moved off groups that work.
-func (s *Relay) passAt(t *target, now time.Time) time.Duration {
+func (s *Relay) maxIterationTime(t *target, now time.Time) time.Duration {
 	ts := s.stateOf(t)
-	return t.times.Pass(max(ts.peak, ts.mayBeUnread(now)), s.loadOf(t, now).Requests+ts.came)
+	return t.timing.IterationTime(max(ts.peakPendingTokens, ts.maxPendingTokens(now)), s.loadOf(t, now).Requests+ts.sentSinceIteration)
 }
 
-// expected bounds the time from the last sign of this try to the next one, as far as the passes of its group tell; ok is false where
+// maxTimeToProgress bounds the time from the last sign of this try to the next one, as far as the passes of its group tell; ok is false where
 // that is not known. The mutex is held.
-func (f *follower) expected(now time.Time) (d time.Duration, ok bool) {
-	if f.estimate == 0 || !f.t.known || now.Sub(f.state.since) < newGroup || now.Sub(f.x.s.entriesSince) < newEntries {
+func (f *forwarder) maxTimeToProgress(now time.Time) (d time.Duration, ok bool) {
+	if f.firstEventEstimate == 0 || !f.target.inSubset || now.Sub(f.state.groupSince) < newGroupGrace || now.Sub(f.x.s.newEntryAt) < newEntryGrace {
 		return 0, false
 	}
-	if f.running {
-		return f.x.s.passAt(f.t, now), true
+	if f.streaming {
+		return f.x.s.maxIterationTime(f.target, now), true
 	}
 	// One more pass than the estimate counts: others may have sent there at the same moment.
-	return f.estimate + f.t.times.Pass(f.x.toRead(), f.t.slots) + f.x.launch.usual, true
+	return f.firstEventEstimate + f.target.timing.IterationTime(f.x.prefillTokens(), f.target.slots) + f.x.dispatchDelay.mean, true
 }
 
-// due returns when the group must have given a sign: after that it is suspected. The mutex is held.
-func (f *follower) due() (due time.Time, ok bool) {
+// progressDue returns when the group must have given a sign: after that it is suspected. The mutex is held.
+func (f *forwarder) progressDue() (due time.Time, ok bool) {
 	s := f.x.s
-	expected, ok := f.expected(s.Now())
+	expected, ok := f.maxTimeToProgress(s.Now())
 	if !ok {
 		return time.Time{}, false
 	}
-	due = f.waited.Add(expected + s.marginOf(f.x.model, f.running).Now())
-	if f.state.passed.After(f.waited) {
+	due = f.waitingSince.Add(expected + s.marginFor(f.x.model, f.streaming).Current())
+	if f.state.iterationEndedAt.After(f.waitingSince) {
 		// Another stream of this entry shows that the group works.
-		next := f.state.passed.Add(s.passAt(f.t, s.Now()) + s.marginOf(f.x.model, true).Now())
+		next := f.state.iterationEndedAt.Add(s.maxIterationTime(f.target, s.Now()) + s.marginFor(f.x.model, true).Current())
 		if next.After(due) {
 			due = next
 		}
@@ -111,119 +111,119 @@
 	return due, true
 }
 
-// suspects suspects the group when it is overdue, and reports whether it stands still and when to look again; the mutex is held.
-func (f *follower) suspects(now time.Time) (stands bool, again time.Duration) {
+// checkSuspicion suspects the group when it is overdue, and reports whether it stands still and when to look again; the mutex is held.
+func (f *forwarder) checkSuspicion(now time.Time) (stands bool, again time.Duration) {
 	s, ts := f.x.s, f.state
-	due, ok := f.due()
+	due, ok := f.progressDue()
 	if !ok {
-		return false, f.limit()
+		return false, f.maxSilence()
 	}
-	if s.stalled(ts, now) {
-		return true, standAgain
+	if s.declaredStalled(ts, now) {
+		return true, stalledCheckInterval
 	}
 	if rest := due.Sub(now); rest > 0 {
 		return false, rest
 	}
-	s.suspect(f.t, now, now.Sub(f.since()))
-	return s.stalled(ts, now), suspectAgain
+	s.suspectTarget(f.target, now, now.Sub(f.lastProgress()))
+	return s.declaredStalled(ts, now), suspicionInterval
 }
 
-// suspect notes that t has been silent for too long, and tells the entries that use it; the mutex is held.
-func (s *Relay) suspect(t *target, now time.Time, silent time.Duration) {
+// suspectTarget notes that t has been silent for too long, and tells the entries that use it; the mutex is held.
+func (s *Relay) suspectTarget(t *target, now time.Time, silent time.Duration) {
 	ts := s.stateOf(t)
-	ts.suspicions.Add(now, now.Add(-silent), self)
-	ts.suspected = now
-	if now.Sub(ts.suspectTold) >= suspectAgain {
-		ts.suspectTold = now
-		s.Tell(News{Head: t.id, Silent: max(1, silent.Milliseconds())}, t.users)
+	ts.suspicions.Add(now, now.Add(-silent), thisEntry)
+	ts.suspectedAt = now
+	if now.Sub(ts.suspicionSentAt) >= suspicionInterval {
+		ts.suspicionSentAt = now
+		s.SendUpdate(EntryUpdate{Head: t.id, SilentMS: max(1, silent.Milliseconds())}, t.users)
 	}
-	s.judge(t, now)
+	s.evaluateStall(t, now)
 }
 
-// since is when the group last gave this entry a sign, or the request was sent.
-func (f *follower) since() time.Time {
-	if f.state.passed.After(f.waited) {
-		return f.state.passed
+// lastProgress is when the group last gave this entry a sign, or the request was sent.
+func (f *forwarder) lastProgress() time.Time {
+	if f.state.iterationEndedAt.After(f.waitingSince) {
+		return f.state.iterationEndedAt
 	}
-	return f.waited
+	return f.waitingSince
 }
 
 // applySuspicion takes what another entry says of whether the group of t works; the mutex is held.
-func (s *Relay) applySuspicion(t *target, n *News, from netip.AddrPort) {
+func (s *Relay) applySuspicion(t *target, n *EntryUpdate, from netip.AddrPort) {
 	now := s.Now()
 	ts := s.stateOf(t)
-	if n.Worked > 0 {
-		ts.confirm(now.Add(-time.Duration(n.Worked) * time.Millisecond))
+	if n.ProgressAgeMS > 0 {
+		ts.noteConfirmedAlive(now.Add(-time.Duration(n.ProgressAgeMS) * time.Millisecond))
 		return
 	}
-	since := now.Add(-time.Duration(n.Silent) * time.Millisecond)
-	if stall.Later(ts.passed, since) {
-		s.confirm(t, now)
+	since := now.Add(-time.Duration(n.SilentMS) * time.Millisecond)
+	if stall.InLaterIteration(ts.iterationEndedAt, since) {
+		s.refuteSuspicion(t, now)
 		return
 	}
-	if stall.Later(ts.confirmedAt, since) {
+	if stall.InLaterIteration(ts.confirmedAliveAt, since) {
 		return
 	}
 	ts.suspicions.Add(now, since, from)
-	s.judge(t, now)
+	s.evaluateStall(t, now)
 }
 
-// confirm tells the others that the group of t works, as some of those do who have streams there.
-func (s *Relay) confirm(t *target, now time.Time) {
+// refuteSuspicion tells the others that the group of t works, as some of those do who have streams there.
+func (s *Relay) refuteSuspicion(t *target, now time.Time) {
 	ts := s.stateOf(t)
-	if now.Sub(ts.confirmedAt) < confirmAgain {
+	if now.Sub(ts.confirmedAliveAt) < refuteInterval {
 		return
 	}
-	ts.confirmedAt = ts.passed
-	if requests := s.loadOf(t, now).Requests; requests > confirmers && s.Draw(requests) >= confirmers {
+	ts.confirmedAliveAt = ts.iterationEndedAt
+	if requests := s.loadOf(t, now).Requests; requests > targetRefuters && s.RandomInt(requests) >= targetRefuters {
 		return
 	}
-	s.Tell(News{Head: t.id, Worked: max(1, now.Sub(ts.passed).Milliseconds())}, t.users)
+	s.SendUpdate(EntryUpdate{Head: t.id, ProgressAgeMS: max(1, now.Sub(ts.iterationEndedAt).Milliseconds())}, t.users)
 }
 
-// confirm notes that the group gave another entry a sign at a time.
-func (ts *targetState) confirm(at time.Time) {
-	if at.After(ts.confirmedAt) {
-		ts.confirmedAt = at
+// noteConfirmedAlive notes that the group gave another entry a sign at a time.
+func (ts *targetState) noteConfirmedAlive(at time.Time) {
+	if at.After(ts.confirmedAliveAt) {
+		ts.confirmedAliveAt = at
 	}
 	if ts.suspicions.Refute(at) {
-		ts.stoodAt = time.Time{}
+		ts.stalledAt = time.Time{}
 	}
 }
 
-// judge decides whether the group of t stands still by all suspicion of it, and lets those look who wait there; the mutex is held.
-func (s *Relay) judge(t *target, now time.Time) {
+// evaluateStall decides whether the group of t stands still by all suspicion of it, and lets those look who wait there; the mutex is held.
+func (s *Relay) evaluateStall(t *target, now time.Time) {
 	ts := s.stateOf(t)
-	if s.stalled(ts, now) || ts.suspicions.Count(now) < stall.Witnesses(s.loadOf(t, now).Requests, s.usersOf(t)) || s.manyStand(t, now) {
+	if s.declaredStalled(ts, now) || ts.suspicions.Count(now) < stall.RequiredSuspicions(s.loadOf(t, now).Requests, s.userCount(t)) || s.tooManyStalled(t, now) {
 		return
 	}
-	ts.stoodAgain = min(stoodMost, ts.stoodAgain+1)
-	if now.Sub(ts.stoodLast) > stoodApart {
-		ts.stoodAgain = 0
+	ts.stallRepeats = min(maxStallDoublings, ts.stallRepeats+1)
+	if now.Sub(ts.lastStalledAt) > stallRepeatWindow {
+		ts.stallRepeats = 0
 	}
-	ts.stoodAt, ts.stoodLast = now, now
-	for f := range ts.followers {
+	ts.stalledAt, ts.lastStalledAt = now, now
+	for f := range ts.forwarders {
 		f.timer.Reset(0)
 	}
 }
 
-// manyStand reports whether so many groups of the model of t stand still that it can't be true of one more; the mutex is held.
-func (s *Relay) manyStand(t *target, now time.Time) bool {
+// tooManyStalled reports whether so many groups of the model of t stand still that it can't be true of one more; the mutex is held.
+func (s *Relay) tooManyStalled(t *target, now time.Time) bool {
 	standing, all := 0, 0
-	for _, o := range s.fleet.byHead {
+	for _, o := range s.index.byHead {
 		if o.model != t.model {
 			continue
 		}
 		all++
-		if s.stalled(s.stateOf(o), now) {
+		if s.declaredStalled(s.stateOf(o), now) {
 			standing++
 		}
 	}
-	return standing > 0 && float64(standing+1) > standingMost*float64(all)
+	return standing > 0 && float64(standing+1) > maxStalledFraction*float64(all)
 }
 
-// usersOf returns how many entries send requests to t.
-func (s *Relay) usersOf(t *target) int {
+// userCount returns how many entries send requests to t.
+func (s *Relay) userCount(t *target) int {
 	switch {
 	case s.entries == nil:
 		return 1
@@ -233,24 +233,24 @@
 	return len(t.users) + 1
 }
 
-// stalled reports whether a group stands still by what several entries saw; the mutex is held.
-func (s *Relay) stalled(ts *targetState, now time.Time) bool {
-	return !ts.stoodAt.IsZero() && now.Sub(ts.stoodAt) < stoodFor<<ts.stoodAgain
+// declaredStalled reports whether a group stands still by what several entries saw; the mutex is held.
+func (s *Relay) declaredStalled(ts *targetState, now time.Time) bool {
+	return !ts.stalledAt.IsZero() && now.Sub(ts.stalledAt) < stallPeriod<<ts.stallRepeats
 }
 
-// learnSign takes how long after it was due an event came, and reports whether that was too late for a group that works: one with a
+// learnProgress takes how long after it was due an event came, and reports whether that was too late for a group that works: one with a
 // member that is several times slower than usual gives signs, but none in time. The mutex is held.
-func (f *follower) learnSign(now time.Time) (tooLate bool) {
-	if now.Sub(f.state.passed) < samePass {
-		return !f.state.stoodAt.IsZero()
+func (f *forwarder) learnProgress(now time.Time) (tooLate bool) {
+	if now.Sub(f.state.iterationEndedAt) < sameIterationSpan {
+		return !f.state.stalledAt.IsZero()
 	}
-	expected, ok := f.expected(now)
+	expected, ok := f.maxTimeToProgress(now)
 	if !ok {
 		return false
 	}
-	late := now.Sub(f.waited) - expected
-	m := f.x.s.marginOf(f.x.model, f.running)
-	tooLate = f.running && late > m.Now()+slowSign
-	m.Note(late)
+	late := now.Sub(f.waitingSince) - expected
+	m := f.x.s.marginFor(f.x.model, f.streaming)
+	tooLate = f.streaming && late > m.Current()+slowGroupDelay
+	m.Observe(late)
 	return tooLate
 }
--- a/relay/suspended_test.go
+++ b/relay/suspended_test.go
@@ -9,32 +9,32 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// suspendable is the clock of a VM that can be suspended.
-type suspendable struct {
-	began time.Time
-	away  time.Duration
+// suspendableClock is the clock of a VM that can be suspended.
+type suspendableClock struct {
+	startedAt    time.Time
+	suspendedFor time.Duration
 }
 
-func (s *suspendable) clock() *clock.Clock {
+func (s *suspendableClock) clock() *clock.Clock {
 	read := func() clock.Reading {
 		now := time.Now()
-		return clock.Reading{Time: now, Steady: now.Sub(s.began), Day: now.Add(s.away)}
+		return clock.Reading{Time: now, Steady: now.Sub(s.startedAt), Day: now.Add(s.suspendedFor)}
 	}
-	return clock.New(read, func() time.Duration { return s.away })
+	return clock.New(read, func() time.Duration { return s.suspendedFor })
 }
 
 // An entry that was suspended past the lapse of keys serves none on what it had heard before: a key may have been taken away
 // meanwhile.
 func TestASuspendedEntryServesNoOldKeys(t *testing.T) {
-	vm := &suspendable{began: time.Now()}
-	u := newUpstream(t, always(whole))
-	s := newSite(t, []*upstream{u}, nil)
+	vm := &suspendableClock{startedAt: time.Now()}
+	u := newUpstream(t, always(respondComplete))
+	s := newTestEntry(t, []*upstream{u}, nil)
 	s.relay.Now = vm.clock().Now
 	s.relay.SetConfirmed(s.relay.Now())
 	if got := s.do(s.request("POST", "/safe/x", "before", "")); got.Status != http.StatusOK {
 		t.Fatalf("status %d before the suspension", got.Status)
 	}
-	vm.away = 5 * time.Second
+	vm.suspendedFor = 5 * time.Second
 	if got := s.do(s.request("POST", "/safe/x", "after", "")); got.Status != http.StatusServiceUnavailable {
 		t.Errorf("status %d after a suspension past the lapse of keys, want 503", got.Status)
 	}
@@ -42,7 +42,7 @@
 	if got := s.records[len(s.records)-1].Code; got != result.ControlUnreachable {
 		t.Errorf("code %d, want %d", got, result.ControlUnreachable)
 	}
-	if n := len(u.arrivals()); n != 1 {
+	if n := len(u.received()); n != 1 {
 		t.Errorf("%d requests reached the upstream, want the one before the suspension", n)
 	}
 	s.relay.SetConfirmed(s.relay.Now())
--- a/relay/timeout_test.go
+++ b/relay/timeout_test.go
@@ -12,14 +12,14 @@
 )
 
 // A caller that stops in the middle of its body gets its answer by the route's time-out, and the request does not run.
-func TestARequestWhoseBodyStopsKeepsTheTimeOut(t *testing.T) {
-	u := newUpstream(t, always(whole))
-	s := newSite(t, []*upstream{u}, nil)
+func TestTimeoutOfRequestWithStalledBody(t *testing.T) {
+	u := newUpstream(t, always(respondComplete))
+	s := newTestEntry(t, []*upstream{u}, nil)
 	cfg := config()
 	cfg.Routes[0].Timeout = 200 * time.Millisecond
 	s.relay.SetConfig(cfg)
 	for _, kind := range []string{"Content-Length: 10\r\n\r\nhalf", "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"} {
-		conn, err := net.Dial("tcp", s.front.Listener.Addr().String())
+		conn, err := net.Dial("tcp", s.server.Listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,8 +37,8 @@
 		if took := time.Since(began); took < 200*time.Millisecond || took > 700*time.Millisecond {
 			t.Errorf("answered after %v by a time-out of 200 ms", took)
 		}
-		if resp.StatusCode != http.StatusServiceUnavailable || len(u.arrivals()) != 0 {
-			t.Errorf("status %d, %d requests at the upstream", resp.StatusCode, len(u.arrivals()))
+		if resp.StatusCode != http.StatusServiceUnavailable || len(u.received()) != 0 {
+			t.Errorf("status %d, %d requests at the upstream", resp.StatusCode, len(u.received()))
 		}
 	}
 	// A whole body takes nothing of this to the next request of its connection.
@@ -50,7 +50,7 @@
 }
 
 // A request ends by its route's time-out, whatever its upstreams leave out and whether or not its caller says how long it waits.
-func TestARouteTimeOutIsKept(t *testing.T) {
+func TestRouteTimeoutIsKept(t *testing.T) {
 	const timeout, slack = 300 * time.Millisecond, 500 * time.Millisecond
 	for _, c := range []struct {
 		name string
@@ -58,16 +58,16 @@
 	}{
 		{"all of it", func(net.Conn, *http.Request) bool { return true }},
 		{"the body", func(c net.Conn, r *http.Request) bool {
-			_, err := io.WriteString(c, head(r, 200, signature, "Content-Length: 50"))
+			_, err := io.WriteString(c, answerHead(r, 200, signature, "Content-Length: 50"))
 			return err == nil
 		}},
 		{"the end", func(c net.Conn, r *http.Request) bool {
-			_, err := io.WriteString(c, head(r, 200, signature, "Content-Length: 50")+"part")
+			_, err := io.WriteString(c, answerHead(r, 200, signature, "Content-Length: 50")+"part")
 			return err == nil
 		}},
 		{"later events", func(c net.Conn, r *http.Request) bool {
-			text := events(1, 2)
-			_, err := io.WriteString(c, head(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+
+			text := eventText(1, 2)
+			_, err := io.WriteString(c, answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+
 				fmt.Sprintf("%x\r\n%s\r\n", len(text), text))
 			return err == nil
 		}},
@@ -77,7 +77,7 @@
 				t.Run(c.name+"/"+route+"/"+says, func(t *testing.T) {
 					t.Parallel()
 					plain, heads := newUpstream(t, always(c.play)), newUpstream(t, always(c.play))
-					s := newSite(t, []*upstream{plain}, []*upstream{heads})
+					s := newTestEntry(t, []*upstream{plain}, []*upstream{heads})
 					cfg := config()
 					for i := range cfg.Routes {
 						cfg.Routes[i].Timeout = timeout
@@ -94,7 +94,7 @@
 					if took := time.Since(began); took > timeout+slack {
 						t.Errorf("ended after %v with %+v", took, got)
 					}
-					if got.Status == http.StatusOK && got.Whole {
+					if got.Status == http.StatusOK && got.Complete {
 						t.Errorf("a whole answer: %+v", got)
 					}
 				})
--- a/relay/upstream_test.go
+++ b/relay/upstream_test.go
@@ -17,15 +17,15 @@
 	t  testing.TB
 	ln net.Listener
 
-	mu   sync.Mutex
-	seen []seen
-	// play answers one request on a connection; returning false closes it.
-	play func(c net.Conn, r *http.Request, n int) bool
-	wg   sync.WaitGroup
+	mu       sync.Mutex
+	requests []receivedRequest
+	// respond answers one request on a connection; returning false closes it.
+	respond func(c net.Conn, r *http.Request, n int) bool
+	wg      sync.WaitGroup
 }
 
-// seen is what arrived of one request.
-type seen struct {
+// receivedRequest is what arrived of one request.
+type receivedRequest struct {
 	ID, Method, Path, Body, Customer, Key, Event, Incarnation string
 }
 
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &upstream{t: t, ln: ln, play: play}
+	u := &upstream{t: t, ln: ln, respond: play}
 	u.wg.Go(u.accept)
 	t.Cleanup(func() { ln.Close() })
 	return u
@@ -66,44 +66,44 @@
 			return
 		}
 		u.mu.Lock()
-		u.seen = append(u.seen, seen{
+		u.requests = append(u.requests, receivedRequest{
 			r.Header.Get("Request"), r.Method, r.RequestURI, string(body), r.Header.Get("Customer"), r.Header.Get("Key"),
 			r.Header.Get("Event"), r.Header.Get("Life"),
 		})
-		n := len(u.seen)
+		n := len(u.requests)
 		u.mu.Unlock()
-		if !u.play(c, r, n) {
+		if !u.respond(c, r, n) {
 			return
 		}
 	}
 }
 
-func (u *upstream) arrivals() []seen {
+func (u *upstream) received() []receivedRequest {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return append([]seen(nil), u.seen...)
+	return append([]receivedRequest(nil), u.requests...)
 }
 
-// head returns the head of an answer to r.
-func head(r *http.Request, status int, extra ...string) string {
+// answerHead returns the head of an answer to r.
+func answerHead(r *http.Request, status int, extra ...string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nRequest: %s\r\n%s\r\n", status, r.Header.Get("Request"), strings.Join(append(extra, ""), "\r\n"))
 }
 
 const signature = "Signature: s"
 
-// whole answers r with a body that is derived from its id.
-func whole(c net.Conn, r *http.Request) bool {
+// respondComplete answers r with a body that is derived from its id.
+func respondComplete(c net.Conn, r *http.Request) bool {
 	body := "answer to " + r.Header.Get("Request")
-	_, err := io.WriteString(c, head(r, 200, signature, fmt.Sprintf("Content-Length: %d", len(body)))+body)
+	_, err := io.WriteString(c, answerHead(r, 200, signature, fmt.Sprintf("Content-Length: %d", len(body)))+body)
 	return err == nil
 }
 
-func notRun(c net.Conn, r *http.Request) bool {
-	_, err := io.WriteString(c, head(r, 503, "Not-Run: 1", "Content-Length: 0"))
+func respondNotRun(c net.Conn, r *http.Request) bool {
+	_, err := io.WriteString(c, answerHead(r, 503, "Not-Run: 1", "Content-Length: 0"))
 	return err == nil
 }
 
-func events(from, to int) string {
+func eventText(from, to int) string {
 	var b strings.Builder
 	for i := from; i <= to; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d\n\n", i, i)
@@ -111,10 +111,10 @@
 	return b.String()
 }
 
-// stream answers with the events from one to another; ended tells whether the stream ends properly.
-func stream(c net.Conn, r *http.Request, from, to int, ended bool) bool {
-	text := events(from, to)
-	out := head(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked") +
+// respondStream answers with the events from one to another; ended tells whether the stream ends properly.
+func respondStream(c net.Conn, r *http.Request, from, to int, ended bool) bool {
+	text := eventText(from, to)
+	out := answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked") +
 		fmt.Sprintf("%x\r\n%s\r\n", len(text), text)
 	if ended {
 		out += "0\r\n\r\n"
@@ -123,16 +123,16 @@
 	return err == nil && ended
 }
 
-// reset breaks a connection so that the other side sees an error and not an end.
-func reset(c net.Conn) bool {
+// resetConn breaks a connection so that the other side sees an error and not an end.
+func resetConn(c net.Conn) bool {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 	return false
 }
 
-// silent waits until the other side gives up.
-func silent(c net.Conn) bool {
+// stayOpenSilent waits until the other side gives up.
+func stayOpenSilent(c net.Conn) bool {
 	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	_, _ = c.Read(make([]byte, 1))
 	return false
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -15,88 +15,88 @@
 	"github.com/dunlinquay/dunlinquay/overload"
 )
 
-// follower follows the answer of one try.
-type follower struct {
-	x     *exchange
-	t     *target
-	state *targetState
-	conn  *upstreamConn
-
-	timer *time.Timer
-	stop  func() bool
-	// moved is set when the watch gave the upstream up, after it was silent for so long and so many suspected its group.
-	moved      bool
-	silent     time.Duration
-	suspicions int
-	ended      bool
-	// waited is when the last sign came, or the request was sent.
-	waited time.Time
-	// estimate is the time to the first word of this try, 0 where there is none; running is set with its first event.
-	estimate time.Duration
-	running  bool
-	// sent is when the request was sent, events how many came of this try, cut the error that ended it.
-	sent   time.Time
-	events int
-	cut    error
+// forwarder follows the answer of one try.
+type forwarder struct {
+	x      *exchange
+	target *target
+	state  *targetState
+	conn   *upstreamConn
+
+	timer           *time.Timer
+	stopCallerWatch func() bool
+	// abandoned is set when the watch gave the upstream up, after it was silent for so long and so many suspected its group.
+	abandoned      bool
+	silentFor      time.Duration
+	suspicionCount int
+	ended          bool
+	// waitingSince is when the last sign came, or the request was sent.
+	waitingSince time.Time
+	// firstEventEstimate is the time to the first word of this try, 0 where there is none; running is set with its first event.
+	firstEventEstimate time.Duration
+	streaming          bool
+	// sentAt is when the request was sent, events how many came of this try, cut the error that ended it.
+	sentAt     time.Time
+	eventCount int
+	cutErr     error
 	// status and notice are the status of the upstream's answer and what it asked for with it.
 	status int
 	notice backoff.Notice
 }
 
 // watch closes the connection when the caller leaves, the time is up, or the upstream is silent and another one is free.
-func (f *follower) watch() {
-	f.waited = f.x.s.Now()
-	f.sent = f.waited
-	f.stop = context.AfterFunc(f.x.r.Context(), f.interrupt)
-	if err := f.conn.SetDeadline(time.Now().Add(f.x.left())); err != nil {
+func (f *forwarder) watch() {
+	f.waitingSince = f.x.s.Now()
+	f.sentAt = f.waitingSince
+	f.stopCallerWatch = context.AfterFunc(f.x.r.Context(), f.interrupt)
+	if err := f.conn.SetDeadline(time.Now().Add(f.x.timeLeft())); err != nil {
 		f.interrupt()
 	}
-	if f.x.route.Repeatable() && f.x.runs+1 < f.x.route.Attempts {
+	if f.x.route.Repeatable() && f.x.runCount+1 < f.x.route.Attempts {
 		// The timer may fire before it is stored.
 		f.x.s.mu.Lock()
 		defer f.x.s.mu.Unlock()
-		f.timer = time.AfterFunc(f.firstLook(), f.look)
-		f.state.followers[f] = struct{}{}
+		f.timer = time.AfterFunc(f.firstCheckDelay(), f.checkProgress)
+		f.state.forwarders[f] = struct{}{}
 	}
 }
 
-func (f *follower) unwatch() {
-	f.stop()
+func (f *forwarder) unwatch() {
+	f.stopCallerWatch()
 	f.x.s.mu.Lock()
 	defer f.x.s.mu.Unlock()
 	f.ended = true
-	delete(f.state.followers, f)
+	delete(f.state.forwarders, f)
 	if f.timer != nil {
 		f.timer.Stop()
 	}
 }
 
-func (f *follower) interrupt() {
+func (f *forwarder) interrupt() {
 	// A deadline in the past ends the read in progress; the connection is closed by the reader.
 	_ = f.conn.SetDeadline(time.Unix(1, 0))
 }
 
-// limit is how long the upstream may be silent.
-func (f *follower) limit() time.Duration {
+// maxSilence is how long the upstream may be silent.
+func (f *forwarder) maxSilence() time.Duration {
 	switch {
 	case f.x.route.Kind != httproute.KindStream:
-		return time.Duration(answerPart * float64(f.x.route.Aim))
-	case f.x.events == 0:
-		return firstEventLimit
+		return time.Duration(answerAimFraction * float64(f.x.route.Aim))
+	case f.x.eventCount == 0:
+		return firstEventTimeout
 	}
-	return eventLimit
+	return eventGapTimeout
 }
 
-// firstLook is when the watch looks for the first time.
-func (f *follower) firstLook() time.Duration {
-	if due, ok := f.due(); ok {
-		return max(0, min(f.limit(), due.Sub(f.waited)))
+// firstCheckDelay is when the watch looks for the first time.
+func (f *forwarder) firstCheckDelay() time.Duration {
+	if due, ok := f.progressDue(); ok {
+		return max(0, min(f.maxSilence(), due.Sub(f.waitingSince)))
 	}
-	return f.limit()
+	return f.maxSilence()
 }
 
-// look gives the upstream up when it has been silent for too long, or its group stands still, and another one could take over.
-func (f *follower) look() {
+// checkProgress gives the upstream up when it has been silent for too long, or its group stands still, and another one could take over.
+func (f *forwarder) checkProgress() {
 	s := f.x.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,80 +104,82 @@
 		return
 	}
 	now := s.Now()
-	stands, again := f.suspects(now)
-	rest := f.limit() - now.Sub(f.waited)
-	if rest > 0 && (!stands || !s.gains(f, now)) {
+	stands, again := f.checkSuspicion(now)
+	rest := f.maxSilence() - now.Sub(f.waitingSince)
+	if rest > 0 && (!stands || !s.gainsByMoving(f, now)) {
 		f.timer.Reset(min(rest, again))
 		return
 	}
-	if rest <= 0 && !s.hasOther(f, now) {
-		f.timer.Reset(lookAgain)
+	if rest <= 0 && !s.hasAlternative(f, now) {
+		f.timer.Reset(recheckInterval)
 		return
 	}
-	f.moved = true
-	f.silent, f.suspicions = now.Sub(f.waited), f.state.suspicions.Count(now)
+	f.abandoned = true
+	f.silentFor, f.suspicionCount = now.Sub(f.waitingSince), f.state.suspicions.Count(now)
 	f.interrupt()
 }
 
-// hasOther reports whether the request is better off at another target, which is neither tried nor suspect; the mutex is held. A
+// hasAlternative reports whether the request is better off at another target, which is neither tried nor suspect; the mutex is held. A
 // stream that has not begun leaves a group that still answers others only for one with room to spare: a long wait there is a long
 // pass, and what was read of its prompt would be lost.
-func (s *Relay) hasOther(f *follower, now time.Time) bool {
-	patient := f.x.service.Engine != nil && f.x.events == 0 && !s.stands(f.state, now)
-	return s.anyOther(f.x, now, func(c *scored) bool { return c.fits || !patient })
+func (s *Relay) hasAlternative(f *forwarder, now time.Time) bool {
+	patient := f.x.service.Engine != nil && f.x.eventCount == 0 && !s.unresponsive(f.state, now)
+	return s.anyAlternative(f.x, now, func(c *candidate) bool { return c.hasCapacity || !patient })
 }
 
-// gains reports whether a request whose group stands still is better off at another one now: if it can still be in time there, or
+// gainsByMoving reports whether a request whose group stands still is better off at another one now: if it can still be in time there, or
 // there is room to spare. Where all groups are full, one that is late in any case waits until its group is replaced, so that it does
 // not make others late. The mutex is held.
-func (s *Relay) gains(f *follower, now time.Time) bool {
+func (s *Relay) gainsByMoving(f *forwarder, now time.Time) bool {
 	x := f.x
-	limit := x.limit
-	if x.events > 0 {
-		limit = x.lastAt.Add(x.route.GapAim - x.launch.usual)
+	limit := x.aimDeadline
+	if x.eventCount > 0 {
+		limit = x.lastEventAt.Add(x.route.GapAim - x.dispatchDelay.mean)
 	}
-	return s.anyOther(x, now, func(c *scored) bool { return !now.Add(c.first).After(limit) || x.leaves(c.target, c.at) })
+	return s.anyAlternative(x, now, func(c *candidate) bool {
+		return !now.Add(c.firstEvent).After(limit) || x.leavesCapacity(c.target, c.knownLoad)
+	})
 }
 
-// anyOther reports whether a target that is neither tried, full nor suspect is good enough; the mutex is held.
-func (s *Relay) anyOther(x *exchange, now time.Time, enough func(c *scored) bool) bool {
-	list := s.fleet.targets(x.service, x.model)
+// anyAlternative reports whether a target that is neither tried, full nor suspect is good enough; the mutex is held.
+func (s *Relay) anyAlternative(x *exchange, now time.Time, enough func(c *candidate) bool) bool {
+	list := s.index.targets(x.service, x.model)
 	for i := range list {
-		if x.wasTried(list[i].id) || !s.Backoff.Of(now, list[i].id).Admits() || !s.Limits.Of(now, list[i].id).Open() {
+		if x.wasAttempted(list[i].id) || !s.Backoff.StateOf(now, list[i].id).Admits() || !s.Limits.Availability(now, list[i].id).Available() {
 			continue
 		}
-		c := s.rate(x, &list[i], overload.Late, now)
-		if c.score < suspectScore && c.load < 1 && enough(&c) {
+		c := s.scoreTarget(x, &list[i], overload.Late, now)
+		if c.score < suspectPenalty && c.utilization < 1 && enough(&c) {
 			return true
 		}
 	}
 	return false
 }
 
-// sign notes that the upstream sent something.
-func (f *follower) sign() {
+// noteProgress notes that the upstream sent something.
+func (f *forwarder) noteProgress() {
 	s := f.x.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f.waited = s.Now()
-	f.state.sign(f.waited)
+	f.waitingSince = s.Now()
+	f.state.noteProgress(f.waitingSince)
 }
 
-// broken is the verdict on a connection that failed with err: it may have been ended from here.
-func (f *follower) broken(err error) verdict {
+// brokenOutcome is the verdict on a connection that failed with err: it may have been ended from here.
+func (f *forwarder) brokenOutcome(err error) attemptOutcome {
 	x := f.x
 	if x.r.Context().Err() != nil {
-		return verdictGone
+		return outcomeCallerGone
 	}
 	x.s.mu.Lock()
-	moved := f.moved
+	moved := f.abandoned
 	x.s.mu.Unlock()
 	switch {
 	case moved:
-		return verdictStalled
-	case x.left() <= 0:
-		return verdictExpired
+		return outcomeStalled
+	case x.timeLeft() <= 0:
+		return outcomeExpired
 	}
-	f.cut = err
-	return verdictBroken
+	f.cutErr = err
+	return outcomeBroken
 }
--- a/relay/words_test.go
+++ b/relay/words_test.go
@@ -16,7 +16,7 @@
 )
 
 // An upstream says with its answer whether a connection may be used again, and for how long: what it closes soon is not sent on.
-func TestConnectionsEndAsAsked(t *testing.T) {
+func TestConnectionReuseFollowsAnswerHeaders(t *testing.T) {
 	for _, c := range []struct {
 		name, header string
 		// idle is how long nothing is sent after the first answer.
@@ -31,7 +31,7 @@
 		{"unreadable", "Keep-Alive: timeout=soon", 2 * time.Second, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			vm := &suspendable{began: time.Now()}
+			vm := &suspendableClock{startedAt: time.Now()}
 			var mu sync.Mutex
 			conns := map[net.Conn]bool{}
 			u := newUpstream(t, always(func(conn net.Conn, r *http.Request) bool {
@@ -39,17 +39,17 @@
 				conns[conn] = true
 				mu.Unlock()
 				body := "answer to " + r.Header.Get("Request")
-				_, err := io.WriteString(conn, head(r, 200, signature, c.header, fmt.Sprintf("Content-Length: %d", len(body)))+body)
+				_, err := io.WriteString(conn, answerHead(r, 200, signature, c.header, fmt.Sprintf("Content-Length: %d", len(body)))+body)
 				return err == nil
 			}))
-			s := newSite(t, []*upstream{u}, nil)
+			s := newTestEntry(t, []*upstream{u}, nil)
 			s.relay.Now = vm.clock().Now
 			for n := range 2 {
 				s.relay.SetConfirmed(s.relay.Now())
 				if got := s.do(s.request("POST", "/safe/x", fmt.Sprint(n), "")); got.Status != http.StatusOK {
 					t.Fatalf("status %d", got.Status)
 				}
-				vm.away = c.idle
+				vm.suspendedFor = c.idle
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -61,20 +61,20 @@
 }
 
 // A head that names the member at fault did not run the request: another group does, and the leader is told whom it blames.
-func TestABlamedMemberIsTold(t *testing.T) {
+func TestBlamedMemberIsReported(t *testing.T) {
 	blames := newUpstream(t, always(func(c net.Conn, r *http.Request) bool {
-		_, err := io.WriteString(c, head(r, 503, "Not-Run: 1", "Blamed: m1", "Content-Length: 0"))
+		_, err := io.WriteString(c, answerHead(r, 503, "Not-Run: 1", "Blamed: m1", "Content-Length: 0"))
 		return err == nil
 	}))
-	works := newUpstream(t, always(func(c net.Conn, r *http.Request) bool { return stream(c, r, 1, 2, true) }))
-	s := newSite(t, nil, []*upstream{blames, works})
-	s.relay.Draw = func(int) int { return 0 } // the first of equals is asked first
+	works := newUpstream(t, always(func(c net.Conn, r *http.Request) bool { return respondStream(c, r, 1, 2, true) }))
+	s := newTestEntry(t, nil, []*upstream{blames, works})
+	s.relay.RandomInt = func(int) int { return 0 } // the first of equals is asked first
 	for n := range 8 {
-		if got := s.do(s.request("POST", "/stream/x", fmt.Sprint(n), "")); got.Status != http.StatusOK || !got.Whole {
+		if got := s.do(s.request("POST", "/stream/x", fmt.Sprint(n), "")); got.Status != http.StatusOK || !got.Complete {
 			t.Errorf("request %d: %+v", n, got)
 		}
 	}
-	seen, _ := s.relay.Look()
+	seen, _ := s.relay.CollectObservations()
 	told := map[ident.Incarnation]string{}
 	for _, one := range seen {
 		told[one.ID] = one.Blamed
@@ -82,14 +82,14 @@
 	if told["h0"] != "m1" || told["h1"] != "" {
 		t.Errorf("blamed %v, want m1 by h0", told)
 	}
-	if n := len(blames.arrivals()); n != 1 {
+	if n := len(blames.received()); n != 1 {
 		t.Errorf("%d requests reached the group with a member at fault, want the first", n)
 	}
 }
 
 // An upstream takes so many connections from all entries together and resets any more: what an entry keeps open after a burst is its
 // part of them, beside those that are in use.
-func TestKeptConnectionsAreBoundedByTheUpstream(t *testing.T) {
+func TestIdleConnectionsAreBoundedByUpstream(t *testing.T) {
 	const burst = 12
 	for _, c := range []struct {
 		name          string
@@ -108,14 +108,14 @@
 					close(all)
 				}
 				<-all
-				return whole(conn, r)
+				return respondComplete(conn, r)
 			})
-			s := newSite(t, []*upstream{u}, nil)
+			s := newTestEntry(t, []*upstream{u}, nil)
 			cfg := config()
 			cfg.Services[0].MaxConnections = c.most
 			s.relay.SetConfig(cfg)
 			s.relay.Budget.SetEntries(c.entries)
-			s.relay.SetRoster(&roster.Delta{Full: true, Revision: 2, Upstreams: []roster.Upstream{
+			s.relay.ApplyRoster(&roster.Delta{Full: true, Revision: 2, Upstreams: []roster.Upstream{
 				{ID: "p0", Service: "plain", Address: u.address(), Slots: burst},
 			}})
 			var wg sync.WaitGroup
@@ -123,7 +123,7 @@
 				wg.Go(func() { s.do(s.request("POST", "/unsafe/x", fmt.Sprint(n), "")) })
 			}
 			wg.Wait()
-			if got := relay.Kept(s.relay, u.address()); got != c.want {
+			if got := relay.IdleConnections(s.relay, u.address()); got != c.want {
 				t.Errorf("%d connections kept, want %d", got, c.want)
 			}
 		})
@@ -132,14 +132,14 @@
 
 // Where there are more entries than connections that an upstream has left, only some of them may keep one: one of each of 60 entries would be
 // more than twice as many as it takes.
-func TestKeptConnectionsOfManyEntries(t *testing.T) {
+func TestIdleConnectionsOfManyEntries(t *testing.T) {
 	const entries, upstreams = 60, 40
 	var names []string
 	for n := range entries {
 		names = append(names, fmt.Sprintf("10.1.0.%d:7400", n))
 	}
-	u := newUpstream(t, func(conn net.Conn, r *http.Request, _ int) bool { return whole(conn, r) })
-	s := newSite(t, []*upstream{u}, nil)
+	u := newUpstream(t, func(conn net.Conn, r *http.Request, _ int) bool { return respondComplete(conn, r) })
+	s := newTestEntry(t, []*upstream{u}, nil)
 	cfg := config()
 	cfg.Services[0].MaxConnections = 25
 	s.relay.SetConfig(cfg)
@@ -147,12 +147,12 @@
 	s.relay.SetEntries(sharing.New(names[7], map[ident.Hall][]string{"one": names}))
 	kept := 0
 	for n := range upstreams {
-		s.relay.SetRoster(&roster.Delta{Full: true, Revision: roster.Revision(n + 2), Upstreams: []roster.Upstream{
+		s.relay.ApplyRoster(&roster.Delta{Full: true, Revision: roster.Revision(n + 2), Upstreams: []roster.Upstream{
 			{ID: ident.Incarnation(fmt.Sprintf("p%d", n)), Service: "plain", Address: u.address(), Slots: 2},
 		}})
-		relay.CloseIdle(s.relay)
+		relay.CloseIdleConnections(s.relay)
 		s.do(s.request("POST", "/unsafe/x", "x", ""))
-		kept += relay.Kept(s.relay, u.address())
+		kept += relay.IdleConnections(s.relay, u.address())
 	}
 	// 22 are left of 25, for 60 entries.
 	if expected := upstreams * 22 / entries; kept < expected/2 || kept > expected*2 {
@@ -162,22 +162,22 @@
 
 // An upstream that takes fewer connections than it has slots for gets no more requests at once than it takes connections, by what this entry
 // sends and what others have there.
-func TestRequestsAtOnceAreBoundedByConnections(t *testing.T) {
+func TestConcurrentRequestsAreBoundedByConnections(t *testing.T) {
 	const takes, slots, others = 6, 12, 2
 	arrived, release := make(chan struct{}, 2*slots), make(chan struct{})
 	u := newUpstream(t, func(conn net.Conn, r *http.Request, _ int) bool {
 		arrived <- struct{}{}
 		<-release
-		return whole(conn, r)
+		return respondComplete(conn, r)
 	})
-	s := newSite(t, []*upstream{u}, nil)
+	s := newTestEntry(t, []*upstream{u}, nil)
 	cfg := config()
 	cfg.Services[0].MaxConnections = takes
 	s.relay.SetConfig(cfg)
-	s.relay.SetRoster(&roster.Delta{Full: true, Revision: 2, Upstreams: []roster.Upstream{
+	s.relay.ApplyRoster(&roster.Delta{Full: true, Revision: 2, Upstreams: []roster.Upstream{
 		{ID: "p0", Service: "plain", Address: u.address(), Slots: slots},
 	}})
-	s.relay.SetOthers(map[ident.Incarnation]int{"p0": others})
+	s.relay.SetPeerCounts(map[ident.Incarnation]int{"p0": others})
 	var first, rest sync.WaitGroup
 	for n := range takes - others {
 		first.Go(func() { s.do(s.request("POST", "/unsafe/x", fmt.Sprint(n), "")) })
--- a/replicaset/begin.go
+++ b/replicaset/begin.go
@@ -37,14 +37,14 @@
 			continue
 		}
 		f.Roster.PutGroup(g)
-		f.Note(g, string(g.Phase), "reported by its members, unknown to this leader")
+		f.RecordDecision(g, string(g.Phase), "reported by its members, unknown to this leader")
 	}
 }
 
 // stale reports whether the last report of u is older than the loss of the group that it names.
 func (f *Formation) stale(u *roster.Upstream) bool {
 	at, lost := f.lost[u.Member.Group]
-	return lost && f.world.Ages[u.ID] >= f.world.Now.Sub(at)
+	return lost && f.world.ReportAges[u.ID] >= f.world.Now.Sub(at)
 }
 
 // out reports whether u is certainly out of the group that it last reported: that group is over, or u has left it. An
@@ -56,7 +56,7 @@
 	}
 	if at, ok := f.over[m.Group]; ok {
 		serves := m.State == roster.MemberOpen || m.State == roster.MemberClosing
-		return !serves || f.world.Ages[u.ID] > f.world.Now.Sub(at)
+		return !serves || f.world.ReportAges[u.ID] > f.world.Now.Sub(at)
 	}
 	return f.hasLeft(u, m.Epoch)
 }
@@ -91,9 +91,9 @@
 func (f *Formation) begin() {
 	d := Plan(f.situation())
 	for i := range d.Groups {
-		f.beginGroup(&d.Groups[i], d.Why)
+		f.beginGroup(&d.Groups[i], d.Reason)
 	}
-	f.close(d.Close, d.Why)
+	f.close(d.Close, d.Reason)
 	for _, l := range d.Stage {
 		f.stage(l)
 	}
@@ -102,14 +102,14 @@
 	}
 }
 
-func (f *Formation) beginGroup(choice *Choice, why string) {
+func (f *Formation) beginGroup(choice *GroupPlan, why string) {
 	f.spend(choice.Loads)
-	f.putGroup(&roster.Group{Model: choice.Model, Members: choice.Members, Far: choice.Far}, "ready in "+choice.Ready.String()+"; groups now: "+why)
+	f.putGroup(&roster.Group{Model: choice.Model, Members: choice.Members, Far: choice.CrossDomain}, "ready in "+choice.ReadyIn.String()+"; groups now: "+why)
 }
 
 // warmUp lets a spare join a group of its own, which it leaves as soon as it is ready: an engine joins at once when its last
 // group had the same model.
-func (f *Formation) warmUp(l Loading) {
+func (f *Formation) warmUp(l WeightLoad) {
 	f.putGroup(&roster.Group{Model: l.Model, Members: []ident.Incarnation{l.ID}, WarmUp: true}, "a spare gets ready to join at once")
 }
 
@@ -120,7 +120,7 @@
 	g.Phase = roster.PhaseForming
 	g.Since = f.world.Now
 	f.Roster.PutGroup(g)
-	f.Note(g, "begun", why)
+	f.RecordDecision(g, "begun", why)
 	for _, id := range g.Members {
 		f.order(g, id, ActionJoin)
 	}
@@ -138,49 +138,49 @@
 	}
 }
 
-func (f *Formation) stage(l Loading) {
+func (f *Formation) stage(l WeightLoad) {
 	f.spend(1)
 	f.staging[l.ID] = staged{l.Model, f.world.Now.Add(f.loadLimit(l.Model))}
 	f.Send(Order{To: l.ID, Address: f.byID[l.ID].Address, Action: ActionStage, Model: l.Model, Fence: f.Fence})
 }
 
-func (f *Formation) situation() *Situation {
-	s := &Situation{Engine: f.engine, Demand: f.world.Demand, Early: f.Early, Coming: map[ident.Domain]Coming{}}
+func (f *Formation) situation() *PlanInput {
+	s := &PlanInput{Engine: f.engine, Demand: f.world.Demand, BeforeFirstRequest: f.BeforeFirstRequest, Expected: map[ident.Domain]ExpectedGroups{}}
 	for _, c := range f.homing {
-		s.Coming[c.Domain] = c.Coming
+		s.Expected[c.Domain] = c.Expected
 	}
 	taken := map[ident.Incarnation]bool{}
 	for _, g := range f.groups() {
 		for _, id := range g.Members {
 			taken[id] = true
 		}
-		if p, ok := f.placed(&g); ok && !f.world.Drained[p.Members[0].Hall] {
+		if p, ok := f.placed(&g); ok && !f.world.DrainedHalls[p.Members[0].Hall] {
 			s.Groups = append(s.Groups, p)
 		}
 	}
 	for i := range f.world.Upstreams {
 		u := &f.world.Upstreams[i]
-		if u.Service != f.Service || u.Draining || u.Silent || f.world.Drained[u.Hall] {
+		if u.Service != f.Service || u.Draining || u.Silent || f.world.DrainedHalls[u.Hall] {
 			continue
 		}
-		s.Total++
+		s.Usable++
 		if !taken[u.ID] && f.free(u) {
 			s.Free = append(s.Free, f.candidate(u))
 		}
 	}
-	s.Loads = f.loadsNow()
+	s.LoadBudget = f.loadsNow()
 	return s
 }
 
 // free reports whether an upstream that no group has may join one: it has left its last one for certain, and is there.
 func (f *Formation) free(u *roster.Upstream) bool {
-	there := f.world.Ages[u.ID] < missedReport && !f.world.Dead[u.ID]
+	there := f.world.ReportAges[u.ID] < missedReport && !f.world.Unreachable[u.ID]
 	return there && f.out(u) && !f.reserved(u.Domain) && f.bound[u.ID].IsZero()
 }
 
 // placed describes g to the planner if it serves or will serve.
-func (f *Formation) placed(g *roster.Group) (Placed, bool) {
-	p := Placed{Name: g.Name, Model: g.Model, Far: g.Far}
+func (f *Formation) placed(g *roster.Group) (ExistingGroup, bool) {
+	p := ExistingGroup{Name: g.Name, Model: g.Model, CrossDomain: g.Far}
 	switch g.Phase {
 	case roster.PhaseForming, roster.PhaseOpening:
 	case roster.PhaseOpen:
@@ -208,9 +208,9 @@
 }
 
 func (f *Formation) candidate(u *roster.Upstream) Candidate {
-	c := Candidate{ID: u.ID, Hall: u.Hall, Domain: u.Domain, Last: u.Last, Staged: u.Staged, Cold: u.Cold, Stood: f.stood[u.ID], Headed: f.headed[u.ID], Pace: f.world.Paces[u.ID]}
+	c := Candidate{ID: u.ID, Hall: u.Hall, Domain: u.Domain, LastModel: u.Last, Staged: u.Staged, Cold: u.Cold, StalledAsHead: f.stood[u.ID], LastHeadedModel: f.headed[u.ID], Slowdown: f.world.Slowdowns[u.ID]}
 	if st, ok := f.staging[u.ID]; ok {
-		if roster.Has(u.Staged, st.model) || f.world.Now.After(st.until) {
+		if roster.HasModel(u.Staged, st.model) || f.world.Now.After(st.until) {
 			delete(f.staging, u.ID)
 		} else {
 			c.Staging = st.model
@@ -229,7 +229,7 @@
 
 // spend takes loads out of the allowance, which counts only after the start.
 func (f *Formation) spend(loads int) {
-	if !f.Early {
+	if !f.BeforeFirstRequest {
 		f.loads -= float64(loads)
 	}
 }
@@ -237,7 +237,7 @@
 // loadsNow returns how many loads may begin; those before the first request do not count against the weight store's rate.
 func (f *Formation) loadsNow() int {
 	now := f.world.Now
-	if f.Early {
+	if f.BeforeFirstRequest {
 		return len(f.byID)
 	}
 	if !f.loadedAt.IsZero() {
--- a/replicaset/drain_test.go
+++ b/replicaset/drain_test.go
@@ -64,7 +64,7 @@
 func TestAWarmHead(t *testing.T) {
 	free := candidates("a:WWWW")
 	free[0].Cold, free[1].Cold = true, true
-	d := replicaset.Plan(&replicaset.Situation{Engine: models(), Free: free, Total: len(free), Loads: 9})
+	d := replicaset.Plan(&replicaset.PlanInput{Engine: models(), Free: free, Usable: len(free), LoadBudget: 9})
 	if len(d.Groups) != 1 || d.Groups[0].Members[0] != "a-2" {
 		t.Errorf("decided %+v", d.Groups)
 	}
--- a/replicaset/ending.go
+++ b/replicaset/ending.go
@@ -13,7 +13,7 @@
 
 func (f *Formation) advanceClosing(g *roster.Group) {
 	head := f.byID[g.Head()]
-	if head == nil || f.outcome(g, head.ID, ActionClose) == OutcomeUnreached {
+	if head == nil || f.outcome(g, head.ID, ActionClose) == OutcomeConnectionRefused {
 		f.leave(g, "the head takes no connections, or is not known any more")
 		return
 	}
@@ -33,7 +33,7 @@
 		f.leave(g, "the head joins it again")
 		return
 	}
-	if f.world.Dead[head.ID] && f.world.Sights[g.Name].Answered >= stallAlone {
+	if f.world.Unreachable[head.ID] && f.world.Observations[g.Name].SinceLastResponse >= stallAlone {
 		// Entries send nothing there any more, so nothing else tells; one that still answers them is only cut off from here.
 		f.leave(g, "the head takes no connections")
 		return
@@ -73,12 +73,12 @@
 		f.headLeft(g, "the head has left: "+string(f.outcome(g, head.ID, ActionLeave)))
 		return
 	}
-	if f.world.Ages[head.ID] >= deadAfter && f.world.Sights[g.Name].Answered >= deadAfter {
+	if f.world.ReportAges[head.ID] >= deadAfter && f.world.Observations[g.Name].SinceLastResponse >= deadAfter {
 		f.lose(g, "the head is silent to everyone")
 		return
 	}
 	// A refused connection is no word of the head: what is between may refuse, while entries reach it and it serves.
-	away := f.world.Dead[head.ID] || f.outcome(g, head.ID, ActionLeave) == OutcomeUnreached
+	away := f.world.Unreachable[head.ID] || f.outcome(g, head.ID, ActionLeave) == OutcomeConnectionRefused
 	if away && f.membersLeft(g, 1) {
 		f.loseHead(g, "the head takes no connections, the others have left")
 		return
@@ -116,7 +116,7 @@
 func (f *Formation) bind(id ident.Incarnation, until time.Time) {
 	if until.After(f.world.Now) && until.After(f.bound[id]) {
 		f.bound[id] = until
-		f.Roster.Bind(id, true)
+		f.Roster.SetBound(id, true)
 	}
 }
 
@@ -125,7 +125,7 @@
 	for id, until := range f.bound {
 		if f.byID[id] == nil || f.world.Now.After(until) {
 			delete(f.bound, id)
-			f.Roster.Bind(id, false)
+			f.Roster.SetBound(id, false)
 		}
 	}
 }
@@ -161,10 +161,10 @@
 	left := true
 	for _, id := range g.Members[from:] {
 		u := f.byID[id]
-		if u == nil || f.world.Dead[id] {
+		if u == nil || f.world.Unreachable[id] {
 			continue
 		}
-		if in(u, g) == roster.MemberNone && f.world.Ages[id] < missedReport || f.hasLeft(u, g.Epoch) {
+		if in(u, g) == roster.MemberNone && f.world.ReportAges[id] < missedReport || f.hasLeft(u, g.Epoch) {
 			continue
 		}
 		left = false
@@ -180,12 +180,12 @@
 	if o == nil || o.waiting || !settled(o.outcome) {
 		return false
 	}
-	return u.Member.Epoch != epoch || f.world.Ages[u.ID] >= f.world.Now.Sub(o.answered)
+	return u.Member.Epoch != epoch || f.world.ReportAges[u.ID] >= f.world.Now.Sub(o.answered)
 }
 
 // settled reports whether an order to leave that came to this outcome is certainly carried out, by the word of who listens there.
 func settled(o Outcome) bool {
-	return o == OutcomeTaken || o == OutcomeRefused || o == OutcomeStranger
+	return o == OutcomeAccepted || o == OutcomeRefused || o == OutcomeWrongIncarnation
 }
 
 // drop forgets a group that is certainly over.
@@ -204,7 +204,7 @@
 	delete(f.headless, g.Name)
 	delete(f.homing, g.Name)
 	f.Roster.DropGroup(g.Name)
-	f.Note(g, "dropped", why)
+	f.RecordDecision(g, "dropped", why)
 }
 
 // closeLimit is how long g may finish its work.
--- a/replicaset/engines_test.go
+++ b/replicaset/engines_test.go
@@ -184,7 +184,7 @@
 		}
 		var groups []roster.Group
 		for _, g := range copied.Groups {
-			if g.Inherited() {
+			if g.Inheritable() {
 				groups = append(groups, g)
 			}
 		}
@@ -194,14 +194,14 @@
 	fo.Service = "model"
 	fo.Roster = f.roster
 	fo.Fence = f.term
-	fo.Early = f.term == 1
+	fo.BeforeFirstRequest = f.term == 1
 	term := f.term
 	fo.NextEpoch = func() ident.Epoch {
 		f.counter++
 		return ident.Epoch(term<<24 | f.counter)
 	}
 	fo.Send = f.give
-	fo.Note = func(g *roster.Group, decision, reason string) {
+	fo.RecordDecision = func(g *roster.Group, decision, reason string) {
 		f.decisions++
 		f.tracef("%s/%d %v %s: %s", g.Name, g.Epoch, g.Members, decision, reason)
 	}
@@ -215,7 +215,7 @@
 	if f.transit == 0 {
 		outcome := f.arrive(f.byID[o.To], &o)
 		if f.drop == nil || !f.drop(&o) {
-			f.formation.Answered(&o, outcome)
+			f.formation.HandleOutcome(&o, outcome)
 		}
 		return
 	}
@@ -229,7 +229,7 @@
 		if f.random.Float64() < f.droppedShare {
 			return
 		}
-		f.after(at, func() { formation.Answered(&o, outcome) })
+		f.after(at, func() { formation.HandleOutcome(&o, outcome) })
 	})
 }
 
@@ -257,9 +257,9 @@
 	case !e.alive && !e.left:
 		return replicaset.OutcomeUnknown
 	case !e.alive:
-		return replicaset.OutcomeUnreached
+		return replicaset.OutcomeConnectionRefused
 	case e.cut && e.refuses:
-		return replicaset.OutcomeUnreached
+		return replicaset.OutcomeConnectionRefused
 	case e.cut, f.lose != nil && f.lose(o), chance < f.lostShare:
 		return replicaset.OutcomeUnknown
 	case chance < f.lostShare+f.lateShare:
@@ -291,7 +291,7 @@
 	case replicaset.ActionStage:
 		m, _ := f.model.Model(o.Model)
 		e.staging, e.stageAt = o.Model, f.now.Add(f.load(m))
-		return replicaset.OutcomeTaken
+		return replicaset.OutcomeAccepted
 	}
 	if e.member.Group != o.Group || e.member.Epoch != o.Epoch {
 		return replicaset.OutcomeRefused
@@ -310,12 +310,12 @@
 		e.members = nil
 		e.changed = true
 	}
-	return replicaset.OutcomeTaken
+	return replicaset.OutcomeAccepted
 }
 
 func (f *fleet) join(e *engine, o *replicaset.Order) replicaset.Outcome {
 	if e.member.Group == o.Group && e.member.Epoch == o.Epoch {
-		return replicaset.OutcomeTaken
+		return replicaset.OutcomeAccepted
 	}
 	if f.spite && !f.lateNow && f.random.IntN(2) == 0 {
 		f.spoil(e, o)
@@ -352,7 +352,7 @@
 	}
 	e.readyAt = f.now.Add(wait)
 	e.changed = true
-	return replicaset.OutcomeTaken
+	return replicaset.OutcomeAccepted
 }
 
 // spoil carries out the late orders of groups that e was in, before it joins another by o. Who joins by one is ready at once, as if that had
@@ -415,7 +415,7 @@
 	if f.opened != nil {
 		f.opened(e)
 	}
-	return replicaset.OutcomeTaken
+	return replicaset.OutcomeAccepted
 }
 
 // pass lets a moment go by.
@@ -439,7 +439,7 @@
 	}
 	f.deliver()
 	if f.now.Sub(f.began) > 10*time.Second {
-		f.formation.Early = false
+		f.formation.BeforeFirstRequest = false
 	}
 	f.roster.Expire(f.now)
 	f.formation.Step(f.world(), f.model)
@@ -473,7 +473,7 @@
 	e.changed = false
 	e.told = f.now
 	if f.reportDelay == 0 {
-		f.roster.Take(f.now, f.report(e))
+		f.roster.ApplyReport(f.now, f.report(e))
 		return
 	}
 	after := time.Duration(f.random.Int64N(int64(f.reportDelay)))
@@ -488,7 +488,7 @@
 			rest = append(rest, r)
 			continue
 		}
-		f.roster.Take(f.now, r.report)
+		f.roster.ApplyReport(f.now, r.report)
 	}
 	f.reports = rest
 }
@@ -536,44 +536,44 @@
 }
 
 // world is what the leader would know: entries use every open group that they know of all the time.
-func (f *fleet) world() *replicaset.World {
+func (f *fleet) world() *replicaset.Snapshot {
 	upstreams, ages := f.roster.Upstreams(f.now)
-	w := &replicaset.World{Now: f.now, Upstreams: upstreams, Ages: ages, Sights: map[ident.Group]replicaset.Sight{}, Dead: map[ident.Incarnation]bool{}, Demand: f.demand}
-	w.Drained = f.drained
-	w.Paces = map[ident.Incarnation]float64{}
+	w := &replicaset.Snapshot{Now: f.now, Upstreams: upstreams, ReportAges: ages, Observations: map[ident.Group]replicaset.Observation{}, Unreachable: map[ident.Incarnation]bool{}, Demand: f.demand}
+	w.DrainedHalls = f.drained
+	w.Slowdowns = map[ident.Incarnation]float64{}
 	for _, e := range f.engines {
 		if e.alive && e.pace > 1 {
-			w.Paces[e.id] = e.pace
+			w.Slowdowns[e.id] = e.pace
 		}
 	}
 	for _, g := range f.roster.Groups() {
 		head := f.byID[g.Head()]
-		sight := replicaset.Sight{}
+		sight := replicaset.Observation{}
 		switch {
 		case !head.alive:
-			sight.Answered = f.now.Sub(f.deadSince[head.id])
+			sight.SinceLastResponse = f.now.Sub(f.deadSince[head.id])
 			// Streams at a group that closes break off with its head, and nothing new is sent there that could stand still.
 			if g.Phase == roster.PhaseOpen {
-				sight.Stalled = sight.Answered
+				sight.StalledFor = sight.SinceLastResponse
 			}
 		case !head.pausedAt.IsZero():
-			sight.Answered = f.now.Sub(head.pausedAt)
-			sight.Stalled = sight.Answered
+			sight.SinceLastResponse = f.now.Sub(head.pausedAt)
+			sight.StalledFor = sight.SinceLastResponse
 		case !head.stoodAt.IsZero():
-			sight.Answered = f.now.Sub(head.stoodAt)
-			sight.Stalled = sight.Answered
+			sight.SinceLastResponse = f.now.Sub(head.stoodAt)
+			sight.StalledFor = sight.SinceLastResponse
 		}
-		sight.Stands = f.together && sight.Stalled >= 2*step
-		w.Sights[g.Name] = sight
+		sight.StallConfirmed = f.together && sight.StalledFor >= 2*step
+		w.Observations[g.Name] = sight
 	}
 	for _, e := range f.engines {
 		if e.alive && e.cut && !f.now.Before(e.probedAt) {
-			w.Dead[e.id] = true
+			w.Unreachable[e.id] = true
 		}
 	}
 	for id, at := range f.deadSince {
 		if f.now.Sub(at) > f.probed() && f.now.Sub(at) < 5*time.Second {
-			w.Dead[id] = true
+			w.Unreachable[id] = true
 		}
 	}
 	return w
@@ -595,9 +595,9 @@
 // restart ends an engine and starts it again under its id: it holds and knows nothing of before but what is on its host.
 func (f *fleet) restart(e *engine) *engine {
 	f.kill(e)
-	born := ident.Birth(f.now.UnixMilli())
+	born := ident.StartTime(f.now.UnixMilli())
 	again := &engine{
-		id: ident.Life(e.id.UpstreamID(), born), address: e.address, hall: e.hall, domain: e.domain, staged: e.staged, cut: e.cut,
+		id: ident.IncarnationOf(e.id.UpstreamID(), born), address: e.address, hall: e.hall, domain: e.domain, staged: e.staged, cut: e.cut,
 		alive: true, changed: true,
 	}
 	e.again = again
--- a/replicaset/explain.go
+++ b/replicaset/explain.go
@@ -15,8 +15,8 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// Room counts the free upstreams of a domain as members of a group of one model.
-type Room struct {
+// DomainCapacity counts the free upstreams of a domain as members of a group of one model.
+type DomainCapacity struct {
 	Domain ident.Domain `json:"domain"`
 	// Ready have the weights, Loading are getting them, Other would have to; Slow are left out, whatever they have.
 	Ready   int `json:"ready"`
@@ -33,13 +33,13 @@
 	Serving float64 `json:"serving"`
 	Wanted  float64 `json:"wanted"`
 	// Load is the demand in parts of what these groups carry, 0 while it is not known or nothing serves.
-	Load  float64 `json:"load"`
-	Rooms []Room  `json:"rooms"`
-	Why   string  `json:"why"`
+	Load  float64          `json:"load"`
+	Rooms []DomainCapacity `json:"rooms"`
+	Why   string           `json:"why"`
 }
 
-// Outlook returns the outlook of every model, or nothing before the first step.
-func (f *Formation) Outlook() []Outlook {
+// Explain returns the outlook of every model, or nothing before the first step.
+func (f *Formation) Explain() []Outlook {
 	if f.world == nil {
 		return nil
 	}
@@ -47,7 +47,7 @@
 }
 
 // Explain returns the outlook of every model.
-func Explain(s *Situation) []Outlook {
+func Explain(s *PlanInput) []Outlook {
 	p := newPlan(s)
 	var list []Outlook
 	for i := range s.Engine.Models {
@@ -62,11 +62,11 @@
 	return list
 }
 
-func (p *plan) rooms(m *httproute.Model) []Room {
+func (p *plan) rooms(m *httproute.Model) []DomainCapacity {
 	domains := byDomain(p.free, func(*Candidate) bool { return true })
-	var rooms []Room
+	var rooms []DomainCapacity
 	for _, name := range sortedKeys(domains) {
-		r := Room{Domain: name}
+		r := DomainCapacity{Domain: name}
 		for i := range domains[name] {
 			switch c := &domains[name][i]; {
 			case !quick(c):
@@ -85,7 +85,7 @@
 }
 
 // outlook says why m has the groups that it has.
-func (p *plan) outlook(m *httproute.Model, rooms []Room) string {
+func (p *plan) outlook(m *httproute.Model, rooms []DomainCapacity) string {
 	ready, loading, other, slow := 0, 0, 0, 0
 	for _, r := range rooms {
 		if r.Ready >= m.Size && p.need(m.Name) > 0 {
@@ -111,8 +111,8 @@
 	return fmt.Sprintf("only %d upstreams are free", ready+loading+other)
 }
 
-// Place tells what an upstream does, and if it is in no group, why.
-func (f *Formation) Place(id ident.Incarnation) string {
+// DescribeUpstream tells what an upstream does, and if it is in no group, why.
+func (f *Formation) DescribeUpstream(id ident.Incarnation) string {
 	u := f.byID[id]
 	if u == nil {
 		return "unknown"
@@ -132,9 +132,9 @@
 		return "leaves"
 	case u.Silent:
 		return "silent"
-	case f.world.Dead[u.ID]:
+	case f.world.Unreachable[u.ID]:
 		return "takes no connections"
-	case f.world.Ages[u.ID] >= missedReport:
+	case f.world.ReportAges[u.ID] >= missedReport:
 		return "has missed a report"
 	case !f.out(u):
 		return "has not left " + string(u.Member.Group) + " yet"
@@ -153,7 +153,7 @@
 // weightsAt names the models that c joins without a load.
 func weightsAt(c *Candidate) []string {
 	var names []string
-	for _, m := range append([]ident.Model{c.Last}, c.Staged...) {
+	for _, m := range append([]ident.Model{c.LastModel}, c.Staged...) {
 		if m != "" && !slices.Contains(names, string(m)) {
 			names = append(names, string(m))
 		}
--- a/replicaset/explain_test.go
+++ b/replicaset/explain_test.go
@@ -15,7 +15,7 @@
 	for _, c := range []struct {
 		name   string
 		free   []replicaset.Candidate
-		groups []replicaset.Placed
+		groups []replicaset.ExistingGroup
 		demand map[ident.Model]float64
 		// want tells, for the large model, groups, load, rooms and the reason.
 		want string
@@ -31,7 +31,7 @@
 		{"slow ones", slowed(candidates("a:WWWW"), 2), placed("small b:ww"), groupsOf(1, 1), "0.0 of 1, load 0.00, [{a 2 0 0 2}]: only 2 upstreams are free, and 2 that are slow"},
 		{"groups end for it", candidates("a:WWW"), placed("small a:ww", "small b:ww"), groupsOf(2, 1), "0.0 of 2, load 0.00, [{a 3 0 0 0}]: groups end so that a domain has the members of a better one"},
 	} {
-		o := replicaset.Explain(&replicaset.Situation{Engine: models(), Free: c.free, Groups: c.groups, Demand: c.demand, Total: 48})[0]
+		o := replicaset.Explain(&replicaset.PlanInput{Engine: models(), Free: c.free, Groups: c.groups, Demand: c.demand, Usable: 48})[0]
 		got := fmt.Sprintf("%.1f of %.0f, load %.2f, %v: %s", o.Serving, o.Wanted, o.Load, o.Rooms, o.Why)
 		if diff := cmp.Diff(c.want, got); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", c.name, diff)
@@ -42,7 +42,7 @@
 // slowed makes the first n upstreams of a list six times as slow.
 func slowed(list []replicaset.Candidate, n int) []replicaset.Candidate {
 	for i := range n {
-		list[i].Pace = 6
+		list[i].Slowdown = 6
 	}
 	return list
 }
@@ -53,29 +53,29 @@
 	f.run(20*time.Second, nil)
 	f.demand = groupsOf(2, 2)
 	free := f.spare()
-	if got := f.formation.Place(free.id); got != "free, with the weights of large and small" && got != "free, with the weights of small and large" {
+	if got := f.formation.DescribeUpstream(free.id); got != "free, with the weights of large and small" && got != "free, with the weights of small and large" {
 		t.Errorf("a spare: %s", got)
 	}
 	head := f.headOf("large")
-	if got, want := f.formation.Place(head.members[1]), fmt.Sprintf("member 2 of 4 of %s, which is open", head.member.Group); got != want {
+	if got, want := f.formation.DescribeUpstream(head.members[1]), fmt.Sprintf("member 2 of 4 of %s, which is open", head.member.Group); got != want {
 		t.Errorf("a member: %s, want %s", got, want)
 	}
 	free.draining, free.changed = true, true
 	late := f.add("domain-0", "hall-0", "")
 	f.run(step, nil)
-	if got := f.formation.Place(free.id); got != "leaves" {
+	if got := f.formation.DescribeUpstream(free.id); got != "leaves" {
 		t.Errorf("one that leaves: %s", got)
 	}
 	f.run(100*time.Millisecond, nil)
-	if got := f.formation.Place(late.id); got != "free, gets the weights of large" && got != "free, gets the weights of small" {
+	if got := f.formation.DescribeUpstream(late.id); got != "free, gets the weights of large" && got != "free, gets the weights of small" {
 		t.Errorf("a new one: %s", got)
 	}
 	f.kill(late)
 	f.run(4*time.Second, nil)
-	if got := f.formation.Place(late.id); got != "silent" && got != "takes no connections" {
+	if got := f.formation.DescribeUpstream(late.id); got != "silent" && got != "takes no connections" {
 		t.Errorf("a dead one: %s", got)
 	}
-	if got := f.formation.Place("nobody"); got != "unknown" {
+	if got := f.formation.DescribeUpstream("nobody"); got != "unknown" {
 		t.Errorf("an unknown one: %s", got)
 	}
 }
--- a/replicaset/formation.go
+++ b/replicaset/formation.go
@@ -96,15 +96,15 @@
 	NextEpoch func() ident.Epoch
 	// Fence is this leader's fence.
 	Fence uint64
-	// Note records a decision on a group and why it was taken.
-	Note func(g *roster.Group, decision, reason string)
-	// Early is set until the first request is seen.
-	Early bool
+	// RecordDecision records a decision on a group and why it was taken.
+	RecordDecision func(g *roster.Group, decision, reason string)
+	// BeforeFirstRequest is set until the first request is seen.
+	BeforeFirstRequest bool
 
 	// began is when the formation looked for the first time.
 	began  time.Time
 	engine *httproute.Engine
-	world  *World
+	world  *Snapshot
 	byID   map[ident.Incarnation]*roster.Upstream
 	orders map[orderKey]*sentOrder
 	// staging holds the orders to stage whose weights are not on the host yet.
@@ -130,22 +130,22 @@
 // NewFormation returns a formation without any history.
 func NewFormation() *Formation {
 	return &Formation{
-		Note:     func(*roster.Group, string, string) {},
-		orders:   map[orderKey]*sentOrder{},
-		lost:     map[ident.Group]time.Time{},
-		over:     map[ident.Group]time.Time{},
-		bound:    map[ident.Incarnation]time.Time{},
-		homing:   map[ident.Group]Closing{},
-		stood:    map[ident.Incarnation]bool{},
-		headless: map[ident.Group]bool{},
-		headed:   map[ident.Incarnation]ident.Model{},
-		staging:  map[ident.Incarnation]staged{},
-		loads:    loadBurst,
+		RecordDecision: func(*roster.Group, string, string) {},
+		orders:         map[orderKey]*sentOrder{},
+		lost:           map[ident.Group]time.Time{},
+		over:           map[ident.Group]time.Time{},
+		bound:          map[ident.Incarnation]time.Time{},
+		homing:         map[ident.Group]Closing{},
+		stood:          map[ident.Incarnation]bool{},
+		headless:       map[ident.Group]bool{},
+		headed:         map[ident.Incarnation]ident.Model{},
+		staging:        map[ident.Incarnation]staged{},
+		loads:          loadBurst,
 	}
 }
 
 // Step takes every group one step further and begins new ones.
-func (f *Formation) Step(w *World, engine *httproute.Engine) {
+func (f *Formation) Step(w *Snapshot, engine *httproute.Engine) {
 	f.look(w, engine)
 	f.forget()
 	f.adopt(f.heardAll())
@@ -156,7 +156,7 @@
 }
 
 // Adopt takes over the whole groups that engines report and orders nothing, as long as not all upstreams may be known.
-func (f *Formation) Adopt(w *World, engine *httproute.Engine) {
+func (f *Formation) Adopt(w *Snapshot, engine *httproute.Engine) {
 	f.look(w, engine)
 	f.adopt(false)
 }
@@ -180,14 +180,14 @@
 
 // heard reports whether an upstream has reported since this formation began, and is not only known from a copy.
 func (f *Formation) heard(id ident.Incarnation) bool {
-	return f.world.Ages[id] < f.world.Now.Sub(f.began)
+	return f.world.ReportAges[id] < f.world.Now.Sub(f.began)
 }
 
-func (f *Formation) look(w *World, engine *httproute.Engine) {
+func (f *Formation) look(w *Snapshot, engine *httproute.Engine) {
 	f.world, f.engine = w, engine
 	if f.began.IsZero() {
 		f.began = w.Now
-		if !f.Early {
+		if !f.BeforeFirstRequest {
 			// The leader before may have begun as many at once a moment ago, and the store's rate is one for all leaders.
 			f.loads = 0
 		}
@@ -276,7 +276,7 @@
 			return "member " + string(id) + " is leaving"
 		case u.Silent:
 			return "member " + string(id) + " is silent"
-		case f.world.Dead[id]:
+		case f.world.Unreachable[id]:
 			return "member " + string(id) + " takes no connections"
 		}
 		if o := f.outcome(g, id, ActionJoin); hopeless(o) {
@@ -287,7 +287,7 @@
 }
 
 func hopeless(o Outcome) bool {
-	return o == OutcomeFenced || o == OutcomeStranger || o == OutcomeUnreached
+	return o == OutcomeFenced || o == OutcomeWrongIncarnation || o == OutcomeConnectionRefused
 }
 
 func (f *Formation) advanceForming(g *roster.Group) {
@@ -343,5 +343,5 @@
 	g.Phase = to
 	g.Since = f.world.Now
 	f.Roster.PutGroup(g)
-	f.Note(g, string(to), why)
+	f.RecordDecision(g, string(to), why)
 }
--- a/replicaset/formation_test.go
+++ b/replicaset/formation_test.go
@@ -99,7 +99,7 @@
 		{"a head signs off and goes on for a while", func(f *fleet) {
 			e := f.headOf("large")
 			e.left = true
-			f.roster.Leave(f.now, e.id)
+			f.roster.SignOff(f.now, e.id)
 		}, 12 * time.Second, 6, 6},
 		{"a member drains", func(f *fleet) {
 			e := f.byID[f.headOf("small").members[1]]
@@ -119,7 +119,7 @@
 			f.run(200*time.Millisecond, nil)
 			head.closedAt = f.now.Add(time.Hour)
 			f.kill(head)
-			f.roster.Leave(f.now, head.id)
+			f.roster.SignOff(f.now, head.id)
 		}, 5 * time.Second, 6, 6},
 		{"a member starts again under its id", func(f *fleet) { f.restart(f.byID[f.headOf("large").members[2]]) }, 2 * time.Second, 6, 6},
 		{"a head starts again under its id", func(f *fleet) { f.restart(f.headOf("large")) }, 2 * time.Second, 6, 6},
@@ -402,7 +402,7 @@
 	f.run(12*time.Second, nil)
 	head := f.byID["i-001"]
 	head.left, head.cut = true, true
-	f.roster.Leave(f.now, head.id)
+	f.roster.SignOff(f.now, head.id)
 	f.run(40*time.Second, nil)
 	if len(f.faults) > 0 {
 		t.Error(f.faults)
@@ -509,7 +509,7 @@
 		e.draining, e.changed = true, true
 	case 3:
 		e.left = true
-		f.roster.Leave(f.now, e.id)
+		f.roster.SignOff(f.now, e.id)
 	case 4:
 		e.cut = !e.cut
 	case 5:
--- a/replicaset/fuzz_test.go
+++ b/replicaset/fuzz_test.go
@@ -35,10 +35,10 @@
 			epoch++
 			return epoch
 		}
-		formation.Note = func(*roster.Group, string, string) {}
+		formation.RecordDecision = func(*roster.Group, string, string) {}
 		now := time.Unix(1_000_000, 0)
-		w := &replicaset.World{
-			Ages: map[ident.Incarnation]time.Duration{}, Sights: map[ident.Group]replicaset.Sight{}, Dead: map[ident.Incarnation]bool{},
+		w := &replicaset.Snapshot{
+			ReportAges: map[ident.Incarnation]time.Duration{}, Observations: map[ident.Group]replicaset.Observation{}, Unreachable: map[ident.Incarnation]bool{},
 			Demand: map[ident.Model]float64{"a": demand, "b": 1},
 		}
 		for i := range 12 {
@@ -54,7 +54,7 @@
 				continue
 			}
 			formation.Step(w, e)
-			formation.Outlook()
+			formation.Explain()
 		}
 	})
 }
--- a/replicaset/needs.go
+++ b/replicaset/needs.go
@@ -9,12 +9,12 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// Targets returns the number of groups that each model would have if all upstreams were used: by declared shares, or in
+// TargetGroups returns the number of groups that each model would have if all upstreams were used: by declared shares, or in
 // proportion to demand where it is known.
-func Targets(s *Situation) map[ident.Model]int {
+func TargetGroups(s *PlanInput) map[ident.Model]int {
 	weights := weightsOf(s)
 	targets := map[ident.Model]int{}
-	left := s.Total
+	left := s.Usable
 	for {
 		best := -1
 		bestScore := 0.0
@@ -36,7 +36,7 @@
 	}
 }
 
-func weightsOf(s *Situation) map[ident.Model]float64 {
+func weightsOf(s *PlanInput) map[ident.Model]float64 {
 	weights := map[ident.Model]float64{}
 	shares := 0.0
 	for i := range s.Engine.Models {
@@ -52,8 +52,8 @@
 	return weights
 }
 
-// Needs returns how many whole groups of each model carry the demand; nothing while no demand is known.
-func Needs(s *Situation) map[ident.Model]int {
+// RequiredGroups returns how many whole groups of each model carry the demand; nothing while no demand is known.
+func RequiredGroups(s *PlanInput) map[ident.Model]int {
 	demand := 0.0
 	for _, work := range s.Demand {
 		demand += work
@@ -126,12 +126,12 @@
 }
 
 // part is what a group carries, in parts of a whole one: it runs at its slowest member's pace.
-func (p *plan) part(g *Placed) float64 {
+func (p *plan) part(g *ExistingGroup) float64 {
 	pace := 1.0
 	for i := range g.Members {
-		pace = max(pace, g.Members[i].Pace)
+		pace = max(pace, g.Members[i].Slowdown)
 	}
-	if g.Far {
+	if g.CrossDomain {
 		return p.farPart() / pace
 	}
 	return 1 / pace
@@ -143,8 +143,8 @@
 }
 
 // lame reports whether a group is worth ending for a whole one of its model: it spans domains or has a slow member.
-func lame(g *Placed) bool {
-	return g.Far || slices.ContainsFunc(g.Members, func(c Candidate) bool { return !quick(&c) })
+func lame(g *ExistingGroup) bool {
+	return g.CrossDomain || slices.ContainsFunc(g.Members, func(c Candidate) bool { return !quick(&c) })
 }
 
 // load is the part of the throughput of m's groups that is asked for, if it had so many more of them.
--- a/replicaset/orders.go
+++ b/replicaset/orders.go
@@ -43,7 +43,7 @@
 	now := f.world.Now
 	if o := f.orders[key]; o != nil {
 		wait := resendAfter
-		if o.outcome == OutcomeTaken && !o.waiting {
+		if o.outcome == OutcomeAccepted && !o.waiting {
 			wait = repeatAfter
 		}
 		if now.Sub(o.at) < wait {
@@ -57,7 +57,7 @@
 	sent := &sentOrder{at: now, waiting: true}
 	o := Order{
 		To: to, Address: u.Address, Action: action, Group: g.Name, Epoch: g.Epoch,
-		Model: g.Model, Members: g.Members, Fence: f.Fence, Known: f.known(u),
+		Model: g.Model, Members: g.Members, Fence: f.Fence, Context: f.known(u),
 	}
 	if before := f.orders[key]; before != nil {
 		sent.doubtful, sent.doubted = before.unsure()
@@ -87,15 +87,15 @@
 }
 
 // known returns what is known of an engine and of the group that it last reported.
-func (f *Formation) known(u *roster.Upstream) Known {
+func (f *Formation) known(u *roster.Upstream) OrderContext {
 	m, now := u.Member, f.world.Now
-	k := Known{Was: describe(m), AgeMS: f.world.Ages[u.ID].Milliseconds()}
+	k := OrderContext{LastReport: describe(m), LastReportAgeMS: f.world.ReportAges[u.ID].Milliseconds()}
 	if m.Group == "" {
 		return k
 	}
 	for _, other := range f.byID {
 		if o := other.Member; o.Group == m.Group && o.Rank == 0 && other.ID != u.ID {
-			k.Head, k.HeadIs, k.HeadAgeMS = other.ID, describe(o), f.world.Ages[other.ID].Milliseconds()
+			k.Head, k.HeadLastReport, k.HeadLastReportAgeMS = other.ID, describe(o), f.world.ReportAges[other.ID].Milliseconds()
 		}
 	}
 	if at, ok := f.over[m.Group]; ok {
@@ -105,18 +105,18 @@
 		k.Ended, k.EndedAgoMS = "lost", now.Sub(at).Milliseconds()
 	}
 	if o := f.orders[orderKey{u.ID, ActionLeave, m.Epoch}]; o != nil && !o.waiting {
-		k.Left = o.outcome
+		k.LeaveOutcome = o.outcome
 	}
 	join := f.orders[orderKey{u.ID, ActionJoin, m.Epoch}]
-	k.Late = join == nil
+	k.JoinPending = join == nil
 	if join != nil {
-		k.Late, _ = join.unsure()
+		k.JoinPending, _ = join.unsure()
 	}
 	return k
 }
 
-// Answered takes the outcome of an order.
-func (f *Formation) Answered(o *Order, outcome Outcome) {
+// HandleOutcome takes the outcome of an order.
+func (f *Formation) HandleOutcome(o *Order, outcome Outcome) {
 	if o.Action == ActionStage {
 		f.stageAnswered(o, outcome)
 		return
@@ -163,7 +163,7 @@
 }
 
 func (f *Formation) stageAnswered(o *Order, outcome Outcome) {
-	if st, ok := f.staging[o.To]; ok && outcome != OutcomeTaken {
+	if st, ok := f.staging[o.To]; ok && outcome != OutcomeAccepted {
 		f.staging[o.To] = staged{st.model, f.world.Now.Add(stageAgain)}
 	}
 }
--- a/replicaset/plan.go
+++ b/replicaset/plan.go
@@ -50,94 +50,94 @@
 
 // Candidate is an upstream as a possible member of a group.
 type Candidate struct {
-	ID      ident.Incarnation
-	Hall    ident.Hall
-	Domain  ident.Domain
-	Last    ident.Model
-	Staged  []ident.Model
-	Staging ident.Model
-	// Stood is set when the upstream was the head of a group that stood still although all its members reported.
-	Stood bool
+	ID        ident.Incarnation
+	Hall      ident.Hall
+	Domain    ident.Domain
+	LastModel ident.Model
+	Staged    []ident.Model
+	Staging   ident.Model
+	// StalledAsHead is set when the upstream was the head of a group that stood still although all its members reported.
+	StalledAsHead bool
 	// Cold is set while the upstream takes few requests yet.
 	Cold bool
-	// Headed is the model of the group that it was last the head of.
-	Headed ident.Model
-	// Pace is how many times longer all takes than it should; 0 and 1 are as usual.
-	Pace float64
+	// LastHeadedModel is the model of the group that it was last the head of.
+	LastHeadedModel ident.Model
+	// Slowdown is how many times longer all takes than it should; 0 and 1 are as usual.
+	Slowdown float64
 }
 
-// Placed is a group that serves or will serve.
-type Placed struct {
-	Name    ident.Group
-	Model   ident.Model
-	Far     bool
-	Members []Candidate
+// ExistingGroup is a group that serves or will serve.
+type ExistingGroup struct {
+	Name        ident.Group
+	Model       ident.Model
+	CrossDomain bool
+	Members     []Candidate
 	// Open is set when the group serves, Settled when it has done so for long enough to be closed for a better one.
 	Open    bool
 	Settled bool
 }
 
-// Choice is a group to begin; Loads is how many members fetch weights from the store.
-type Choice struct {
-	Model   ident.Model
-	Members []ident.Incarnation
-	Far     bool
-	Loads   int
-	Ready   time.Duration
+// GroupPlan is a group to begin; Loads is how many members fetch weights from the store.
+type GroupPlan struct {
+	Model       ident.Model
+	Members     []ident.Incarnation
+	CrossDomain bool
+	Loads       int
+	ReadyIn     time.Duration
 }
 
-// Loading is an upstream that shall get the weights of a model.
-type Loading struct {
+// WeightLoad is an upstream that shall get the weights of a model.
+type WeightLoad struct {
 	ID    ident.Incarnation
 	Model ident.Model
 }
 
 // Closing is a group that shall end so that Domain gets better ones: so many of Model.
 type Closing struct {
-	Group  ident.Group
-	Domain ident.Domain
-	Coming Coming
+	Group    ident.Group
+	Domain   ident.Domain
+	Expected ExpectedGroups
 }
 
-// Coming are groups that a domain gets once others of it have ended.
-type Coming struct {
-	Model  ident.Model
-	Groups int
+// ExpectedGroups are groups that a domain gets once others of it have ended.
+type ExpectedGroups struct {
+	Model ident.Model
+	Count int
 }
 
 // Decision is what Plan wants begun, the most wanted first.
 type Decision struct {
-	Groups []Choice
+	Groups []GroupPlan
 	// Stage are loads to the host, WarmUp joins of a single upstream that make its later ones short.
-	Stage  []Loading
-	WarmUp []Loading
+	Stage  []WeightLoad
+	WarmUp []WeightLoad
 	Close  []Closing
-	// Why tells what every model needs and has.
-	Why string
+	// Reason tells what every model needs and has.
+	Reason string
 }
 
-// Situation is what Plan decides on.
-type Situation struct {
+// PlanInput is what Plan decides on.
+type PlanInput struct {
 	Engine *httproute.Engine
 	// Free are the upstreams without a group, in the order of their ids.
 	Free []Candidate
 	// Groups are the groups that serve or will serve, in the order of their names.
-	Groups []Placed
-	// Coming is what the domains get in which groups end now.
-	Coming map[ident.Domain]Coming
-	// Total is the number of usable upstreams, free or not.
-	Total int
+	Groups []ExistingGroup
+	// Expected is what the domains get in which groups end now.
+	Expected map[ident.Domain]ExpectedGroups
+	// Usable is the number of usable upstreams, free or not.
+	Usable int
 	// Demand is as in World.
 	Demand map[ident.Model]float64
-	// Loads is how many loads may begin now.
-	Loads int
-	// Early is set before the first request, while loads are cheap.
-	Early bool
+	// LoadBudget is how many loads may begin now.
+	LoadBudget int
+	// BeforeFirstRequest is set before the first request, while loads are cheap.
+	BeforeFirstRequest bool
 }
 
 // plan is the work on one decision.
 type plan struct {
-	*Situation
+	*PlanInput
 	targets map[ident.Model]int
 	needs   map[ident.Model]int
 	// served counts the groups of each model; one across domains counts for as much as it carries.
@@ -150,21 +150,21 @@
 	loads int
 }
 
-func newPlan(s *Situation) *plan {
+func newPlan(s *PlanInput) *plan {
 	p := &plan{
-		Situation: s, targets: Targets(s), needs: Needs(s), loads: s.Loads,
+		PlanInput: s, targets: TargetGroups(s), needs: RequiredGroups(s), loads: s.LoadBudget,
 		served: map[ident.Model]float64{}, open: map[ident.Model]float64{}, homes: map[ident.Domain]map[ident.Model]int{},
 	}
 	p.free = append(p.free, s.Free...)
 	for i := range s.Groups {
 		g := &s.Groups[i]
-		p.settle(g.Model, p.part(g), g.Far, g.Members[0].Domain)
+		p.settle(g.Model, p.part(g), g.CrossDomain, g.Members[0].Domain)
 		if g.Open {
 			p.open[g.Model] += p.part(g)
 		}
 	}
-	for domain, c := range s.Coming {
-		for range c.Groups {
+	for domain, c := range s.Expected {
+		for range c.Count {
 			p.settle(c.Model, 1, false, domain)
 		}
 	}
@@ -172,19 +172,19 @@
 }
 
 // Plan returns what to begin now.
-func Plan(s *Situation) Decision {
+func Plan(s *PlanInput) Decision {
 	p := newPlan(s)
 	var d Decision
 	d.Groups = p.begin((*plan).near)
-	if !s.Early {
+	if !s.BeforeFirstRequest {
 		d.Close = p.makeRoom()
 	}
-	if len(d.Close) == 0 && !s.Early {
+	if len(d.Close) == 0 && !s.BeforeFirstRequest {
 		d.Groups = append(d.Groups, p.begin((*plan).far)...)
 	}
 	d.Stage = p.stage()
 	d.WarmUp = p.warmUp(d.Stage)
-	d.Why = p.why()
+	d.Reason = p.why()
 	return d
 }
 
@@ -199,8 +199,8 @@
 }
 
 // begin chooses groups one by one as long as choose finds one for a model, the neediest first.
-func (p *plan) begin(choose func(p *plan, m *httproute.Model) (Choice, bool)) []Choice {
-	var list []Choice
+func (p *plan) begin(choose func(p *plan, m *httproute.Model) (GroupPlan, bool)) []GroupPlan {
+	var list []GroupPlan
 	for {
 		choice, ok := p.next(choose)
 		if !ok {
@@ -209,20 +209,20 @@
 		list = append(list, choice)
 		p.loads -= choice.Loads
 		part := 1.0
-		if choice.Far {
+		if choice.CrossDomain {
 			part = p.farPart()
 		}
-		p.settle(choice.Model, part, choice.Far, p.take(choice.Members))
+		p.settle(choice.Model, part, choice.CrossDomain, p.take(choice.Members))
 	}
 }
 
-func (p *plan) next(choose func(p *plan, m *httproute.Model) (Choice, bool)) (Choice, bool) {
+func (p *plan) next(choose func(p *plan, m *httproute.Model) (GroupPlan, bool)) (GroupPlan, bool) {
 	for _, m := range p.byNeed() {
 		if choice, ok := choose(p, m); ok {
 			return choice, true
 		}
 	}
-	return Choice{}, false
+	return GroupPlan{}, false
 }
 
 // settle counts a group of a model in a domain, which carries part of what a whole one does.
@@ -254,10 +254,10 @@
 
 // near returns the best group of m within one domain: the soonest ready, in a domain with the fewest groups of m, with the
 // fewest upstreams left over.
-func (p *plan) near(m *httproute.Model) (Choice, bool) {
+func (p *plan) near(m *httproute.Model) (GroupPlan, bool) {
 	short := p.short(m.Name)
 	if !short && p.othersFirst(m) {
-		return Choice{}, false
+		return GroupPlan{}, false
 	}
 	if choice, ok := p.nearOf(m, short, quick); ok || p.served[m.Name] > 0 {
 		return choice, ok
@@ -267,12 +267,12 @@
 }
 
 // nearOf is near among the upstreams that fit.
-func (p *plan) nearOf(m *httproute.Model, short bool, fits func(c *Candidate) bool) (Choice, bool) {
-	var best Choice
+func (p *plan) nearOf(m *httproute.Model, short bool, fits func(c *Candidate) bool) (GroupPlan, bool) {
+	var best GroupPlan
 	var bestRank rank
 	found := false
 	all := byDomain(p.free, fits)
-	usable := byDomain(p.free, func(c *Candidate) bool { return fits(c) && (p.Early || hasWeights(m, c)) })
+	usable := byDomain(p.free, func(c *Candidate) bool { return fits(c) && (p.BeforeFirstRequest || hasWeights(m, c)) })
 	for _, name := range sortedKeys(usable) {
 		list := usable[name]
 		if len(list) < m.Size || !short && !p.sparesStay(name, len(all[name])-m.Size) {
@@ -283,7 +283,7 @@
 			continue
 		}
 		left := len(all[name]) - m.Size
-		r := rank{choice.Ready, p.homes[name][m.Name], left < sparesKept, left}
+		r := rank{choice.ReadyIn, p.homes[name][m.Name], left < sparesKept, left}
 		if !found || r.less(bestRank) {
 			best, bestRank, found = choice, r, true
 		}
@@ -293,7 +293,7 @@
 
 // othersFirst reports whether free upstreams are kept for what completes a group of a model that needs one more than m.
 func (p *plan) othersFirst(m *httproute.Model) bool {
-	if len(p.needs) == 0 && !p.Early {
+	if len(p.needs) == 0 && !p.BeforeFirstRequest {
 		return p.need(m.Name) < p.need(p.byNeed()[0].Name)
 	}
 	return p.anyShort()
@@ -342,9 +342,9 @@
 }
 
 // far puts together what is left over in several domains, those of one hall first, for a model that lacks groups.
-func (p *plan) far(m *httproute.Model) (Choice, bool) {
+func (p *plan) far(m *httproute.Model) (GroupPlan, bool) {
 	if p.load(m, 0) <= groupLoad || p.need(m.Name) < farNeed {
-		return Choice{}, false
+		return GroupPlan{}, false
 	}
 	halls := map[ident.Hall]int{}
 	var ready []Candidate
@@ -355,7 +355,7 @@
 		}
 	}
 	if len(ready) < m.Size {
-		return Choice{}, false
+		return GroupPlan{}, false
 	}
 	sort.SliceStable(ready, func(i, j int) bool {
 		if a, b := halls[ready[i].Hall], halls[ready[j].Hall]; a != b {
@@ -364,24 +364,24 @@
 		return ready[i].Hall < ready[j].Hall
 	})
 	choice := soonest(m, ready[:m.Size])
-	choice.Far = true
+	choice.CrossDomain = true
 	return choice, true
 }
 
 // soonest takes the members that are ready first.
-func soonest(m *httproute.Model, list []Candidate) Choice {
+func soonest(m *httproute.Model, list []Candidate) GroupPlan {
 	sorted := slices.Clone(list)
 	slices.SortStableFunc(sorted, func(a, b Candidate) int {
 		return cmp.Or(cmp.Compare(readyIn(m, &a), readyIn(m, &b)), cmp.Compare(unlikelyHead(m, &a), unlikelyHead(m, &b)))
 	})
-	choice := Choice{Model: m.Name}
+	choice := GroupPlan{Model: m.Name}
 	slices.SortStableFunc(sorted[:m.Size], func(a, b Candidate) int {
 		return cmp.Compare(unlikelyHead(m, &a), unlikelyHead(m, &b))
 	})
 	for i := range sorted[:m.Size] {
 		c := &sorted[i]
 		choice.Members = append(choice.Members, c.ID)
-		choice.Ready = max(choice.Ready, readyIn(m, c))
+		choice.ReadyIn = max(choice.ReadyIn, readyIn(m, c))
 		if !hasWeights(m, c) {
 			choice.Loads++
 		}
@@ -393,34 +393,34 @@
 // one to which entries that have not heard of the change yet still send requests for another model.
 func unlikelyHead(m *httproute.Model, c *Candidate) int {
 	switch {
-	case c.Stood:
+	case c.StalledAsHead:
 		return 3
 	case c.Cold:
 		return 2
-	case c.Headed != "" && c.Headed != m.Name:
+	case c.LastHeadedModel != "" && c.LastHeadedModel != m.Name:
 		return 1
 	}
 	return 0
 }
 
-// SlowPace is the pace from which on an upstream is left out of groups: at less a group still answers in time.
-const SlowPace = 1.5
+// SlowdownLimit is the pace from which on an upstream is left out of groups: at less a group still answers in time.
+const SlowdownLimit = 1.5
 
 func quick(c *Candidate) bool {
-	return c.Pace < SlowPace
+	return c.Slowdown < SlowdownLimit
 }
 
 // hasWeights reports whether c joins a group of m without a load from the store.
 func hasWeights(m *httproute.Model, c *Candidate) bool {
-	return c.Last == m.Name || roster.Has(c.Staged, m.Name)
+	return c.LastModel == m.Name || roster.HasModel(c.Staged, m.Name)
 }
 
 // readyIn returns how long c takes to join a group of m.
 func readyIn(m *httproute.Model, c *Candidate) time.Duration {
 	switch {
-	case c.Last == m.Name:
+	case c.LastModel == m.Name:
 		return rejoinTime
-	case roster.Has(c.Staged, m.Name):
+	case roster.HasModel(c.Staged, m.Name):
 		return m.Warm
 	}
 	return m.Load
--- a/replicaset/plan_test.go
+++ b/replicaset/plan_test.go
@@ -26,13 +26,13 @@
 			}
 			switch mark {
 			case 'L':
-				c.Last, c.Staged = "large", []ident.Model{"large"}
+				c.LastModel, c.Staged = "large", []ident.Model{"large"}
 			case 'S':
-				c.Last, c.Staged = "small", []ident.Model{"small"}
+				c.LastModel, c.Staged = "small", []ident.Model{"small"}
 			case 'W':
-				c.Last, c.Staged = "large", []ident.Model{"small"}
+				c.LastModel, c.Staged = "large", []ident.Model{"small"}
 			case 'w':
-				c.Last, c.Staged = "small", []ident.Model{"large"}
+				c.LastModel, c.Staged = "small", []ident.Model{"large"}
 			case 'l':
 				c.Staged = []ident.Model{"large"}
 			case 's':
@@ -54,15 +54,15 @@
 		}
 		sort.Strings(ids)
 		far := ""
-		if g.Far {
+		if g.CrossDomain {
 			far = " far"
 		}
 		list = append(list, string(g.Model)+far+" "+strings.Join(ids, " "))
 	}
 	for _, c := range d.Close {
 		end := "close " + string(c.Group) + " for " + string(c.Domain)
-		if c.Coming.Groups > 1 {
-			end += fmt.Sprintf(" (%d)", c.Coming.Groups)
+		if c.Expected.Count > 1 {
+			end += fmt.Sprintf(" (%d)", c.Expected.Count)
 		}
 		list = append(list, end)
 	}
@@ -77,16 +77,16 @@
 
 // placed reads "large a:WWWW" as a settled group of large in domain a, "forming large a:WWWW" as one that does not serve yet;
 // its name is its place in the list.
-func placed(groups ...string) []replicaset.Placed {
-	var list []replicaset.Placed
+func placed(groups ...string) []replicaset.ExistingGroup {
+	var list []replicaset.ExistingGroup
 	for i, text := range groups {
 		rest, forming := strings.CutPrefix(text, "forming ")
 		model, members, _ := strings.Cut(rest, " ")
-		g := replicaset.Placed{Name: ident.Group(fmt.Sprintf("g%d", i)), Model: ident.Model(model), Open: !forming, Settled: !forming}
+		g := replicaset.ExistingGroup{Name: ident.Group(fmt.Sprintf("g%d", i)), Model: ident.Model(model), Open: !forming, Settled: !forming}
 		g.Members = candidates(strings.Fields(members)...)
 		for j := range g.Members {
 			g.Members[j].ID = ident.Incarnation(fmt.Sprintf("%s-%d", g.Name, j))
-			g.Far = g.Far || g.Members[j].Domain != g.Members[0].Domain
+			g.CrossDomain = g.CrossDomain || g.Members[j].Domain != g.Members[0].Domain
 		}
 		list = append(list, g)
 	}
@@ -102,8 +102,8 @@
 	for _, c := range []struct {
 		name   string
 		free   []replicaset.Candidate
-		groups []replicaset.Placed
-		coming map[ident.Domain]replicaset.Coming
+		groups []replicaset.ExistingGroup
+		coming map[ident.Domain]replicaset.ExpectedGroups
 		demand map[ident.Model]float64
 		loads  int
 		early  bool
@@ -163,7 +163,7 @@
 		},
 		{
 			name: "no further group ends when two come", groups: placed("large b:WWWW", "large d:WWWW", "small c:ww"), demand: groupsOf(1.5, 2.9),
-			coming: map[ident.Domain]replicaset.Coming{"a": {Model: "small", Groups: 2}}, want: []string{},
+			coming: map[ident.Domain]replicaset.ExpectedGroups{"a": {Model: "small", Count: 2}}, want: []string{},
 		},
 		{
 			name: "no group ends in vain", free: candidates("a:W"),
@@ -174,15 +174,15 @@
 			groups: placed("large a:WW b:WW", "small c:ww"), demand: groupsOf(1, 1), want: []string{"close g0 for a"},
 		},
 		{
-			name: "groups end in a second domain while those of another one do", free: candidates("b:WW"), coming: map[ident.Domain]replicaset.Coming{"a": {Model: "large", Groups: 1}},
+			name: "groups end in a second domain while those of another one do", free: candidates("b:WW"), coming: map[ident.Domain]replicaset.ExpectedGroups{"a": {Model: "large", Count: 1}},
 			groups: placed("small b:ww", "small c:ww"), demand: groupsOf(2, 1), want: []string{"close g0 for b"},
 		},
 		{
-			name: "no group ends when what comes suffices", free: candidates("b:WW"), coming: map[ident.Domain]replicaset.Coming{"a": {Model: "large", Groups: 1}},
+			name: "no group ends when what comes suffices", free: candidates("b:WW"), coming: map[ident.Domain]replicaset.ExpectedGroups{"a": {Model: "large", Count: 1}},
 			groups: placed("small b:ww", "small c:ww"), demand: groupsOf(1, 1), want: []string{},
 		},
 		{
-			name: "no further group ends in a domain that makes room", free: candidates("a:WWW"), coming: map[ident.Domain]replicaset.Coming{"a": {Model: "large", Groups: 1}},
+			name: "no further group ends in a domain that makes room", free: candidates("a:WWW"), coming: map[ident.Domain]replicaset.ExpectedGroups{"a": {Model: "large", Count: 1}},
 			groups: placed("small a:ww", "small b:ww"), demand: groupsOf(2, 1), want: []string{},
 		},
 		{name: "weights for the one that completes a group", free: candidates("a:WWW*"), groups: placed("small b:ww"), loads: 9, want: []string{"stage large a-3"}},
@@ -200,7 +200,7 @@
 		{name: "all at once before the first request", free: candidates("a:********"), early: true, loads: 8, want: []string{"large a-0 a-1 a-2 a-3", "small a-4 a-5", "warm large a-6", "warm small a-7"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := &replicaset.Situation{Engine: models(), Free: c.free, Groups: c.groups, Coming: c.coming, Demand: c.demand, Total: 48, Loads: c.loads, Early: c.early}
+			s := &replicaset.PlanInput{Engine: models(), Free: c.free, Groups: c.groups, Expected: c.coming, Demand: c.demand, Usable: 48, LoadBudget: c.loads, BeforeFirstRequest: c.early}
 			d := replicaset.Plan(s)
 			if diff := cmp.Diff(c.want, text(&d)); diff != "" {
 				t.Errorf("decision (-want +got):\n%s", diff)
@@ -214,7 +214,7 @@
 	for _, c := range []struct {
 		name   string
 		free   []replicaset.Candidate
-		groups []replicaset.Placed
+		groups []replicaset.ExistingGroup
 		want   []string
 	}{
 		{"in use", candidates("a:LLLLSS"), nil, []string{"large a-0 a-1 a-2 a-3", "small a-4 a-5"}},
@@ -228,7 +228,7 @@
 			for i := range engine.Models {
 				engine.Models[i].Warm = warm
 			}
-			d := replicaset.Plan(&replicaset.Situation{Engine: engine, Free: c.free, Groups: c.groups, Demand: groupsOf(1, 1), Total: 48})
+			d := replicaset.Plan(&replicaset.PlanInput{Engine: engine, Free: c.free, Groups: c.groups, Demand: groupsOf(1, 1), Usable: 48})
 			if diff := cmp.Diff(c.want, text(&d)); diff != "" {
 				t.Errorf("weights %s, %v from the host (-want +got):\n%s", c.name, warm, diff)
 			}
@@ -240,9 +240,9 @@
 // last choice for a head.
 func TestHeads(t *testing.T) {
 	free := candidates("a:wwwwwwww")
-	free[0].Stood = true
-	free[1].Headed = "large"
-	free[2].Headed = "small"
+	free[0].StalledAsHead = true
+	free[1].LastHeadedModel = "large"
+	free[2].LastHeadedModel = "small"
 	for _, c := range []struct {
 		name string
 		free []replicaset.Candidate
@@ -251,7 +251,7 @@
 		{"a new one", free[:4], "a-2"},
 		{"one that headed another model rather than one that stood still", free[:2], "a-1"},
 	} {
-		d := replicaset.Plan(&replicaset.Situation{Engine: models(), Free: c.free, Groups: placed("large b:WWWW"), Total: 48, Demand: groupsOf(0.5, 1)})
+		d := replicaset.Plan(&replicaset.PlanInput{Engine: models(), Free: c.free, Groups: placed("large b:WWWW"), Usable: 48, Demand: groupsOf(0.5, 1)})
 		if len(d.Groups) == 0 || d.Groups[0].Members[0] != c.want {
 			t.Errorf("%s: %v, want %s as head", c.name, text(&d), c.want)
 		}
@@ -268,7 +268,7 @@
 		{"too few for one", 1, map[ident.Model]int{}},
 		{"a few", 6, map[ident.Model]int{"large": 1, "small": 1}},
 	} {
-		got := replicaset.Targets(&replicaset.Situation{Engine: models(), Total: c.total})
+		got := replicaset.TargetGroups(&replicaset.PlanInput{Engine: models(), Usable: c.total})
 		if diff := cmp.Diff(c.want, got); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", c.name, diff)
 		}
@@ -286,7 +286,7 @@
 		{"a little more", groupsOf(5.1, 7.1), map[ident.Model]int{"large": 6, "small": 8}},
 		{"one group of a model that nobody asks for", groupsOf(0, 3), map[ident.Model]int{"large": 1, "small": 3}},
 	} {
-		got := replicaset.Needs(&replicaset.Situation{Engine: models(), Total: 48, Demand: c.demand})
+		got := replicaset.RequiredGroups(&replicaset.PlanInput{Engine: models(), Usable: 48, Demand: c.demand})
 		if diff := cmp.Diff(c.want, got); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", c.name, diff)
 		}
--- a/replicaset/refused_test.go
+++ b/replicaset/refused_test.go
@@ -43,7 +43,7 @@
 		"it signs off": func(f *fleet, head *engine) {
 			f.cutOff(head)
 			head.left = true
-			f.roster.Leave(f.now, head.id)
+			f.roster.SignOff(f.now, head.id)
 		},
 		"a member leaves": func(f *fleet, head *engine) {
 			f.cutOff(head)
--- a/replicaset/room.go
+++ b/replicaset/room.go
@@ -29,7 +29,7 @@
 	closable := p.closable(m)
 	var best []Closing
 	for _, domain := range domainsOf(closable) {
-		if p.Coming[domain].Groups > 0 {
+		if p.Expected[domain].Count > 0 {
 			continue
 		}
 		list := p.roomIn(m, domain, closable)
@@ -42,8 +42,8 @@
 
 // closable returns the groups that may end for one of m: those of m across domains or with slow members, and where m is short
 // those of the other models.
-func (p *plan) closable(m *httproute.Model) []*Placed {
-	var list []*Placed
+func (p *plan) closable(m *httproute.Model) []*ExistingGroup {
+	var list []*ExistingGroup
 	for i := range p.Groups {
 		g := &p.Groups[i]
 		if g.Settled && (g.Model != m.Name && p.short(m.Name) || g.Model == m.Name && lame(g)) {
@@ -53,7 +53,7 @@
 	return list
 }
 
-func domainsOf(groups []*Placed) []ident.Domain {
+func domainsOf(groups []*ExistingGroup) []ident.Domain {
 	found := map[ident.Domain]bool{}
 	for _, g := range groups {
 		for i := range g.Members {
@@ -65,13 +65,13 @@
 
 // roomIn returns the groups to close so that domain has the members of a whole group of m, those with the most members
 // there first; nothing when they would not suffice, or when it does not pay.
-func (p *plan) roomIn(m *httproute.Model, domain ident.Domain, closable []*Placed) []Closing {
+func (p *plan) roomIn(m *httproute.Model, domain ident.Domain, closable []*ExistingGroup) []Closing {
 	n := countReady(m, domain, p.free)
 	there := slices.Clone(closable)
-	slices.SortStableFunc(there, func(a, b *Placed) int {
+	slices.SortStableFunc(there, func(a, b *ExistingGroup) int {
 		return countReady(m, domain, b.Members) - countReady(m, domain, a.Members)
 	})
-	var ending []*Placed
+	var ending []*ExistingGroup
 	for _, g := range there {
 		gain := countReady(m, domain, g.Members)
 		if n >= m.Size || gain == 0 {
@@ -88,14 +88,14 @@
 	}
 	var list []Closing
 	for _, g := range ending {
-		list = append(list, Closing{g.Name, domain, Coming{m.Name, n / m.Size}})
+		list = append(list, Closing{g.Name, domain, ExpectedGroups{m.Name, n / m.Size}})
 	}
 	return list
 }
 
 // pays reports whether the highest load becomes clearly lower if m gets so many groups and the model of the last group in
 // ending loses its groups there. What forms does not help that model yet, so only its groups that serve count.
-func (p *plan) pays(m *httproute.Model, more int, ending []*Placed) bool {
+func (p *plan) pays(m *httproute.Model, more int, ending []*ExistingGroup) bool {
 	other := ending[len(ending)-1].Model
 	o, ok := p.Engine.Model(other)
 	if !ok {
--- a/replicaset/serving.go
+++ b/replicaset/serving.go
@@ -40,17 +40,17 @@
 
 // noteSlow lets entries know of a group with a slow member.
 func (f *Formation) noteSlow(g *roster.Group) {
-	slow := slices.ContainsFunc(g.Members, func(id ident.Incarnation) bool { return f.world.Paces[id] >= SlowPace })
+	slow := slices.ContainsFunc(g.Members, func(id ident.Incarnation) bool { return f.world.Slowdowns[id] >= SlowdownLimit })
 	if slow == g.Slow {
 		return
 	}
 	g.Slow = slow
 	f.Roster.PutGroup(g)
 	if slow {
-		f.Note(g, "slow", "a member says that it is slow")
+		f.RecordDecision(g, "slow", "a member says that it is slow")
 		return
 	}
-	f.Note(g, "as usual", "no member is slow any more")
+	f.RecordDecision(g, "as usual", "no member is slow any more")
 }
 
 // broken returns why an open group can't serve any more, or nothing. Silence alone proves nothing: a member that control
@@ -68,8 +68,8 @@
 		if f.cutOff(g, id) {
 			continue
 		}
-		missed = missed || f.world.Ages[id] >= missedReport
-		dead = dead || f.world.Dead[id]
+		missed = missed || f.world.ReportAges[id] >= missedReport
+		dead = dead || f.world.Unreachable[id]
 	}
 	return f.standsStill(g, missed, dead)
 }
@@ -77,23 +77,23 @@
 // cutOff reports whether a member does not reach control but works: a dead one would have reported before, and the group has
 // answered entries since.
 func (f *Formation) cutOff(g *roster.Group, id ident.Incarnation) bool {
-	return f.world.Ages[id]-f.world.Sights[g.Name].Answered >= cutAfter
+	return f.world.ReportAges[id]-f.world.Observations[g.Name].SinceLastResponse >= cutAfter
 }
 
 // standsStill weighs what entries see of a group, given whether a member missed a report or takes no connections.
 func (f *Formation) standsStill(g *roster.Group, missed, dead bool) string {
-	sight := f.world.Sights[g.Name]
+	sight := f.world.Observations[g.Name]
 	switch {
-	case sight.Blamed != "" && slices.ContainsFunc(g.Members, func(id ident.Incarnation) bool { return id.UpstreamID() == sight.Blamed }):
-		return "the head blames member " + sight.Blamed
-	case dead && (sight.Stands || sight.Stalled >= stallWithDead):
+	case sight.BlamedMember != "" && slices.ContainsFunc(g.Members, func(id ident.Incarnation) bool { return id.UpstreamID() == sight.BlamedMember }):
+		return "the head blames member " + sight.BlamedMember
+	case dead && (sight.StallConfirmed || sight.StalledFor >= stallWithDead):
 		return "stands still, and a member takes no connections"
-	case missed && sight.Stalled >= stallWithSilent:
+	case missed && sight.StalledFor >= stallWithSilent:
 		return "stands still, and a member is silent"
-	case sight.Stalled >= stallAlone:
+	case sight.StalledFor >= stallAlone:
 		f.stood[g.Head()] = true
 		return "stands still"
-	case sight.Refused && f.world.Ages[g.Head()] >= missedReport:
+	case sight.ConnectionRefused && f.world.ReportAges[g.Head()] >= missedReport:
 		return "the head refuses connections"
 	}
 	return ""
--- a/replicaset/weights.go
+++ b/replicaset/weights.go
@@ -11,16 +11,16 @@
 
 // stage chooses weights to load to hosts: for upstreams that have none, those of the model for which one more upstream is
 // most useful in the domain; for the others, beside their work, those of a model that they could not join soon.
-func (p *plan) stage() []Loading {
-	var list []Loading
+func (p *plan) stage() []WeightLoad {
+	var list []WeightLoad
 	add := func(c *Candidate, m ident.Model) {
-		list = append(list, Loading{c.ID, m})
+		list = append(list, WeightLoad{c.ID, m})
 		p.loads--
 	}
 	have := p.collected()
 	for i := range p.free {
 		c := &p.free[i]
-		if p.loads < 1 || c.Staging != "" || !fresh(c) || p.Early {
+		if p.loads < 1 || c.Staging != "" || !fresh(c) || p.BeforeFirstRequest {
 			continue
 		}
 		m := p.missing(have[c.Domain])
@@ -33,7 +33,7 @@
 			break
 		}
 		if m := p.further(c, hosts[c.Domain]); m != "" {
-			hosts[c.Domain][c.Last]--
+			hosts[c.Domain][c.LastModel]--
 			hosts[c.Domain][m]++
 			add(c, m)
 		}
@@ -62,7 +62,7 @@
 
 // fresh reports whether c has no weights at all.
 func fresh(c *Candidate) bool {
-	return c.Last == "" && len(c.Staged) == 0
+	return c.LastModel == "" && len(c.Staged) == 0
 }
 
 // everyone returns the free upstreams, then the members of groups.
@@ -86,19 +86,19 @@
 // further returns a model that c should get on its host beside the one that it can join at once. A host keeps one model, so
 // what c has there must not be needed: neither by c itself, nor by its domain for a group after a restart.
 func (p *plan) further(c *Candidate, hosts map[ident.Model]int) ident.Model {
-	if c.Staging != "" || c.Last == "" {
+	if c.Staging != "" || c.LastModel == "" {
 		return ""
 	}
 	for _, m := range c.Staged {
-		if m != c.Last {
+		if m != c.LastModel {
 			return ""
 		}
 	}
-	if last, ok := p.Engine.Model(c.Last); ok && roster.Has(c.Staged, c.Last) && hosts[c.Last] <= last.Size {
+	if last, ok := p.Engine.Model(c.LastModel); ok && roster.HasModel(c.Staged, c.LastModel) && hosts[c.LastModel] <= last.Size {
 		return ""
 	}
 	for _, m := range p.byNeed() {
-		if m.Name != c.Last {
+		if m.Name != c.LastModel {
 			return m.Name
 		}
 	}
@@ -122,7 +122,7 @@
 		count(&p.free[i])
 	}
 	for i := range p.Groups {
-		if !p.Groups[i].Far {
+		if !p.Groups[i].CrossDomain {
 			continue
 		}
 		for j := range p.Groups[i].Members {
@@ -149,23 +149,23 @@
 // warmUp chooses spares that have been in no group yet. After the start they take the weights from their host; before the
 // first request a load is cheap, and the spares of a domain take the models in turn, the one with the largest groups first,
 // because it loses members most often.
-func (p *plan) warmUp(staged []Loading) []Loading {
+func (p *plan) warmUp(staged []WeightLoad) []WeightLoad {
 	busy := map[ident.Incarnation]bool{}
 	for _, l := range staged {
 		busy[l.ID] = true
 	}
-	var list []Loading
+	var list []WeightLoad
 	spares := map[ident.Domain]int{}
 	for i := range p.free {
 		c := &p.free[i]
-		if c.Last != "" || c.Staging != "" || busy[c.ID] {
+		if c.LastModel != "" || c.Staging != "" || busy[c.ID] {
 			continue
 		}
 		switch {
 		case len(c.Staged) > 0:
-			list = append(list, Loading{c.ID, c.Staged[0]})
-		case p.Early && p.loads > 0:
-			list = append(list, Loading{c.ID, p.bySize()[spares[c.Domain]%len(p.Engine.Models)].Name})
+			list = append(list, WeightLoad{c.ID, c.Staged[0]})
+		case p.BeforeFirstRequest && p.loads > 0:
+			list = append(list, WeightLoad{c.ID, p.bySize()[spares[c.Domain]%len(p.Engine.Models)].Name})
 			spares[c.Domain]++
 			p.loads--
 		}
--- a/roster/copy.go
+++ b/roster/copy.go
@@ -40,8 +40,8 @@
 	c.Revision = d.Revision
 }
 
-// Whole returns the copy as a delta that replaces another copy.
-func (c *Copy) Whole() Delta {
+// FullDelta returns the copy as a delta that replaces another copy.
+func (c *Copy) FullDelta() Delta {
 	d := Delta{Full: true, Revision: c.Revision}
 	for _, u := range c.Upstreams {
 		d.Upstreams = append(d.Upstreams, u)
