--- a/roster/roster.go
+++ b/roster/roster.go
@@ -80,7 +80,7 @@
 	base    Revision
 	changed chan struct{}
 	// sums are the digests of the parts at revision sumsOf.
-	sums   Sums
+	sums   Digests
 	sumsOf Revision
 }
 
@@ -125,8 +125,8 @@
 	}
 }
 
-// Take accepts a report and tells whether it changed anything but the time of the last report.
-func (r *Roster) Take(now time.Time, report *Report) bool {
+// ApplyReport accepts a report and tells whether it changed anything but the time of the last report.
+func (r *Roster) ApplyReport(now time.Time, report *Report) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.outlived(now, report) || r.stays(report) {
@@ -167,8 +167,8 @@
 	return true
 }
 
-// Chill counts the upstreams of a hall as cold until they report: they may have turned cold while nothing was sent there.
-func (r *Roster) Chill(now time.Time, hall ident.Hall) {
+// MarkHallCold counts the upstreams of a hall as cold until they report: they may have turned cold while nothing was sent there.
+func (r *Roster) MarkHallCold(now time.Time, hall ident.Hall) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id, rec := range r.upstreams {
@@ -183,8 +183,8 @@
 	}
 }
 
-// Bind marks an upstream as bound, or takes the mark away.
-func (r *Roster) Bind(id ident.Incarnation, bound bool) {
+// SetBound marks an upstream as bound, or takes the mark away.
+func (r *Roster) SetBound(id ident.Incarnation, bound bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.upstreams[id]
@@ -201,7 +201,7 @@
 	id := report.ID.UpstreamID()
 	last, known := r.newest[id]
 	if known && last != report.ID {
-		if report.ID.Born() <= last.Born() {
+		if report.ID.StartTime() <= last.StartTime() {
 			return true
 		}
 		r.endLife(now, last)
@@ -258,12 +258,12 @@
 	r.touch(change{upstream: old})
 }
 
-// Leave notes that an upstream has signed off. It may go on with what it has for a while, so it stays, as one that gets
+// SignOff notes that an upstream has signed off. It may go on with what it has for a while, so it stays, as one that gets
 // nothing new, until it is silent. One that does not say when it started is taken for its newest life.
-func (r *Roster) Leave(now time.Time, id ident.Incarnation) {
+func (r *Roster) SignOff(now time.Time, id ident.Incarnation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if last, known := r.newest[id.UpstreamID()]; known && id.Born() == 0 {
+	if last, known := r.newest[id.UpstreamID()]; known && id.StartTime() == 0 {
 		id = last
 	}
 	rec := r.upstreams[id]
@@ -279,9 +279,9 @@
 	}
 }
 
-// Drain notes that an upstream has told an entry that it leaves, and reports whether that is new. It may not reach control: one that
+// MarkDraining notes that an upstream has told an entry that it leaves, and reports whether that is new. It may not reach control: one that
 // was cut off from it left its group as it was until it ended.
-func (r *Roster) Drain(id ident.Incarnation) bool {
+func (r *Roster) MarkDraining(id ident.Incarnation) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.upstreams[id]
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -15,7 +15,7 @@
 var start = time.Unix(1000, 0)
 
 // first and second are two lives of one upstream.
-var first, second = ident.Life("i-1", 1_000), ident.Life("i-1", 2_000)
+var first, second = ident.IncarnationOf("i-1", 1_000), ident.IncarnationOf("i-1", 2_000)
 
 func newRoster() *roster.Roster {
 	r := roster.New()
@@ -58,110 +58,110 @@
 		do   func(r *roster.Roster)
 		want []string
 	}{
-		{"a first report", func(r *roster.Roster) { r.Take(start, report("a", "x", 1)) }, []string{"a"}},
+		{"a first report", func(r *roster.Roster) { r.ApplyReport(start, report("a", "x", 1)) }, []string{"a"}},
 		{"a late report changes nothing", func(r *roster.Roster) {
-			r.Take(start, draining(report("a", "x", 5)))
-			r.Take(start, report("a", "x", 4))
+			r.ApplyReport(start, draining(report("a", "x", 5)))
+			r.ApplyReport(start, report("a", "x", 4))
 		}, []string{"a leaving"}},
 		{"leaving is not taken back", func(r *roster.Roster) {
-			r.Take(start, draining(report("a", "x", 5)))
-			r.Take(start, report("a", "x", 6))
+			r.ApplyReport(start, draining(report("a", "x", 5)))
+			r.ApplyReport(start, report("a", "x", 6))
 		}, []string{"a leaving"}},
 		{"one that signed off stays as leaving", func(r *roster.Roster) {
-			r.Take(start, report("a", "x", 1))
-			r.Leave(start, "a")
+			r.ApplyReport(start, report("a", "x", 1))
+			r.SignOff(start, "a")
 		}, []string{"a leaving"}},
 		{"a late report after signing off", func(r *roster.Roster) {
-			r.Take(start, report("a", "x", 1))
-			r.Leave(start, "a")
-			r.Take(at(time.Second), report("a", "x", 2))
+			r.ApplyReport(start, report("a", "x", 1))
+			r.SignOff(start, "a")
+			r.ApplyReport(at(time.Second), report("a", "x", 2))
 		}, []string{"a leaving"}},
 		{"signing off before any report", func(r *roster.Roster) {
-			r.Leave(start, "a")
-			r.Take(start, report("a", "x", 1))
+			r.SignOff(start, "a")
+			r.ApplyReport(start, report("a", "x", 1))
 		}, nil},
 		{"one that signed off is forgotten", func(r *roster.Roster) {
-			r.Take(start, report("a", "x", 1))
-			r.Leave(start, "a")
+			r.ApplyReport(start, report("a", "x", 1))
+			r.SignOff(start, "a")
 			r.Expire(at(20 * time.Second))
 		}, nil},
 		{"silent", func(r *roster.Roster) {
-			r.Take(start, report("a", "x", 1))
+			r.ApplyReport(start, report("a", "x", 1))
 			r.Expire(at(4 * time.Second))
 		}, []string{"a silent"}},
 		{"silent and back", func(r *roster.Roster) {
-			r.Take(start, report("a", "x", 1))
+			r.ApplyReport(start, report("a", "x", 1))
 			r.Expire(at(4 * time.Second))
-			r.Take(at(4*time.Second), report("a", "x", 2))
+			r.ApplyReport(at(4*time.Second), report("a", "x", 2))
 		}, []string{"a"}},
 		{"forgotten", func(r *roster.Roster) {
-			r.Take(start, report("a", "x", 1))
+			r.ApplyReport(start, report("a", "x", 1))
 			r.Expire(at(40 * time.Second))
 		}, nil},
 		{"forgotten, and a report from before", func(r *roster.Roster) {
-			r.Take(start, report("a", "x", 1))
+			r.ApplyReport(start, report("a", "x", 1))
 			r.Expire(at(40 * time.Second))
-			r.Take(at(40*time.Second), report("a", "x", 2))
+			r.ApplyReport(at(40*time.Second), report("a", "x", 2))
 		}, nil},
 		{"another life at the address", func(r *roster.Roster) {
-			r.Take(start, report("a", "x", 7))
-			r.Take(start, report("b", "x", 1))
+			r.ApplyReport(start, report("a", "x", 7))
+			r.ApplyReport(start, report("b", "x", 1))
 		}, []string{"b"}},
 		{"another life, and a late report of the first", func(r *roster.Roster) {
-			r.Take(start, report("a", "x", 7))
-			r.Take(start, report("b", "x", 1))
-			r.Take(start, report("a", "x", 8))
+			r.ApplyReport(start, report("a", "x", 7))
+			r.ApplyReport(start, report("b", "x", 1))
+			r.ApplyReport(start, report("a", "x", 8))
 		}, []string{"b"}},
 		{"a late first report of an earlier life, and the newer one goes on", func(r *roster.Roster) {
-			r.Take(start, report("b", "x", 1))
-			r.Take(start, report("a", "x", 9))
-			r.Take(start, report("b", "x", 2))
-			r.Take(start, report("b", "x", 3))
+			r.ApplyReport(start, report("b", "x", 1))
+			r.ApplyReport(start, report("a", "x", 9))
+			r.ApplyReport(start, report("b", "x", 2))
+			r.ApplyReport(start, report("b", "x", 3))
 		}, []string{"b"}},
 		{"started again under its id, counts from one", func(r *roster.Roster) {
-			r.Take(start, report(first, "x", 70))
-			r.Take(start, report(second, "x", 1))
+			r.ApplyReport(start, report(first, "x", 70))
+			r.ApplyReport(start, report(second, "x", 1))
 		}, []string{string(second)}},
 		{"started again elsewhere", func(r *roster.Roster) {
-			r.Take(start, report(first, "x", 70))
-			r.Take(start, report(second, "y", 1))
+			r.ApplyReport(start, report(first, "x", 70))
+			r.ApplyReport(start, report(second, "y", 1))
 		}, []string{string(second)}},
 		{"started again after it was leaving", func(r *roster.Roster) {
-			r.Take(start, draining(report(first, "x", 70)))
-			r.Leave(start, "i-1")
-			r.Take(start, report(second, "x", 1))
+			r.ApplyReport(start, draining(report(first, "x", 70)))
+			r.SignOff(start, "i-1")
+			r.ApplyReport(start, report(second, "x", 1))
 		}, []string{string(second)}},
 		{"started again after its end was known", func(r *roster.Roster) {
-			r.Take(start, report(first, "x", 70))
+			r.ApplyReport(start, report(first, "x", 70))
 			r.Expire(at(40 * time.Second))
-			r.Take(at(40*time.Second), report(second, "x", 1))
+			r.ApplyReport(at(40*time.Second), report(second, "x", 1))
 		}, []string{string(second)}},
 		{"started again, and late reports of the life before", func(r *roster.Roster) {
-			r.Take(start, report(first, "x", 70))
-			r.Take(start, report(second, "x", 1))
+			r.ApplyReport(start, report(first, "x", 70))
+			r.ApplyReport(start, report(second, "x", 1))
 			for i := range uint64(5) {
-				r.Take(start, draining(report(first, "x", 71+i)))
+				r.ApplyReport(start, draining(report(first, "x", 71+i)))
 			}
 		}, []string{string(second)}},
 		{"a late report of a life before that was never heard", func(r *roster.Roster) {
-			r.Take(start, report(second, "x", 1))
+			r.ApplyReport(start, report(second, "x", 1))
 			for i := range uint64(5) {
-				r.Take(start, report(first, "x", 71+i))
+				r.ApplyReport(start, report(first, "x", 71+i))
 			}
 		}, []string{string(second)}},
 		{"the life before signs off late", func(r *roster.Roster) {
-			r.Take(start, report(first, "x", 70))
-			r.Take(start, report(second, "x", 1))
-			r.Leave(start, first)
+			r.ApplyReport(start, report(first, "x", 70))
+			r.ApplyReport(start, report(second, "x", 1))
+			r.SignOff(start, first)
 		}, []string{string(second)}},
 		{"signing off without a birth is of the newest life", func(r *roster.Roster) {
-			r.Take(start, report(second, "x", 1))
-			r.Leave(start, "i-1")
+			r.ApplyReport(start, report(second, "x", 1))
+			r.SignOff(start, "i-1")
 		}, []string{string(second) + " leaving"}},
 		{"another upstream comes to the address of one that started again", func(r *roster.Roster) {
-			r.Take(start, report(first, "x", 70))
-			r.Take(start, report(second, "y", 1))
-			r.Take(start, report("b", "x", 1))
+			r.ApplyReport(start, report(first, "x", 70))
+			r.ApplyReport(start, report(second, "y", 1))
+			r.ApplyReport(start, report("b", "x", 1))
 		}, []string{"b", string(second)}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -177,7 +177,7 @@
 func TestOnlyOwnReportsAreFresh(t *testing.T) {
 	r := newRoster()
 	r.Seed(start, []roster.Upstream{{ID: "a", Address: "x"}, {ID: "b", Address: "y"}}, nil)
-	r.Take(start, report("a", "x", 1))
+	r.ApplyReport(start, report("a", "x", 1))
 	_, ages := r.Upstreams(start)
 	if ages["a"] != 0 || ages["b"] < time.Second {
 		t.Errorf("ages %v: a has reported to this roster, b has not", ages)
@@ -193,13 +193,13 @@
 		c.Apply(&d)
 	}
 	steps := []func(){
-		func() { r.Take(start, report("a", "x", 1)) },
-		func() { r.Take(start, report("b", "y", 1)) },
+		func() { r.ApplyReport(start, report("a", "x", 1)) },
+		func() { r.ApplyReport(start, report("b", "y", 1)) },
 		func() {
 			r.PutGroup(&roster.Group{Name: "g", Phase: roster.PhaseForming, Members: []ident.Incarnation{"a", "b"}})
 		},
-		func() { r.Leave(start, "a") },
-		func() { r.Take(start, report("c", "y", 1)) },
+		func() { r.SignOff(start, "a") },
+		func() { r.ApplyReport(start, report("c", "y", 1)) },
 		func() { r.DropGroup("g") },
 		func() { r.Expire(start.Add(4 * time.Second)) },
 		func() { r.Expire(start.Add(20 * time.Second)) },
@@ -224,17 +224,17 @@
 
 func TestNothingNewIsEmpty(t *testing.T) {
 	r := newRoster()
-	r.Take(start, report("a", "x", 1))
+	r.ApplyReport(start, report("a", "x", 1))
 	c := roster.NewCopy()
 	d := r.Since(0)
 	c.Apply(&d)
 	if d = r.Since(c.Revision); !d.Empty() {
 		t.Errorf("delta %+v after nothing happened", d)
 	}
-	if !r.Take(start, draining(report("a", "x", 2))) {
+	if !r.ApplyReport(start, draining(report("a", "x", 2))) {
 		t.Error("a report that changes the state is not told as a change")
 	}
-	if r.Take(start, draining(report("a", "x", 3))) {
+	if r.ApplyReport(start, draining(report("a", "x", 3))) {
 		t.Error("a report that changes nothing is told as a change")
 	}
 	d = r.Since(c.Revision)
@@ -251,7 +251,7 @@
 // A copy that is further behind than the journal reaches gets everything.
 func TestACopyFarBehind(t *testing.T) {
 	r := newRoster()
-	r.Take(start, report("a", "x", 1))
+	r.ApplyReport(start, report("a", "x", 1))
 	c := roster.NewCopy()
 	d := r.Since(0)
 	c.Apply(&d)
@@ -276,7 +276,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r := newRoster()
 			for i := range n {
-				r.Take(start, report(ident.Incarnation(fmt.Sprint(i)), fmt.Sprint(i), 1))
+				r.ApplyReport(start, report(ident.Incarnation(fmt.Sprint(i)), fmt.Sprint(i), 1))
 			}
 			before, _ := r.Changed()
 			r.PutGroup(&roster.Group{Name: "g"})
@@ -292,9 +292,9 @@
 	r := newRoster()
 	in := report("a", "x", 1)
 	in.Loaded = []ident.Model{"large"}
-	r.Take(start, in)
-	r.Take(start, report("a", "x", 2))
-	r.Take(start, report("b", "x2", 1))
+	r.ApplyReport(start, in)
+	r.ApplyReport(start, report("a", "x", 2))
+	r.ApplyReport(start, report("b", "x2", 1))
 	upstreams, _ := r.Upstreams(start)
 	got := map[ident.Incarnation]ident.Model{}
 	for i := range upstreams {
@@ -317,41 +317,41 @@
 		do   func(r *roster.Roster)
 		want bool
 	}{
-		{"warm", func(r *roster.Roster) { r.Take(start, report("a", "x", 1)) }, false},
-		{"cold", func(r *roster.Roster) { r.Take(start, cold(report("a", "x", 1), 3*time.Second)) }, true},
+		{"warm", func(r *roster.Roster) { r.ApplyReport(start, report("a", "x", 1)) }, false},
+		{"cold", func(r *roster.Roster) { r.ApplyReport(start, cold(report("a", "x", 1), 3*time.Second)) }, true},
 		{"cold until it is over", func(r *roster.Roster) {
-			r.Take(start, cold(report("a", "x", 1), 3*time.Second))
+			r.ApplyReport(start, cold(report("a", "x", 1), 3*time.Second))
 			r.Expire(at(2900 * time.Millisecond))
 		}, true},
 		{"over", func(r *roster.Roster) {
-			r.Take(start, cold(report("a", "x", 1), 3*time.Second))
+			r.ApplyReport(start, cold(report("a", "x", 1), 3*time.Second))
 			r.Expire(at(3 * time.Second))
 		}, false},
 		{"warm sooner", func(r *roster.Roster) {
-			r.Take(start, cold(report("a", "x", 1), 3*time.Second))
-			r.Take(at(time.Second), report("a", "x", 2))
+			r.ApplyReport(start, cold(report("a", "x", 1), 3*time.Second))
+			r.ApplyReport(at(time.Second), report("a", "x", 2))
 		}, false},
 		{"cold again", func(r *roster.Roster) {
-			r.Take(start, report("a", "x", 1))
-			r.Take(at(time.Second), cold(report("a", "x", 2), time.Second))
+			r.ApplyReport(start, report("a", "x", 1))
+			r.ApplyReport(at(time.Second), cold(report("a", "x", 2), time.Second))
 		}, true},
 		{"a late report", func(r *roster.Roster) {
-			r.Take(start, report("a", "x", 2))
-			r.Take(at(time.Second), cold(report("a", "x", 1), 9*time.Second))
+			r.ApplyReport(start, report("a", "x", 2))
+			r.ApplyReport(at(time.Second), cold(report("a", "x", 1), 9*time.Second))
 		}, false},
 		{"its hall was taken back", func(r *roster.Roster) {
-			r.Take(start, report("a", "x", 1))
-			r.Chill(at(time.Second), "")
+			r.ApplyReport(start, report("a", "x", 1))
+			r.MarkHallCold(at(time.Second), "")
 			r.Expire(at(2 * time.Second))
 		}, true},
 		{"another hall was taken back", func(r *roster.Roster) {
-			r.Take(start, report("a", "x", 1))
-			r.Chill(at(time.Second), "other")
+			r.ApplyReport(start, report("a", "x", 1))
+			r.MarkHallCold(at(time.Second), "other")
 		}, false},
 		{"its hall was taken back and it reports", func(r *roster.Roster) {
-			r.Take(start, report("a", "x", 1))
-			r.Chill(at(time.Second), "")
-			r.Take(at(2*time.Second), report("a", "x", 2))
+			r.ApplyReport(start, report("a", "x", 1))
+			r.MarkHallCold(at(time.Second), "")
+			r.ApplyReport(at(2*time.Second), report("a", "x", 2))
 		}, false},
 		{"a new leader's copy says cold", func(r *roster.Roster) {
 			r.Seed(start, []roster.Upstream{{ID: "a", Cold: true}}, nil)
@@ -359,7 +359,7 @@
 		}, true},
 		{"a new leader has heard that it is warm", func(r *roster.Roster) {
 			r.Seed(start, []roster.Upstream{{ID: "a", Cold: true}}, nil)
-			r.Take(at(time.Second), report("a", "x", 7))
+			r.ApplyReport(at(time.Second), report("a", "x", 7))
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/roster/sums.go
+++ b/roster/sums.go
@@ -18,23 +18,23 @@
 // parts is how many parts a roster has; their numbers are the bits of Delta.Replaces.
 const parts = 64
 
-// Sums are the digests of the parts of a roster; a part without upstreams and groups has 0.
-type Sums [parts]uint64
+// Digests are the digests of the parts of a roster; a part without upstreams and groups has 0.
+type Digests [parts]uint64
 
 func partOf[K ~string](k K) uint64 {
 	return xxhash.Sum64String(string(k)) % parts
 }
 
-func (s *Sums) addUpstream(u *Upstream) {
+func (s *Digests) addUpstream(u *Upstream) {
 	s[partOf(u.ID)] += digestUpstream(u)
 }
 
-func (s *Sums) addGroup(g *Group) {
+func (s *Digests) addGroup(g *Group) {
 	s[partOf(g.Name)] += digestGroup(g)
 }
 
 // differing returns the parts that two rosters have not alike, as bits.
-func (s *Sums) differing(o *Sums) uint64 {
+func (s *Digests) differing(o *Digests) uint64 {
 	var bits uint64
 	for i := range s {
 		if s[i] != o[i] {
@@ -44,9 +44,9 @@
 	return bits
 }
 
-// Sums returns the digests of the copy.
-func (c *Copy) Sums() *Sums {
-	var s Sums
+// Digests returns the digests of the copy.
+func (c *Copy) Digests() *Digests {
+	var s Digests
 	for id := range c.Upstreams {
 		u := c.Upstreams[id]
 		s.addUpstream(&u)
@@ -58,8 +58,8 @@
 	return &s
 }
 
-// Differing returns all of the parts of which a copy has other digests.
-func (r *Roster) Differing(copied *Sums) Delta {
+// Diff returns all of the parts of which a copy has other digests.
+func (r *Roster) Diff(copied *Digests) Delta {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.sumsOf != r.revision || r.revision == 0 {
@@ -83,8 +83,8 @@
 }
 
 // sumUp returns the digests; the mutex is held.
-func (r *Roster) sumUp() Sums {
-	var s Sums
+func (r *Roster) sumUp() Digests {
+	var s Digests
 	for _, rec := range r.upstreams {
 		s.addUpstream(&rec.Upstream)
 	}
--- a/roster/sums_test.go
+++ b/roster/sums_test.go
@@ -42,12 +42,12 @@
 func TestANewLeaderSendsWhatDiffers(t *testing.T) {
 	c := copyOf(seeded(800))
 	next := seeded(800)
-	if d := next.Differing(c.Sums()); !d.Empty() {
+	if d := next.Diff(c.Digests()); !d.Empty() {
 		t.Errorf("%d upstreams and %d groups are sent where nothing differs", len(d.Upstreams), len(d.Groups))
 	}
-	next.Take(start, report("i-0007", "10.0.0.7:80", 1))
+	next.ApplyReport(start, report("i-0007", "10.0.0.7:80", 1))
 	next.DropGroup("g-0016")
-	d := next.Differing(c.Sums())
+	d := next.Diff(c.Digests())
 	if len(d.Upstreams) == 0 || len(d.Upstreams) > 2*800/64*3 {
 		t.Errorf("%d upstreams are sent for two changes", len(d.Upstreams))
 	}
@@ -64,7 +64,7 @@
 			r := newRoster()
 			for i := range rapid.IntRange(0, 40).Draw(t, label) {
 				id := ident.Incarnation(fmt.Sprintf("i-%d", rapid.IntRange(0, 60).Draw(t, "id")))
-				r.Take(start, report(id, string(id), uint64(i+1)))
+				r.ApplyReport(start, report(id, string(id), uint64(i+1)))
 				if rapid.Bool().Draw(t, "group") {
 					r.PutGroup(&roster.Group{
 						Name: ident.Group("g" + id), Epoch: ident.Epoch(rapid.IntRange(0, 2).Draw(t, "epoch")), Members: []ident.Incarnation{id},
@@ -74,7 +74,7 @@
 			return r
 		}
 		c, next := copyOf(draw("former")), draw("next")
-		d := next.Differing(c.Sums())
+		d := next.Diff(c.Digests())
 		c.Apply(&d)
 		if diff := cmp.Diff(copyOf(next), c); diff != "" {
 			t.Fatalf("the copy (-want +got):\n%s", diff)
@@ -84,13 +84,13 @@
 
 // Each field of an upstream and of a group counts, but for the leader's own time.
 func TestEachFieldCounts(t *testing.T) {
-	sums := func(u *roster.Upstream, g *roster.Group) roster.Sums {
+	sums := func(u *roster.Upstream, g *roster.Group) roster.Digests {
 		c := roster.NewCopy()
 		c.Upstreams[u.ID], c.Groups[g.Name] = *u, *g
-		return *c.Sums()
+		return *c.Digests()
 	}
 	base := sums(&roster.Upstream{}, &roster.Group{})
-	check := func(name string, v reflect.Value, other func() roster.Sums) {
+	check := func(name string, v reflect.Value, other func() roster.Digests) {
 		for i := range v.NumField() {
 			f, field := v.Field(i), v.Type().Field(i)
 			if field.Type == reflect.TypeFor[time.Time]() {
@@ -115,8 +115,8 @@
 	}
 	var u roster.Upstream
 	var g roster.Group
-	check("Upstream", reflect.ValueOf(&u).Elem(), func() roster.Sums { return sums(&u, &g) })
-	check("Group", reflect.ValueOf(&g).Elem(), func() roster.Sums { return sums(&u, &g) })
+	check("Upstream", reflect.ValueOf(&u).Elem(), func() roster.Digests { return sums(&u, &g) })
+	check("Group", reflect.ValueOf(&g).Elem(), func() roster.Digests { return sums(&u, &g) })
 }
 
 // setOther gives a field another value than its zero.
--- a/roster/types.go
+++ b/roster/types.go
@@ -52,8 +52,8 @@
 	Bound bool
 }
 
-// Has reports whether list contains model.
-func Has(list []ident.Model, model ident.Model) bool {
+// HasModel reports whether list contains model.
+func HasModel(list []ident.Model, model ident.Model) bool {
 	for _, m := range list {
 		if m == model {
 			return true
@@ -108,9 +108,9 @@
 	return g.Members[0]
 }
 
-// Inherited reports whether a new leader may start from g as it stands in a copy. Its predecessor may have opened a group
+// Inheritable reports whether a new leader may start from g as it stands in a copy. Its predecessor may have opened a group
 // that the copy shows as forming, and of one that was to be left not every member may be known; reports tell of those.
-func (g *Group) Inherited() bool {
+func (g *Group) Inheritable() bool {
 	return g.Phase == PhaseOpen || g.Phase == PhaseClosing
 }
 
--- a/roster/view.go
+++ b/roster/view.go
@@ -25,8 +25,8 @@
 	return &View{Roster: New(), of: of, headed: map[ident.Incarnation]ident.Group{}}
 }
 
-// Follow takes over what has changed; plain tells which services have no engines.
-func (v *View) Follow(plain func(service ident.Service) bool) {
+// Update takes over what has changed; plain tells which services have no engines.
+func (v *View) Update(plain func(service ident.Service) bool) {
 	d := v.of.Since(v.seen)
 	v.seen = d.Revision
 	v.mu.Lock()
--- a/roster/view_test.go
+++ b/roster/view_test.go
@@ -48,7 +48,7 @@
 		if random.IntN(40) != 0 && i%2500 != 0 || i > 2600 && i < 28000 {
 			continue // for a while nobody looks
 		}
-		v.Follow(plain)
+		v.Update(plain)
 		d := v.Since(copied.Revision)
 		copied.Apply(&d)
 		wantUpstreams, wantGroups := shown(r)
@@ -86,7 +86,7 @@
 			rep.Service = "model"
 		}
 		rep.Slots = random.IntN(3)
-		r.Take(start.Add(time.Duration(i)*time.Millisecond), rep)
+		r.ApplyReport(start.Add(time.Duration(i)*time.Millisecond), rep)
 	case 2:
 		phase := []roster.Phase{roster.PhaseForming, roster.PhaseOpen, roster.PhaseOpen, roster.PhaseClosing}[random.IntN(4)]
 		r.PutGroup(&roster.Group{Name: name, Service: "model", Phase: phase, Members: []ident.Incarnation{"u2" + ident.Incarnation(name[1:]), id}})
@@ -100,16 +100,16 @@
 	r := newRoster()
 	v := roster.NewView(r)
 	for _, id := range []ident.Incarnation{"a", "b"} {
-		r.Take(start, report(id, string(id), 1))
+		r.ApplyReport(start, report(id, string(id), 1))
 	}
 	r.PutGroup(&roster.Group{Name: "g", Service: "s", Phase: roster.PhaseOpen, Members: []ident.Incarnation{"a", "b"}})
-	v.Follow(plain)
+	v.Update(plain)
 	before, _ := v.Changed()
 	member := report("b", "b", 2)
 	member.Staged = []ident.Model{"m"}
-	r.Take(start, member)
+	r.ApplyReport(start, member)
 	r.PutGroup(&roster.Group{Name: "h", Service: "s", Phase: roster.PhaseForming, Members: []ident.Incarnation{"b"}})
-	v.Follow(plain)
+	v.Update(plain)
 	if after, _ := v.Changed(); after != before {
 		t.Errorf("revision %d after %d", after, before)
 	}
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -19,11 +19,11 @@
 					places = append(places, newPlace(ident.Group(fmt.Sprint("g", i)), members))
 				}
 				table := newTable(1, places...)
-				ask := &routing.Ask{Model: "m", Prefixes: prefixes, PromptTokens: 2000}
+				ask := &routing.Request{Model: "m", Prefixes: prefixes, PromptTokens: 2000}
 				b.ReportAllocs()
 				for b.Loop() {
-					target, _ := table.Take(now, ask)
-					table.Done(target)
+					target, _ := table.Reserve(now, ask)
+					table.Release(target)
 				}
 			})
 		}
--- a/routing/prefill_test.go
+++ b/routing/prefill_test.go
@@ -49,7 +49,7 @@
 }
 
 // wasted returns the share of prompts that were read again although they had been read before.
-func wasted(seed uint64, lost int, choose func(table *routing.Table, places []*place, n int, ask *routing.Ask) *place) float64 {
+func wasted(seed uint64, lost int, choose func(table *routing.Table, places []*place, n int, ask *routing.Request) *place) float64 {
 	random := rand.New(rand.NewPCG(seed, 5))
 	var places []*place
 	byTarget := map[*routing.Target]*engineCache{}
@@ -71,7 +71,7 @@
 			e := events[0]
 			events = events[1:]
 			if random.IntN(100) < lost {
-				table.Record.Gap(e.target)
+				table.Record.Invalidate(e.target)
 				continue
 			}
 			for _, p := range prompts[e.conversation] {
@@ -79,7 +79,7 @@
 			}
 		}
 		c := random.IntN(prefillConversations)
-		p := choose(table, places, n, &routing.Ask{Model: "m", Prefixes: prompts[c], PromptTokens: 10_000})
+		p := choose(table, places, n, &routing.Request{Model: "m", Prefixes: prompts[c], PromptTokens: 10_000})
 		hit, evicted := byTarget[p.Target].use(c)
 		if evicted >= 0 {
 			events = append(events, eviction{n + prefillEventLag, evicted, p.Target})
@@ -95,9 +95,9 @@
 	return float64(misses) / float64(again)
 }
 
-func byTable(table *routing.Table, places []*place, _ int, ask *routing.Ask) *place {
-	target, _ := table.Take(now.Add(time.Millisecond), ask)
-	table.Done(target)
+func byTable(table *routing.Table, places []*place, _ int, ask *routing.Request) *place {
+	target, _ := table.Reserve(now.Add(time.Millisecond), ask)
+	table.Release(target)
 	for _, p := range places {
 		if p.Target == target {
 			return p
@@ -106,12 +106,12 @@
 	return nil
 }
 
-func roundRobin(_ *routing.Table, places []*place, n int, _ *routing.Ask) *place {
+func roundRobin(_ *routing.Table, places []*place, n int, _ *routing.Request) *place {
 	return places[n%len(places)]
 }
 
 // leastLoaded sees equal loads here and so takes any.
-func leastLoaded(table *routing.Table, places []*place, _ int, _ *routing.Ask) *place {
+func leastLoaded(table *routing.Table, places []*place, _ int, _ *routing.Request) *place {
 	return places[table.Random(len(places))]
 }
 
@@ -119,7 +119,7 @@
 	for _, c := range []struct {
 		name   string
 		lost   int
-		choose func(table *routing.Table, places []*place, n int, ask *routing.Ask) *place
+		choose func(table *routing.Table, places []*place, n int, ask *routing.Request) *place
 		low    float64
 		high   float64
 	}{
--- a/routing/record.go
+++ b/routing/record.go
@@ -39,19 +39,19 @@
 	known  uint64
 }
 
-// Record remembers which target has seen which prefix, within a bound.
-type Record struct {
+// PrefixRecord remembers which target has seen which prefix, within a bound.
+type PrefixRecord struct {
 	mu    sync.Mutex
 	cache *generations[uint64, belief]
 }
 
 // NewRecord returns a record of at most 2*size prefixes.
-func NewRecord(size int) *Record {
-	return &Record{cache: newGenerations[uint64, belief](size)}
+func NewRecord(size int) *PrefixRecord {
+	return &PrefixRecord{cache: newGenerations[uint64, belief](size)}
 }
 
 // find returns the target that has the longest known prefix, and how many of the prefixes it has.
-func (r *Record) find(ix *index, prefixes []uint64) (*Target, int) {
+func (r *PrefixRecord) find(ix *index, prefixes []uint64) (*Target, int) {
 	if len(prefixes) == 0 {
 		return nil, 0
 	}
@@ -69,7 +69,7 @@
 	return nil, 0
 }
 
-func (r *Record) note(target *Target, prefixes []uint64) {
+func (r *PrefixRecord) note(target *Target, prefixes []uint64) {
 	if len(prefixes) == 0 {
 		return
 	}
@@ -82,7 +82,7 @@
 }
 
 // Removed takes an engine's word that it no longer caches a prefix.
-func (r *Record) Removed(target *Target, prefix uint64) {
+func (r *PrefixRecord) Removed(target *Target, prefix uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if b, ok := r.cache.get(prefix); ok && b.target == target.id {
@@ -91,7 +91,7 @@
 }
 
 // Stored takes an engine's word that it caches a prefix, which fills what this daemon did not send itself.
-func (r *Record) Stored(target *Target, prefix uint64) {
+func (r *PrefixRecord) Stored(target *Target, prefix uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, ok := r.cache.get(prefix); !ok {
@@ -99,8 +99,8 @@
 	}
 }
 
-// Gap voids everything believed of target, because events were missed.
-func (r *Record) Gap(target *Target) {
+// Invalidate voids everything believed of target, because events were missed.
+func (r *PrefixRecord) Invalidate(target *Target) {
 	target.known.Add(1)
 }
 
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -21,12 +21,12 @@
 // place is one target with what its first member reports.
 type place struct {
 	*routing.Target
-	cells []*presence.Cell
+	cells []*presence.VMRecord
 }
 
 func (p *place) report(at time.Time, running int) {
 	for _, c := range p.cells {
-		c.Observe(at, &presence.Observation{Sight: presence.SightAnswer, Incarnation: "i", Epoch: 7, Slots: 4, Running: running})
+		c.Observe(at, &presence.Observation{Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 7, Slots: 4, Running: running})
 	}
 }
 
@@ -34,7 +34,7 @@
 	p := &place{Target: routing.NewTarget()}
 	p.Group, p.Epoch, p.Model, p.Hall, p.Head = name, 7, "m", "h", string(name)
 	for range members {
-		c := &presence.Cell{}
+		c := &presence.VMRecord{}
 		p.cells = append(p.cells, c)
 		p.Members = append(p.Members, presence.Member{Cell: c, Incarnation: "i", Epoch: 7})
 	}
@@ -58,20 +58,20 @@
 		name   string
 		model  ident.Model
 		change func(p *place)
-		want   routing.Verdict
+		want   routing.Outcome
 	}{
 		{"whole and idle", "m", func(*place) {}, routing.Chosen},
 		{"no such model", "x", func(*place) {}, routing.UnknownModel},
 		{"declared and without a group", "declared", func(*place) {}, routing.NotWhole},
 		{"one member refused", "m", func(p *place) {
-			p.cells[1].Observe(now.Add(1), &presence.Observation{Sight: presence.SightRefused})
+			p.cells[1].Observe(now.Add(1), &presence.Observation{Sight: presence.ProbeRefused})
 		}, routing.NotWhole},
 		{"one member silent for too long", "m", func(p *place) {
-			*p.cells[1] = presence.Cell{}
-			p.cells[1].Observe(now, &presence.Observation{Sight: presence.SightAnswer, Incarnation: "i", Epoch: 7, Age: 1001})
+			*p.cells[1] = presence.VMRecord{}
+			p.cells[1].Observe(now, &presence.Observation{Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 7, Age: 1001})
 		}, routing.NotWhole},
 		{"one member started anew", "m", func(p *place) {
-			p.cells[1].Observe(now.Add(1), &presence.Observation{Sight: presence.SightAnswer, Incarnation: "j", Epoch: 7})
+			p.cells[1].Observe(now.Add(1), &presence.Observation{Sight: presence.ProbeAnswered, Incarnation: "j", Epoch: 7})
 		}, routing.NotWhole},
 		{"full by report", "m", func(p *place) { p.report(now.Add(1), 4) }, routing.Full},
 		{"the head has just failed", "m", func(p *place) { p.FailHead(now.Add(1)) }, routing.NotWhole},
@@ -79,7 +79,7 @@
 		p := newPlace("g", 2)
 		table := newTable(1, p)
 		c.change(p)
-		target, got := table.Take(now.Add(2), &routing.Ask{Model: c.model})
+		target, got := table.Reserve(now.Add(2), &routing.Request{Model: c.model})
 		if got != c.want || (target != nil) != (c.want == routing.Chosen) {
 			t.Errorf("%s: verdict %d, want %d", c.name, got, c.want)
 		}
@@ -91,7 +91,7 @@
 	table := newTable(1, p)
 	var taken []*routing.Target
 	for {
-		target, verdict := table.Take(now, &routing.Ask{Model: "m"})
+		target, verdict := table.Reserve(now, &routing.Request{Model: "m"})
 		if verdict != routing.Chosen {
 			break
 		}
@@ -100,8 +100,8 @@
 	if len(taken) != 4 {
 		t.Errorf("%d requests taken, the target has 4 slots and reports none in use", len(taken))
 	}
-	table.Done(taken[0])
-	if _, verdict := table.Take(now, &routing.Ask{Model: "m"}); verdict != routing.Chosen {
+	table.Release(taken[0])
+	if _, verdict := table.Reserve(now, &routing.Request{Model: "m"}); verdict != routing.Chosen {
 		t.Errorf("after one ended: verdict %d", verdict)
 	}
 }
@@ -114,11 +114,11 @@
 	}{{[]*place{one, two}, "two"}, {[]*place{one}, "one"}} {
 		table := newTable(3, c.places...)
 		for range 4 {
-			target, verdict := table.Take(now, &routing.Ask{Model: "m", Avoid: one.Target})
+			target, verdict := table.Reserve(now, &routing.Request{Model: "m", Avoid: one.Target})
 			if verdict != routing.Chosen || target.Group != c.want {
 				t.Fatalf("%d targets: verdict %d", len(c.places), verdict)
 			}
-			table.Done(target)
+			table.Release(target)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 			places = append(places, p)
 		}
 		places[0].report(now.Add(2), 0)
-		target, _ := newTable(seed, places...).Take(now.Add(3), &routing.Ask{Model: "m"})
+		target, _ := newTable(seed, places...).Reserve(now.Add(3), &routing.Request{Model: "m"})
 		counts[target.Group]++
 	}
 	if n := counts["g0"]; n > entries/3 || n < entries/groups {
@@ -159,8 +159,8 @@
 
 func TestPromptsReturnToWhereTheirPrefixIs(t *testing.T) {
 	prompt := []byte(strings.Repeat("forecast ", 1000))
-	ask := func() *routing.Ask {
-		return &routing.Ask{Model: "m", Prefixes: routing.Prefixes(prompt), PromptTokens: 100_000}
+	ask := func() *routing.Request {
+		return &routing.Request{Model: "m", Prefixes: routing.Prefixes(prompt), PromptTokens: 100_000}
 	}
 	for _, c := range []struct {
 		name   string
@@ -180,7 +180,7 @@
 				}
 			}
 		}, true},
-		{"events were missed", func(table *routing.Table, first *routing.Target, _ []*place) { table.Record.Gap(first) }, false},
+		{"events were missed", func(table *routing.Table, first *routing.Target, _ []*place) { table.Record.Invalidate(first) }, false},
 		{"it is full", func(_ *routing.Table, first *routing.Target, places []*place) {
 			for _, p := range places {
 				if p.Target == first {
@@ -197,10 +197,10 @@
 				places = append(places, newPlace(ident.Group(fmt.Sprint("g", i)), 1))
 			}
 			table := newTable(seed, places...)
-			first, _ := table.Take(now, ask())
-			table.Done(first)
+			first, _ := table.Reserve(now, ask())
+			table.Release(first)
 			c.change(table, first, places)
-			again, _ := table.Take(now.Add(2), ask())
+			again, _ := table.Reserve(now.Add(2), ask())
 			if again == first {
 				same++
 			}
@@ -216,18 +216,18 @@
 	slow, fast := newPlace("slow", 1), newPlace("fast", 1)
 	table := newTable(5, slow, fast)
 	for range 20 {
-		slow.Measured(now, 6)
+		slow.RecordPace(now, 6)
 	}
 	share := func(at time.Time) int {
 		slow.report(at, 0)
 		fast.report(at, 0)
 		n := 0
 		for range 200 {
-			target, _ := table.Take(at, &routing.Ask{Model: "m"})
+			target, _ := table.Reserve(at, &routing.Request{Model: "m"})
 			if target == slow.Target {
 				n++
 			}
-			table.Done(target)
+			table.Release(target)
 		}
 		return n
 	}
@@ -243,20 +243,20 @@
 	with, without, far := newPlace("with", 1), newPlace("without", 1), newPlace("far", 1)
 	with.Adapters = []string{"alps"}
 	far.Hall = "elsewhere"
-	count := func(ask *routing.Ask, places ...*place) map[ident.Group]int {
+	count := func(ask *routing.Request, places ...*place) map[ident.Group]int {
 		table := newTable(7, places...)
 		got := map[ident.Group]int{}
 		for range 100 {
-			target, _ := table.Take(now, ask)
+			target, _ := table.Reserve(now, ask)
 			got[target.Group]++
-			table.Done(target)
+			table.Release(target)
 		}
 		return got
 	}
-	if got := count(&routing.Ask{Model: "m", Adapter: "alps"}, with, without); got["with"] < 65 {
+	if got := count(&routing.Request{Model: "m", Adapter: "alps"}, with, without); got["with"] < 65 {
 		t.Errorf("the group with the adapter got %v", got)
 	}
-	if got := count(&routing.Ask{Model: "m"}, without, far); got["without"] < 65 {
+	if got := count(&routing.Request{Model: "m"}, without, far); got["without"] < 65 {
 		t.Errorf("the group of the own hall got %v", got)
 	}
 }
--- a/routing/table.go
+++ b/routing/table.go
@@ -16,8 +16,8 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// Ask is what a request needs of a target.
-type Ask struct {
+// Request is what a request needs of a target.
+type Request struct {
 	Model   ident.Model
 	Adapter string
 	// Prefixes are the chained hashes of the prompt's beginnings, shortest first; see Prefixes.
@@ -28,10 +28,10 @@
 
 	// Trial is set by Take when the request finds out whether a target that asked for time takes requests again, Free with BackedOff:
 	// how long until the first target may be tried.
-	Trial bool
-	Free  time.Duration
-	// Waits is set by Take when every target that could serve has a limit and no turn now: the request waits for one at the chosen target.
-	Waits bool
+	Trial   bool
+	RetryIn time.Duration
+	// WaitsForPermit is set by Take when every target that could serve has a limit and no turn now: the request waits for one at the chosen target.
+	WaitsForPermit bool
 }
 
 // Costs are the seconds by which the parts of a choice are weighed.
@@ -64,11 +64,11 @@
 	Hall   ident.Hall
 	Bound  time.Duration
 	Costs  Costs
-	Record *Record
+	Record *PrefixRecord
 	// Backoff is what the heads of targets asked this daemon for.
 	Backoff *backoff.List[ident.Incarnation]
-	// TurnIn returns how long until the head at an address has a turn for a request within its limit, 0 when it may have one now.
-	TurnIn func(now time.Time, head string) time.Duration
+	// PermitIn returns how long until the head at an address has a turn for a request within its limit, 0 when it may have one now.
+	PermitIn func(now time.Time, head string) time.Duration
 	// Random returns a number in [0, n); tests give it a seed.
 	Random func(n int) int
 
@@ -79,7 +79,7 @@
 func NewTable(hall ident.Hall, bound time.Duration) *Table {
 	t := &Table{Hall: hall, Bound: bound, Costs: DefaultCosts(), Record: NewRecord(defaultRecordSize), Random: rand.IntN}
 	t.Backoff = backoff.New[ident.Incarnation](backoff.DefaultRule())
-	t.TurnIn = func(time.Time, string) time.Duration { return 0 }
+	t.PermitIn = func(time.Time, string) time.Duration { return 0 }
 	t.Replace(nil, nil)
 	return t
 }
@@ -102,12 +102,12 @@
 	return t.current.Load().byModel[model]
 }
 
-// Verdict says why a choice succeeded or not.
-type Verdict uint8
+// Outcome says why a choice succeeded or not.
+type Outcome uint8
 
 // The verdicts.
 const (
-	Chosen Verdict = iota
+	Chosen Outcome = iota
 	UnknownModel
 	NotWhole
 	Full
@@ -115,8 +115,8 @@
 	BackedOff
 )
 
-// Take chooses a target and counts one request in flight there, which Done gives back.
-func (t *Table) Take(now time.Time, ask *Ask) (*Target, Verdict) {
+// Reserve chooses a target and counts one request in flight there, which Done gives back.
+func (t *Table) Reserve(now time.Time, ask *Request) (*Target, Outcome) {
 	ix := t.current.Load()
 	targets, declared := ix.byModel[ask.Model]
 	if !declared {
@@ -125,11 +125,11 @@
 	if len(targets) == 0 {
 		return nil, NotWhole
 	}
-	ask.Waits = false
+	ask.WaitsForPermit = false
 	warm, depth := t.Record.find(ix, ask.Prefixes)
 	best := t.best(now, ask, targets, warm, depth)
 	if best == nil {
-		var verdict Verdict
+		var verdict Outcome
 		if best, verdict = t.search(now, ask, targets); best == nil {
 			return nil, verdict
 		}
@@ -138,19 +138,19 @@
 	if latest := t.current.Load(); latest != ix && latest.byID[best.id] == nil {
 		// The group left the table in this moment; a drain may already have counted nobody here.
 		best.inFlight.Add(-1)
-		return t.Take(now, ask)
+		return t.Reserve(now, ask)
 	}
-	ask.Trial = t.Backoff.Begin(now, best.Life())
+	ask.Trial = t.Backoff.BeginProbe(now, best.HeadIncarnation())
 	t.Record.note(best, ask.Prefixes)
 	return best, Chosen
 }
 
-// Done gives back what Take counted.
-func (t *Table) Done(target *Target) {
+// Release gives back what Take counted.
+func (t *Table) Release(target *Target) {
 	target.inFlight.Add(-1)
 }
 
-func (t *Table) best(now time.Time, ask *Ask, targets []*Target, warm *Target, depth int) *Target {
+func (t *Table) best(now time.Time, ask *Request, targets []*Target, warm *Target, depth int) *Target {
 	candidates := [...]*Target{warm, targets[t.Random(len(targets))], targets[t.Random(len(targets))]}
 	var best *Target
 	var lowest float64
@@ -176,9 +176,9 @@
 }
 
 // cost returns the expected seconds until the first token beyond the unavoidable; ok is false when the target cannot take the request now.
-func (t *Table) cost(now time.Time, ask *Ask, c *Target, cached float64) (seconds float64, ok bool) {
+func (t *Table) cost(now time.Time, ask *Request, c *Target, cached float64) (seconds float64, ok bool) {
 	slots, busy := c.load()
-	if busy >= slots || !c.Whole(now, t.Bound) || !t.Backoff.Of(now, c.Life()).Admits() || t.TurnIn(now, c.Head) > 0 {
+	if busy >= slots || !c.Whole(now, t.Bound) || !t.Backoff.StateOf(now, c.HeadIncarnation()).Admits() || t.PermitIn(now, c.Head) > 0 {
 		return 0, false
 	}
 	seconds = t.Costs.Service * float64(busy) / float64(slots)
@@ -195,19 +195,19 @@
 }
 
 // search looks through all targets; the one to avoid is taken only if there is no other.
-func (t *Table) search(now time.Time, ask *Ask, targets []*Target) (*Target, Verdict) {
+func (t *Table) search(now time.Time, ask *Request, targets []*Target) (*Target, Outcome) {
 	start := t.Random(len(targets))
 	verdict := NotWhole
-	ask.Free = 0
+	ask.RetryIn = 0
 	for i := range targets {
 		c := targets[(start+i)%len(targets)]
 		if left := t.askedFor(now, c); left > 0 {
-			if ask.Free == 0 || left < ask.Free {
-				ask.Free = left
+			if ask.RetryIn == 0 || left < ask.RetryIn {
+				ask.RetryIn = left
 			}
 			continue
 		}
-		if c == ask.Avoid || t.TurnIn(now, c.Head) > 0 {
+		if c == ask.Avoid || t.PermitIn(now, c.Head) > 0 {
 			continue
 		}
 		if _, ok := t.cost(now, ask, c, 0); ok {
@@ -226,10 +226,10 @@
 		return nil, verdict
 	}
 	if next := t.nextTurn(now, targets); next != nil {
-		ask.Waits = true
+		ask.WaitsForPermit = true
 		return next, Chosen
 	}
-	if ask.Free > 0 {
+	if ask.RetryIn > 0 {
 		verdict = BackedOff
 	}
 	return nil, verdict
@@ -240,7 +240,7 @@
 	var next *Target
 	var soonest time.Duration
 	for _, c := range targets {
-		wait := t.TurnIn(now, c.Head)
+		wait := t.PermitIn(now, c.Head)
 		if wait > 0 && c.Whole(now, t.Bound) && t.askedFor(now, c) == 0 && (next == nil || wait < soonest) {
 			next, soonest = c, wait
 		}
@@ -250,11 +250,11 @@
 
 // askedFor returns how long a whole target wants nothing yet because it asked for time.
 func (t *Table) askedFor(now time.Time, c *Target) time.Duration {
-	asked := t.Backoff.Of(now, c.Life())
-	if !asked.Asked || !c.Whole(now, t.Bound) {
+	asked := t.Backoff.StateOf(now, c.HeadIncarnation())
+	if !asked.Requested || !c.Whole(now, t.Bound) {
 		return 0
 	}
-	return asked.Left
+	return asked.Remaining
 }
 
 // Capacity returns the slots of the whole groups of a model.
--- a/routing/target.go
+++ b/routing/target.go
@@ -49,8 +49,8 @@
 	return len(t.Members) > 0
 }
 
-// Life returns the life of the first member, to which requests are sent.
-func (t *Target) Life() ident.Incarnation {
+// HeadIncarnation returns the life of the first member, to which requests are sent.
+func (t *Target) HeadIncarnation() ident.Incarnation {
 	return t.Members[0].Incarnation
 }
 
@@ -67,7 +67,7 @@
 // load returns the slots and the requests there, own ones exactly and those of other daemons as last reported.
 func (t *Target) load() (slots, busy int) {
 	own := int(t.inFlight.Load())
-	s := t.Members[0].Cell.Seen()
+	s := t.Members[0].Cell.Latest()
 	if s == nil {
 		return 1, own
 	}
@@ -81,8 +81,8 @@
 	paceLimit    = 8
 )
 
-// Measured takes one answer's time per token relative to what is usual for its model.
-func (t *Target) Measured(now time.Time, relative float64) {
+// RecordPace takes one answer's time per token relative to what is usual for its model.
+func (t *Target) RecordPace(now time.Time, relative float64) {
 	relative = min(relative, paceLimit)
 	old := t.paceNow(now)
 	t.pace.Store(math.Float64bits(old + paceWeight*(relative-old)))
@@ -107,7 +107,7 @@
 // Leaving reports whether a member has said that it leaves: it takes nothing new and ends what it has.
 func (t *Target) Leaving() bool {
 	for i := range t.Members {
-		if s := t.Members[i].Cell.Seen(); s != nil && s.Leaving {
+		if s := t.Members[i].Cell.Latest(); s != nil && s.Leaving {
 			return true
 		}
 	}
--- a/service/standin.go
+++ b/service/standin.go
@@ -74,6 +74,6 @@
 	run := s.runs[key]
 	s.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	ratelimit.Say(w.Header(), s.Limit)
+	ratelimit.SetHeader(w.Header(), s.Limit)
 	_ = json.NewEncoder(w).Encode(Effect{Method: r.Method, Path: r.URL.Path, Query: r.URL.RawQuery, Body: string(body), Run: run})
 }
--- a/settings/site.go
+++ b/settings/site.go
@@ -108,8 +108,8 @@
 		LinkMbps:   1000,
 		Bounds:     SiteBounds{KeysRevoked: Duration(5 * time.Second), StopGrace: Duration(8 * time.Second)},
 		Retries:    Retries{Share: 0.2, Window: Duration(10 * time.Second), Allowance: 50},
-		Quarantine: Quarantine{Ends: held.Ends, Hold: Duration(held.Hold), Records: held.Records},
-		Backoff:    Backoff{Most: Duration(asked.Most), Leaving: Duration(asked.Leaving)},
+		Quarantine: Quarantine{Ends: held.Crashes, Hold: Duration(held.InitialDuration), Records: held.MaxRecords},
+		Backoff:    Backoff{Most: Duration(asked.Max), Leaving: Duration(asked.Leaving)},
 		Times: SiteTimes{
 			Heartbeat: Duration(50 * time.Millisecond),
 			Election:  Duration(330 * time.Millisecond),
@@ -185,11 +185,11 @@
 }
 
 func (q *Quarantine) check(d *decoder) {
-	if q.Ends < 1 || q.Ends > quarantine.EndsKept {
-		d.atf("quarantine.ends", result.SettingsValue, "wants 1 to %d", quarantine.EndsKept)
+	if q.Ends < 1 || q.Ends > quarantine.MaxCrashes {
+		d.atf("quarantine.ends", result.SettingsValue, "wants 1 to %d", quarantine.MaxCrashes)
 	}
-	if q.Hold.Std() < holdLeast || q.Hold.Std() > quarantine.HoldMost {
-		d.atf("quarantine.hold", result.SettingsValue, "wants %v to %v", holdLeast, quarantine.HoldMost)
+	if q.Hold.Std() < holdLeast || q.Hold.Std() > quarantine.MaxDuration {
+		d.atf("quarantine.hold", result.SettingsValue, "wants %v to %v", holdLeast, quarantine.MaxDuration)
 	}
 	if q.Records < recordsLeast || q.Records > recordsMost {
 		d.atf("quarantine.records", result.SettingsValue, "wants %d to %d", recordsLeast, recordsMost)
--- a/sharing/sharing.go
+++ b/sharing/sharing.go
@@ -69,9 +69,9 @@
 	return e.total
 }
 
-// Part divides n things among the entries and returns how many this one has: the parts of all that know the same entries add up to n. Who
+// Share divides n things among the entries and returns how many this one has: the parts of all that know the same entries add up to n. Who
 // has one more than others is another one for each name. An entry that is not known to others yet has none.
-func (e *Entries) Part(n int, name string) int {
+func (e *Entries) Share(n int, name string) int {
 	if !e.listed || n <= 0 {
 		return 0
 	}
@@ -83,13 +83,13 @@
 	return part
 }
 
-// Together reports whether all entries use all groups.
-func (e *Entries) Together() bool {
+// AllUseAll reports whether all entries use all groups.
+func (e *Entries) AllUseAll() bool {
 	return e.total <= together
 }
 
-// Adds reports whether there is an entry that old has not.
-func (e *Entries) Adds(old *Entries) bool {
+// AddsTo reports whether there is an entry that old has not.
+func (e *Entries) AddsTo(old *Entries) bool {
 	known := map[string]bool{}
 	for _, name := range old.Others() {
 		known[name] = true
@@ -115,9 +115,9 @@
 	return e.self
 }
 
-// First returns the entry that rendezvous hashing ranks first for a name, the same at all entries that know the same ones, nothing where
+// Owner returns the entry that rendezvous hashing ranks first for a name, the same at all entries that know the same ones, nothing where
 // there is none.
-func (e *Entries) First(name string) string {
+func (e *Entries) Owner(name string) string {
 	digest := xxhash.Sum64String(name)
 	var first string
 	var highest uint64
@@ -140,8 +140,8 @@
 	Used  bool
 }
 
-// Users fills in who uses each of the groups of one model in one hall.
-func (e *Entries) Users(hall ident.Hall, groups []Group) {
+// AssignUsers fills in who uses each of the groups of one model in one hall.
+func (e *Entries) AssignUsers(hall ident.Hall, groups []Group) {
 	entries := e.halls[hall]
 	uses := usesOf(len(groups), len(entries))
 	digests := make([]uint64, len(groups))
--- a/sharing/sharing_test.go
+++ b/sharing/sharing_test.go
@@ -29,7 +29,7 @@
 
 // usersOf returns the users of each group as an entry of another hall sees them.
 func usersOf(entries []string, groups []sharing.Group) []sharing.Group {
-	sharing.New("elsewhere", map[ident.Hall][]string{"hall": entries}).Users("hall", groups)
+	sharing.New("elsewhere", map[ident.Hall][]string{"hall": entries}).AssignUsers("hall", groups)
 	return groups
 }
 
@@ -66,7 +66,7 @@
 	want := usersOf(all, groups(9))
 	for _, self := range all[:5] {
 		got := groups(9)
-		sharing.New(self, map[ident.Hall][]string{"hall": all}).Users("hall", got)
+		sharing.New(self, map[ident.Hall][]string{"hall": all}).AssignUsers("hall", got)
 		for i := range got {
 			users := got[i].Users
 			if got[i].Used {
@@ -104,8 +104,8 @@
 func TestFewEntriesUseAll(t *testing.T) {
 	for n, want := range map[int]bool{2: true, 97: true, 98: false} {
 		e := sharing.New("10.1.0.0:7400", map[ident.Hall][]string{"one": names(n - 1), "two": {"x"}})
-		if e.Together() != want || e.Total() != n || len(e.Others()) != n-1 {
-			t.Errorf("%d entries: together %v, %d entries, %d others", n, e.Together(), e.Total(), len(e.Others()))
+		if e.AllUseAll() != want || e.Total() != n || len(e.Others()) != n-1 {
+			t.Errorf("%d entries: together %v, %d entries, %d others", n, e.AllUseAll(), e.Total(), len(e.Others()))
 		}
 	}
 }
@@ -121,8 +121,8 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		for hall := range lists {
-			e.Users(hall, groups(5))
-			e.Users(hall, groups(11))
+			e.AssignUsers(hall, groups(5))
+			e.AssignUsers(hall, groups(11))
 		}
 	}
 }
@@ -137,7 +137,7 @@
 			for _, upstream := range []string{"p0", "p1", "p2"} {
 				sum := 0
 				for _, self := range names {
-					part := sharing.New(self, lists).Part(n, upstream)
+					part := sharing.New(self, lists).Share(n, upstream)
 					if part != max(0, n)/entries {
 						odd[self]++
 					}
@@ -152,7 +152,7 @@
 			}
 		}
 	}
-	if got := sharing.New("unknown", map[ident.Hall][]string{"one": names(3)}).Part(30, "p0"); got != 0 {
+	if got := sharing.New("unknown", map[ident.Hall][]string{"one": names(3)}).Share(30, "p0"); got != 0 {
 		t.Errorf("an entry that others do not know has a part of %d", got)
 	}
 }
--- a/site/backoff.go
+++ b/site/backoff.go
@@ -21,18 +21,18 @@
 // backoffRule is the rule that the settings give.
 func backoffRule(b *settings.Backoff) backoff.Rule {
 	rule := backoff.DefaultRule()
-	rule.Most, rule.Leaving = b.Most.Std(), b.Leaving.Std()
+	rule.Max, rule.Leaving = b.Most.Std(), b.Leaving.Std()
 	return rule
 }
 
-// Heard takes what an upstream asks for with its answer to an order or a question.
-func (c *Control) Heard(id ident.Incarnation, w backoff.Notice) {
+// ApplyNotice takes what an upstream asks for with its answer to an order or a question.
+func (c *Control) ApplyNotice(id ident.Incarnation, w backoff.Notice) {
 	now := clock.Now()
 	switch {
-	case w.Err != nil:
-		c.Log.Info("upstream asks for something unreadable", "upstream", id, "code", result.CodeOf(w.Err), "error", result.Message(w.Err))
-	case w.Asked > 0 && c.asked.Refuse(now, id, w.Asked):
-		c.Log.Info("upstream asked for time", "upstream", id, "retry-after", w.Text, "asked-ms", w.Asked.Milliseconds())
+	case w.BackoffErr != nil:
+		c.Log.Info("upstream asks for something unreadable", "upstream", id, "code", result.CodeOf(w.BackoffErr), "error", result.Message(w.BackoffErr))
+	case w.Backoff > 0 && c.asked.NoteRefusal(now, id, w.Backoff):
+		c.Log.Info("upstream asked for time", "upstream", id, "retry-after", w.RetryAfterText, "asked-ms", w.Backoff.Milliseconds())
 	}
 	c.heardLimit(id, &w, now)
 	c.heardUnread(id, w.Header)
@@ -50,19 +50,19 @@
 	if !w.Limited {
 		return
 	}
-	if was, changed := c.limits.Name(id, w.Limit, now); changed {
+	if was, changed := c.limits.Record(id, w.Limit, now); changed {
 		c.Log.Info("upstream names a limit", "upstream", id, "limit", w.Limit, "was", was.Rate)
 	}
 }
 
 // waits reports whether an upstream asked this daemon for time that is not over.
 func (c *Control) waits(id ident.Incarnation) bool {
-	return c.asked.Of(clock.Now(), id).Left > 0
+	return c.asked.StateOf(clock.Now(), id).Remaining > 0
 }
 
 // paceAsker returns how engines are asked for their pace, nil where they can't be.
 func (c *Control) paceAsker() func(ctx context.Context, address string, id ident.Incarnation) (float64, error) {
-	if c.AskPace == nil {
+	if c.QuerySlowdown == nil {
 		return nil
 	}
 	return c.askPace
@@ -73,11 +73,11 @@
 	if c.waits(id) {
 		return 0, result.New(result.BackedOff, "it asked for time")
 	}
-	return c.AskPace(ctx, address, id)
+	return c.QuerySlowdown(ctx, address, id)
 }
 
-// AskedState is what an upstream asked one entry for, as operators see it.
-type AskedState struct {
+// BackoffState is what an upstream asked one entry for, as operators see it.
+type BackoffState struct {
 	// Entry is the peers' address of the entry that it asked.
 	Entry string `json:"entry"`
 	// ForMS is for how long it is still sent nothing from there; Leaving is set when that is because it leaves.
@@ -86,18 +86,18 @@
 }
 
 // asked returns what upstreams want, by the newest calls of all entries; the mutex is held.
-func (r *leadership) asked(now time.Time) map[ident.Incarnation][]AskedState {
-	list := map[ident.Incarnation][]AskedState{}
+func (r *leadership) asked(now time.Time) map[ident.Incarnation][]BackoffState {
+	list := map[ident.Incarnation][]BackoffState{}
 	for name, e := range r.entries {
 		for i := range e.seen {
 			seen := &e.seen[i]
 			if left := seen.Backoff - now.Sub(e.at); left > 0 {
-				list[seen.ID] = append(list[seen.ID], AskedState{name, left.Milliseconds(), seen.Leaving})
+				list[seen.ID] = append(list[seen.ID], BackoffState{name, left.Milliseconds(), seen.Leaving})
 			}
 		}
 	}
 	for _, of := range list {
-		slices.SortFunc(of, func(a, b AskedState) int { return cmp.Compare(a.Entry, b.Entry) })
+		slices.SortFunc(of, func(a, b BackoffState) int { return cmp.Compare(a.Entry, b.Entry) })
 	}
 	return list
 }
@@ -113,35 +113,35 @@
 
 // drain notes that an upstream told somebody that it leaves.
 func (r *leadership) drain(id ident.Incarnation, told string) {
-	if r.roster.Drain(id) {
+	if r.roster.MarkDraining(id) {
 		r.c.Log.Info("upstream leaves", "upstream", id, "told", told)
 	}
 }
 
 // noteAsking logs and counts what has changed of what an upstream asks for.
-func (e *Entry) noteAsking(a *relay.Asking) {
+func (e *Entry) noteAsking(a *relay.BackpressureEvent) {
 	e.meter.Scope.Tagged(map[string]string{"kind": string(a.Kind)}).Counter("upstream_askings").Inc(1)
 	fields := []any{"upstream", a.Upstream, "group", a.Group}
 	if a.RetryAfter != "" {
-		fields = append(fields, "retry-after", a.RetryAfter, "asked-ms", a.Asked.Milliseconds())
+		fields = append(fields, "retry-after", a.RetryAfter, "asked-ms", a.RequestedDelay.Milliseconds())
 	}
-	if a.For > 0 {
-		fields = append(fields, "for-ms", a.For.Milliseconds())
+	if a.EffectiveDelay > 0 {
+		fields = append(fields, "for-ms", a.EffectiveDelay.Milliseconds())
 	}
-	if a.Kind == relay.AskingLimit || a.Kind == relay.AskingNoLimit {
-		fields = append(fields, "limit", a.Limit, "was", a.Was, "was-since", a.Since)
+	if a.Kind == relay.BackpressureLimit || a.Kind == relay.BackpressureLimitRemoved {
+		fields = append(fields, "limit", a.Limit, "was", a.PreviousLimit, "was-since", a.PreviousSince)
 	}
-	if a.Kind == relay.AskingUnread {
-		fields = append(fields, "word", a.Word, "value", a.Value)
-		e.unread.add(a.Upstream, a.Word)
+	if a.Kind == relay.BackpressureUnrecognized {
+		fields = append(fields, "word", a.HeaderName, "value", a.HeaderValue)
+		e.unread.add(a.Upstream, a.HeaderName)
 	}
 	if a.Err != nil {
 		fields = append(fields, "code", result.CodeOf(a.Err), "error", result.Message(a.Err))
 	}
 	log := e.Log
-	if a.Kind == relay.AskingUnclear || a.Kind == relay.AskingUnread {
+	if a.Kind == relay.BackpressureUnreadable || a.Kind == relay.BackpressureUnrecognized {
 		// Each answer may have one; what changes a state is kept when the log falls behind.
-		log = e.Requests
+		log = e.RequestLog
 	}
 	log.Info("upstream "+string(a.Kind), fields...)
 }
@@ -151,5 +151,5 @@
 	n := 0
 	e.relay.Backoff.Each(now, func(ident.Incarnation, backoff.State) { n++ })
 	e.numbers.backedOff.Update(float64(n))
-	e.numbers.limited.Update(float64(e.relay.Limits.Words.Limited()))
+	e.numbers.limited.Update(float64(e.relay.Limits.Table.Count()))
 }
--- a/site/backoff_test.go
+++ b/site/backoff_test.go
@@ -18,8 +18,8 @@
 // Operators see which entries an upstream asked for time, for how long still, and by whose word.
 func TestAskedIsShown(t *testing.T) {
 	r := site.NewLeading()
-	r.Note(&site.SyncCall{From: "b", Entry: true, Seen: []relay.Seen{{ID: "u", Backoff: time.Minute}, {ID: "v"}}})
-	r.Note(&site.SyncCall{From: "a", Entry: true, Seen: []relay.Seen{{ID: "u", Backoff: time.Hour, Leaving: true}}})
+	r.Note(&site.SyncCall{From: "b", Entry: true, Seen: []relay.Observation{{ID: "u", Backoff: time.Minute}, {ID: "v"}}})
+	r.Note(&site.SyncCall{From: "a", Entry: true, Seen: []relay.Observation{{ID: "u", Backoff: time.Hour, Leaving: true}}})
 	now := clock.Now()
 	got := r.Asked(now)
 	for id := range got {
@@ -27,7 +27,7 @@
 			got[id][i].ForMS = (got[id][i].ForMS + 30_000) / 60_000 // minutes
 		}
 	}
-	want := map[ident.Incarnation][]site.AskedState{"u": {{Entry: "a", ForMS: 60, Leaving: true}, {Entry: "b", ForMS: 1}}}
+	want := map[ident.Incarnation][]site.BackoffState{"u": {{Entry: "a", ForMS: 60, Leaving: true}, {Entry: "b", ForMS: 1}}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("what upstreams asked for, in minutes (-want +got):\n%s", diff)
 	}
@@ -41,7 +41,7 @@
 func TestALeavingUpstreamIsKnownThroughEntries(t *testing.T) {
 	r := site.NewLeading()
 	report := func(id ident.Incarnation, sequence uint64) {
-		r.Roster().Take(clock.Now(), &roster.Report{
+		r.Roster().ApplyReport(clock.Now(), &roster.Report{
 			Upstream: roster.Upstream{ID: id, Service: "s", Address: "127.0.0.1:1", Slots: 4}, Sequence: sequence,
 		})
 	}
@@ -54,7 +54,7 @@
 		return got
 	}
 	report("u@1", 1)
-	r.Note(&site.SyncCall{From: "a", Entry: true, Seen: []relay.Seen{{ID: "u@1", Leaving: true}, {ID: "nobody", Leaving: true}}})
+	r.Note(&site.SyncCall{From: "a", Entry: true, Seen: []relay.Observation{{ID: "u@1", Leaving: true}, {ID: "nobody", Leaving: true}}})
 	report("u@1", 2)
 	if diff := cmp.Diff(map[ident.Incarnation]bool{"u@1": true}, leaving()); diff != "" {
 		t.Errorf("who leaves (-want +got):\n%s", diff)
@@ -68,14 +68,14 @@
 // What an upstream answers to orders binds control: it gives none for the time that was asked for, and takes a leaving one for that.
 func TestNoticesInAnswersToOrders(t *testing.T) {
 	c, r := site.NewAsked()
-	r.Roster().Take(clock.Now(), &roster.Report{
+	r.Roster().ApplyReport(clock.Now(), &roster.Report{
 		Upstream: roster.Upstream{ID: "u", Service: "s", Address: "127.0.0.1:1", Slots: 4}, Sequence: 1,
 	})
-	c.Heard("u", backoff.Notice{Err: result.New(result.BackoffUnreadable, "soon")})
+	c.ApplyNotice("u", backoff.Notice{BackoffErr: result.New(result.BackoffUnreadable, "soon")})
 	if c.Waits("u") {
 		t.Error("what can't be read counts")
 	}
-	c.Heard("u", backoff.Notice{Asked: time.Minute, Leaving: true})
+	c.ApplyNotice("u", backoff.Notice{Backoff: time.Minute, Leaving: true})
 	if !c.Waits("u") || c.Waits("v") {
 		t.Error("the upstream that asked for time gets orders, or another gets none")
 	}
--- a/site/calls.go
+++ b/site/calls.go
@@ -38,19 +38,19 @@
 	if c.leader() != string(c.self.Name) {
 		return c.reports.take(ctx, r)
 	}
-	_, err := c.answer(ctx, passTimeout, &PassCall{Kind: CallReport, Reports: []*roster.Report{r}})
+	_, err := c.answer(ctx, passTimeout, &ForwardedCall{Kind: CallReport, Reports: []*roster.Report{r}})
 	return "", err
 }
 
 // passReports hands reports to the leader; it returns the address for later ones.
 func (c *Control) passReports(ctx context.Context, list []*roster.Report) (string, error) {
-	reply, err := c.call(ctx, passTimeout, &PassCall{Kind: CallReport, Reports: list})
+	reply, err := c.call(ctx, passTimeout, &ForwardedCall{Kind: CallReport, Reports: list})
 	return reply.Address, err
 }
 
 // Leave takes the word of an upstream that it is gone.
 func (c *Control) Leave(ctx context.Context, id ident.Incarnation) error {
-	_, err := c.call(ctx, passTimeout, &PassCall{Kind: CallLeave, Upstream: id})
+	_, err := c.call(ctx, passTimeout, &ForwardedCall{Kind: CallLeave, Upstream: id})
 	c.Log.Info("upstream gone", "upstream", id, "acknowledged", err == nil)
 	return err
 }
@@ -59,14 +59,14 @@
 func (c *Control) Replace(ctx context.Context, version httproute.Version, body []byte) error {
 	began := clock.Now()
 	leader := c.leader()
-	_, err := c.order(ctx, changeTimeout, &PassCall{Kind: CallReplace, From: string(c.self.Name), Version: version, Body: body})
+	_, err := c.order(ctx, changeTimeout, &ForwardedCall{Kind: CallReplace, From: string(c.self.Name), Version: version, Body: body})
 	c.Log.Info("configuration offered", "version", version, "bytes", len(body), "leader", leader, "held", c.machine.Held().Version,
 		"took-ms", clock.Since(began).Milliseconds(), "code", int(result.CodeOf(err)), "why", result.Message(err))
 	return err
 }
 
-// Refuse logs a configuration that was refused before it was offered to the leader.
-func (c *Control) Refuse(bytes int, why error) {
+// LogRefusedConfig logs a configuration that was refused before it was offered to the leader.
+func (c *Control) LogRefusedConfig(bytes int, why error) {
 	if many, ok := c.refusals.next(clock.Now()); ok {
 		c.Log.Info("configuration refused", "bytes", bytes, "code", int(result.CodeOf(why)), "why", result.Message(why), "since-last", many)
 	}
@@ -76,7 +76,7 @@
 func (c *Control) Read(ctx context.Context) ([]byte, error) {
 	began := clock.Now()
 	leader := c.leader()
-	reply, err := c.order(ctx, passTimeout, &PassCall{Kind: CallRead, From: string(c.self.Name)})
+	reply, err := c.order(ctx, passTimeout, &ForwardedCall{Kind: CallRead, From: string(c.self.Name)})
 	if many, ok := c.reads.next(clock.Now()); ok {
 		c.Log.Info("configuration read", "version", reply.Version, "leader", leader, "held", c.machine.Held().Version,
 			"took-ms", clock.Since(began).Milliseconds(), "code", int(result.CodeOf(err)), "since-last", many)
@@ -85,7 +85,7 @@
 }
 
 // order is call for what operators send, which may come twice: it is tried again, at the next leader if need be, as long as there is time.
-func (c *Control) order(ctx context.Context, timeout time.Duration, call *PassCall) (PassReply, error) {
+func (c *Control) order(ctx context.Context, timeout time.Duration, call *ForwardedCall) (ForwardedReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
@@ -104,7 +104,7 @@
 }
 
 // tryOrder makes the call and gives it up once another daemon leads: the connection to one that is lost tells nothing.
-func (c *Control) tryOrder(ctx context.Context, leader string, timeout time.Duration, call *PassCall) (PassReply, error) {
+func (c *Control) tryOrder(ctx context.Context, leader string, timeout time.Duration, call *ForwardedCall) (ForwardedReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
@@ -119,29 +119,29 @@
 }
 
 // call answers a call here when this daemon leads, and passes it on otherwise.
-func (c *Control) call(ctx context.Context, timeout time.Duration, call *PassCall) (PassReply, error) {
+func (c *Control) call(ctx context.Context, timeout time.Duration, call *ForwardedCall) (ForwardedReply, error) {
 	leader := c.leader()
 	if leader == "" {
-		return PassReply{}, result.New(result.NoLeader, "no leader is known")
+		return ForwardedReply{}, result.New(result.NoLeader, "no leader is known")
 	}
 	if leader == string(c.self.Name) {
 		return c.answer(ctx, timeout, call)
 	}
 	reply, err := c.peers.pass(ctx, leader, timeout, call)
 	if err != nil {
-		return PassReply{}, err
+		return ForwardedReply{}, err
 	}
 	if reply.Code != result.OK {
-		return PassReply{}, result.New(reply.Code, "%s", reply.Text)
+		return ForwardedReply{}, result.New(reply.Code, "%s", reply.Text)
 	}
 	return reply, nil
 }
 
 // pass answers a call that another daemon took; the caller may then report here directly.
-func (c *Control) pass(call *PassCall) PassReply {
+func (c *Control) pass(call *ForwardedCall) ForwardedReply {
 	reply, err := c.answer(context.Background(), changeTimeout, call)
 	if err != nil {
-		return PassReply{Code: result.CodeOf(err), Text: result.Message(err)}
+		return ForwardedReply{Code: result.CodeOf(err), Text: result.Message(err)}
 	}
 	if r := c.leadership.Load(); call.Kind == CallReport && r != nil && r.roster.Len() <= sentOnMost {
 		reply.Address = c.Settings.Listen.Control
@@ -150,7 +150,7 @@
 }
 
 // answer does what call asks for, as leader.
-func (c *Control) answer(ctx context.Context, timeout time.Duration, call *PassCall) (PassReply, error) {
+func (c *Control) answer(ctx context.Context, timeout time.Duration, call *ForwardedCall) (ForwardedReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	reply, err := c.answerAsLeader(ctx, call)
@@ -158,29 +158,29 @@
 	return reply, err
 }
 
-func (c *Control) answerAsLeader(ctx context.Context, call *PassCall) (PassReply, error) {
+func (c *Control) answerAsLeader(ctx context.Context, call *ForwardedCall) (ForwardedReply, error) {
 	r := c.leadership.Load()
 	if r == nil || !c.leads() {
-		return PassReply{}, result.New(result.NoLeader, "this daemon does not lead, or not surely")
+		return ForwardedReply{}, result.New(result.NoLeader, "this daemon does not lead, or not surely")
 	}
 	switch call.Kind {
 	case CallReport:
 		c.takeReports(r, call.Reports)
-		return PassReply{}, nil
+		return ForwardedReply{}, nil
 	case CallLeave:
-		r.roster.Leave(clock.Now(), call.Upstream)
-		return PassReply{}, nil
+		r.roster.SignOff(clock.Now(), call.Upstream)
+		return ForwardedReply{}, nil
 	case CallReplace:
-		return PassReply{}, c.replace(ctx, r, call)
+		return ForwardedReply{}, c.replace(ctx, r, call)
 	case CallRead:
 		return c.read()
 	case CallDrain:
-		return PassReply{}, c.drain(ctx, r, call)
+		return ForwardedReply{}, c.drain(ctx, r, call)
 	case CallInspect:
 		s := r.state(clock.Now())
-		return PassReply{State: &s}, nil
+		return ForwardedReply{State: &s}, nil
 	}
-	return PassReply{}, result.New(result.PeerRefused, "unknown call %s", call.Kind)
+	return ForwardedReply{}, result.New(result.PeerRefused, "unknown call %s", call.Kind)
 }
 
 // takeReports takes reports of upstreams whose service is declared. Any other names nothing to use, and must not end the upstream
@@ -189,25 +189,25 @@
 	table := c.newestTable()
 	for _, report := range list {
 		if table != nil && table.Service(report.Service) == nil {
-			c.Unusable(report.ID.UpstreamID(), result.New(result.ReportUnusable, "service %q is not declared", report.Service))
+			c.LogUnusableReport(report.ID.UpstreamID(), result.New(result.ReportUnusable, "service %q is not declared", report.Service))
 			r.mu.Lock()
 			r.undeclared.add(clock.Now(), report)
 			r.mu.Unlock()
 			continue
 		}
-		r.roster.Take(clock.Now(), report)
+		r.roster.ApplyReport(clock.Now(), report)
 	}
 }
 
-// Unusable logs a report that names nothing to use, at most one each second; the line tells how many came since the last one.
-func (c *Control) Unusable(id string, why error) {
+// LogUnusableReport logs a report that names nothing to use, at most one each second; the line tells how many came since the last one.
+func (c *Control) LogUnusableReport(id string, why error) {
 	if many, ok := c.unusable.next(clock.Now()); ok {
 		c.Log.Info("report of no use", "upstream", id, "code", int(result.CodeOf(why)), "why", result.Message(why), "since-last", many)
 	}
 }
 
 // replace accepts a configuration and returns when the entries have it in force, as far as they can be reached.
-func (c *Control) replace(ctx context.Context, r *leadership, call *PassCall) error {
+func (c *Control) replace(ctx context.Context, r *leadership, call *ForwardedCall) error {
 	if call.Version > c.machine.Held().Version {
 		if err := c.decide(ctx, r, call); err != nil {
 			return err
@@ -218,7 +218,7 @@
 }
 
 // decide writes a configuration to the log, once for all calls that bring it at the same time.
-func (c *Control) decide(ctx context.Context, r *leadership, call *PassCall) error {
+func (c *Control) decide(ctx context.Context, r *leadership, call *ForwardedCall) error {
 	key := strconv.FormatUint(uint64(call.Version), 10) + "/" + strconv.FormatUint(xxhash.Sum64(call.Body), 16)
 	decided := c.offers.DoChan(key, func() (any, error) {
 		// Whoever brought it first may leave; the others wait for the same decision.
@@ -234,7 +234,7 @@
 	}
 }
 
-func (c *Control) propose(ctx context.Context, r *leadership, call *PassCall) error {
+func (c *Control) propose(ctx context.Context, r *leadership, call *ForwardedCall) error {
 	began := clock.Now()
 	before := c.machine.Held().Version
 	if call.Version <= before {
@@ -258,17 +258,17 @@
 	return err
 }
 
-func (c *Control) read() (PassReply, error) {
+func (c *Control) read() (ForwardedReply, error) {
 	held := c.machine.Held()
 	// The lease is looked at again: nobody else can have accepted a newer one by now.
 	if !c.leads() {
-		return PassReply{}, result.New(result.NoLeader, "this daemon may no longer lead")
+		return ForwardedReply{}, result.New(result.NoLeader, "this daemon may no longer lead")
 	}
 	if held.Version == 0 {
-		return PassReply{}, result.New(result.NoLeader, "there is no configuration yet")
+		return ForwardedReply{}, result.New(result.NoLeader, "there is no configuration yet")
 	}
 	body, err := catalog.Unpack(held.Packed)
-	return PassReply{Version: held.Version, Body: body}, err
+	return ForwardedReply{Version: held.Version, Body: body}, err
 }
 
 // sync answers a daemon that follows, at once when there is news for it and after a moment otherwise.
--- a/site/change_test.go
+++ b/site/change_test.go
@@ -34,7 +34,7 @@
 	for i := range c.entries {
 		call := site.SyncCall{
 			From: fmt.Sprintf("10.1.%d.%d:7140", i/200, i%200), Hall: ident.Hall(fmt.Sprintf("hall-%d", i%5)), Entry: true,
-			Entries: map[ident.Hall]site.ListName{},
+			Entries: map[ident.Hall]site.ListDigest{},
 		}
 		former.Note(&call)
 		list = append(list, &caller{call, roster.NewCopy()})
@@ -107,7 +107,7 @@
 			w := newWire(t)
 			total, most := 0, 0
 			for _, e := range callers {
-				e.call.Sums = e.copied.Sums()
+				e.call.Sums = e.copied.Digests()
 				reply := next.Reply(&e.call)
 				n := w.sizeOf(t, &reply)
 				total, most = total+n, max(most, n)
@@ -118,7 +118,7 @@
 				t.Errorf("%d bytes to %d entries, %.0f can be sent within a lease", total, entries, bound)
 			}
 			for _, e := range callers {
-				if *callers[0].copied.Sums() != *e.copied.Sums() {
+				if *callers[0].copied.Digests() != *e.copied.Digests() {
 					t.Fatal("two entries have other upstreams")
 				}
 			}
@@ -158,7 +158,7 @@
 	c := changeCase{1000}
 	r := c.leader("one")
 	callers := c.callers(t, r)
-	came := site.SyncCall{From: "10.9.9.9:7140", Hall: "hall-0", Entry: true, Entries: map[ident.Hall]site.ListName{}}
+	came := site.SyncCall{From: "10.9.9.9:7140", Hall: "hall-0", Entry: true, Entries: map[ident.Hall]site.ListDigest{}}
 	r.Note(&came)
 	r.ListsStale()
 	w, total := newWire(t), 0
@@ -178,7 +178,7 @@
 // Each entry knows what all others have at each upstream, without what it told of itself.
 func TestTotalsAreToldOnceForAll(t *testing.T) {
 	r := changeCase{40}.leader("one")
-	call := site.SyncCall{From: "a", Entry: true, Entries: map[ident.Hall]site.ListName{}}
+	call := site.SyncCall{From: "a", Entry: true, Entries: map[ident.Hall]site.ListDigest{}}
 	reply := r.Reply(&call)
 	d, err := reply.Unpack()
 	if err != nil {
@@ -213,7 +213,7 @@
 		callers := c.callers(b, former)
 		next := c.leader("next")
 		known := callers[0].call
-		known.Sums = callers[0].copied.Sums()
+		known.Sums = callers[0].copied.Digests()
 		fresh := callers[1].call
 		fresh.Leadership, fresh.Entries = "", nil
 		for name, call := range map[string]*site.SyncCall{"knows": &known, "starts": &fresh} {
@@ -242,7 +242,7 @@
 	first := r.Reply(&call)
 	r.SeedGroups(time.Now(), c.groups()+1, 0)
 	e := &caller{call, roster.NewCopy()}
-	e.call.Entries = map[ident.Hall]site.ListName{}
+	e.call.Entries = map[ident.Hall]site.ListDigest{}
 	e.take(t, &first)
 	second := r.Reply(&e.call)
 	e.take(t, &second)
--- a/site/control.go
+++ b/site/control.go
@@ -48,16 +48,16 @@
 	Dial     transport.Dial
 	// DecodeConfig reads a configuration in the form in which operators send it.
 	DecodeConfig func(body []byte) (*httproute.Config, error)
-	// GiveOrder sends an order to an engine, once.
-	GiveOrder func(ctx context.Context, o *replicaset.Order) replicaset.Outcome
-	// AskPace asks an engine how many times longer than usual all takes there; nil when engines can't be asked.
-	AskPace func(ctx context.Context, address string, id ident.Incarnation) (float64, error)
+	// SendOrder sends an order to an engine, once.
+	SendOrder func(ctx context.Context, o *replicaset.Order) replicaset.Outcome
+	// QuerySlowdown asks an engine how many times longer than usual all takes there; nil when engines can't be asked.
+	QuerySlowdown func(ctx context.Context, address string, id ident.Incarnation) (float64, error)
 	// Handler serves the calls of upstreams and operators.
 	Handler http.Handler
-	// Reread reads the settings again.
-	Reread func() (*settings.Site, error)
-	// Unread is what upstreams say in their answers that nothing reads.
-	Unread *unread.List[ident.Incarnation]
+	// LoadSettings reads the settings again.
+	LoadSettings func() (*settings.Site, error)
+	// Unrecognized is what upstreams say in their answers that nothing reads.
+	Unrecognized *unread.List[ident.Incarnation]
 
 	self      quorum.MemberID
 	folder    *disk.Folder
@@ -101,7 +101,7 @@
 	// asked is what upstreams asked this daemon for.
 	asked *backoff.List[ident.Incarnation]
 	// limits are the limits that upstreams named to this daemon.
-	limits *ratelimit.Words[ident.Incarnation]
+	limits *ratelimit.LimitTable[ident.Incarnation]
 }
 
 // NewControl opens the data folder that cfg names.
@@ -124,8 +124,8 @@
 	c.machine.DrainChanged = c.drainChanged
 	c.held = &quarantine.List{Rule: heldRule(&cfg.Quarantine)}
 	c.refusals.Lines, c.reads.Lines = operatorLines, operatorLines
-	c.limits = ratelimit.NewWords[ident.Incarnation]()
-	c.Unread = unread.New[ident.Incarnation]()
+	c.limits = ratelimit.NewLimitTable[ident.Incarnation]()
+	c.Unrecognized = unread.New[ident.Incarnation]()
 	c.asked = backoff.New[ident.Incarnation](backoffRule(&cfg.Backoff))
 	c.reports = newReports(c.passReports)
 	c.meter = meter.New()
@@ -227,7 +227,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	if c.node.HandOver(ctx) {
+	if c.node.TransferLeadership(ctx) {
 		c.Log.Info("lead handed over")
 		pause(ctx, c.Settings.Times.Heartbeat.Std())
 	}
@@ -280,7 +280,7 @@
 // Earlier leases are over: each of its voters had not heard another leader for the election time, which is longer than a
 // lease, and a leader that hands over gives its lease up first.
 func (c *Control) leads() bool {
-	return c.node.HoldsLease(clock.Now()) && c.node.Status().Current
+	return c.node.HoldsLease(clock.Now()) && c.node.Status().KnowsCommitted
 }
 
 // leader returns the peers' address of the leader that this daemon knows, or nothing.
@@ -289,7 +289,7 @@
 	if s.Role == quorum.RoleLeader {
 		return string(c.self.Name)
 	}
-	if s.Leader != "" && clock.Since(s.Heard) < c.Settings.Times.Election.Std() {
+	if s.Leader != "" && clock.Since(s.LastContact) < c.Settings.Times.Election.Std() {
 		return string(s.Leader)
 	}
 	if known := c.directory.knownLeader(); known != string(c.self.Name) {
@@ -325,7 +325,7 @@
 			// The log brings the configuration here.
 			call.Version = c.machine.Held().Version
 			call.Drains = c.machine.Drained().Revision
-			call.HeldSum = c.held.Sum(clock.Now())
+			call.HeldSum = c.held.Digest(clock.Now())
 		},
 		apply:  c.applySync,
 		commit: func(time.Time, *SyncReply) bool { return true },
@@ -365,17 +365,17 @@
 }
 
 // copiedSums returns the digests of the copy of the roster, nil when it is empty.
-func (c *Control) copiedSums() *roster.Sums {
+func (c *Control) copiedSums() *roster.Digests {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.copied.Upstreams) == 0 {
 		return nil
 	}
-	return c.copied.Sums()
+	return c.copied.Digests()
 }
 
 func (c *Control) reread() {
-	cfg, err := c.Reread()
+	cfg, err := c.LoadSettings()
 	if err != nil {
 		c.Log.Error(err, "settings cannot be read again")
 		return
--- a/site/drain.go
+++ b/site/drain.go
@@ -19,14 +19,14 @@
 // Drain drains a hall, or takes it back; it returns after a majority has the order on disk, and the entries that can be reached in force.
 func (c *Control) Drain(ctx context.Context, o catalog.DrainOrder) error {
 	began := clock.Now()
-	_, err := c.order(ctx, changeTimeout, &PassCall{Kind: CallDrain, From: string(c.self.Name), Drain: &o})
+	_, err := c.order(ctx, changeTimeout, &ForwardedCall{Kind: CallDrain, From: string(c.self.Name), Drain: &o})
 	c.Log.Info("order on a hall", "hall", o.Hall, "drain", o.Drain, "leader", c.leader(), "took-ms", clock.Since(began).Milliseconds(),
 		"code", int(result.CodeOf(err)), "why", result.Message(err))
 	return err
 }
 
 // drain carries an order on a hall out, as leader.
-func (c *Control) drain(ctx context.Context, r *leadership, call *PassCall) error {
+func (c *Control) drain(ctx context.Context, r *leadership, call *ForwardedCall) error {
 	o := call.Drain
 	if o == nil || !c.knowsHall(r, o.Hall) {
 		return result.New(result.ChangeNotFound, "there is no such hall")
@@ -40,10 +40,10 @@
 }
 
 // decideDrain writes an order to the log and returns the revision that holds with it.
-func (c *Control) decideDrain(ctx context.Context, r *leadership, call *PassCall) (catalog.DrainRevision, error) {
+func (c *Control) decideDrain(ctx context.Context, r *leadership, call *ForwardedCall) (catalog.DrainRevision, error) {
 	began := clock.Now()
 	if !call.Drain.Drain && c.machine.Drained().Has(call.Drain.Hall) {
-		r.roster.Chill(began, call.Drain.Hall)
+		r.roster.MarkHallCold(began, call.Drain.Hall)
 	}
 	data, err := catalog.EncodeDrain(*call.Drain)
 	if err != nil {
@@ -99,7 +99,7 @@
 	for _, address := range addresses {
 		client := link.NewClient(address, serviceName)
 		client.Dial = dial
-		var reply PassReply
+		var reply ForwardedReply
 		callErr := client.Call(ctx, changeTimeout+callTimeout, "Drain", &o, &reply)
 		client.Close()
 		switch reply.Code {
@@ -118,9 +118,9 @@
 }
 
 // orderDrain takes an operator's order on a hall.
-func (c *Control) orderDrain(o *catalog.DrainOrder) PassReply {
+func (c *Control) orderDrain(o *catalog.DrainOrder) ForwardedReply {
 	if err := c.Drain(context.Background(), *o); err != nil {
-		return PassReply{Code: result.CodeOf(err), Text: result.Message(err)}
+		return ForwardedReply{Code: result.CodeOf(err), Text: result.Message(err)}
 	}
-	return PassReply{}
+	return ForwardedReply{}
 }
--- a/site/entries.go
+++ b/site/entries.go
@@ -17,14 +17,14 @@
 type entryState struct {
 	at   time.Time
 	hall ident.Hall
-	seen []relay.Seen
+	seen []relay.Observation
 }
 
 // sights puts together what all entries saw of each group; the mutex is held.
-func (r *leadership) sights(now time.Time) map[ident.Group]replicaset.Sight {
-	sights := map[ident.Group]replicaset.Sight{}
+func (r *leadership) sights(now time.Time) map[ident.Group]replicaset.Observation {
+	sights := map[ident.Group]replicaset.Observation{}
 	for _, g := range r.roster.Groups() {
-		sights[g.Name] = replicaset.Sight{Answered: neverAnswered}
+		sights[g.Name] = replicaset.Observation{SinceLastResponse: neverAnswered}
 	}
 	for name, e := range r.entries {
 		late := now.Sub(e.at)
@@ -41,22 +41,22 @@
 	}
 	for name, sight := range sights {
 		// A sign that any entry saw shows that the group works.
-		sight.Stalled = min(sight.Stalled, sight.Answered)
+		sight.StalledFor = min(sight.StalledFor, sight.SinceLastResponse)
 		sights[name] = sight
 	}
 	return sights
 }
 
-func merge(sight replicaset.Sight, seen *relay.Seen, late time.Duration) replicaset.Sight {
+func merge(sight replicaset.Observation, seen *relay.Observation, late time.Duration) replicaset.Observation {
 	if seen.Answered >= 0 {
-		sight.Answered = min(sight.Answered, seen.Answered+late)
+		sight.SinceLastResponse = min(sight.SinceLastResponse, seen.Answered+late)
 	}
 	// What an entry did not tell since may have ended, so its silence does not grow with its own.
-	sight.Stalled = max(sight.Stalled, seen.Silence)
-	sight.Refused = sight.Refused || seen.Refused
-	sight.Stands = sight.Stands || seen.Stands
+	sight.StalledFor = max(sight.StalledFor, seen.Silence)
+	sight.ConnectionRefused = sight.ConnectionRefused || seen.Refused
+	sight.StallConfirmed = sight.StallConfirmed || seen.Stands
 	if seen.Blamed != "" {
-		sight.Blamed = seen.Blamed
+		sight.BlamedMember = seen.Blamed
 	}
 	return sight
 }
@@ -84,7 +84,7 @@
 	r.drainSeen(call)
 	r.c.applyLimits(now, call)
 	for id, words := range call.Unread {
-		r.c.Unread.Add(id, words)
+		r.c.Unrecognized.AddNames(id, words)
 	}
 	for i := range call.Seen {
 		seen := &call.Seen[i]
@@ -128,14 +128,14 @@
 }
 
 func (r *leadership) countDemand(now time.Time, call *SyncCall) {
-	asked := map[ident.Model]Asked{}
+	asked := map[ident.Model]ModelDemand{}
 	for model, d := range call.Demand {
 		r.served = true
 		if w := r.work(model, d); w > 0 {
-			asked[model] = Asked{w, d.Requests} // callers may name any model, rates are kept for those that there are
+			asked[model] = ModelDemand{w, d.Requests} // callers may name any model, rates are kept for those that there are
 		}
 	}
-	r.demand.Hear(now, call.From, asked)
+	r.demand.Add(now, call.From, asked)
 }
 
 // work is the time that d takes of upstreams of the model, worked out from the engine's published figures.
--- a/site/entry.go
+++ b/site/entry.go
@@ -38,13 +38,13 @@
 type Entry struct {
 	Settings *settings.Site
 	Log      logr.Logger
-	// Requests is the log for lines on single requests.
-	Requests     logr.Logger
+	// RequestLog is the log for lines on single requests.
+	RequestLog   logr.Logger
 	Dial         transport.Dial
 	DecodeConfig func(body []byte) (*httproute.Config, error)
-	// Ready makes the handler that tells the platform whether callers may come.
-	Ready  func(ready func() bool) http.Handler
-	Reread func() (*settings.Site, error)
+	// ReadyHandler makes the handler that tells the platform whether callers may come.
+	ReadyHandler func(ready func() bool) http.Handler
+	LoadSettings func() (*settings.Site, error)
 
 	relay *relay.Relay
 	// callers serves them within the bounds of the configuration.
@@ -72,9 +72,9 @@
 }
 
 // NewEntry returns an entry whose callers and upstreams use names.
-func NewEntry(cfg *settings.Site, names relay.Names, dial transport.Dial) *Entry {
+func NewEntry(cfg *settings.Site, names relay.HeaderNames, dial transport.Dial) *Entry {
 	e := &Entry{
-		Settings: cfg, Log: logr.Discard(), Requests: logr.Discard(), Dial: dial,
+		Settings: cfg, Log: logr.Discard(), RequestLog: logr.Discard(), Dial: dial,
 		relay: relay.New(names, dial), directory: newDirectory(cfg.SeedPeers()),
 		meter: meter.New(), stop: make(chan struct{}),
 	}
@@ -82,19 +82,19 @@
 	e.numbers = newNumbers(e.meter.Scope)
 	e.relay.Hall = cfg.Hall
 	e.relay.Regions = cfg.Halls
-	e.relay.SetMemory(int64(heldMemoryPart * float64(cfg.MemoryMB) * (1 << 20)))
-	e.relay.KeysLapse = time.Duration(keysPart * float64(cfg.Bounds.KeysRevoked))
-	e.relay.Budget = relay.NewBudget(relay.BudgetRule{
+	e.relay.SetMemoryLimit(int64(heldMemoryPart * float64(cfg.MemoryMB) * (1 << 20)))
+	e.relay.KeyValidity = time.Duration(keysPart * float64(cfg.Bounds.KeysRevoked))
+	e.relay.Budget = relay.NewRetryBudget(relay.RetryBudgetRule{
 		Ratio: cfg.Retries.Share, Window: cfg.Retries.Window.Std(), Allowance: cfg.Retries.Allowance,
 	})
 	e.relay.Observe = e.observe
 	e.relay.Quarantine.Rule = heldRule(&cfg.Quarantine)
-	e.relay.Note = e.noteHolding
+	e.relay.OnQuarantine = e.noteHolding
 	e.relay.Backoff.Rule = backoffRule(&cfg.Backoff)
-	e.relay.Asked = e.noteAsking
+	e.relay.OnBackpressure = e.noteAsking
 	e.relay.Limits.Observe = func(o ratelimit.Outcome) { e.numbers.permits[o].Inc(1) }
-	e.neighbours = newNeighbours(e.relay.Hear)
-	e.relay.Tell = e.neighbours.tell
+	e.neighbours = newNeighbours(e.relay.Receive)
+	e.relay.SendUpdate = e.neighbours.tell
 	return e
 }
 
@@ -118,7 +118,7 @@
 	}
 	p := newPeers(ctx, e.Dial)
 	f := &follower{
-		peers: p, directory: e.directory, log: e.Log, describe: e.describe, apply: e.apply, commit: e.commit, sums: e.relay.Sums, reread: e.reread,
+		peers: p, directory: e.directory, log: e.Log, describe: e.describe, apply: e.apply, commit: e.commit, sums: e.relay.RosterSums, reread: e.reread,
 	}
 	var wg sync.WaitGroup
 	wg.Go(func() { f.run(ctx) })
@@ -143,7 +143,7 @@
 	e.callers.Log = e.Log
 	return serveAll(e.Log, []listener{
 		{e.Settings.Listen.Callers, e.callers},
-		{e.Settings.Listen.Ready, &http.Server{Handler: e.Ready(e.ready), ReadHeaderTimeout: readyHeaderTime}},
+		{e.Settings.Listen.Ready, &http.Server{Handler: e.ReadyHandler(e.ready), ReadHeaderTimeout: readyHeaderTime}},
 		{e.Settings.Listen.Metrics, e.meter.HTTP()},
 	})
 }
@@ -173,7 +173,7 @@
 	call.From = e.Settings.PeerAddress()
 	call.Hall = e.Settings.Hall
 	call.Entry = true
-	call.Seen, call.Demand = e.relay.Look()
+	call.Seen, call.Demand = e.relay.CollectObservations()
 	e.told = map[ident.Incarnation]int{}
 	for i := range call.Seen {
 		e.told[call.Seen[i].ID] = call.Seen[i].Inflight
@@ -197,7 +197,7 @@
 	e.takeDrained(r.Drained)
 	newest := e.takeConfig(began, r)
 	if r.Usable {
-		e.relay.SetRoster(&r.Changes)
+		e.relay.ApplyRoster(&r.Changes)
 		if !r.Changes.Empty() || e.known == nil {
 			e.known = shortIDs(e.relay.Upstreams())
 		}
@@ -205,7 +205,7 @@
 	if entries := e.neighbours.set(e.relay.Now(), e.Settings.PeerAddress(), r.Leadership, r.Lists, r.ListChanges); entries != nil {
 		e.relay.SetEntries(entries)
 	}
-	e.relay.SetOthers(decodeTotals(r.Totals, e.known, e.told))
+	e.relay.SetPeerCounts(decodeTotals(r.Totals, e.known, e.told))
 	e.relay.Budget.SetEntries(max(r.Entries, e.neighbours.known))
 	if newest {
 		e.relay.SetConfirmed(began)
@@ -268,7 +268,7 @@
 }
 
 func (e *Entry) reread() {
-	cfg, err := e.Reread()
+	cfg, err := e.LoadSettings()
 	if err != nil {
 		e.Log.Error(err, "settings cannot be read again")
 		return
--- a/site/export_test.go
+++ b/site/export_test.go
@@ -52,10 +52,10 @@
 }
 
 // Note takes what an entry saw.
-func (p Paces) Note(now time.Time, seen []relay.Seen) { p.paces.note(now, seen) }
+func (p Paces) Note(now time.Time, seen []relay.Observation) { p.paces.note(now, seen) }
 
 // Look adds what is known to w and asks for more.
-func (p Paces) Look(w *replicaset.World, groups []roster.Group, table *httproute.Table) {
+func (p Paces) Look(w *replicaset.Snapshot, groups []roster.Group, table *httproute.Table) {
 	p.paces.look(w, groups, table)
 }
 
@@ -66,7 +66,7 @@
 }
 
 // NewNeighbours listens on a free port of the loopback.
-func NewNeighbours(hear func(n relay.News, from netip.AddrPort)) (Neighbours, error) {
+func NewNeighbours(hear func(n relay.EntryUpdate, from netip.AddrPort)) (Neighbours, error) {
 	conn, err := listenDatagrams("127.0.0.1:0")
 	return Neighbours{newNeighbours(hear), conn}, err
 }
@@ -80,7 +80,7 @@
 }
 
 // Tell sends news to some entries, or to all.
-func (n Neighbours) Tell(news relay.News, to ...string) { n.tell(news, to) }
+func (n Neighbours) Tell(news relay.EntryUpdate, to ...string) { n.tell(news, to) }
 
 // Run sends and takes news until ctx ends.
 func (n Neighbours) Run(ctx context.Context) { n.run(ctx, n.conn) }
@@ -129,7 +129,7 @@
 	return Leading{&leadership{
 		view: roster.NewView(whole),
 		c: &Control{
-			Log: logr.Discard(), limits: ratelimit.NewWords[ident.Incarnation](), Unread: unread.New[ident.Incarnation](),
+			Log: logr.Discard(), limits: ratelimit.NewLimitTable[ident.Incarnation](), Unrecognized: unread.New[ident.Incarnation](),
 		},
 		roster:  whole,
 		entries: map[string]*entryState{}, lists: newEntryLists(), totals: map[ident.Incarnation]int{}, apart: map[ident.Incarnation]int{},
@@ -156,7 +156,7 @@
 func (c *Control) Waits(id ident.Incarnation) bool { return c.waits(id) }
 
 // Asked returns what upstreams asked entries for.
-func (r Leading) Asked(now time.Time) map[ident.Incarnation][]AskedState {
+func (r Leading) Asked(now time.Time) map[ident.Incarnation][]BackoffState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.asked(now)
@@ -164,18 +164,18 @@
 
 // NoteUnread notes a word of an upstream that nothing reads.
 func (e *Entry) NoteUnread(id ident.Incarnation, word string) {
-	e.relay.Unread.Add(id, []string{word})
-	e.noteAsking(&relay.Asking{Kind: relay.AskingUnread, Upstream: id, Word: word})
+	e.relay.Unrecognized.AddNames(id, []string{word})
+	e.noteAsking(&relay.BackpressureEvent{Kind: relay.BackpressureUnrecognized, Upstream: id, HeaderName: word})
 }
 
 // Unread returns the words of an upstream that nothing reads.
-func (r Leading) Unread(id ident.Incarnation) []string { return r.c.Unread.Of(id) }
+func (r Leading) Unread(id ident.Incarnation) []string { return r.c.Unrecognized.Of(id) }
 
 // ForgetUnread forgets those of upstreams that have ended.
 func (r Leading) ForgetUnread(now time.Time) { r.forgetUnread(now) }
 
 // LimitUpdates returns the limits that entries are told of.
-func (r Leading) LimitUpdates(now time.Time) map[ident.Incarnation]LimitTold {
+func (r Leading) LimitUpdates(now time.Time) map[ident.Incarnation]LimitSummary {
 	return r.limitUpdates(now)
 }
 
@@ -315,7 +315,7 @@
 		}
 	}
 	r.roster.Seed(now, upstreams, list)
-	r.view.Follow(func(ident.Service) bool { return false })
+	r.view.Update(func(ident.Service) bool { return false })
 }
 
 // Reply is what a call for news gets of the roster, the totals and the lists.
@@ -370,7 +370,7 @@
 	c.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	c.node.HandOver(ctx)
+	c.node.TransferLeadership(ctx)
 	select {
 	case <-renewed:
 		return true
--- a/site/follow.go
+++ b/site/follow.go
@@ -37,7 +37,7 @@
 	// commit puts what a daemon that does not lead holds of the configuration in force, and reports whether it is.
 	commit func(began time.Time, r *SyncReply) bool
 	// sums returns the digests of what this daemon has of the roster, nil when it has nothing.
-	sums func() *roster.Sums
+	sums func() *roster.Digests
 	// reread reads the settings again for other seeds.
 	reread func()
 	log    logr.Logger
--- a/site/held.go
+++ b/site/held.go
@@ -21,8 +21,8 @@
 // heldKept bounds the works that are kept on disk, the longest held first.
 const heldKept = 256
 
-// HeldState is a work that is held, as operators see it.
-type HeldState struct {
+// QuarantineState is a work that is held, as operators see it.
+type QuarantineState struct {
 	Customer ident.Customer `json:"customer"`
 	// Content is the digest of the request's path and body, as in the lines on requests.
 	Content string `json:"content"`
@@ -35,24 +35,24 @@
 // new leader and one that starts again know it.
 func (c *Control) mergeQuarantine(now time.Time, call *SyncCall, reply *SyncReply) {
 	c.applyQuarantine(now, call.Held)
-	reply.HeldSum = c.held.Sum(now)
+	reply.HeldSum = c.held.Digest(now)
 	if reply.HeldSum != call.HeldSum {
-		reply.Held = c.held.ToTell(now, heldMost)
+		reply.Held = c.held.ToSend(now, heldMost)
 	}
 }
 
 // applyQuarantine takes what others know of works.
 func (c *Control) applyQuarantine(now time.Time, list []quarantine.Report) {
 	for i := range list {
-		c.held.Hear(now, &list[i])
+		c.held.Merge(now, &list[i])
 	}
 }
 
 // heldState returns what is held now.
-func (c *Control) heldState(now time.Time) []HeldState {
-	var list []HeldState
-	for _, n := range c.held.HeldNow(now) {
-		list = append(list, HeldState{n.Customer, n.Content.String(), len(n.Ends), c.held.Held(now, n.Work()).Milliseconds()})
+func (c *Control) heldState(now time.Time) []QuarantineState {
+	var list []QuarantineState
+	for _, n := range c.held.Quarantined(now) {
+		list = append(list, QuarantineState{n.Customer, n.Content.String(), len(n.Ends), c.held.Remaining(now, n.Fingerprint()).Milliseconds()})
 	}
 	return list
 }
@@ -60,31 +60,31 @@
 // sendQuarantine fills in what the leader is told of works.
 func (e *Entry) sendQuarantine(call *SyncCall) {
 	list, now := e.relay.Quarantine, e.relay.Now()
-	call.HeldSum = list.Sum(now)
+	call.HeldSum = list.Digest(now)
 	if call.HeldSum != e.leaderSum {
 		// Asked for only when it is sent: each time it is the next ones' turn.
-		call.Held = list.ToTell(now, heldMost)
+		call.Held = list.ToSend(now, heldMost)
 	}
-	e.numbers.held.Update(float64(list.HeldLen(now)))
+	e.numbers.held.Update(float64(list.QuarantinedLen(now)))
 }
 
 // applyQuarantine takes what the leader knows of works.
 func (e *Entry) applyQuarantine(r *SyncReply) {
 	e.leaderSum = r.HeldSum
-	e.relay.HearWork(r.Held, netip.AddrPort{})
+	e.relay.ApplyQuarantineReports(r.Held, netip.AddrPort{})
 }
 
 // noteHolding logs what became of held work.
-func (e *Entry) noteHolding(h *relay.Holding) {
+func (e *Entry) noteHolding(h *relay.QuarantineEvent) {
 	from := "this entry"
 	if h.From.IsValid() {
 		from = h.From.String()
 	}
-	e.Log.Info("work "+holdingOf(h), "customer", h.Customer, "content", h.Content.String(), "ends", len(h.Ends), "for-ms", h.For.Milliseconds(),
+	e.Log.Info("work "+holdingOf(h), "customer", h.Customer, "content", h.Content.String(), "ends", len(h.Ends), "for-ms", h.Remaining.Milliseconds(),
 		"newest-ms", h.AgeMS, "from", from)
 }
 
-func holdingOf(h *relay.Holding) string {
+func holdingOf(h *relay.QuarantineEvent) string {
 	switch {
 	case h.Trying:
 		return "let in once more"
@@ -96,5 +96,5 @@
 
 // heldRule is the rule that the settings give.
 func heldRule(q *settings.Quarantine) quarantine.Rule {
-	return quarantine.Rule{Ends: q.Ends, Hold: q.Hold.Std(), Records: q.Records}
+	return quarantine.Rule{Crashes: q.Ends, InitialDuration: q.Hold.Std(), MaxRecords: q.Records}
 }
--- a/site/held_test.go
+++ b/site/held_test.go
@@ -38,14 +38,14 @@
 }
 
 func (s *syncer) sync(now time.Time, c *site.Control) {
-	call := &site.SyncCall{Entry: true, HeldSum: s.list.Sum(now)}
+	call := &site.SyncCall{Entry: true, HeldSum: s.list.Digest(now)}
 	if call.HeldSum != s.leaderSum {
-		call.Held = s.list.ToTell(now, 32)
+		call.Held = s.list.ToSend(now, 32)
 	}
 	reply := c.MergeQuarantine(now, call)
 	s.leaderSum = reply.HeldSum
 	for i := range reply.Held {
-		s.list.Hear(now, &reply.Held[i])
+		s.list.Merge(now, &reply.Held[i])
 	}
 	s.sent += len(call.Held)
 	s.got += len(reply.Held)
@@ -56,13 +56,13 @@
 func TestHeldWorkGoesThroughTheLeader(t *testing.T) {
 	now := time.Now()
 	leader := newFolder(t, t.TempDir())
-	work := quarantine.Work{Customer: "office", Content: 7}
+	work := quarantine.Fingerprint{Customer: "office", Content: 7}
 	var entries []*syncer
 	for n := range 4 {
 		s := &syncer{list: &quarantine.List{Rule: quarantine.DefaultRule()}}
 		entries = append(entries, s)
 		if n < 3 {
-			s.list.Ended(now, work, quarantine.EndOf(ident.Incarnation(rune('a'+n))))
+			s.list.Crashed(now, work, quarantine.CrashIDOf(ident.Incarnation(rune('a'+n))))
 		}
 	}
 	for range 3 {
@@ -72,8 +72,8 @@
 		now = now.Add(time.Second)
 	}
 	for n, s := range entries {
-		if s.list.Held(now, work) == 0 {
-			t.Errorf("entry %d does not hold the work, it knows of %d ends", n, s.list.Ends(work))
+		if s.list.Remaining(now, work) == 0 {
+			t.Errorf("entry %d does not hold the work, it knows of %d ends", n, s.list.Crashes(work))
 		}
 		s.sent, s.got = 0, 0
 	}
@@ -98,10 +98,10 @@
 	report := quarantine.Report{
 		Customer: ident.Customer(strings.Repeat("n", ident.MaxNameLength)), Content: 1<<64 - 1, Cleared: 1<<32 - 1, AgeMS: 3_600_000, Trying: true,
 	}
-	for n := range quarantine.EndsKept {
-		report.Ends = append(report.Ends, ^quarantine.End(n))
+	for n := range quarantine.MaxCrashes {
+		report.Ends = append(report.Ends, ^quarantine.CrashID(n))
 	}
-	want := relay.News{Work: &report}
+	want := relay.EntryUpdate{QuarantineReport: &report}
 	a.Tell(want)
 	if diff := cmp.Diff(want, <-heardByB); diff != "" {
 		t.Errorf("heard (-want +got):\n%s", diff)
@@ -114,9 +114,9 @@
 	first := newFolder(t, dir)
 	now := time.Now()
 	entry := &syncer{list: &quarantine.List{Rule: quarantine.DefaultRule()}}
-	work := quarantine.Work{Customer: "office", Content: 7}
+	work := quarantine.Fingerprint{Customer: "office", Content: 7}
 	for n := range 3 {
-		entry.list.Ended(now, work, quarantine.EndOf(ident.Incarnation(rune('a'+n))))
+		entry.list.Crashed(now, work, quarantine.CrashIDOf(ident.Incarnation(rune('a'+n))))
 	}
 	entry.sync(now, first)
 	if err := first.Remember(); err != nil {
@@ -127,7 +127,7 @@
 	second.Recall()
 	fresh := &syncer{list: &quarantine.List{Rule: quarantine.DefaultRule()}}
 	fresh.sync(time.Now(), second)
-	if fresh.list.Held(time.Now(), work) == 0 {
+	if fresh.list.Remaining(time.Now(), work) == 0 {
 		t.Error("an entry that starts with all others does not hold what was held before")
 	}
 }
@@ -135,18 +135,18 @@
 // A sync that tells the leader nothing of works takes nobody's turn: all that are to be told to other entries still are, four by four.
 func TestSyncsTakeNoTurns(t *testing.T) {
 	cfg := settings.DefaultSite()
-	e := site.NewEntry(&cfg, relay.Names{}, transport.TCP())
+	e := site.NewEntry(&cfg, relay.HeaderNames{}, transport.TCP())
 	list, now := e.Quarantine(), clock.Now()
 	for n := range 36 {
-		list.Ended(now, quarantine.Work{Content: ident.Content(n)}, 1)
+		list.Crashed(now, quarantine.Fingerprint{Content: ident.Content(n)}, 1)
 	}
-	e.Take(now, &site.SyncReply{HeldSum: list.Sum(now)})
+	e.Take(now, &site.SyncReply{HeldSum: list.Digest(now)})
 	told := map[ident.Content]bool{}
 	for range 9 {
 		if call := e.Call(); len(call.Held) > 0 {
 			t.Errorf("%d reports in a call although the leader knows all", len(call.Held))
 		}
-		for _, r := range list.ToTell(now, 4) {
+		for _, r := range list.ToSend(now, 4) {
 			told[r.Content] = true
 		}
 	}
--- a/site/inspect.go
+++ b/site/inspect.go
@@ -40,7 +40,7 @@
 	Drained       []ident.Hall          `json:"drained-halls"`
 	DrainRevision catalog.DrainRevision `json:"drain-revision"`
 	// Held are the works that no entry sends to upstreams now.
-	Held []HeldState `json:"held"`
+	Held []QuarantineState `json:"held"`
 }
 
 // ModelState is what a model of a service has and needs.
@@ -71,7 +71,7 @@
 	AgeMS   int64             `json:"report-age-ms"`
 	Place   string            `json:"place"`
 	// Asked are the entries that it has asked to send it nothing.
-	Asked []AskedState `json:"asked"`
+	Asked []BackoffState `json:"asked"`
 	// Limit is the limit that it has named, nil where it has none.
 	Limit *LimitState `json:"limit,omitempty"`
 	// Unread are words in its answers that nothing reads.
@@ -103,7 +103,7 @@
 		client := link.NewClient(address, serviceName)
 		client.Dial = dial
 		var reply InspectReply
-		callErr := client.Call(ctx, passTimeout+callTimeout, "Inspect", &Nothing{}, &reply)
+		callErr := client.Call(ctx, passTimeout+callTimeout, "Inspect", &Empty{}, &reply)
 		client.Close()
 		switch {
 		case callErr != nil:
@@ -119,7 +119,7 @@
 
 // inspect gives the state of this daemon's leadership, or that of the leader's.
 func (c *Control) inspect() InspectReply {
-	reply, err := c.call(context.Background(), passTimeout, &PassCall{Kind: CallInspect})
+	reply, err := c.call(context.Background(), passTimeout, &ForwardedCall{Kind: CallInspect})
 	if err != nil {
 		return InspectReply{Code: result.CodeOf(err), Text: result.Message(err)}
 	}
@@ -142,7 +142,7 @@
 	asked, limits := r.asked(now), r.limitStates(now)
 	r.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(r.formations)) {
-		for _, o := range r.formations[name].Outlook() {
+		for _, o := range r.formations[name].Explain() {
 			s.Models = append(s.Models, ModelState{name, o})
 		}
 	}
@@ -153,7 +153,7 @@
 	for i := range upstreams {
 		u := &upstreams[i]
 		s.Upstreams = append(s.Upstreams, UpstreamState{
-			u.ID, u.Service, u.Address, u.Hall, u.Domain, ages[u.ID].Milliseconds(), r.place(u), asked[u.ID], limits[u.ID], r.c.Unread.Of(u.ID),
+			u.ID, u.Service, u.Address, u.Hall, u.Domain, ages[u.ID].Milliseconds(), r.place(u), asked[u.ID], limits[u.ID], r.c.Unrecognized.Of(u.ID),
 		})
 	}
 	return s
@@ -161,7 +161,7 @@
 
 func (r *leadership) place(u *roster.Upstream) string {
 	if f := r.formations[u.Service]; f != nil && u.Domain != "" {
-		return f.Place(u.ID)
+		return f.DescribeUpstream(u.ID)
 	}
 	switch {
 	case r.c.machine.Drained().Has(u.Hall):
--- a/site/known_entries_test.go
+++ b/site/known_entries_test.go
@@ -50,7 +50,7 @@
 // The retries of all entries are bounded together: an entry does not take a new leader's short list for all there are.
 func TestBudgetsAfterAChangeOfLeaders(t *testing.T) {
 	cfg := settings.DefaultSite()
-	e := site.NewEntry(&cfg, relay.Names{}, transport.TCP())
+	e := site.NewEntry(&cfg, relay.HeaderNames{}, transport.TCP())
 	names := []string{"10.0.0.1:7400", "10.0.0.2:7400", "10.0.0.3:7400", "10.0.0.4:7400"}
 	e.Take(time.Now(), &site.SyncReply{Leadership: "a/1", Entries: 4, Lists: []site.EntryList{{"one", names}}})
 	e.Take(time.Now(), &site.SyncReply{Leadership: "b/2", Entries: 1, Lists: []site.EntryList{{"one", names[:1]}}})
--- a/site/leadership.go
+++ b/site/leadership.go
@@ -98,7 +98,7 @@
 	paced pacer
 	// apart is how many entries go by their own parts of upstreams' limits.
 	apart  map[ident.Incarnation]int
-	demand Rates
+	demand DemandRates
 	served bool
 	// undeclared are reports of upstreams whose service is not declared.
 	undeclared undeclared
@@ -161,7 +161,7 @@
 	}
 	var groups []roster.Group
 	for _, g := range copied.Groups {
-		if g.Inherited() {
+		if g.Inheritable() {
 			groups = append(groups, g)
 		}
 	}
@@ -229,11 +229,11 @@
 
 func (r *leadership) answered(a *orderAnswer) {
 	if f := r.formations[a.service]; f != nil {
-		f.Answered(&a.order, a.outcome)
+		f.HandleOutcome(&a.order, a.outcome)
 	}
 	r.c.tallies.order(a.order.Action, a.outcome)
 	r.c.Log.Info("order answered", "to", a.order.To, "action", a.order.Action, "group", a.order.Group, "epoch", a.order.Epoch, "outcome", a.outcome,
-		"known", a.order.Known)
+		"known", a.order.Context)
 }
 
 // step looks at every service with engines; without the lease nothing is ordered.
@@ -266,7 +266,7 @@
 			continue
 		}
 		f := r.formation(s.Name)
-		f.Early = r.early
+		f.BeforeFirstRequest = r.early
 		if !r.settled(now) || r.arriving(now, len(w.Upstreams)) {
 			f.Adopt(w, s.Engine)
 			continue
@@ -294,7 +294,7 @@
 
 // show brings the view for entries up to date.
 func (r *leadership) show(table *httproute.Table) {
-	r.view.Follow(func(name ident.Service) bool {
+	r.view.Update(func(name ident.Service) bool {
 		s := table.Service(name)
 		return s == nil || s.Engine == nil
 	})
@@ -331,7 +331,7 @@
 		return ident.Epoch(uint64(r.term)<<epochBits | r.counter)
 	}
 	f.Send = func(o replicaset.Order) { r.order(service, o) }
-	f.Note = func(g *roster.Group, decision, reason string) {
+	f.RecordDecision = func(g *roster.Group, decision, reason string) {
 		r.decisions.add(&GroupDecision{time.Now(), g.Name, g.Model, g.Members, decision, reason})
 		r.c.Log.Info("group "+decision, "group", g.Name, "epoch", g.Epoch, "model", g.Model, "members", g.Members, "far", g.Far, "reason", reason)
 	}
@@ -347,7 +347,7 @@
 		outcome := replicaset.OutcomeUnknown
 		// What it asked for binds orders too; the formation gives the order again.
 		if r.c.leads() && !r.c.waits(o.To) {
-			outcome = r.c.GiveOrder(ctx, &o)
+			outcome = r.c.SendOrder(ctx, &o)
 		}
 		select {
 		case r.answers <- orderAnswer{service, o, outcome}:
@@ -357,17 +357,17 @@
 	}()
 }
 
-func (r *leadership) world(now time.Time) *replicaset.World {
+func (r *leadership) world(now time.Time) *replicaset.Snapshot {
 	upstreams, ages := r.roster.Upstreams(now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.served {
 		r.early = false
 	}
-	w := &replicaset.World{
-		Now: now, Upstreams: upstreams, Ages: ages, Sights: r.sights(now), Demand: r.demand.At(now), Drained: r.c.drainedHalls(),
+	w := &replicaset.Snapshot{
+		Now: now, Upstreams: upstreams, ReportAges: ages, Observations: r.sights(now), Demand: r.demand.At(now), DrainedHalls: r.c.drainedHalls(),
 	}
 	r.probes.look(w, r.roster.Groups())
-	w.Dead = r.probes.dead(now, ages)
+	w.Unreachable = r.probes.dead(now, ages)
 	return w
 }
--- a/site/limits.go
+++ b/site/limits.go
@@ -19,8 +19,8 @@
 // and the end of a limit is not told.
 const limitTold = 5 * time.Second
 
-// LimitTold is the limit of an upstream, how long ago it said so, and how many entries go by their own parts of it.
-type LimitTold struct {
+// LimitSummary is the limit of an upstream, how long ago it said so, and how many entries go by their own parts of it.
+type LimitSummary struct {
 	Rate  ratelimit.Rate
 	Age   time.Duration
 	Apart int
@@ -31,32 +31,32 @@
 	for i := range call.Seen {
 		// What an entry heard of others is not passed on: the time that it was on its way would make it look younger each time.
 		if l := call.Seen[i].Limit; l != nil && l.Own {
-			c.limits.Hear(call.Seen[i].ID, l.Rate, now.Add(-l.Said))
+			c.limits.Merge(call.Seen[i].ID, l.Rate, now.Add(-l.Said))
 		}
 	}
 }
 
 // limitUpdates returns the limits of which the leader has heard lately, and those of which entries take their own parts; nil where there
 // are none.
-func (r *leadership) limitUpdates(now time.Time) map[ident.Incarnation]LimitTold {
+func (r *leadership) limitUpdates(now time.Time) map[ident.Incarnation]LimitSummary {
 	words := r.c.limits
-	if words.Limited() == 0 {
+	if words.Count() == 0 {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := map[ident.Incarnation]LimitTold{}
-	words.Each(func(id ident.Incarnation, w ratelimit.Word) {
-		age, apart := now.Sub(w.At), r.apart[id]
+	list := map[ident.Incarnation]LimitSummary{}
+	words.Each(func(id ident.Incarnation, w ratelimit.Limit) {
+		age, apart := now.Sub(w.LastSeen), r.apart[id]
 		if w.Limited() && (age < limitTold || apart > 0) {
-			list[id] = LimitTold{w.Rate, age, apart}
+			list[id] = LimitSummary{w.Rate, age, apart}
 		}
 	})
 	return list
 }
 
 // countApart counts the entries that go by their own parts of limits, by what one saw; the mutex is held.
-func (r *leadership) countApart(seen *relay.Seen, n int) {
+func (r *leadership) countApart(seen *relay.Observation, n int) {
 	if seen.Limit == nil || !seen.Limit.Apart {
 		return
 	}
@@ -111,14 +111,14 @@
 	}
 	entries := sharing.New("", halls)
 	for id, l := range states {
-		l.Coordinator = entries.First(string(id))
+		l.Coordinator = entries.Owner(string(id))
 		slices.SortFunc(l.Entries, func(a, b LimitShare) int { return cmp.Compare(a.Entry, b.Entry) })
 	}
 	return states
 }
 
 // with adds what an entry told of a limit so long ago.
-func (l *LimitState) with(entry string, seen *relay.LimitSeen, ago time.Duration) *LimitState {
+func (l *LimitState) with(entry string, seen *relay.LimitObservation, ago time.Duration) *LimitState {
 	said, since := (seen.Said + ago).Milliseconds(), (seen.Since + ago).Milliseconds()
 	if l == nil {
 		l = &LimitState{Limit: seen.Rate, SinceMS: since, SaidMS: said}
@@ -142,7 +142,7 @@
 func (e *Entry) applyLimits(r *SyncReply) {
 	var apart map[ident.Incarnation]int
 	for id, l := range r.Limits {
-		e.relay.HearLimit(id, l.Rate, l.Age)
+		e.relay.ApplyLimit(id, l.Rate, l.Age)
 		if l.Apart == 0 {
 			continue
 		}
@@ -151,5 +151,5 @@
 		}
 		apart[id] = l.Apart
 	}
-	e.relay.Limits.SetApart(apart)
+	e.relay.Limits.SetLocalShares(apart)
 }
--- a/site/limits_test.go
+++ b/site/limits_test.go
@@ -15,18 +15,18 @@
 	"github.com/dunlinquay/dunlinquay/site"
 )
 
-func limitSeen(id ident.Incarnation, l relay.LimitSeen) relay.Seen {
-	return relay.Seen{ID: id, Limit: &l}
+func limitSeen(id ident.Incarnation, l relay.LimitObservation) relay.Observation {
+	return relay.Observation{ID: id, Limit: &l}
 }
 
 // The leader passes on what upstreams told entries of their limits, not what entries told each other, and how many go by their own parts.
 func TestLimitsAreToldByTheLeader(t *testing.T) {
 	r := site.NewLeading()
-	r.Note(&site.SyncCall{From: "a", Entry: true, Seen: []relay.Seen{
-		limitSeen("u", relay.LimitSeen{Rate: 3, Own: true, Said: 300 * time.Millisecond, Apart: true}), limitSeen("v", relay.LimitSeen{Rate: 9}),
+	r.Note(&site.SyncCall{From: "a", Entry: true, Seen: []relay.Observation{
+		limitSeen("u", relay.LimitObservation{Rate: 3, Own: true, Said: 300 * time.Millisecond, Apart: true}), limitSeen("v", relay.LimitObservation{Rate: 9}),
 	}})
-	r.Note(&site.SyncCall{From: "b", Entry: true, Seen: []relay.Seen{
-		limitSeen("u", relay.LimitSeen{Rate: 2, Own: true, Said: 100 * time.Millisecond, Apart: true}),
+	r.Note(&site.SyncCall{From: "b", Entry: true, Seen: []relay.Observation{
+		limitSeen("u", relay.LimitObservation{Rate: 2, Own: true, Said: 100 * time.Millisecond, Apart: true}),
 	}})
 	got := r.LimitUpdates(clock.Now())
 	if l := got["u"]; len(got) != 1 || l.Rate != 2 || l.Apart != 2 || l.Age < 100*time.Millisecond || l.Age > 10*time.Second {
@@ -46,10 +46,10 @@
 func TestLimitsAreShown(t *testing.T) {
 	r := site.NewLeading()
 	counts := ratelimit.Counts{Granted: 7, Refused: 5, Own: 1, Unanswered: 2, Lately: 3}
-	r.Note(&site.SyncCall{From: "b", Entry: true, Seen: []relay.Seen{
-		limitSeen("u", relay.LimitSeen{Rate: 3, Own: true, Said: time.Hour, Since: 9 * time.Hour, Counts: counts, Apart: true}),
+	r.Note(&site.SyncCall{From: "b", Entry: true, Seen: []relay.Observation{
+		limitSeen("u", relay.LimitObservation{Rate: 3, Own: true, Said: time.Hour, Since: 9 * time.Hour, Counts: counts, Apart: true}),
 	}})
-	r.Note(&site.SyncCall{From: "a", Entry: true, Seen: []relay.Seen{limitSeen("u", relay.LimitSeen{Rate: 2, Said: time.Minute, Since: time.Minute})}})
+	r.Note(&site.SyncCall{From: "a", Entry: true, Seen: []relay.Observation{limitSeen("u", relay.LimitObservation{Rate: 2, Said: time.Minute, Since: time.Minute})}})
 	got := r.LimitStates(clock.Now())["u"]
 	if got == nil {
 		t.Fatal("not shown")
@@ -73,25 +73,25 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	type message struct {
-		news relay.News
+		news relay.EntryUpdate
 		from netip.AddrPort
 	}
 	heard := make(chan message, 1)
-	hearer, err := site.NewNeighbours(func(n relay.News, from netip.AddrPort) { heard <- message{n, from} })
+	hearer, err := site.NewNeighbours(func(n relay.EntryUpdate, from netip.AddrPort) { heard <- message{n, from} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	teller, err := site.NewNeighbours(func(relay.News, netip.AddrPort) {})
+	teller, err := site.NewNeighbours(func(relay.EntryUpdate, netip.AddrPort) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	teller.Set(hearer.Address(), teller.Address())
 	go hearer.Run(ctx)
 	go teller.Run(ctx)
-	for _, want := range []relay.News{
-		{Question: &ratelimit.Question[ident.Incarnation]{ID: 1 << 63, Key: "u@1767000000000", Rate: 3.6, Age: time.Second, Patience: time.Second}},
-		{Answer: &ratelimit.Answer[ident.Incarnation]{ID: 1 << 63, Key: "u@1767000000000", Rate: 3.6, Age: time.Hour, Grant: ratelimit.Grant{OK: true, After: time.Minute, Sharers: 300}}},
-		{Head: "u@1767000000000", Limit: &relay.LimitNews{Rate: 0.5, AgeMS: 12}},
+	for _, want := range []relay.EntryUpdate{
+		{PermitRequest: &ratelimit.PermitRequest[ident.Incarnation]{ID: 1 << 63, Key: "u@1767000000000", Rate: 3.6, Age: time.Second, Patience: time.Second}},
+		{PermitReply: &ratelimit.PermitReply[ident.Incarnation]{ID: 1 << 63, Key: "u@1767000000000", Rate: 3.6, Age: time.Hour, Grant: ratelimit.Grant{OK: true, After: time.Minute, Sharers: 300}}},
+		{Head: "u@1767000000000", Limit: &relay.LimitUpdate{Rate: 0.5, AgeMS: 12}},
 	} {
 		teller.Tell(want, hearer.Address())
 		select {
--- a/site/lists.go
+++ b/site/lists.go
@@ -33,7 +33,7 @@
 // ListChange leads from one list of the entries of a hall to the next one.
 type ListChange struct {
 	Hall ident.Hall
-	Base ListName
+	Base ListDigest
 	Came []string
 	Went []string
 }
@@ -48,7 +48,7 @@
 
 // namedList is a list of entries and its digest.
 type namedList struct {
-	name ListName
+	name ListDigest
 	list []string
 }
 
@@ -66,7 +66,7 @@
 
 type listKey struct {
 	hall ident.Hall
-	base ListName
+	base ListDigest
 }
 
 func newEntryLists() *entryLists {
@@ -98,7 +98,7 @@
 }
 
 // change returns what leads from a list of a hall to the newest one, nil where that list is not known.
-func (l *entryLists) change(hall ident.Hall, base ListName) *ListChange {
+func (l *entryLists) change(hall ident.Hall, base ListDigest) *ListChange {
 	key := listKey{hall, base}
 	if c, ok := l.changes[key]; ok {
 		return c
--- a/site/members.go
+++ b/site/members.go
@@ -51,7 +51,7 @@
 			c.admit(ctx, &s)
 		case c.Settings.FirstStart && !c.working(&s) && c.isFirstSeed():
 			c.form(ctx, &s)
-		case clock.Since(s.Heard) > joinAfter || !isMember(&s, c.self):
+		case clock.Since(s.LastContact) > joinAfter || !isMember(&s, c.self):
 			c.askToJoin()
 		}
 		pause(ctx, memberInterval)
@@ -229,8 +229,8 @@
 func silences(now time.Time, s *quorum.Status) map[quorum.MemberID]time.Duration {
 	list := map[quorum.MemberID]time.Duration{}
 	for _, f := range s.Followers {
-		list[f.ID] = now.Sub(f.Acked)
-		if f.Lost {
+		list[f.ID] = now.Sub(f.LastAck)
+		if f.LostData {
 			list[f.ID] = time.Hour
 		}
 	}
--- a/site/members_test.go
+++ b/site/members_test.go
@@ -22,17 +22,17 @@
 	s := &quorum.Status{ID: id("a", "1"), Role: quorum.RoleLeader}
 	for _, m := range members {
 		member := quorum.Member{ID: id(m[:1], m[1:2]), Voter: true}
-		f := quorum.Follower{ID: member.ID, Acked: now}
+		f := quorum.Follower{ID: member.ID, LastAck: now}
 		for _, mark := range m[2:] {
 			switch mark {
 			case '-':
-				f.Acked = now.Add(-time.Minute)
+				f.LastAck = now.Add(-time.Minute)
 			case '~':
-				f.Acked = now.Add(-time.Second)
+				f.LastAck = now.Add(-time.Second)
 			case '?':
 				member.Voter = false
 			case '!':
-				f.Lost = true
+				f.LostData = true
 			}
 		}
 		s.Members = append(s.Members, member)
--- a/site/memory.go
+++ b/site/memory.go
@@ -41,7 +41,7 @@
 	for ctx.Err() == nil {
 		pause(ctx, memoryInterval)
 		name, d := c.newestRoster()
-		held := c.held.Sum(clock.Now())
+		held := c.held.Digest(clock.Now())
 		if d == nil || name == leadership && d.Revision == written && held == sum {
 			continue
 		}
@@ -64,12 +64,12 @@
 	if c.copiedAt.IsZero() {
 		return "", nil
 	}
-	d := c.copied.Whole()
+	d := c.copied.FullDelta()
 	return c.copiedOf, &d
 }
 
 func (c *Control) remember(d *roster.Delta) error {
-	held := c.held.HeldNow(clock.Now())
+	held := c.held.Quarantined(clock.Now())
 	content, err := cbor.Marshal(remembered{d.Upstreams, d.Groups, held[:min(len(held), heldKept)]})
 	if err != nil {
 		return err
--- a/site/messages.go
+++ b/site/messages.go
@@ -13,8 +13,8 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// Nothing is an empty argument or reply.
-type Nothing struct{}
+// Empty is an empty argument or reply.
+type Empty struct{}
 
 // DeliverCall carries messages of the replicated log.
 type DeliverCall struct {
@@ -54,16 +54,16 @@
 	Leadership LeadershipID
 	Revision   roster.Revision
 	// Sums are the digests of the caller's copy of the roster, when it may be of a former leader.
-	Sums    *roster.Sums
+	Sums    *roster.Digests
 	Version httproute.Version
 	// Drains is the revision of the drained halls that the caller has.
 	Drains catalog.DrainRevision
 	// Whole is set by a daemon that needs the configuration whole.
 	Whole  bool
-	Seen   []relay.Seen
+	Seen   []relay.Observation
 	Demand map[ident.Model]relay.Demand
 	// Entries names the lists of entries that the caller has.
-	Entries map[ident.Hall]ListName
+	Entries map[ident.Hall]ListDigest
 	// Held tells of works under which upstreams ended, when the caller knows of others than the leader; HeldSum is the digest of all
 	// that it has to tell.
 	Held    []quarantine.Report
@@ -72,8 +72,8 @@
 	Unread map[ident.Incarnation][]string
 }
 
-// ListName is a digest of a list of addresses, 0 of none.
-type ListName uint64
+// ListDigest is a digest of a list of addresses, 0 of none.
+type ListDigest uint64
 
 // SyncReply is what is new at the leader. Unless Leads is set, only Leader and Controls count.
 type SyncReply struct {
@@ -97,7 +97,7 @@
 	// Totals are the requests of all entries at each upstream (totals.go).
 	Totals []byte
 	// Limits are the limits of upstreams that entries were told of lately.
-	Limits map[ident.Incarnation]LimitTold
+	Limits map[ident.Incarnation]LimitSummary
 	// Entries is how many entries there are, Lists are those of the halls of which the caller has another list, ListChanges what leads to
 	// them where that is known.
 	Entries     int
@@ -129,8 +129,8 @@
 	CallDrain   CallKind = "drain"
 )
 
-// PassCall is one call that the leader must answer.
-type PassCall struct {
+// ForwardedCall is one call that the leader must answer.
+type ForwardedCall struct {
 	Kind CallKind
 	// From is the daemon that took the call.
 	From     string
@@ -142,8 +142,8 @@
 	Drain *catalog.DrainOrder
 }
 
-// PassReply is the leader's answer; Code is 0 when the call succeeded.
-type PassReply struct {
+// ForwardedReply is the leader's answer; Code is 0 when the call succeeded.
+type ForwardedReply struct {
 	Code    result.Code
 	Text    string
 	Address string
--- a/site/neighbours.go
+++ b/site/neighbours.go
@@ -39,7 +39,7 @@
 )
 
 // nameList returns the digest of a list.
-func nameList(list []string) ListName {
+func nameList(list []string) ListDigest {
 	if len(list) == 0 {
 		return 0
 	}
@@ -48,12 +48,12 @@
 		_, _ = h.Write([]byte(address)) // a hash takes everything
 		_, _ = h.Write([]byte{0})
 	}
-	return ListName(h.Sum64())
+	return ListDigest(h.Sum64())
 }
 
 // toldNews are news and those who are told, nobody for all.
 type toldNews struct {
-	news relay.News
+	news relay.EntryUpdate
 	to   []string
 }
 
@@ -66,7 +66,7 @@
 // neighbours sends news to the other entries and takes theirs. Fields are set before run.
 type neighbours struct {
 	// hear takes what another entry sent.
-	hear func(n relay.News, from netip.AddrPort)
+	hear func(n relay.EntryUpdate, from netip.AddrPort)
 	log  logr.Logger
 
 	waiting chan toldNews
@@ -74,7 +74,7 @@
 	// knownEntries is the entries, names the names of the leader's lists of them, and known how many entries count; all belong to the goroutine
 	// that follows the leader.
 	entries *knownEntries
-	names   map[ident.Hall]ListName
+	names   map[ident.Hall]ListDigest
 	known   int
 	// allowed is how many datagrams may tell of prompts now, since when that was counted, next whose turn it is.
 	allowed float64
@@ -82,12 +82,12 @@
 	next    int
 }
 
-func newNeighbours(hear func(n relay.News, from netip.AddrPort)) *neighbours {
-	return &neighbours{hear: hear, log: logr.Discard(), waiting: make(chan toldNews, newsWaiting), entries: newKnownEntries(), names: map[ident.Hall]ListName{}}
+func newNeighbours(hear func(n relay.EntryUpdate, from netip.AddrPort)) *neighbours {
+	return &neighbours{hear: hear, log: logr.Discard(), waiting: make(chan toldNews, newsWaiting), entries: newKnownEntries(), names: map[ident.Hall]ListDigest{}}
 }
 
 // tell sends n to those in a list, or to all entries without one, in the background.
-func (b *neighbours) tell(n relay.News, to []string) {
+func (b *neighbours) tell(n relay.EntryUpdate, to []string) {
 	if b.all.Load() == nil {
 		return
 	}
@@ -171,7 +171,7 @@
 		return
 	}
 	to := b.all.Load().of(n.to)
-	if n.news.OfPrompt() {
+	if n.news.IsPrompt() {
 		// What is said of whether a group works is little, and all of it counts.
 		to = b.told(clock.Now(), to)
 	}
@@ -222,7 +222,7 @@
 			pause(ctx, askPause)
 			continue
 		}
-		var news relay.News
+		var news relay.EntryUpdate
 		if err := cbor.Unmarshal(buf[:n], &news); err != nil {
 			b.log.Info("a datagram is no news", "from", from.String(), "error", err.Error())
 			continue
--- a/site/neighbours_test.go
+++ b/site/neighbours_test.go
@@ -17,10 +17,10 @@
 	"github.com/dunlinquay/dunlinquay/site"
 )
 
-func startNeighbours(t *testing.T) (site.Neighbours, chan relay.News) {
+func startNeighbours(t *testing.T) (site.Neighbours, chan relay.EntryUpdate) {
 	t.Helper()
-	heard := make(chan relay.News, 8)
-	n, err := site.NewNeighbours(func(s relay.News, _ netip.AddrPort) { heard <- s })
+	heard := make(chan relay.EntryUpdate, 8)
+	n, err := site.NewNeighbours(func(s relay.EntryUpdate, _ netip.AddrPort) { heard <- s })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,13 +47,13 @@
 	if _, err := conn.Write([]byte("no news")); err != nil {
 		t.Fatal(err)
 	}
-	a.Tell(relay.News{Head: "lost", Prompt: 1}) // there are no neighbours yet
+	a.Tell(relay.EntryUpdate{Head: "lost", PromptTokens: 1}) // there are no neighbours yet
 	a.Set(b.Address(), "no address", "127.0.0.1:1", c.Address())
 	c.Set(a.Address())
-	a.Tell(relay.News{Head: "h", Prompt: 700})
-	c.Tell(relay.News{Head: "g", Prompt: 20})
-	got := []relay.News{<-heardByA, <-heardByB, <-heardByC}
-	want := []relay.News{{Head: "g", Prompt: 20}, {Head: "h", Prompt: 700}, {Head: "h", Prompt: 700}}
+	a.Tell(relay.EntryUpdate{Head: "h", PromptTokens: 700})
+	c.Tell(relay.EntryUpdate{Head: "g", PromptTokens: 20})
+	got := []relay.EntryUpdate{<-heardByA, <-heardByB, <-heardByC}
+	want := []relay.EntryUpdate{{Head: "g", PromptTokens: 20}, {Head: "h", PromptTokens: 700}, {Head: "h", PromptTokens: 700}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("heard (-want +got):\n%s", diff)
 	}
@@ -101,10 +101,10 @@
 	b, heardByB := startNeighbours(t)
 	c, heardByC := startNeighbours(t)
 	a.Set(a.Address(), b.Address(), c.Address())
-	a.Tell(relay.News{Head: "first", Prompt: 1}, c.Address(), "10.9.9.9:1")
-	a.Tell(relay.News{Head: "second", Prompt: 2})
-	got := []relay.News{<-heardByB, <-heardByC, <-heardByC}
-	want := []relay.News{{Head: "second", Prompt: 2}, {Head: "first", Prompt: 1}, {Head: "second", Prompt: 2}}
+	a.Tell(relay.EntryUpdate{Head: "first", PromptTokens: 1}, c.Address(), "10.9.9.9:1")
+	a.Tell(relay.EntryUpdate{Head: "second", PromptTokens: 2})
+	got := []relay.EntryUpdate{<-heardByB, <-heardByC, <-heardByC}
+	want := []relay.EntryUpdate{{Head: "second", PromptTokens: 2}, {Head: "first", PromptTokens: 1}, {Head: "second", PromptTokens: 2}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("heard (-want +got):\n%s", diff)
 	}
@@ -114,7 +114,7 @@
 func TestListsOfEntries(t *testing.T) {
 	r := site.NewLeading()
 	call := func(from string, hall ident.Hall) *site.SyncCall {
-		return &site.SyncCall{From: from, Hall: hall, Entry: true, Entries: map[ident.Hall]site.ListName{}}
+		return &site.SyncCall{From: from, Hall: hall, Entry: true, Entries: map[ident.Hall]site.ListDigest{}}
 	}
 	for _, c := range []*site.SyncCall{call("b", "one"), call("a", "one"), call("c", "two"), call("a", "one")} {
 		r.Note(c)
--- a/site/numbers.go
+++ b/site/numbers.go
@@ -22,7 +22,7 @@
 // tryKey is one way in which tries end.
 type tryKey struct {
 	result string
-	cut    relay.Cut
+	cut    relay.ConnFailure
 }
 
 // otherSeries names what is counted together.
@@ -92,31 +92,31 @@
 		s.codes[r.Code] = c
 	}
 	c.Inc(1)
-	if r.First > 0 {
-		s.first.RecordDuration(r.First)
+	if r.FirstEvent > 0 {
+		s.first.RecordDuration(r.FirstEvent)
 	}
 	s.total.RecordDuration(r.Total)
-	for i := range r.Tries {
-		n.countTry(&r.Tries[i])
+	for i := range r.Attempts {
+		n.countTry(&r.Attempts[i])
 	}
 	// Only models that the configuration declares have an expectation, so callers can't make up series.
-	if r.Expected > 0 && r.First > 0 && len(r.Tries) == 1 {
+	if r.ExpectedFirstEvent > 0 && r.FirstEvent > 0 && len(r.Attempts) == 1 {
 		w := n.words(r.Model)
-		w.expected.RecordDuration(r.Expected)
-		w.seen.RecordDuration(r.First)
-		w.off.RecordDuration((r.First - r.Expected).Abs())
+		w.expected.RecordDuration(r.ExpectedFirstEvent)
+		w.seen.RecordDuration(r.FirstEvent)
+		w.off.RecordDuration((r.FirstEvent - r.ExpectedFirstEvent).Abs())
 	}
 }
 
 // countTry counts how a try ended, and in which way its connection did where it has no whole answer; the mutex is held.
-func (n *numbers) countTry(t *relay.Try) {
-	key := tryKey{t.Result, t.Cut}
+func (n *numbers) countTry(t *relay.Attempt) {
+	key := tryKey{t.Result, t.ConnFailure}
 	c := n.tries[key]
 	if c == nil {
 		if len(n.tries) >= maxTrySeries {
 			return
 		}
-		c = n.scope.Tagged(map[string]string{"result": t.Result, "cut": string(t.Cut)}).Counter("tries")
+		c = n.scope.Tagged(map[string]string{"result": t.Result, "cut": string(t.ConnFailure)}).Counter("tries")
 		n.tries[key] = c
 	}
 	c.Inc(1)
@@ -160,9 +160,9 @@
 // observe counts a finished request and writes its line.
 func (e *Entry) observe(r *relay.Record) {
 	e.numbers.observe(r)
-	e.Requests.Info("request", "id", r.ID, "route", r.Route, "customer", r.Customer, "model", r.Model, "content", r.Content.String(),
-		"code", int(r.Code), "status", r.Status, "text", r.Text, "version", r.Version, "revision", r.Revision,
-		"confirmed-age-ms", r.ConfirmedAge.Milliseconds(), "tries", r.Tries, "prompt", int(r.Prompt), "events", r.Events,
-		"first-ms", r.First.Milliseconds(), "gap-ms", r.Gap.Milliseconds(), "total-ms", r.Total.Milliseconds(), "spent-ms", r.Spent.Milliseconds(), "retry-ms", r.Retry.Milliseconds(),
+	e.RequestLog.Info("request", "id", r.ID, "route", r.Route, "customer", r.Customer, "model", r.Model, "content", r.Content.String(),
+		"code", int(r.Code), "status", r.Status, "text", r.ErrorText, "version", r.Version, "revision", r.Revision,
+		"confirmed-age-ms", r.ConfirmedAge.Milliseconds(), "tries", r.Attempts, "prompt", int(r.Prompt), "events", r.Events,
+		"first-ms", r.FirstEvent.Milliseconds(), "gap-ms", r.MaxEventGap.Milliseconds(), "total-ms", r.Total.Milliseconds(), "spent-ms", r.PriorElapsed.Milliseconds(), "retry-ms", r.RetryAfter.Milliseconds(),
 		"limit-waits", r.LimitWaits)
 }
--- a/site/paces.go
+++ b/site/paces.go
@@ -73,7 +73,7 @@
 }
 
 // note takes the pauses that an entry saw.
-func (p *paces) note(now time.Time, seen []relay.Seen) {
+func (p *paces) note(now time.Time, seen []relay.Observation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range seen {
@@ -93,7 +93,7 @@
 }
 
 // look adds what is known to the world and asks the members of groups that seem slow.
-func (p *paces) look(w *replicaset.World, groups []roster.Group, table *httproute.Table) {
+func (p *paces) look(w *replicaset.Snapshot, groups []roster.Group, table *httproute.Table) {
 	if p.ask == nil {
 		return
 	}
@@ -106,11 +106,11 @@
 	p.forget(groups, upstreams)
 	for i := range groups {
 		g := &groups[i]
-		sight := w.Sights[g.Name]
-		sight.Pause = p.pause(w.Now, g.Name)
-		w.Sights[g.Name] = sight
-		stands := sight.Stands || sight.Stalled >= standsFor
-		if g.Phase == roster.PhaseOpen && (stands || sight.Stalled >= probeAfter || seemsSlow(table, g, sight.Pause)) {
+		sight := w.Observations[g.Name]
+		sight.EventGap = p.pause(w.Now, g.Name)
+		w.Observations[g.Name] = sight
+		stands := sight.StallConfirmed || sight.StalledFor >= standsFor
+		if g.Phase == roster.PhaseOpen && (stands || sight.StalledFor >= probeAfter || seemsSlow(table, g, sight.EventGap)) {
 			again := paceCalm
 			if stands {
 				again = paceStill
@@ -120,12 +120,12 @@
 			}
 		}
 	}
-	w.Paces = map[ident.Incarnation]float64{}
+	w.Slowdowns = map[ident.Incarnation]float64{}
 	for id, a := range p.answers {
-		if a.pace < replicaset.SlowPace || w.Now.Sub(a.told) > paceFor {
+		if a.pace < replicaset.SlowdownLimit || w.Now.Sub(a.told) > paceFor {
 			continue
 		}
-		w.Paces[id] = a.pace
+		w.Slowdowns[id] = a.pace
 		p.question(w.Now, upstreams[id], paceAgain)
 	}
 }
@@ -198,7 +198,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a := p.answers[id]
-	if (pace >= replicaset.SlowPace) != (a.pace >= replicaset.SlowPace) {
+	if (pace >= replicaset.SlowdownLimit) != (a.pace >= replicaset.SlowdownLimit) {
 		p.log.Info("pace of an upstream changed", "upstream", id, "from", a.pace, "to", pace)
 	}
 	a.told, a.pace = clock.Now(), pace
--- a/site/paces_test.go
+++ b/site/paces_test.go
@@ -60,13 +60,13 @@
 		groups := []roster.Group{group("slow", false, "a", "b"), group("usual", false, "c", "d"), group("far", true, "e", "f")}
 		stands := false
 		look := func(stalled time.Duration) map[ident.Incarnation]float64 {
-			w := &replicaset.World{Now: time.Now(), Sights: map[ident.Group]replicaset.Sight{"usual": {Stalled: stalled, Stands: stands}}}
+			w := &replicaset.Snapshot{Now: time.Now(), Observations: map[ident.Group]replicaset.Observation{"usual": {StalledFor: stalled, StallConfirmed: stands}}}
 			for _, id := range []ident.Incarnation{"a", "b", "c", "d", "e", "f"} {
 				w.Upstreams = append(w.Upstreams, roster.Upstream{ID: id, Address: string(id) + ":1"})
 			}
 			p.Look(w, groups, table)
 			synctest.Wait()
-			return w.Paces
+			return w.Slowdowns
 		}
 		expect := func(what string, want []ident.Incarnation, paces, wantPaces map[ident.Incarnation]float64) {
 			t.Helper()
@@ -80,7 +80,7 @@
 		none := map[ident.Incarnation]float64{}
 		slow := map[ident.Incarnation]float64{"b": 6}
 		// At a full group events come each 135 ms, across domains each 405 ms.
-		p.Note(time.Now(), []relay.Seen{
+		p.Note(time.Now(), []relay.Observation{
 			{Group: "slow", Events: 10, Pauses: 3 * time.Second}, {Group: "usual", Events: 10, Pauses: time.Second}, {Group: "far", Events: 10, Pauses: 3 * time.Second},
 		})
 		expect("long pauses", []ident.Incarnation{"a", "b"}, look(0), none)
@@ -96,7 +96,7 @@
 		expect("a moment after it said so", nil, look(0), none)
 		time.Sleep(3 * time.Second)
 		e.paces["b"] = 6
-		p.Note(time.Now(), []relay.Seen{{Group: "slow", Events: 10, Pauses: 3 * time.Second}})
+		p.Note(time.Now(), []relay.Observation{{Group: "slow", Events: 10, Pauses: 3 * time.Second}})
 		expect("long pauses again", []ident.Incarnation{"a", "b"}, look(0), none)
 		expect("slow again", nil, look(0), slow)
 		delete(e.paces, "b")
--- a/site/packed.go
+++ b/site/packed.go
@@ -95,7 +95,7 @@
 	case call.Leadership == r.name:
 		reply.Changes = shown.Since(call.Revision)
 	case call.Sums != nil:
-		reply.Changes = shown.Differing(call.Sums)
+		reply.Changes = shown.Diff(call.Sums)
 	default:
 		reply.Changes = roster.Delta{Full: true}
 	}
--- a/site/peers.go
+++ b/site/peers.go
@@ -28,9 +28,9 @@
 	Hello   func() HelloReply
 	Join    func(c *JoinCall) JoinReply
 	Sync    func(c *SyncCall) SyncReply
-	Pass    func(c *PassCall) PassReply
+	Pass    func(c *ForwardedCall) ForwardedReply
 	Inspect func() InspectReply
-	Drain   func(o *catalog.DrainOrder) PassReply
+	Drain   func(o *catalog.DrainOrder) ForwardedReply
 }
 
 // Service is the receiver that net/rpc calls; its methods are the wire interface.
@@ -39,13 +39,13 @@
 }
 
 // Deliver takes log messages.
-func (s *Service) Deliver(c *DeliverCall, _ *Nothing) error {
+func (s *Service) Deliver(c *DeliverCall, _ *Empty) error {
 	s.handlers.Deliver(c.Messages)
 	return nil
 }
 
 // Hello says who this daemon is.
-func (s *Service) Hello(_ *Nothing, reply *HelloReply) error {
+func (s *Service) Hello(_ *Empty, reply *HelloReply) error {
 	*reply = s.handlers.Hello()
 	return nil
 }
@@ -63,19 +63,19 @@
 }
 
 // Pass answers a call that another daemon took.
-func (s *Service) Pass(c *PassCall, reply *PassReply) error {
+func (s *Service) Pass(c *ForwardedCall, reply *ForwardedReply) error {
 	*reply = s.handlers.Pass(c)
 	return nil
 }
 
 // Inspect tells operators the state of the site.
-func (s *Service) Inspect(_ *Nothing, reply *InspectReply) error {
+func (s *Service) Inspect(_ *Empty, reply *InspectReply) error {
 	*reply = s.handlers.Inspect()
 	return nil
 }
 
 // Drain takes an operator's order on a hall.
-func (s *Service) Drain(o *catalog.DrainOrder, reply *PassReply) error {
+func (s *Service) Drain(o *catalog.DrainOrder, reply *ForwardedReply) error {
 	*reply = s.handlers.Drain(o)
 	return nil
 }
@@ -138,7 +138,7 @@
 		case m := <-l.queue:
 			call := &DeliverCall{Messages: l.gather(m)}
 			// The protocol of the log sends again what is lost.
-			_ = l.Call(ctx, deliverTimeout, "Deliver", call, &Nothing{})
+			_ = l.Call(ctx, deliverTimeout, "Deliver", call, &Empty{})
 		}
 	}
 }
@@ -158,7 +158,7 @@
 
 func (p *peers) hello(address string) (HelloReply, error) {
 	var reply HelloReply
-	err := p.to(address).Call(p.ctx, callTimeout, "Hello", &Nothing{}, &reply)
+	err := p.to(address).Call(p.ctx, callTimeout, "Hello", &Empty{}, &reply)
 	return reply, err
 }
 
@@ -175,8 +175,8 @@
 	return reply, err
 }
 
-func (p *peers) pass(ctx context.Context, address string, timeout time.Duration, call *PassCall) (PassReply, error) {
-	var reply PassReply
+func (p *peers) pass(ctx context.Context, address string, timeout time.Duration, call *ForwardedCall) (ForwardedReply, error) {
+	var reply ForwardedReply
 	err := p.to(address).Call(ctx, timeout, "Pass", call, &reply)
 	return reply, err
 }
--- a/site/probes.go
+++ b/site/probes.go
@@ -43,7 +43,7 @@
 }
 
 // look probes the members of every group that stands still.
-func (p *probes) look(w *replicaset.World, groups []roster.Group) {
+func (p *probes) look(w *replicaset.Snapshot, groups []roster.Group) {
 	addresses := map[ident.Incarnation]string{}
 	for i := range w.Upstreams {
 		addresses[w.Upstreams[i].ID] = w.Upstreams[i].Address
@@ -51,7 +51,7 @@
 	for i := range groups {
 		g := &groups[i]
 		ending := g.Phase == roster.PhaseLeaving || g.Phase == roster.PhaseClosing
-		if sight := w.Sights[g.Name]; !ending && !sight.Stands && sight.Stalled < probeAfter {
+		if sight := w.Observations[g.Name]; !ending && !sight.StallConfirmed && sight.StalledFor < probeAfter {
 			continue
 		}
 		for _, id := range g.Members {
--- a/site/rate.go
+++ b/site/rate.go
@@ -24,9 +24,9 @@
 	rateLimit   = 5 * time.Second
 )
 
-// Rates are averages of the work a second that was asked of each model; they fade with time. Every entry has its own: after a
+// DemandRates are averages of the work a second that was asked of each model; they fade with time. Every entry has its own: after a
 // change of leaders entries come one after the other, and what one was asked for before it came is not known.
-type Rates struct {
+type DemandRates struct {
 	entries map[string]*entryRates
 	first   time.Time
 	newest  time.Time
@@ -45,15 +45,15 @@
 	requests float64
 }
 
-// Asked is the work that was asked of a model, in upstream-seconds, and the requests that asked for it.
-type Asked struct {
-	Work     float64
-	Requests int
+// ModelDemand is the work that was asked of a model, in upstream-seconds, and the requests that asked for it.
+type ModelDemand struct {
+	UpstreamSeconds float64
+	Requests        int
 }
 
-// Hear takes the work that an entry was asked for since it was last heard; the first time it only begins to count. Nothing
+// Add takes the work that an entry was asked for since it was last heard; the first time it only begins to count. Nothing
 // counts before the first request to any of them.
-func (r *Rates) Hear(now time.Time, entry string, asked map[ident.Model]Asked) {
+func (r *DemandRates) Add(now time.Time, entry string, asked map[ident.Model]ModelDemand) {
 	if r.entries == nil && len(asked) == 0 {
 		return
 	}
@@ -65,14 +65,14 @@
 	e.fade(now)
 	for model, a := range asked {
 		v := e.values[model]
-		v.slow += a.Work * math.Ln2 / rateHalf.Seconds()
-		v.quick += a.Work * math.Ln2 / quickHalf.Seconds()
+		v.slow += a.UpstreamSeconds * math.Ln2 / rateHalf.Seconds()
+		v.quick += a.UpstreamSeconds * math.Ln2 / quickHalf.Seconds()
 		v.requests += float64(a.Requests) * math.Ln2 / quickHalf.Seconds()
 		e.values[model] = v
 	}
 }
 
-func (r *Rates) enter(now time.Time, entry string) {
+func (r *DemandRates) enter(now time.Time, entry string) {
 	if r.entries == nil {
 		r.entries = map[string]*entryRates{}
 		r.first = now
@@ -82,12 +82,12 @@
 }
 
 // Forget drops an entry that has ended: its callers go to others.
-func (r *Rates) Forget(entry string) {
+func (r *DemandRates) Forget(entry string) {
 	delete(r.entries, entry)
 }
 
 // At returns the rates, nothing until they are known.
-func (r *Rates) At(now time.Time) map[ident.Model]float64 {
+func (r *DemandRates) At(now time.Time) map[ident.Model]float64 {
 	age := now.Sub(r.first)
 	if r.entries == nil || age < rateKnown || age < rateLimit && now.Sub(r.newest) < rateSettled {
 		return nil
--- a/site/rate_test.go
+++ b/site/rate_test.go
@@ -12,10 +12,10 @@
 )
 
 // asked is work of so many seconds for each model, of two requests each.
-func asked(work map[ident.Model]float64) map[ident.Model]site.Asked {
-	list := map[ident.Model]site.Asked{}
+func asked(work map[ident.Model]float64) map[ident.Model]site.ModelDemand {
+	list := map[ident.Model]site.ModelDemand{}
 	for model, w := range work {
-		list[model] = site.Asked{Work: w, Requests: 2}
+		list[model] = site.ModelDemand{UpstreamSeconds: w, Requests: 2}
 	}
 	return list
 }
@@ -28,12 +28,12 @@
 // the same time: the first request for one of them may come later.
 func TestRatesDoNotStartLow(t *testing.T) {
 	start := time.Unix(1000, 0)
-	r := &site.Rates{}
+	r := &site.DemandRates{}
 	if got := r.At(start); got != nil {
 		t.Fatalf("rates of nothing: %v", got)
 	}
 	for i := range 20 {
-		r.Hear(start.Add(time.Duration(i-100)*100*time.Millisecond), "e", nil)
+		r.Add(start.Add(time.Duration(i-100)*100*time.Millisecond), "e", nil)
 	}
 	for i := range 200 {
 		now := start.Add(time.Duration(i) * 100 * time.Millisecond)
@@ -41,7 +41,7 @@
 		if i%5 == 4 {
 			work["now and then"] = 2.5
 		}
-		r.Hear(now, "e", asked(work))
+		r.Add(now, "e", asked(work))
 		got := r.At(now)
 		if i < 15 && got != nil {
 			t.Fatalf("%v on: rates of %v are known already", now.Sub(start), got)
@@ -58,7 +58,7 @@
 // After a change of leaders entries come one after the other; their rates are known once all are there, and are right then.
 func TestRatesOfEntriesThatComeInTurn(t *testing.T) {
 	start := time.Unix(1000, 0)
-	r := &site.Rates{}
+	r := &site.DemandRates{}
 	known := time.Duration(0)
 	for i := range 100 {
 		since := time.Duration(i) * 100 * time.Millisecond
@@ -69,7 +69,7 @@
 				if since == at {
 					work = 5
 				}
-				r.Hear(start.Add(since), fmt.Sprint(e), asked(map[ident.Model]float64{"m": work}))
+				r.Add(start.Add(since), fmt.Sprint(e), asked(map[ident.Model]float64{"m": work}))
 			}
 		}
 		got := r.At(start.Add(since))
@@ -98,11 +98,11 @@
 // Where entries restart all the time rates are known all the same.
 func TestRatesWhereEntriesRestart(t *testing.T) {
 	start := time.Unix(1000, 0)
-	r := &site.Rates{}
+	r := &site.DemandRates{}
 	for i := range 60 {
 		now := start.Add(time.Duration(i) * 100 * time.Millisecond)
-		r.Hear(now, "steady", asked(map[ident.Model]float64{"m": 0.5}))
-		r.Hear(now, fmt.Sprint(i/5), nil)
+		r.Add(now, "steady", asked(map[ident.Model]float64{"m": 0.5}))
+		r.Add(now, fmt.Sprint(i/5), nil)
 		if got := r.At(now); (got == nil) != (i < 50) {
 			t.Fatalf("%v on: %v", now.Sub(start), got)
 		}
@@ -124,7 +124,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(1, 1))
 			start := time.Unix(1000, 0)
-			r := &site.Rates{}
+			r := &site.DemandRates{}
 			usual := 1.4 // the mean of the sizes below
 			for i := range 400 {
 				now := start.Add(time.Duration(i) * 100 * time.Millisecond)
@@ -132,11 +132,11 @@
 				if i >= 200 {
 					times = 1.6
 				}
-				a := site.Asked{}
+				a := site.ModelDemand{}
 				for a.Requests = 0; float64(a.Requests) < times*c.requests/10; a.Requests++ {
-					a.Work += []float64{0.2, 0.4, 0.8, 1.6, 4}[random.IntN(5)]
+					a.UpstreamSeconds += []float64{0.2, 0.4, 0.8, 1.6, 4}[random.IntN(5)]
 				}
-				r.Hear(now, "e", map[ident.Model]site.Asked{"m": a})
+				r.Add(now, "e", map[ident.Model]site.ModelDemand{"m": a})
 				got := r.At(now)["m"] / (usual * c.requests)
 				if i >= 60 && i < 200 && math.Abs(got-1) > 0.25 {
 					t.Fatalf("%.2f of the usual rate after %v", got, now.Sub(start))
--- a/site/site_test.go
+++ b/site/site_test.go
@@ -115,9 +115,9 @@
 	if d.dial != nil {
 		c.Dial = d.dial
 	}
-	c.GiveOrder = func(context.Context, *replicaset.Order) replicaset.Outcome { return replicaset.OutcomeRefused }
+	c.SendOrder = func(context.Context, *replicaset.Order) replicaset.Outcome { return replicaset.OutcomeRefused }
 	c.Handler = http.NotFoundHandler()
-	c.Reread = func() (*settings.Site, error) { return cfg, nil }
+	c.LoadSettings = func() (*settings.Site, error) { return cfg, nil }
 	d.start(host, c.Run)
 	d.running[host].control = c
 }
@@ -135,10 +135,10 @@
 	if dial == nil {
 		dial = transport.TCP()
 	}
-	e := site.NewEntry(cfg, relay.Names{RequestID: "Request", Deadline: "Deadline", Key: "Key", Customer: "Customer", Incarnation: "Life"}, dial)
+	e := site.NewEntry(cfg, relay.HeaderNames{RequestID: "Request", Deadline: "Deadline", Key: "Key", Customer: "Customer", Incarnation: "Life"}, dial)
 	e.DecodeConfig = decode
-	e.Ready = func(func() bool) http.Handler { return http.NotFoundHandler() }
-	e.Reread = func() (*settings.Site, error) { return cfg, nil }
+	e.ReadyHandler = func(func() bool) http.Handler { return http.NotFoundHandler() }
+	e.LoadSettings = func() (*settings.Site, error) { return cfg, nil }
 	d.start(host, e.Run)
 	d.running[host].entry = e
 }
--- a/site/undeclared.go
+++ b/site/undeclared.go
@@ -66,6 +66,6 @@
 	list := r.undeclared.declared(now, table, r.roster.SilentAfter)
 	r.mu.Unlock()
 	for _, report := range list {
-		r.roster.Take(report.at, report.Report)
+		r.roster.ApplyReport(report.at, report.Report)
 	}
 }
--- a/site/unread.go
+++ b/site/unread.go
@@ -69,7 +69,7 @@
 
 // tellAllUnread lets the next calls tell a new leader of all words.
 func (e *Entry) tellAllUnread() {
-	e.relay.Unread.Each(func(id ident.Incarnation, words []string) {
+	e.relay.Unrecognized.Each(func(id ident.Incarnation, words []string) {
 		e.unread.mu.Lock()
 		defer e.unread.mu.Unlock()
 		if e.unread.fresh == nil {
@@ -93,24 +93,24 @@
 	for i := range upstreams {
 		there[upstreams[i].ID] = true
 	}
-	r.c.Unread.Keep(func(id ident.Incarnation) bool { return there[id] })
+	r.c.Unrecognized.Retain(func(id ident.Incarnation) bool { return there[id] })
 }
 
 // heardUnread notes what an engine says with its answer to an order or a question that nothing reads.
 func (c *Control) heardUnread(id ident.Incarnation, h http.Header) {
-	for _, word := range c.Unread.Note(id, h) {
+	for _, word := range c.Unrecognized.AddHeaders(id, h) {
 		c.Log.Info("upstream says what nothing reads", "upstream", id, "word", word)
 	}
 }
 
-// UnreadInReport notes fields of an upstream's report that nothing reads.
-func (c *Control) UnreadInReport(id ident.Incarnation, fields []string) {
-	for _, field := range c.Unread.Add(id, fields) {
+// NoteUnrecognizedReportFields notes fields of an upstream's report that nothing reads.
+func (c *Control) NoteUnrecognizedReportFields(id ident.Incarnation, fields []string) {
+	for _, field := range c.Unrecognized.AddNames(id, fields) {
 		c.Log.Info("upstream says what nothing reads", "upstream", id, "field", field)
 	}
 }
 
-// UnreadInConfig tells of fields of an accepted configuration that nothing reads.
-func (c *Control) UnreadInConfig(version httproute.Version, fields []string) {
+// LogUnrecognizedConfigFields tells of fields of an accepted configuration that nothing reads.
+func (c *Control) LogUnrecognizedConfigFields(version httproute.Version, fields []string) {
 	c.Log.Info("configuration says what nothing reads", "version", version, "fields", fields)
 }
--- a/site/unread_test.go
+++ b/site/unread_test.go
@@ -17,7 +17,7 @@
 // The leader hears once of each word that nothing reads, another leader of all of them.
 func TestUnreadWordsAreToldToTheLeader(t *testing.T) {
 	cfg := settings.DefaultSite()
-	e := site.NewEntry(&cfg, relay.Names{}, transport.TCP())
+	e := site.NewEntry(&cfg, relay.HeaderNames{}, transport.TCP())
 	type words = map[ident.Incarnation][]string
 	note := func(id ident.Incarnation, word string) {
 		e.NoteUnread(id, word)
--- a/site/versions_test.go
+++ b/site/versions_test.go
@@ -84,7 +84,7 @@
 // An entry applies changes to what it has; one that does not fit is not in force, confirms nothing and is replaced by the whole.
 func TestAnEntryTakesChanges(t *testing.T) {
 	cfg := settings.DefaultSite()
-	e := site.NewEntry(&cfg, relay.Names{}, transport.TCP())
+	e := site.NewEntry(&cfg, relay.HeaderNames{}, transport.TCP())
 	e.DecodeConfig = func(body []byte) (*httproute.Config, error) {
 		first, _, _ := strings.Cut(string(body), " ")
 		return decode([]byte(first))
@@ -135,7 +135,7 @@
 // What a configuration says of callers' headers and idle connections is in force with it.
 func TestBoundsOnCallersComeWithTheConfiguration(t *testing.T) {
 	cfg := settings.DefaultSite()
-	e := site.NewEntry(&cfg, relay.Names{}, transport.TCP())
+	e := site.NewEntry(&cfg, relay.HeaderNames{}, transport.TCP())
 	limits := httproute.Limits{HeaderBytes: 100 << 10, HeaderTimeout: 9 * time.Second, IdleTimeout: 90 * time.Second}
 	e.DecodeConfig = func([]byte) (*httproute.Config, error) {
 		return &httproute.Config{Version: 2, Limits: limits}, nil
--- a/soak/orders.go
+++ b/soak/orders.go
@@ -23,7 +23,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	outcome := replicaset.OutcomeStranger
+	outcome := replicaset.OutcomeWrongIncarnation
 	if r.Header.Get(platform.Names().Incarnation) == string(e.id) {
 		outcome = e.carryOut(o)
 	}
@@ -34,7 +34,7 @@
 	switch o.Action {
 	case replicaset.ActionStage:
 		e.later(loadTime, func() { e.staged = o.Model })
-		return replicaset.OutcomeTaken
+		return replicaset.OutcomeAccepted
 	case replicaset.ActionJoin:
 		return e.join(o)
 	}
@@ -58,7 +58,7 @@
 		e.member, e.members = roster.Membership{}, nil
 	}
 	e.change()
-	return replicaset.OutcomeTaken
+	return replicaset.OutcomeAccepted
 }
 
 // finish makes a closing group ready again when its work is done.
@@ -85,7 +85,7 @@
 	e.mu.Unlock()
 	switch {
 	case same:
-		return replicaset.OutcomeTaken
+		return replicaset.OutcomeAccepted
 	case low:
 		return replicaset.OutcomeFenced
 	}
@@ -120,7 +120,7 @@
 		e.wasReady[membership{o.Group, epoch}] = true
 	})
 	e.change()
-	return replicaset.OutcomeTaken
+	return replicaset.OutcomeAccepted
 }
 
 // ready reports whether the engine was ever ready in that group.
--- a/stall/margin.go
+++ b/stall/margin.go
@@ -42,8 +42,8 @@
 	stale       bool
 }
 
-// Note takes how long after its bound a sign came, negative when it came sooner.
-func (m *Margin) Note(late time.Duration) {
+// Observe takes how long after its bound a sign came, negative when it came sooner.
+func (m *Margin) Observe(late time.Duration) {
 	bin := int((late - earliest) / binWidth)
 	if bin >= bins {
 		return
@@ -57,8 +57,8 @@
 	}
 }
 
-// Now returns the margin.
-func (m *Margin) Now() time.Duration {
+// Current returns the margin.
+func (m *Margin) Current() time.Duration {
 	if !m.full && m.signs < enoughSigns {
 		return unlearntMargin
 	}
--- a/stall/stall_test.go
+++ b/stall/stall_test.go
@@ -17,13 +17,13 @@
 	var m stall.Margin
 	note := func(n int, late time.Duration) time.Duration {
 		for range n {
-			m.Note(late)
+			m.Observe(late)
 		}
-		return m.Now()
+		return m.Current()
 	}
 	// Of few signs the margin is up to 100 ms more: 100 ms with 50 signs, 5 ms with 1,000.
 	got := []time.Duration{
-		m.Now(), note(49, -12*ms), note(1, -12*ms), note(50, -12*ms), note(900, -12*ms), note(1, 33*ms), note(5, 33*ms), note(99, 600*ms),
+		m.Current(), note(49, -12*ms), note(1, -12*ms), note(50, -12*ms), note(900, -12*ms), note(1, 33*ms), note(5, 33*ms), note(99, 600*ms),
 		note(4000, -12*ms), note(4000, -12*ms), note(40, 119*ms), note(4000, -200*ms), note(4000, -200*ms),
 	}
 	want := []time.Duration{100 * ms, 100 * ms, 90 * ms, 40 * ms, -5 * ms, -5 * ms, 40 * ms, 40 * ms, -10 * ms, -10 * ms, 120 * ms, 120 * ms, -95 * ms}
@@ -39,7 +39,7 @@
 	for _, c := range []struct{ requests, entries, want int }{
 		{0, 89, 2}, {1, 89, 2}, {5, 89, 2}, {20, 89, 8}, {48, 89, 15}, {10, 8, 3}, {26, 8, 4}, {20, 1, 2}, {20, 0, 2},
 	} {
-		if got := stall.Witnesses(c.requests, c.entries); got != c.want {
+		if got := stall.RequiredSuspicions(c.requests, c.entries); got != c.want {
 			t.Errorf("%d requests of %d entries: %d witnesses, want %d", c.requests, c.entries, got, c.want)
 		}
 	}
@@ -78,7 +78,7 @@
 	const entries, streams, pass = 60, 18, 45 * ms
 	var margins [entries]stall.Margin
 	at := time.Unix(1000, 0)
-	need := stall.Witnesses(streams, entries)
+	need := stall.RequiredSuspicions(streams, entries)
 	alarms := 0
 	for range 18 * 600 * 20 {
 		var d stall.Suspicions[int]
@@ -88,10 +88,10 @@
 			if who < entries/3 && random.IntN(40) == 0 {
 				late += 200 * ms // sent again by TCP
 			}
-			if late > margins[who].Now() {
+			if late > margins[who].Current() {
 				d.Add(at, at, who)
 			}
-			margins[who].Note(late)
+			margins[who].Observe(late)
 		}
 		if d.Count(at) >= need {
 			alarms++
@@ -105,7 +105,7 @@
 	for range streams {
 		who := random.IntN(entries)
 		d.Add(at, at, who)
-		worst = max(worst, margins[who].Now())
+		worst = max(worst, margins[who].Current())
 	}
 	if d.Count(at) < need || worst > 300*ms {
 		t.Errorf("a group that stops is suspected by %d of %d needed within %v", d.Count(at), need, pass+worst)
--- a/stall/suspicions.go
+++ b/stall/suspicions.go
@@ -46,12 +46,12 @@
 // Refute takes a sign that the group gave someone else at a time, and reports whether that was after the silence of any began.
 func (d *Suspicions[K]) Refute(at time.Time) bool {
 	before := len(d.by)
-	maps.DeleteFunc(d.by, func(_ K, o suspicion) bool { return Later(at, o.since) })
+	maps.DeleteFunc(d.by, func(_ K, o suspicion) bool { return InLaterIteration(at, o.since) })
 	return len(d.by) < before
 }
 
-// Later reports whether a sign that one got at a time belongs to a later pass than the last one of another, which ended at since.
-func Later(at, since time.Time) bool {
+// InLaterIteration reports whether a sign that one got at a time belongs to a later pass than the last one of another, which ended at since.
+func InLaterIteration(at, since time.Time) bool {
 	return at.Sub(since) > samePass
 }
 
@@ -61,8 +61,8 @@
 	return len(d.by)
 }
 
-// Witnesses returns how many must suspect a group with so many requests of so many entries until it stands still for certain.
-func Witnesses(requests, entries int) int {
+// RequiredSuspicions returns how many must suspect a group with so many requests of so many entries until it stands still for certain.
+func RequiredSuspicions(requests, entries int) int {
 	if entries <= 1 || requests <= 0 {
 		return fewestWitnesses
 	}
--- a/unread/list.go
+++ b/unread/list.go
@@ -59,8 +59,8 @@
 	return l
 }
 
-// Note notes the headers of an answer that nothing reads, and returns those that are new of this upstream.
-func (l *List[K]) Note(k K, h http.Header) []string {
+// AddHeaders notes the headers of an answer that nothing reads, and returns those that are new of this upstream.
+func (l *List[K]) AddHeaders(k K, h http.Header) []string {
 	var fresh []string
 	for name := range h {
 		if !l.known[name] && l.add(k, name[:min(nameMost, len(name))]) {
@@ -70,8 +70,8 @@
 	return fresh
 }
 
-// Add notes names that another reader found, and returns those that are new of this upstream.
-func (l *List[K]) Add(k K, names []string) []string {
+// AddNames notes names that another reader found, and returns those that are new of this upstream.
+func (l *List[K]) AddNames(k K, names []string) []string {
 	var fresh []string
 	for _, name := range names {
 		if l.add(k, name[:min(nameMost, len(name))]) {
@@ -113,8 +113,8 @@
 	return slices.Sorted(maps.Keys(l.names[k]))
 }
 
-// Keep forgets the upstreams that keep does not name.
-func (l *List[K]) Keep(keep func(k K) bool) {
+// Retain forgets the upstreams that keep does not name.
+func (l *List[K]) Retain(keep func(k K) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	maps.DeleteFunc(l.names, func(k K, _ map[string]bool) bool { return !keep(k) })
--- a/unread/list_test.go
+++ b/unread/list_test.go
@@ -33,14 +33,14 @@
 		{"v", header("Queue-Hint"), []string{"Queue-Hint"}},
 		{"u", header("Other", "Queue-Hint"), []string{"Other"}},
 	} {
-		if diff := cmp.Diff(c.want, l.Note(c.from, c.h)); diff != "" {
+		if diff := cmp.Diff(c.want, l.AddHeaders(c.from, c.h)); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", c.from, diff)
 		}
 	}
 	if diff := cmp.Diff([]string{"Other", "Queue-Hint"}, l.Of("u")); diff != "" {
 		t.Errorf("noted of u (-want +got):\n%s", diff)
 	}
-	l.Keep(func(k string) bool { return k == "v" })
+	l.Retain(func(k string) bool { return k == "v" })
 	if got := l.Of("u"); len(got) > 0 || !slices.Equal(l.Of("v"), []string{"Queue-Hint"}) {
 		t.Errorf("u still has %v", got)
 	}
@@ -52,7 +52,7 @@
 	told := 0
 	for life := range 10_000 {
 		for n := range 20 {
-			told += len(l.Note(life, header(fmt.Sprintf("Name-%d", n))))
+			told += len(l.AddHeaders(life, header(fmt.Sprintf("Name-%d", n))))
 		}
 	}
 	if told > 8*4096 {
