--- a/overload/queue_test.go
+++ b/overload/queue_test.go
@@ -12,79 +12,79 @@
 
 const ms = time.Millisecond
 
-var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// player offers what waits to a number of places, and notes what became of each request.
-type player struct {
-	queue  overload.Queue[string]
-	places int
-	// lateToo is set when late requests may have the places too.
-	lateToo bool
-	sent    []string
-	refused []string
+// queueTester offers what waits to a number of places, and notes what became of each request.
+type queueTester struct {
+	queue    overload.Queue[string]
+	capacity int
+	// lateAllowed is set when late requests may have the places too.
+	lateAllowed bool
+	sent        []string
+	refused     []string
 }
 
-func (p *player) add(at time.Duration, name string, r overload.Request) {
-	r.QueuedAt = start.Add(at)
+func (p *queueTester) add(at time.Duration, name string, r overload.Request) {
+	r.QueuedAt = startTime.Add(at)
 	if r.Expires.IsZero() {
-		r.Expires = start.Add(time.Hour)
+		r.Expires = startTime.Add(time.Hour)
 	}
-	p.queue.Add(start.Add(at), r, name)
+	p.queue.Add(startTime.Add(at), r, name)
 }
 
-func (p *player) look(at time.Duration) {
-	p.queue.Dispatch(start.Add(at), func(w *overload.Queued[string], room overload.Rank) bool {
-		if p.places == 0 || room == overload.Late && !p.lateToo {
+func (p *queueTester) dispatch(at time.Duration) {
+	p.queue.Dispatch(startTime.Add(at), func(queued *overload.Queued[string], capacityRank overload.Rank) bool {
+		if p.capacity == 0 || capacityRank == overload.Late && !p.lateAllowed {
 			return false
 		}
-		p.places--
-		p.sent = append(p.sent, w.Value)
+		p.capacity--
+		p.sent = append(p.sent, queued.Value)
 		return true
-	}, func(w *overload.Queued[string]) { p.refused = append(p.refused, w.Value) })
+	}, func(queued *overload.Queued[string]) { p.refused = append(p.refused, queued.Value) })
 }
 
-func due(at time.Duration) overload.Request {
-	return overload.Request{Due: start.Add(at)}
+func dueAt(at time.Duration) overload.Request {
+	return overload.Request{Due: startTime.Add(at)}
 }
 
 // Room goes to begun streams first, then to the most urgent of those that can be in time, and late ones get what is left.
-func TestOrder(t *testing.T) {
-	p := &player{places: 6, lateToo: true}
-	p.add(0, "late", due(-ms))
-	p.add(1*ms, "last try", overload.Request{Due: start.Add(-ms), FinalAttempt: true})
-	p.add(2*ms, "has time", due(300*ms))
-	p.add(3*ms, "urgent", due(50*ms))
-	p.add(4*ms, "begun", overload.Request{Due: start.Add(-ms), Started: true})
-	p.add(5*ms, "as urgent", due(50*ms))
-	p.look(10 * ms)
+func TestDispatchOrder(t *testing.T) {
+	tester := &queueTester{capacity: 6, lateAllowed: true}
+	tester.add(0, "late", dueAt(-ms))
+	tester.add(1*ms, "last try", overload.Request{Due: startTime.Add(-ms), FinalAttempt: true})
+	tester.add(2*ms, "has time", dueAt(300*ms))
+	tester.add(3*ms, "urgent", dueAt(50*ms))
+	tester.add(4*ms, "begun", overload.Request{Due: startTime.Add(-ms), Started: true})
+	tester.add(5*ms, "as urgent", dueAt(50*ms))
+	tester.dispatch(10 * ms)
 	want := []string{"begun", "urgent", "as urgent", "has time", "last try", "late"}
-	if diff := cmp.Diff(want, p.sent); diff != "" {
+	if diff := cmp.Diff(want, tester.sent); diff != "" {
 		t.Errorf("order (-want +got):\n%s", diff)
 	}
 }
 
 // A late request is refused as soon as there has been no room for late ones for some passes, and not before; room that is seen
 // meanwhile starts that anew.
-func TestLateRequestsInAFlood(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		roomy time.Duration
-		want  time.Duration
+func TestLateRequestsUnderSustainedOverload(t *testing.T) {
+	for _, tt := range []struct {
+		name       string
+		capacityAt time.Duration
+		want       time.Duration
 	}{
 		{"no room for late ones", -1, 310 * ms},
 		{"some in between", 200 * ms, 510 * ms},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			p := &player{}
-			p.add(0, "late", due(-ms))
+		t.Run(tt.name, func(t *testing.T) {
+			tester := &queueTester{}
+			tester.add(0, "late", dueAt(-ms))
 			for at := time.Duration(0); at < time.Second; at += 10 * ms {
-				if at == c.roomy {
-					p.queue.NoteCapacity()
+				if at == tt.capacityAt {
+					tester.queue.NoteCapacity()
 				}
-				p.look(at)
-				if len(p.refused) > 0 {
-					if at != c.want {
-						t.Errorf("refused after %v, want %v", at, c.want)
+				tester.dispatch(at)
+				if len(tester.refused) > 0 {
+					if at != tt.want {
+						t.Errorf("refused after %v, want %v", at, tt.want)
 					}
 					return
 				}
@@ -96,94 +96,94 @@
 
 // One that can be in time is kept until it can't, and then refused at once when the flood has lasted.
 func TestRequestsThatBecomeLate(t *testing.T) {
-	p := &player{}
-	p.add(0, "first", due(100*ms))
+	tester := &queueTester{}
+	tester.add(0, "first", dueAt(100*ms))
 	for at := time.Duration(0); at <= 400*ms; at += 10 * ms {
 		if at == 350*ms {
-			p.add(at, "second", due(at+35*ms))
+			tester.add(at, "second", dueAt(at+35*ms))
 		}
-		p.look(at)
-		if at == 300*ms && len(p.refused) > 0 {
-			t.Errorf("%v refused at %v", p.refused, at)
+		tester.dispatch(at)
+		if at == 300*ms && len(tester.refused) > 0 {
+			t.Errorf("%v refused at %v", tester.refused, at)
 		}
-		if at == 380*ms && len(p.refused) != 1 {
-			t.Errorf("%v refused at %v, want the first", p.refused, at)
+		if at == 380*ms && len(tester.refused) != 1 {
+			t.Errorf("%v refused at %v, want the first", tester.refused, at)
 		}
 	}
-	if diff := cmp.Diff([]string{"first", "second"}, p.refused); diff != "" {
+	if diff := cmp.Diff([]string{"first", "second"}, tester.refused); diff != "" {
 		t.Errorf("refused (-want +got):\n%s", diff)
 	}
 }
 
 // Last tries get one place in five while others that can be in time take the rest: a quarter of what these get.
-func TestShareOfLastTries(t *testing.T) {
-	p := &player{}
+func TestShareOfFinalAttempts(t *testing.T) {
+	tester := &queueTester{}
 	for i := range 40 {
-		p.add(time.Duration(i)*ms, "new", due(10*time.Second))
+		tester.add(time.Duration(i)*ms, "new", dueAt(10*time.Second))
 	}
-	back := func() { p.add(50*ms, "back", overload.Request{Due: start.Add(-ms), FinalAttempt: true}) }
-	back()
+	addReturning := func() { tester.add(50*ms, "back", overload.Request{Due: startTime.Add(-ms), FinalAttempt: true}) }
+	addReturning()
 	for at := range 20 {
-		p.places = 1
-		p.look(time.Duration(100+at) * ms)
-		if p.sent[len(p.sent)-1] == "back" {
-			back()
+		tester.capacity = 1
+		tester.dispatch(time.Duration(100+at) * ms)
+		if tester.sent[len(tester.sent)-1] == "back" {
+			addReturning()
 		}
 	}
-	got := map[string]int{}
-	for _, name := range p.sent {
-		got[name]++
+	sentByName := map[string]int{}
+	for _, name := range tester.sent {
+		sentByName[name]++
 	}
-	if diff := cmp.Diff(map[string]int{"new": 16, "back": 4}, got); diff != "" {
+	if diff := cmp.Diff(map[string]int{"new": 16, "back": 4}, sentByName); diff != "" {
 		t.Errorf("sent (-want +got):\n%s", diff)
 	}
 }
 
 // A last try behind more than go on before its caller leaves is refused at once.
-func TestLastTriesInVain(t *testing.T) {
-	p := &player{}
-	last := overload.Request{Due: start.Add(-ms), FinalAttempt: true, Expires: start.Add(1400 * ms)}
+func TestHopelessFinalAttempts(t *testing.T) {
+	tester := &queueTester{}
+	request := overload.Request{Due: startTime.Add(-ms), FinalAttempt: true, Expires: startTime.Add(1400 * ms)}
 	for range 40 {
-		p.add(0, "back", last)
+		tester.add(0, "back", request)
 	}
-	p.look(0)
-	if len(p.refused) != 39 {
-		t.Errorf("%d of 40 refused while none goes on, want all but one", len(p.refused))
+	tester.dispatch(0)
+	if len(tester.refused) != 39 {
+		t.Errorf("%d of 40 refused while none goes on, want all but one", len(tester.refused))
 	}
 	// With ten in a second that go on, fourteen can wait.
-	p = &player{lateToo: true}
+	tester = &queueTester{lateAllowed: true}
 	for i := range 60 {
-		p.add(time.Duration(i)*100*ms, "back", overload.Request{Due: start.Add(-ms), FinalAttempt: true})
-		p.places = 1
-		p.look(time.Duration(i) * 100 * ms)
+		tester.add(time.Duration(i)*100*ms, "back", overload.Request{Due: startTime.Add(-ms), FinalAttempt: true})
+		tester.capacity = 1
+		tester.dispatch(time.Duration(i) * 100 * ms)
 	}
-	last.Expires = start.Add(7400 * ms)
+	request.Expires = startTime.Add(7400 * ms)
 	for range 40 {
-		p.add(6*time.Second, "back", last)
+		tester.add(6*time.Second, "back", request)
 	}
-	p.look(6 * time.Second)
-	if kept := p.queue.Len(); kept < 10 || kept > 16 {
-		t.Errorf("%d of 40 wait, want about as many as go on", kept)
+	tester.dispatch(6 * time.Second)
+	if queuedCount := tester.queue.Len(); queuedCount < 10 || queuedCount > 16 {
+		t.Errorf("%d of 40 wait, want about as many as go on", queuedCount)
 	}
 }
 
 // Nothing is offered or kept whose caller will have left.
-func TestCallersThatLeave(t *testing.T) {
-	p := &player{places: 9}
-	for _, r := range []overload.Request{{Started: true}, {Due: start.Add(time.Hour)}, {FinalAttempt: true}, {}} {
-		r.Expires = start.Add(5 * ms)
-		p.add(0, "x", r)
+func TestExpiredRequestsAreRefused(t *testing.T) {
+	tester := &queueTester{capacity: 9}
+	for _, r := range []overload.Request{{Started: true}, {Due: startTime.Add(time.Hour)}, {FinalAttempt: true}, {}} {
+		r.Expires = startTime.Add(5 * ms)
+		tester.add(0, "x", r)
 	}
-	p.look(6 * ms)
-	if len(p.sent) != 0 || len(p.refused) != 4 || p.queue.Len() != 0 {
-		t.Errorf("%d sent, %d refused, %d wait; want four refused", len(p.sent), len(p.refused), p.queue.Len())
+	tester.dispatch(6 * ms)
+	if len(tester.sent) != 0 || len(tester.refused) != 4 || tester.queue.Len() != 0 {
+		t.Errorf("%d sent, %d refused, %d wait; want four refused", len(tester.sent), len(tester.refused), tester.queue.Len())
 	}
 }
 
 func TestRemove(t *testing.T) {
 	var q overload.Queue[string]
-	a := q.Add(start, due(time.Second), "a")
-	q.Add(start, due(time.Second), "b")
+	a := q.Add(startTime, dueAt(time.Second), "a")
+	q.Add(startTime, dueAt(time.Second), "b")
 	q.Remove(a)
 	q.Remove(a)
 	if q.Len() != 1 {
@@ -193,15 +193,15 @@
 
 // Callers are told to stay away for as long again as the excess has lasted, within a bound; after a pause it counts from new.
 func TestRetryAfter(t *testing.T) {
-	var e overload.Period
+	var period overload.Period
 	var got []time.Duration
 	for _, at := range []time.Duration{0, 400 * ms, 800 * ms, 1200 * ms, 2000 * ms, 2300 * ms} {
-		got = append(got, e.RetryAfter(start.Add(at)))
+		got = append(got, period.RetryAfter(startTime.Add(at)))
 	}
 	for at := 2500 * ms; at <= 6000*ms; at += 400 * ms {
-		e.Extend(start.Add(at))
+		period.Extend(startTime.Add(at))
 	}
-	got = append(got, e.RetryAfter(start.Add(6100*ms)))
+	got = append(got, period.RetryAfter(startTime.Add(6100*ms)))
 	want := []time.Duration{0, 400 * ms, 800 * ms, 1200 * ms, 0, 300 * ms, 2500 * ms}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("to come back after (-want +got):\n%s", diff)
@@ -209,78 +209,78 @@
 }
 
 // What callers spent before is told from what most of their class say, whatever a few say.
-func TestSpent(t *testing.T) {
-	var u overload.TypicalWait
-	play := func(told ...time.Duration) (got []time.Duration) {
-		for _, d := range told {
-			got = append(got, u.PriorElapsed(d, true))
+func TestPriorElapsed(t *testing.T) {
+	var typical overload.TypicalWait
+	priorElapsed := func(announced ...time.Duration) (got []time.Duration) {
+		for _, d := range announced {
+			got = append(got, typical.PriorElapsed(d, true))
 		}
 		return got
 	}
-	if diff := cmp.Diff([]time.Duration{0, 0}, play(5000*ms, 6000*ms)); diff != "" {
+	if diff := cmp.Diff([]time.Duration{0, 0}, priorElapsed(5000*ms, 6000*ms)); diff != "" {
 		t.Errorf("before much is known (-want +got):\n%s", diff)
 	}
 	for range 20 {
-		play(6000 * ms)
+		priorElapsed(6000 * ms)
 	}
-	got := play(5710*ms, 6000*ms, 99*time.Second, 4630*ms, 0)
+	got := priorElapsed(5710*ms, 6000*ms, 99*time.Second, 4630*ms, 0)
 	if diff := cmp.Diff([]time.Duration{290 * ms, 0, 0, 1370 * ms, 0}, got); diff != "" {
 		t.Errorf("spent before (-want +got):\n%s", diff)
 	}
 	for range 40 {
-		play(9000 * ms)
+		priorElapsed(9000 * ms)
 	}
-	if diff := cmp.Diff([]time.Duration{3000 * ms}, play(6000*ms)); diff != "" {
+	if diff := cmp.Diff([]time.Duration{3000 * ms}, priorElapsed(6000*ms)); diff != "" {
 		t.Errorf("after the usual time has changed (-want +got):\n%s", diff)
 	}
 }
 
-// BenchmarkLook is one look at 1,000 requests that wait, of which none has room, beside a busy machine: 13.1 µs, 13 ns for each, and no
+// BenchmarkDispatch is one look at 1,000 requests that wait, of which none has room, beside a busy machine: 13.1 µs, 13 ns for each, and no
 // allocation (median of three). There was no such look before.
-func BenchmarkLook(b *testing.B) {
+func BenchmarkDispatch(b *testing.B) {
 	var q overload.Queue[int]
 	for i := range 1000 {
-		q.Add(start, overload.Request{Due: start.Add(time.Hour), Expires: start.Add(time.Hour)}, i)
+		q.Add(startTime, overload.Request{Due: startTime.Add(time.Hour), Expires: startTime.Add(time.Hour)}, i)
 	}
 	send := func(*overload.Queued[int], overload.Rank) bool { return false }
 	refuse := func(*overload.Queued[int]) {}
 	b.ReportAllocs()
 	for b.Loop() {
-		q.Dispatch(start, send, refuse)
+		q.Dispatch(startTime, send, refuse)
 	}
 }
 
 // Where callers differ in how long they wait, those who say far less than the longest came back; where many wait for a short time
 // only, nothing is made of it.
-func TestSpentWhereCallersDiffer(t *testing.T) {
+func TestPriorElapsedOfDifferingCallers(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	for _, c := range []struct {
-		name   string
-		spread time.Duration
-		knows  bool
+	for _, tt := range []struct {
+		name       string
+		spread     time.Duration
+		detectable bool
 	}{
 		{"by 15 in 100", 900 * ms, true},
 		{"by half", 3 * time.Second, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			var u overload.TypicalWait
-			first := func() time.Duration { return 6*time.Second - time.Duration(random.Int64N(int64(c.spread))) }
+		t.Run(tt.name, func(t *testing.T) {
+			var typical overload.TypicalWait
+			firstAttemptWait := func() time.Duration { return 6*time.Second - time.Duration(random.Int64N(int64(tt.spread))) }
 			for range 100 {
-				u.PriorElapsed(first(), true)
+				typical.PriorElapsed(firstAttemptWait(), true)
 			}
-			wrong, found := 0, 0
+			falsePositives, found := 0, 0
 			for range 1000 {
-				if u.PriorElapsed(first(), false) > 0 {
-					wrong++
+				if typical.PriorElapsed(firstAttemptWait(), false) > 0 {
+					falsePositives++
 				}
-				if u.PriorElapsed(first()-2500*ms, false) > 300*ms {
+				if typical.PriorElapsed(firstAttemptWait()-2500*ms, false) > 300*ms {
 					found++
 				}
 			}
-			if wrong > 0 {
-				t.Errorf("%d of 1000 first tries are taken for ones that came back", wrong)
+			if falsePositives > 0 {
+				t.Errorf("%d of 1000 first tries are taken for ones that came back", falsePositives)
 			}
-			if c.knows && found < 800 {
+			if tt.detectable && found < 800 {
 				t.Errorf("%d of 1000 that came back after 2.5 s are known", found)
 			}
 		})
--- a/overload/rank.go
+++ b/overload/rank.go
@@ -16,7 +16,7 @@
 	// Late is for requests that are late and whose callers can come back.
 	Late
 
-	ranks = int(Late) + 1
+	rankCount = int(Late) + 1
 )
 
 // Request is what the rules know of a request.
