--- a/estimate/estimate.go
+++ b/estimate/estimate.go
@@ -20,14 +20,14 @@
 
 // Group is what the engine publishes of a group of one model, in the form that the estimates need.
 type Group struct {
-	// perToken is the time to read one token of a prompt, steps that of the token steps of a pass without any sequence,
+	// perPromptToken is the time to read one token of a prompt, steps that of the token steps of a pass without any sequence,
 	// perSequence what each sequence adds to a pass.
-	perToken    float64
-	steps       float64
-	perSequence float64
-	slots       int
-	// stay is how long an answer of usual length keeps its slot when all slots are taken.
-	stay float64
+	perPromptToken float64
+	iterationBase  float64
+	perSequence    float64
+	slots          int
+	// answerTime is how long an answer of usual length keeps its slot when all slots are taken.
+	answerTime float64
 }
 
 // Load is what is known to be at a group.
@@ -39,55 +39,55 @@
 }
 
 // NewGroup returns the figures of groups of m; all takes slowdown times as long, 1 for a group that runs as it should.
-func NewGroup(e *httproute.Engine, m *httproute.Model, slowdown float64) Group {
-	pace := m.Pace * slowdown
-	stride := float64(max(1, e.Stride))
+func NewGroup(engine *httproute.Engine, model *httproute.Model, slowdown float64) Group {
+	slowFactor := model.Pace * slowdown
+	stepsPerIteration := float64(max(1, engine.Stride))
 	g := Group{
-		steps:       stride * float64(e.Step) * pace,
-		perSequence: stride * float64(e.PerSequence) * pace,
-		slots:       max(1, e.Slots),
+		iterationBase: stepsPerIteration * float64(engine.Step) * slowFactor,
+		perSequence:   stepsPerIteration * float64(engine.PerSequence) * slowFactor,
+		slots:         max(1, engine.Slots),
 	}
-	if e.ReadRate > 0 {
-		g.perToken = float64(time.Second) / e.ReadRate * pace
+	if engine.ReadRate > 0 {
+		g.perPromptToken = float64(time.Second) / engine.ReadRate * slowFactor
 	}
-	g.stay = float64(e.Usual.Answer) / stride * g.pass(0, g.slots)
+	g.answerTime = float64(engine.Usual.Answer) / stepsPerIteration * g.iterationNanos(0, g.slots)
 	return g
 }
 
 // IterationTime returns the length of a pass that reads so many tokens while so many requests write, which is also the pause that all
 // streams of the group make.
-func (g *Group) IterationTime(read ident.Tokens, writing int) time.Duration {
-	return time.Duration(g.pass(float64(read), writing))
+func (g *Group) IterationTime(promptTokens ident.Tokens, decoding int) time.Duration {
+	return time.Duration(g.iterationNanos(float64(promptTokens), decoding))
 }
 
-func (g *Group) pass(read float64, writing int) float64 {
-	return read*g.perToken + g.steps + g.perSequence*float64(min(writing, g.slots))
+func (g *Group) iterationNanos(promptTokens float64, decoding int) float64 {
+	return promptTokens*g.perPromptToken + g.iterationBase + g.perSequence*float64(min(decoding, g.slots))
 }
 
 // FirstEvent returns the time until the first event of a request whose prompt has so many tokens: half of the pass that is in
 // progress when it comes, a slot when none is free, and the pass that reads it along with what else waits. It is 0 for an upstream
 // whose figures are not known.
-func (g *Group) FirstEvent(l Load, prompt ident.Tokens) time.Duration {
+func (g *Group) FirstEvent(load Load, promptTokens ident.Tokens) time.Duration {
 	if g.slots == 0 {
 		return 0
 	}
-	running := g.pass(0, l.Requests) / 2
-	return time.Duration(running + g.slotWait(l.Requests) + g.pass(float64(l.PendingPrompt+prompt), l.Requests+1))
+	currentIteration := g.iterationNanos(0, load.Requests) / 2
+	return time.Duration(currentIteration + g.slotWait(load.Requests) + g.iterationNanos(float64(load.PendingPrompt+promptTokens), load.Requests+1))
 }
 
 // Remaining returns how many of so many requests are still there after a time, if as many end in a moment as usual.
 func (g *Group) Remaining(requests int, after time.Duration) int {
-	if g.stay <= 0 || after <= 0 {
+	if g.answerTime <= 0 || after <= 0 {
 		return requests
 	}
-	return int(float64(requests)/(1+float64(after)/g.stay) + 0.5)
+	return int(float64(requests)/(1+float64(after)/g.answerTime) + 0.5)
 }
 
 // slotWait is the time until a slot is free: slots free up one after the other over the time of an answer.
 func (g *Group) slotWait(requests int) float64 {
-	beyond := requests + 1 - g.slots
-	if beyond <= 0 {
+	excess := requests + 1 - g.slots
+	if excess <= 0 {
 		return 0
 	}
-	return float64(beyond) / float64(g.slots) * g.stay
+	return float64(excess) / float64(g.slots) * g.answerTime
 }
--- a/estimate/estimate_test.go
+++ b/estimate/estimate_test.go
@@ -20,15 +20,15 @@
 	}
 }
 
-func TestPass(t *testing.T) {
-	e := engine()
+func TestIterationTime(t *testing.T) {
+	testEngine := engine()
 	tests := []struct {
-		name     string
-		model    int
-		slowdown float64
-		read     ident.Tokens
-		writing  int
-		want     time.Duration
+		name         string
+		model        int
+		slowdown     float64
+		promptTokens ident.Tokens
+		decoding     int
+		want         time.Duration
 	}{
 		{"nothing to do", 0, 1, 0, 0, 30 * time.Millisecond},
 		{"reading only", 0, 1, 2000, 0, 70 * time.Millisecond},
@@ -40,17 +40,17 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := estimate.NewGroup(e, &e.Models[tt.model], tt.slowdown)
-			if diff := cmp.Diff(tt.want, g.IterationTime(tt.read, tt.writing).Round(time.Microsecond)); diff != "" {
+			group := estimate.NewGroup(testEngine, &testEngine.Models[tt.model], tt.slowdown)
+			if diff := cmp.Diff(tt.want, group.IterationTime(tt.promptTokens, tt.decoding).Round(time.Microsecond)); diff != "" {
 				t.Errorf("length of a pass (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-func TestFirstWord(t *testing.T) {
-	e := engine()
-	g := estimate.NewGroup(e, &e.Models[0], 1)
+func TestFirstEvent(t *testing.T) {
+	testEngine := engine()
+	group := estimate.NewGroup(testEngine, &testEngine.Models[0], 1)
 	tests := []struct {
 		name   string
 		load   estimate.Load
@@ -66,7 +66,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if diff := cmp.Diff(tt.want, g.FirstEvent(tt.load, tt.prompt).Round(time.Microsecond)); diff != "" {
+			if diff := cmp.Diff(tt.want, group.FirstEvent(tt.load, tt.prompt).Round(time.Microsecond)); diff != "" {
 				t.Errorf("time to the first word (-want +got):\n%s", diff)
 			}
 		})
@@ -74,20 +74,20 @@
 }
 
 // An engine that publishes nothing but its slots has no estimate; the relay then goes by the number of requests.
-func TestFiguresThatAreMissing(t *testing.T) {
-	e := &httproute.Engine{Models: []httproute.Model{{Name: "m", Size: 1, Pace: 1}}}
-	g := estimate.NewGroup(e, &e.Models[0], 1)
-	if diff := cmp.Diff(time.Duration(0), g.FirstEvent(estimate.Load{Requests: 3}, 100)); diff != "" {
+func TestEngineWithoutFigures(t *testing.T) {
+	testEngine := &httproute.Engine{Models: []httproute.Model{{Name: "m", Size: 1, Pace: 1}}}
+	group := estimate.NewGroup(testEngine, &testEngine.Models[0], 1)
+	if diff := cmp.Diff(time.Duration(0), group.FirstEvent(estimate.Load{Requests: 3}, 100)); diff != "" {
 		t.Errorf("time to the first word (-want +got):\n%s", diff)
 	}
 }
 
-func BenchmarkFirstWord(b *testing.B) {
-	e := engine()
-	g := estimate.NewGroup(e, &e.Models[0], 1)
-	l := estimate.Load{PendingPrompt: 3000, Requests: 12}
+func BenchmarkFirstEvent(b *testing.B) {
+	testEngine := engine()
+	group := estimate.NewGroup(testEngine, &testEngine.Models[0], 1)
+	load := estimate.Load{PendingPrompt: 3000, Requests: 12}
 	b.ReportAllocs()
 	for b.Loop() {
-		g.FirstEvent(l, 1000)
+		group.FirstEvent(load, 1000)
 	}
 }
