--- a/quarantine/list.go
+++ b/quarantine/list.go
@@ -31,21 +31,21 @@
 	MaxCrashes = 9
 	// MaxDuration bounds how long work is held.
 	MaxDuration = time.Hour
-	// keepFor is how long something is remembered after it was last learnt: work that comes again more seldom ends less than three
+	// retention is how long something is remembered after it was last learnt: work that comes again more seldom ends less than three
 	// upstreams an hour more than work that does not.
-	keepFor = time.Hour
-	// tellFor is how long a change is told again and again; what is held is told as long as it is, to entries that have just started.
-	tellFor = 10 * time.Second
-	// tryFor is how long others wait for the one that tries held work once more: longer than requests take.
-	tryFor = 10 * time.Second
-	// sameEnd is how far two reports may be apart on when the same end was: news take some ms, a sync with the leader half a second.
-	sameEnd = time.Second
-	// sumFor is how long a digest is used again while nothing is learnt, sumAgain while something is: each sync with the leader asks
+	retention = time.Hour
+	// resendFor is how long a change is told again and again; what is held is told as long as it is, to entries that have just started.
+	resendFor = 10 * time.Second
+	// trialTimeout is how long others wait for the one that tries held work once more: longer than requests take.
+	trialTimeout = 10 * time.Second
+	// sameCrashTolerance is how far two reports may be apart on when the same end was: news take some ms, a sync with the leader half a second.
+	sameCrashTolerance = time.Second
+	// digestLifetime is how long a digest is used again while nothing is learnt, minDigestInterval while something is: each sync with the leader asks
 	// for it, and with many entries and records it would fill the leader's time.
-	sumFor   = 500 * time.Millisecond
-	sumAgain = 50 * time.Millisecond
-	// drawn is how many records are compared to find one to forget.
-	drawn = 8
+	digestLifetime    = 500 * time.Millisecond
+	minDigestInterval = 50 * time.Millisecond
+	// evictionSample is how many records are compared to find one to forget.
+	evictionSample = 8
 )
 
 // Rule says what is held, and for how long.
@@ -70,152 +70,152 @@
 
 	mu      sync.Mutex
 	records map[Fingerprint]*record
-	// sum is Sum as it was at sumAt, old when anything was learnt since.
-	sum   uint64
-	sumAt time.Time
-	old   bool
-	// next is the work that is told next, by its place among those to be told.
-	next int
+	// digest is Sum as it was at digestAt, old when anything was learnt since.
+	digest      uint64
+	digestAt    time.Time
+	digestStale bool
+	// nextToSend is the work that is told next, by its place among those to be told.
+	nextToSend int
 }
 
 // Remaining returns how long the work is still not to be sent to upstreams, 0 when it may.
-func (l *List) Remaining(now time.Time, w Fingerprint) time.Duration {
+func (l *List) Remaining(now time.Time, fingerprint Fingerprint) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.records[w]
+	r := l.records[fingerprint]
 	if r == nil {
 		return 0
 	}
-	return max(0, r.trying.Sub(now), l.until(r).Sub(now))
+	return max(0, r.trialUntil.Sub(now), l.quarantinedUntil(r).Sub(now))
 }
 
-// until returns when a record stops being held, the zero time when it is not.
-func (l *List) until(r *record) time.Time {
-	if len(r.ends) < l.Rule.Crashes {
+// quarantinedUntil returns when a record stops being held, the zero time when it is not.
+func (l *List) quarantinedUntil(r *record) time.Time {
+	if len(r.crashes) < l.Rule.Crashes {
 		return time.Time{}
 	}
-	return r.last.Add(min(MaxDuration, l.Rule.InitialDuration<<(len(r.ends)-l.Rule.Crashes)))
+	return r.lastCrash.Add(min(MaxDuration, l.Rule.InitialDuration<<(len(r.crashes)-l.Rule.Crashes)))
 }
 
 // BeginTrial notes that work which may be sent is sent now. Work that was held before gets one try at a time; ok is then set, and others
 // must be told by the report.
-func (l *List) BeginTrial(now time.Time, w Fingerprint) (tell Report, ok bool) {
+func (l *List) BeginTrial(now time.Time, fingerprint Fingerprint) (report Report, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.records[w]
-	if r == nil || len(r.ends) < l.Rule.Crashes {
+	r := l.records[fingerprint]
+	if r == nil || len(r.crashes) < l.Rule.Crashes {
 		return Report{}, false
 	}
-	r.trying = now.Add(tryFor)
-	tell = r.report(w, now)
-	tell.Trying = true
-	return tell, true
+	r.trialUntil = now.Add(trialTimeout)
+	report = r.report(fingerprint, now)
+	report.Trying = true
+	return report, true
 }
 
 // Crashed notes that a life ended while it ran the work, and returns what others must be told.
-func (l *List) Crashed(now time.Time, w Fingerprint, end CrashID) Report {
+func (l *List) Crashed(now time.Time, fingerprint Fingerprint, crash CrashID) Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.record(w)
-	r.add([]CrashID{end})
-	r.last, r.changed, r.trying = now, now, time.Time{}
-	l.old = true
-	return r.report(w, now)
+	r := l.recordOf(fingerprint)
+	r.add([]CrashID{crash})
+	r.lastCrash, r.changedAt, r.trialUntil = now, now, time.Time{}
+	l.digestStale = true
+	return r.report(fingerprint, now)
 }
 
 // Answered notes that the work has a whole answer. If upstreams had ended under it they count no more; ok is then set, and others
 // must be told by the report.
-func (l *List) Answered(now time.Time, w Fingerprint) (tell Report, ok bool) {
+func (l *List) Answered(now time.Time, fingerprint Fingerprint) (report Report, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.records[w]
-	if r == nil || len(r.ends) == 0 {
+	r := l.records[fingerprint]
+	if r == nil || len(r.crashes) == 0 {
 		return Report{}, false
 	}
-	*r = record{cleared: r.cleared + 1, changed: now}
-	l.old = true
-	return r.report(w, now), true
+	*r = record{cleared: r.cleared + 1, changedAt: now}
+	l.digestStale = true
+	return r.report(fingerprint, now), true
 }
 
 // Merge takes what somebody else knows, and reports whether that was new.
-func (l *List) Merge(now time.Time, n *Report) bool {
+func (l *List) Merge(now time.Time, report *Report) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := n.Fingerprint()
-	if l.records[w] == nil && len(n.Ends) == 0 {
+	fingerprint := report.Fingerprint()
+	if l.records[fingerprint] == nil && len(report.Ends) == 0 {
 		return false // it clears what nothing is known of
 	}
-	r := l.record(w)
-	if n.Cleared < r.cleared {
+	r := l.recordOf(fingerprint)
+	if report.Cleared < r.cleared {
 		return false
 	}
-	if n.Trying {
-		r.trying = now.Add(tryFor)
+	if report.Trying {
+		r.trialUntil = now.Add(trialTimeout)
 	}
-	news := n.Cleared > r.cleared
-	if news {
-		*r = record{cleared: n.Cleared, trying: r.trying}
+	changed := report.Cleared > r.cleared
+	if changed {
+		*r = record{cleared: report.Cleared, trialUntil: r.trialUntil}
 	}
-	if r.add(n.Ends) {
-		news = true
-		if !n.Trying {
-			r.trying = time.Time{}
+	if r.add(report.Ends) {
+		changed = true
+		if !report.Trying {
+			r.trialUntil = time.Time{}
 		}
 	}
-	at := now.Add(-time.Duration(min(max(0, n.AgeMS), MaxDuration.Milliseconds())) * time.Millisecond)
-	if len(n.Ends) > 0 && at.Sub(r.last) > sameEnd {
-		r.last = at
-		news = true
+	crashedAt := now.Add(-time.Duration(min(max(0, report.AgeMS), MaxDuration.Milliseconds())) * time.Millisecond)
+	if len(report.Ends) > 0 && crashedAt.Sub(r.lastCrash) > sameCrashTolerance {
+		r.lastCrash = crashedAt
+		changed = true
 	}
-	if news {
-		r.changed = now
-		l.old = true
+	if changed {
+		r.changedAt = now
+		l.digestStale = true
 	}
-	return news
+	return changed
 }
 
-// record returns the record of a work, a new one when there is none.
-func (l *List) record(w Fingerprint) *record {
-	if r := l.records[w]; r != nil {
+// recordOf returns the record of a work, a new one when there is none.
+func (l *List) recordOf(fingerprint Fingerprint) *record {
+	if r := l.records[fingerprint]; r != nil {
 		return r
 	}
 	if l.records == nil {
 		l.records = map[Fingerprint]*record{}
 	}
 	if len(l.records) >= l.Rule.MaxRecords {
-		l.forgetOne()
+		l.evictOne()
 	}
 	r := &record{}
-	l.records[w] = r
+	l.records[fingerprint] = r
 	return r
 }
 
-// forgetOne forgets the record that matters least of some that are drawn at random: somebody who sends ever new work that ends
+// evictOne forgets the record that matters least of some that are drawn at random: somebody who sends ever new work that ends
 // upstreams must not push out what is held.
-func (l *List) forgetOne() {
-	var least Fingerprint
-	var found *record
-	n := 0
-	for w, r := range l.records {
-		if found == nil || cmp.Or(cmp.Compare(len(r.ends), len(found.ends)), r.changed.Compare(found.changed)) < 0 {
-			least, found = w, r
+func (l *List) evictOne() {
+	var victimKey Fingerprint
+	var victim *record
+	examined := 0
+	for fingerprint, r := range l.records {
+		if victim == nil || cmp.Or(cmp.Compare(len(r.crashes), len(victim.crashes)), r.changedAt.Compare(victim.changedAt)) < 0 {
+			victimKey, victim = fingerprint, r
 		}
-		if n++; n == drawn {
+		if examined++; examined == evictionSample {
 			break
 		}
 	}
-	delete(l.records, least)
+	delete(l.records, victimKey)
 }
 
 // Crashes returns how many upstreams have ended under a work in a row.
-func (l *List) Crashes(w Fingerprint) int {
+func (l *List) Crashes(fingerprint Fingerprint) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.records[w]
+	r := l.records[fingerprint]
 	if r == nil {
 		return 0
 	}
-	return len(r.ends)
+	return len(r.crashes)
 }
 
 // Len returns how many works are remembered.
@@ -231,7 +231,7 @@
 	defer l.mu.Unlock()
 	n := 0
 	for _, r := range l.records {
-		if l.until(r).After(now) {
+		if l.quarantinedUntil(r).After(now) {
 			n++
 		}
 	}
@@ -242,23 +242,23 @@
 func (l *List) Quarantined(now time.Time) []Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.reports(now, func(r *record) bool { return l.until(r).After(now) })
+	return l.reports(now, func(r *record) bool { return l.quarantinedUntil(r).After(now) })
 }
 
-// active returns what others are to be told: what has changed lately, and what is held.
-func (l *List) active(now time.Time) []Report {
-	return l.reports(now, func(r *record) bool { return now.Sub(r.changed) < tellFor || l.until(r).After(now) })
+// toShare returns what others are to be told: what has changed lately, and what is held.
+func (l *List) toShare(now time.Time) []Report {
+	return l.reports(now, func(r *record) bool { return now.Sub(r.changedAt) < resendFor || l.quarantinedUntil(r).After(now) })
 }
 
 // reports returns the reports on some records in an order that does not depend on the map, and forgets what is too old.
-func (l *List) reports(now time.Time, some func(r *record) bool) []Report {
+func (l *List) reports(now time.Time, include func(r *record) bool) []Report {
 	var list []Report
-	for w, r := range l.records {
+	for fingerprint, r := range l.records {
 		switch {
-		case now.Sub(r.changed) > keepFor && !l.until(r).After(now):
-			delete(l.records, w)
-		case some(r):
-			list = append(list, r.report(w, now))
+		case now.Sub(r.changedAt) > retention && !l.quarantinedUntil(r).After(now):
+			delete(l.records, fingerprint)
+		case include(r):
+			list = append(list, r.report(fingerprint, now))
 		}
 	}
 	slices.SortFunc(list, func(a, b Report) int {
@@ -268,47 +268,47 @@
 }
 
 // ToSend returns up to most reports to be told now: by turns all that have changed lately, and what is held.
-func (l *List) ToSend(now time.Time, most int) []Report {
+func (l *List) ToSend(now time.Time, limit int) []Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	list := l.active(now)
-	if len(list) <= most {
+	list := l.toShare(now)
+	if len(list) <= limit {
 		return list
 	}
-	at := l.next % len(list)
-	l.next = at + most
-	list = append(list[at:], list[:at]...)
-	return list[:most]
+	start := l.nextToSend % len(list)
+	l.nextToSend = start + limit
+	list = append(list[start:], list[:start]...)
+	return list[:limit]
 }
 
 // Digest is a digest of all that others are to be told, as of a moment ago: two lists with the same one have nothing to tell each other.
 func (l *List) Digest(now time.Time) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if age := now.Sub(l.sumAt); age < sumAgain || !l.old && age < sumFor {
-		return l.sum
+	if age := now.Sub(l.digestAt); age < minDigestInterval || !l.digestStale && age < digestLifetime {
+		return l.digest
 	}
-	l.sum, l.sumAt, l.old = sumOf(l.active(now)), now, false
-	return l.sum
+	l.digest, l.digestAt, l.digestStale = digestOf(l.toShare(now)), now, false
+	return l.digest
 }
 
-func sumOf(list []Report) uint64 {
+func digestOf(list []Report) uint64 {
 	if len(list) == 0 {
 		return 0
 	}
-	var d xxhash.Digest
-	d.Reset()
-	var b [8]byte
-	number := func(n uint64) {
-		binary.LittleEndian.PutUint64(b[:], n)
-		_, _ = d.Write(b[:]) // a hash takes everything
+	var digest xxhash.Digest
+	digest.Reset()
+	var buf [8]byte
+	write := func(n uint64) {
+		binary.LittleEndian.PutUint64(buf[:], n)
+		_, _ = digest.Write(buf[:]) // a hash takes everything
 	}
 	for i := range list {
-		number(uint64(list[i].Content))
-		number(uint64(list[i].Cleared))
-		for _, e := range list[i].Ends {
-			number(uint64(e))
+		write(uint64(list[i].Content))
+		write(uint64(list[i].Cleared))
+		for _, crash := range list[i].Ends {
+			write(uint64(crash))
 		}
 	}
-	return d.Sum64()
+	return digest.Sum64()
 }
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -11,61 +11,61 @@
 	"github.com/dunlinquay/dunlinquay/quarantine"
 )
 
-// site is a few lists that tell each other of one work which ends whatever runs it.
-type site struct {
+// listNetwork is a few lists that tell each other of one work which ends whatever runs it.
+type listNetwork struct {
 	lists []*quarantine.List
 	// runs counts the runs of each list since it was last empty, all of them together lives.
-	runs  []int
-	lives int
-	// wire holds what was told and has not arrived.
-	wire []told
+	runs    []int
+	crashes int
+	// inFlight holds what was told and has not arrived.
+	inFlight []delivery
 }
 
-type told struct {
+type delivery struct {
 	to     int
 	report quarantine.Report
 }
 
-func newModel(n int) *site {
-	s := &site{runs: make([]int, n)}
+func newListNetwork(n int) *listNetwork {
+	s := &listNetwork{runs: make([]int, n)}
 	for range n {
 		s.lists = append(s.lists, newList())
 	}
 	return s
 }
 
-// ask lets the work come to one list, which runs it unless it is held.
-func (s *site) ask(i int) {
-	if s.lists[i].Remaining(start, work) > 0 {
+// request lets the work come to one list, which runs it unless it is held.
+func (s *listNetwork) request(listIndex int) {
+	if s.lists[listIndex].Remaining(startTime, testFingerprint) > 0 {
 		return
 	}
-	s.lives++
-	s.runs[i]++
-	report := s.lists[i].Crashed(start, work, quarantine.CrashIDOf(ident.Incarnation(fmt.Sprint("life-", s.lives))))
+	s.crashes++
+	s.runs[listIndex]++
+	report := s.lists[listIndex].Crashed(startTime, testFingerprint, quarantine.CrashIDOf(ident.Incarnation(fmt.Sprint("life-", s.crashes))))
 	for to := range s.lists {
-		if to != i {
-			s.wire = append(s.wire, told{to, report})
+		if to != listIndex {
+			s.inFlight = append(s.inFlight, delivery{to, report})
 		}
 	}
 }
 
-// arrive lets one report arrive, which stays on its way when it is to come again.
-func (s *site) arrive(n int, again bool) {
-	t := s.wire[n]
-	s.lists[t.to].Merge(start, &t.report)
-	if !again {
-		s.lose(n)
+// deliver lets one report arrive, which stays on its way when it is to come again.
+func (s *listNetwork) deliver(n int, repeated bool) {
+	delivered := s.inFlight[n]
+	s.lists[delivered.to].Merge(startTime, &delivered.report)
+	if !repeated {
+		s.drop(n)
 	}
 }
 
-func (s *site) lose(n int) {
-	s.wire = append(s.wire[:n:n], s.wire[n+1:]...)
+func (s *listNetwork) drop(n int) {
+	s.inFlight = append(s.inFlight[:n:n], s.inFlight[n+1:]...)
 }
 
-// meet lets one list tell another all that it has to tell.
-func (s *site) meet(from, to int) {
-	for _, r := range s.lists[from].ToSend(start, 10) {
-		s.lists[to].Merge(start, &r)
+// exchange lets one list tell another all that it has to tell.
+func (s *listNetwork) exchange(from, to int) {
+	for _, r := range s.lists[from].ToSend(startTime, 10) {
+		s.lists[to].Merge(startTime, &r)
 	}
 }
 
@@ -74,73 +74,73 @@
 func TestTheBoundHoldsInEveryOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "lists")
-		s := newModel(n)
+		network := newListNetwork(n)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			i := rapid.IntRange(0, n-1).Draw(t, "list")
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
-				s.ask(i)
+				network.request(i)
 			case 2, 3:
-				if len(s.wire) > 0 {
-					s.arrive(rapid.IntRange(0, len(s.wire)-1).Draw(t, "report"), rapid.Bool().Draw(t, "again"))
+				if len(network.inFlight) > 0 {
+					network.deliver(rapid.IntRange(0, len(network.inFlight)-1).Draw(t, "report"), rapid.Bool().Draw(t, "again"))
 				}
 			case 4:
-				if len(s.wire) > 0 {
-					s.lose(rapid.IntRange(0, len(s.wire)-1).Draw(t, "report"))
+				if len(network.inFlight) > 0 {
+					network.drop(rapid.IntRange(0, len(network.inFlight)-1).Draw(t, "report"))
 				}
 			case 5:
-				s.lists[i], s.runs[i] = newList(), 0
+				network.lists[i], network.runs[i] = newList(), 0
 			}
-			if s.runs[i] > 3 {
-				t.Fatalf("list %d ran the work %d times", i, s.runs[i])
+			if network.runs[i] > 3 {
+				t.Fatalf("list %d ran the work %d times", i, network.runs[i])
 			}
 		}
 		for from := range n {
 			for to := range n {
-				s.meet(from, to)
-				s.meet(to, from)
+				network.exchange(from, to)
+				network.exchange(to, from)
 			}
 		}
-		before, most := s.lives, 0
+		before, maxCrashes := network.crashes, 0
 		for i := range n {
-			most = max(most, s.lists[i].Crashes(work))
+			maxCrashes = max(maxCrashes, network.lists[i].Crashes(testFingerprint))
 		}
 		for i := range n {
-			s.ask(i)
+			network.request(i)
 		}
-		if most >= 3 && s.lives > before {
-			t.Fatalf("ran %d times more although the lists knew of %d ends", s.lives-before, most)
+		if maxCrashes >= 3 && network.crashes > before {
+			t.Fatalf("ran %d times more although the lists knew of %d ends", network.crashes-before, maxCrashes)
 		}
 	})
 }
 
 // Where every report arrives before the next request, three runs are all, however many lists there are.
-func TestThreeRunsWhereNewsArrive(t *testing.T) {
+func TestThreeRunsWithReliableDelivery(t *testing.T) {
 	for _, n := range []int{1, 3, 9, 30, 300} {
-		s := newModel(n)
+		network := newListNetwork(n)
 		for i := range 2 * n {
-			s.ask(i % n)
-			for len(s.wire) > 0 {
-				s.arrive(0, false)
+			network.request(i % n)
+			for len(network.inFlight) > 0 {
+				network.deliver(0, false)
 			}
 		}
-		if want := min(3, 2*n); s.lives != want {
-			t.Errorf("%d lists: %d runs, want %d", n, s.lives, want)
+		if want := min(3, 2*n); network.crashes != want {
+			t.Errorf("%d lists: %d runs, want %d", n, network.crashes, want)
 		}
 	}
 }
 
 // An hour of repeats, one each second, ends nine upstreams and no more.
-func TestAnHourOfRepeats(t *testing.T) {
-	l := newList()
+func TestRepeatedRequestsForAnHour(t *testing.T) {
+	list := newList()
 	runs := 0
-	for now := start; now.Before(start.Add(time.Hour)); now = now.Add(time.Second) {
-		if l.Remaining(now, work) > 0 {
+	for now := startTime; now.Before(startTime.Add(time.Hour)); now = now.Add(time.Second) {
+		if list.Remaining(now, testFingerprint) > 0 {
 			continue
 		}
 		runs++
-		l.BeginTrial(now, work)
-		l.Crashed(now, work, endOf(runs))
+		list.BeginTrial(now, testFingerprint)
+		list.Crashed(now, testFingerprint, crashID(runs))
 	}
 	if runs > 9 {
 		t.Errorf("%d runs in an hour, want 9 at most", runs)
--- a/quarantine/work.go
+++ b/quarantine/work.go
@@ -17,20 +17,20 @@
 
 // ContentOf returns the digest of a path with its query, and a body.
 func ContentOf(path string, body []byte) ident.Content {
-	var d xxhash.Digest
-	d.Reset()
-	_, _ = d.WriteString(path) // a hash takes everything
-	_, _ = d.Write([]byte{0})
-	_, _ = d.Write(body)
-	return ident.Content(d.Sum64())
+	var digest xxhash.Digest
+	digest.Reset()
+	_, _ = digest.WriteString(path) // a hash takes everything
+	_, _ = digest.Write([]byte{0})
+	_, _ = digest.Write(body)
+	return ident.Content(digest.Sum64())
 }
 
 // CrashID names the life of an upstream that ended.
 type CrashID uint64
 
 // CrashIDOf returns the name of the end of one life.
-func CrashIDOf(life ident.Incarnation) CrashID {
-	return CrashID(xxhash.Sum64String(string(life)))
+func CrashIDOf(incarnation ident.Incarnation) CrashID {
+	return CrashID(xxhash.Sum64String(string(incarnation)))
 }
 
 // Report tells others what is known of one work. Of two reports the one with more in Cleared counts; at the same number the ends of
@@ -56,33 +56,33 @@
 // record is what is known of one work.
 type record struct {
 	cleared uint32
-	ends    []CrashID
-	// last is when the newest end was, changed when anything was learnt.
-	last    time.Time
-	changed time.Time
-	// trying is until when somebody tries it once more.
-	trying time.Time
+	crashes []CrashID
+	// lastCrash is when the newest end was, changed when anything was learnt.
+	lastCrash time.Time
+	changedAt time.Time
+	// trialUntil is until when somebody tries it once more.
+	trialUntil time.Time
 }
 
 // add takes ends and reports whether any was new. Where there are too many the smallest stay, so that all keep the same ones.
-func (r *record) add(ends []CrashID) bool {
+func (r *record) add(crashes []CrashID) bool {
 	added := false
-	for _, e := range ends {
-		at, found := slices.BinarySearch(r.ends, e)
-		if found || at >= MaxCrashes {
+	for _, crash := range crashes {
+		index, found := slices.BinarySearch(r.crashes, crash)
+		if found || index >= MaxCrashes {
 			continue
 		}
-		r.ends = slices.Insert(r.ends, at, e)
-		r.ends = r.ends[:min(len(r.ends), MaxCrashes)]
+		r.crashes = slices.Insert(r.crashes, index, crash)
+		r.crashes = r.crashes[:min(len(r.crashes), MaxCrashes)]
 		added = true
 	}
 	return added
 }
 
-func (r *record) report(w Fingerprint, now time.Time) Report {
-	age := now.Sub(r.last).Milliseconds()
-	if len(r.ends) == 0 {
+func (r *record) report(fingerprint Fingerprint, now time.Time) Report {
+	age := now.Sub(r.lastCrash).Milliseconds()
+	if len(r.crashes) == 0 {
 		age = 0
 	}
-	return Report{Customer: w.Customer, Content: w.Content, Cleared: r.cleared, Ends: slices.Clone(r.ends), AgeMS: age}
+	return Report{Customer: fingerprint.Customer, Content: fingerprint.Content, Cleared: r.cleared, Ends: slices.Clone(r.crashes), AgeMS: age}
 }
--- a/quarantine/work_test.go
+++ b/quarantine/work_test.go
@@ -6,7 +6,7 @@
 	"github.com/dunlinquay/dunlinquay/quarantine"
 )
 
-func TestContentTellsRequestsApart(t *testing.T) {
+func TestContentDistinguishesRequests(t *testing.T) {
 	one := quarantine.ContentOf("/a", []byte("b"))
 	if one != quarantine.ContentOf("/a", []byte("b")) {
 		t.Error("the same path and body have different contents")
