--- a/stall/margin.go
+++ b/stall/margin.go
@@ -15,72 +15,72 @@
 import "time"
 
 const (
-	// unlearntMargin is the margin until enough signs have come: more than nearly all are late.
-	unlearntMargin = 100 * time.Millisecond
-	// missedPart is the part of the signs that may come after the margin. One who suspects a group too early does no harm: it
+	// defaultMargin is the margin until enough signs have come: more than nearly all are late.
+	defaultMargin = 100 * time.Millisecond
+	// missedFraction is the part of the signs that may come after the margin. One who suspects a group too early does no harm: it
 	// takes several at the same time, and most signs are late for one entry only.
-	missedPart = 0.002
-	// earliest and binWidth divide the time around a bound into bins; a sign beyond the last one is not learnt from: the group
+	missedFraction = 0.002
+	// firstBinStart and binWidth divide the time around a bound into bins; a sign beyond the last one is not learnt from: the group
 	// had stopped for a moment, or a packet was lost and sent again, which TCP does after 200 ms.
-	earliest = -100 * time.Millisecond
-	binWidth = 5 * time.Millisecond
-	bins     = 44
-	// enoughSigns is the number of signs from which on the margin is learnt. Of few signs the latest says little of the next ones,
+	firstBinStart = -100 * time.Millisecond
+	binWidth      = 5 * time.Millisecond
+	binCount      = 44
+	// minEvents is the number of signs from which on the margin is learnt. Of few signs the latest says little of the next ones,
 	// so they get as much more as the margin is when nothing is known, and less as more come: without that entries
 	// take groups that work for standing still after their first prompts. Generation is how many are kept apart:
 	// the margin goes by this generation and the one before. An entry with seven streams sees one in half a minute.
-	enoughSigns = 50
-	generation  = 4000
+	minEvents      = 50
+	generationSize = 4000
 )
 
 // Margin is how long after their bound signs of one model's groups may come; the zero value has learnt nothing.
 type Margin struct {
-	now, before [bins]uint16
-	signs       int
-	full        bool
-	margin      time.Duration
-	stale       bool
+	current, previous [binCount]uint16
+	currentCount      int
+	hasPrevious       bool
+	value             time.Duration
+	stale             bool
 }
 
 // Observe takes how long after its bound a sign came, negative when it came sooner.
 func (m *Margin) Observe(late time.Duration) {
-	bin := int((late - earliest) / binWidth)
-	if bin >= bins {
+	bin := int((late - firstBinStart) / binWidth)
+	if bin >= binCount {
 		return
 	}
-	m.now[max(0, bin)]++
-	m.signs++
+	m.current[max(0, bin)]++
+	m.currentCount++
 	m.stale = true
-	if m.signs >= generation {
-		m.before, m.now = m.now, [bins]uint16{}
-		m.signs, m.full = 0, true
+	if m.currentCount >= generationSize {
+		m.previous, m.current = m.current, [binCount]uint16{}
+		m.currentCount, m.hasPrevious = 0, true
 	}
 }
 
 // Current returns the margin.
 func (m *Margin) Current() time.Duration {
-	if !m.full && m.signs < enoughSigns {
-		return unlearntMargin
+	if !m.hasPrevious && m.currentCount < minEvents {
+		return defaultMargin
 	}
 	if m.stale {
-		m.margin, m.stale = m.quantile(), false
+		m.value, m.stale = m.quantile(), false
 	}
-	return m.margin
+	return m.value
 }
 
 // quantile returns the end of the bin that all signs but a part came before, and some more while there are few.
 func (m *Margin) quantile() time.Duration {
-	total := m.signs
-	if m.full {
-		total += generation
+	total := m.currentCount
+	if m.hasPrevious {
+		total += generationSize
 	}
-	few := time.Duration(float64(unlearntMargin) * enoughSigns / float64(total))
-	beyond := int(missedPart * float64(total))
-	for bin := bins - 1; bin >= 0; bin-- {
-		beyond -= int(m.now[bin] + m.before[bin])
-		if beyond < 0 {
-			return earliest + time.Duration(bin+1)*binWidth + few
+	smallSampleExtra := time.Duration(float64(defaultMargin) * minEvents / float64(total))
+	allowedBeyond := int(missedFraction * float64(total))
+	for bin := binCount - 1; bin >= 0; bin-- {
+		allowedBeyond -= int(m.current[bin] + m.previous[bin])
+		if allowedBeyond < 0 {
+			return firstBinStart + time.Duration(bin+1)*binWidth + smallSampleExtra
 		}
 	}
-	return earliest
+	return firstBinStart
 }
