--- a/unread/list.go
+++ b/unread/list.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// namesMost bounds the names that are kept of one upstream, livesMost the upstreams: an upstream may make names up.
-	namesMost = 8
-	livesMost = 4096
-	// nameMost bounds a name.
-	nameMost = 64
+	// maxNamesPerUpstream bounds the names that are kept of one upstream, maxUpstreams the upstreams: an upstream may make names up.
+	maxNamesPerUpstream = 8
+	maxUpstreams        = 4096
+	// maxNameBytes bounds a name.
+	maxNameBytes = 64
 )
 
-// standard are the headers that HTTP and what is usual around it define for answers; they concern what carries an answer, or the caller.
-var standard = set(
+// standardHeaders are the headers that HTTP and what is usual around it define for answers; they concern what carries an answer, or the caller.
+var standardHeaders = canonicalSet(
 	"Accept-Ranges", "Access-Control-Allow-Credentials", "Access-Control-Allow-Headers", "Access-Control-Allow-Methods",
 	"Access-Control-Allow-Origin", "Access-Control-Expose-Headers", "Access-Control-Max-Age", "Age", "Allow", "Alt-Svc", "Cache-Control",
 	"Connection", "Content-Disposition", "Content-Encoding", "Content-Language", "Content-Length", "Content-Location", "Content-Range",
@@ -36,7 +36,7 @@
 	"X-Frame-Options",
 )
 
-func set(names ...string) map[string]bool {
+func canonicalSet(names ...string) map[string]bool {
 	s := map[string]bool{}
 	for _, name := range names {
 		s[http.CanonicalHeaderKey(name)] = true
@@ -46,76 +46,76 @@
 
 // List is which words were noted, by upstream.
 type List[K comparable] struct {
-	known map[string]bool
+	recognized map[string]bool
 
-	mu    sync.Mutex
-	names map[K]map[string]bool
+	mu              sync.Mutex
+	namesByUpstream map[K]map[string]bool
 }
 
 // New returns a list for a reader that knows some headers beside the standard ones.
-func New[K comparable](known ...string) *List[K] {
-	l := &List[K]{known: set(known...), names: map[K]map[string]bool{}}
-	maps.Copy(l.known, standard)
+func New[K comparable](recognized ...string) *List[K] {
+	l := &List[K]{recognized: canonicalSet(recognized...), namesByUpstream: map[K]map[string]bool{}}
+	maps.Copy(l.recognized, standardHeaders)
 	return l
 }
 
 // AddHeaders notes the headers of an answer that nothing reads, and returns those that are new of this upstream.
-func (l *List[K]) AddHeaders(k K, h http.Header) []string {
-	var fresh []string
-	for name := range h {
-		if !l.known[name] && l.add(k, name[:min(nameMost, len(name))]) {
-			fresh = append(fresh, name)
+func (l *List[K]) AddHeaders(upstream K, header http.Header) []string {
+	var added []string
+	for name := range header {
+		if !l.recognized[name] && l.add(upstream, name[:min(maxNameBytes, len(name))]) {
+			added = append(added, name)
 		}
 	}
-	return fresh
+	return added
 }
 
 // AddNames notes names that another reader found, and returns those that are new of this upstream.
-func (l *List[K]) AddNames(k K, names []string) []string {
-	var fresh []string
+func (l *List[K]) AddNames(upstream K, names []string) []string {
+	var added []string
 	for _, name := range names {
-		if l.add(k, name[:min(nameMost, len(name))]) {
-			fresh = append(fresh, name)
+		if l.add(upstream, name[:min(maxNameBytes, len(name))]) {
+			added = append(added, name)
 		}
 	}
-	return fresh
+	return added
 }
 
 // Each calls visit for each upstream of which something was noted.
-func (l *List[K]) Each(visit func(k K, names []string)) {
+func (l *List[K]) Each(visit func(upstream K, names []string)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for k, names := range l.names {
-		visit(k, slices.Sorted(maps.Keys(names)))
+	for upstream, names := range l.namesByUpstream {
+		visit(upstream, slices.Sorted(maps.Keys(names)))
 	}
 }
 
 // add reports whether a name is new of an upstream.
-func (l *List[K]) add(k K, name string) bool {
+func (l *List[K]) add(upstream K, name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	names := l.names[k]
-	if names[name] || len(names) >= namesMost || names == nil && len(l.names) >= livesMost {
+	names := l.namesByUpstream[upstream]
+	if names[name] || len(names) >= maxNamesPerUpstream || names == nil && len(l.namesByUpstream) >= maxUpstreams {
 		return false
 	}
 	if names == nil {
 		names = map[string]bool{}
-		l.names[k] = names
+		l.namesByUpstream[upstream] = names
 	}
 	names[name] = true
 	return true
 }
 
 // Of returns what was noted of an upstream, in order.
-func (l *List[K]) Of(k K) []string {
+func (l *List[K]) Of(upstream K) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Sorted(maps.Keys(l.names[k]))
+	return slices.Sorted(maps.Keys(l.namesByUpstream[upstream]))
 }
 
 // Retain forgets the upstreams that keep does not name.
-func (l *List[K]) Retain(keep func(k K) bool) {
+func (l *List[K]) Retain(keep func(upstream K) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	maps.DeleteFunc(l.names, func(k K, _ map[string]bool) bool { return !keep(k) })
+	maps.DeleteFunc(l.namesByUpstream, func(upstream K, _ map[string]bool) bool { return !keep(upstream) })
 }
