--- a/backoff/export_test.go
+++ b/backoff/export_test.go
@@ -4,5 +4,5 @@
 func Len[K comparable](l *List[K]) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.words)
+	return len(l.records)
 }
--- a/backoff/header.go
+++ b/backoff/header.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// textMost bounds the text that is read; the longest date of HTTP has 33 bytes.
-	textMost = 40
-	// secondsMost bounds what is read as a number: more does not fit into a duration.
-	secondsMost = 1e9
+	// maxTextBytes bounds the text that is read; the longest date of HTTP has 33 bytes.
+	maxTextBytes = 40
+	// maxSeconds bounds what is read as a number: more does not fit into a duration.
+	maxSeconds = 1e9
 )
 
 // Notice is what an upstream asks for with one answer.
@@ -42,17 +42,17 @@
 }
 
 // ParseNotice reads what an answer asks for. Who answered a misdirected request is not known, so that such an answer asks for nothing.
-func ParseNotice(resp *http.Response, words HeaderNames, now time.Time) Notice {
+func ParseNotice(resp *http.Response, names HeaderNames, now time.Time) Notice {
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		return Notice{}
 	}
 	text := resp.Header.Get("Retry-After")
-	w := Notice{RetryAfterText: text[:min(textMost, len(text))], Leaving: resp.Header.Get(words.Leaving) != "", Header: resp.Header}
-	w.Limit, w.Limited, w.LimitErr = ratelimit.ParseHeader(resp.Header, words.Limit)
+	notice := Notice{RetryAfterText: text[:min(maxTextBytes, len(text))], Leaving: resp.Header.Get(names.Leaving) != "", Header: resp.Header}
+	notice.Limit, notice.Limited, notice.LimitErr = ratelimit.ParseHeader(resp.Header, names.Limit)
 	if IsRefusal(resp.StatusCode) {
-		w.Backoff, w.BackoffErr = ParseRetryAfter(resp.Header, now)
+		notice.Backoff, notice.BackoffErr = ParseRetryAfter(resp.Header, now)
 	}
-	return w
+	return notice
 }
 
 // IsRefusal reports whether a status says that there is no room: only such answers ask for time.
@@ -62,44 +62,44 @@
 
 // ParseRetryAfter returns the time that an answer asks for with Retry-After (RFC 9110, section 10.2.3), 0 when it asks for none. Seconds may have
 // a fraction. A date is held against the answer's own Date, so that no time of day but the upstream's counts, or against now.
-func ParseRetryAfter(h http.Header, now time.Time) (time.Duration, error) {
+func ParseRetryAfter(header http.Header, now time.Time) (time.Duration, error) {
 	var longest time.Duration
-	for _, text := range h["Retry-After"] {
-		one, err := readOne(strings.TrimSpace(text), h.Get("Date"), now)
+	for _, text := range header["Retry-After"] {
+		duration, err := parseOne(strings.TrimSpace(text), header.Get("Date"), now)
 		if err != nil {
 			return 0, err
 		}
-		longest = max(longest, one)
+		longest = max(longest, duration)
 	}
 	return longest, nil
 }
 
-func readOne(text, date string, now time.Time) (time.Duration, error) {
-	if len(text) > textMost {
+func parseOne(text, date string, now time.Time) (time.Duration, error) {
+	if len(text) > maxTextBytes {
 		return 0, result.New(result.BackoffUnreadable, "%d bytes are too long for a time", len(text))
 	}
 	if strings.Trim(text, "0123456789.") == "" {
-		return seconds(text)
+		return parseSeconds(text)
 	}
 	until, err := http.ParseTime(text)
 	if err != nil {
-		return 0, unreadable(text)
+		return 0, unreadableError(text)
 	}
-	if said, err := http.ParseTime(date); err == nil {
-		now = said
+	if serverNow, err := http.ParseTime(date); err == nil {
+		now = serverNow
 	}
 	return max(0, until.Sub(now)), nil
 }
 
-// seconds reads digits with at most one point among them.
-func seconds(text string) (time.Duration, error) {
+// parseSeconds reads digits with at most one point among them.
+func parseSeconds(text string) (time.Duration, error) {
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		return 0, unreadable(text)
+		return 0, unreadableError(text)
 	}
-	return time.Duration(min(n, secondsMost) * float64(time.Second)), nil
+	return time.Duration(min(n, maxSeconds) * float64(time.Second)), nil
 }
 
-func unreadable(text string) error {
+func unreadableError(text string) error {
 	return result.New(result.BackoffUnreadable, "%q is neither a number of seconds nor a date", text)
 }
--- a/backoff/header_test.go
+++ b/backoff/header_test.go
@@ -10,13 +10,13 @@
 )
 
 // Both forms that HTTP allows are read, by the upstream's own clock where it tells it; nothing else is.
-func TestAsked(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		text []string
-		date string
-		want time.Duration
-		bad  bool
+func TestParseRetryAfter(t *testing.T) {
+	for _, tt := range []struct {
+		name    string
+		text    []string
+		date    string
+		want    time.Duration
+		wantErr bool
 	}{
 		{name: "nothing"},
 		{name: "seconds", text: []string{"3"}, want: 3 * time.Second},
@@ -28,25 +28,25 @@
 		{name: "a date", text: []string{"Tue, 01 Jan 2030 00:00:05 GMT"}, want: 5 * time.Second},
 		{name: "a date by another clock", text: []string{"Tue, 01 Jan 2019 00:00:05 GMT"}, date: "Tue, 01 Jan 2019 00:00:03 GMT", want: 2 * time.Second},
 		{name: "a date that is over", text: []string{"Mon, 31 Dec 2029 23:59:05 GMT"}},
-		{name: "less than none", text: []string{"-3"}, bad: true},
-		{name: "no number", text: []string{"soon"}, bad: true},
-		{name: "not finite", text: []string{"Inf"}, bad: true},
-		{name: "a power", text: []string{"1e3"}, bad: true},
-		{name: "two points", text: []string{"1.2.3"}, bad: true},
-		{name: "empty", text: []string{""}, bad: true},
-		{name: "too long", text: []string{"00000000000000000000000000000000000000000000000000003"}, bad: true},
+		{name: "less than none", text: []string{"-3"}, wantErr: true},
+		{name: "no number", text: []string{"soon"}, wantErr: true},
+		{name: "not finite", text: []string{"Inf"}, wantErr: true},
+		{name: "a power", text: []string{"1e3"}, wantErr: true},
+		{name: "two points", text: []string{"1.2.3"}, wantErr: true},
+		{name: "empty", text: []string{""}, wantErr: true},
+		{name: "too long", text: []string{"00000000000000000000000000000000000000000000000000003"}, wantErr: true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			h := http.Header{}
-			if c.text != nil {
-				h["Retry-After"] = c.text
+		t.Run(tt.name, func(t *testing.T) {
+			header := http.Header{}
+			if tt.text != nil {
+				header["Retry-After"] = tt.text
 			}
-			if c.date != "" {
-				h.Set("Date", c.date)
+			if tt.date != "" {
+				header.Set("Date", tt.date)
 			}
-			got, err := backoff.ParseRetryAfter(h, start)
-			if got != c.want || (err != nil) != c.bad {
-				t.Errorf("%v and %v, want %v, an error: %v", got, err, c.want, c.bad)
+			got, err := backoff.ParseRetryAfter(header, startTime)
+			if got != tt.want || (err != nil) != tt.wantErr {
+				t.Errorf("%v and %v, want %v, an error: %v", got, err, tt.want, tt.wantErr)
 			}
 			if err != nil && result.CodeOf(err) != result.BackoffUnreadable {
 				t.Errorf("code %d, want %d", result.CodeOf(err), result.BackoffUnreadable)
@@ -55,15 +55,15 @@
 	}
 }
 
-// FuzzAsked holds that no text of an upstream makes a time that is negative.
-func FuzzAsked(f *testing.F) {
+// FuzzParseRetryAfter holds that no text of an upstream makes a time that is negative.
+func FuzzParseRetryAfter(f *testing.F) {
 	for _, text := range []string{"3", "0.25", "-1", "1e999", ".", "99999999999999999999", "Tue, 01 Jan 2030 00:00:05 GMT", "Tue, 31 Dec 9999 23:59:59 GMT"} {
 		f.Add(text, "")
 		f.Add(text, "Tue, 01 Jan 0001 00:00:00 GMT")
 	}
 	f.Fuzz(func(t *testing.T, text, date string) {
-		h := http.Header{"Retry-After": {text}, "Date": {date}}
-		got, err := backoff.ParseRetryAfter(h, start)
+		header := http.Header{"Retry-After": {text}, "Date": {date}}
+		got, err := backoff.ParseRetryAfter(header, startTime)
 		if got < 0 || err != nil && got != 0 {
 			t.Errorf("%v and %v", got, err)
 		}
--- a/backoff/list.go
+++ b/backoff/list.go
@@ -39,38 +39,38 @@
 }
 
 const (
-	// sweepAt is how many words are kept before those that are over are looked for.
-	sweepAt = 256
-	// tryFor is how long others wait for the one that tries an upstream: longer than a request takes until it is begun, so that one
+	// minSweepSize is how many words are kept before those that are over are looked for.
+	minSweepSize = 256
+	// probeTimeout is how long others wait for the one that tries an upstream: longer than a request takes until it is begun, so that one
 	// whose end is never told keeps nobody away for good.
-	tryFor = 10 * time.Second
+	probeTimeout = 10 * time.Second
 )
 
 // List is what upstreams asked for, by their lives or addresses; exported fields are set before use.
 type List[K comparable] struct {
 	Rule Rule
 
-	// latest is when the last time that anybody asked for is over, asking how many words have asked set: most of the time no word holds
+	// latestEnd is when the last time that anybody asked for is over, asking how many words have asked set: most of the time no word holds
 	// anything, and each choice asks for each upstream.
-	latest atomic.Pointer[time.Time]
-	asking atomic.Int64
+	latestEnd      atomic.Pointer[time.Time]
+	requestedCount atomic.Int64
 
-	mu    sync.Mutex
-	words map[K]*word
-	// sweep is how many words there may be until those that are over are dropped.
-	sweep int
+	mu      sync.Mutex
+	records map[K]*record
+	// sweepSize is how many words there may be until those that are over are dropped.
+	sweepSize int
 }
 
-// word is what one upstream asked for.
-type word struct {
-	// until is when it may be sent something again, leaving is set when it said that it leaves.
-	until   time.Time
+// record is what one upstream asked for.
+type record struct {
+	// end is when it may be sent something again, leaving is set when it said that it leaves.
+	end     time.Time
 	leaving bool
-	// asked is set from when it asked for time until it has taken a request, tried until when one is out to find that out.
-	asked bool
-	tried time.Time
-	// over is when the time that it asked for is, which until may be after.
-	over time.Time
+	// requested is set from when it asked for time until it has taken a request, tried until when one is out to find that out.
+	requested  bool
+	probeUntil time.Time
+	// requestedEnd is when the time that it asked for is, which until may be after.
+	requestedEnd time.Time
 }
 
 // State is what an upstream asked for as it stands.
@@ -92,143 +92,143 @@
 
 // New returns an empty list.
 func New[K comparable](rule Rule) *List[K] {
-	return &List[K]{Rule: rule, words: map[K]*word{}}
+	return &List[K]{Rule: rule, records: map[K]*record{}}
 }
 
 // NoteRefusal notes that an upstream turned a request away, and asked for a time, 0 when it named none. It reports whether what is known
 // of it has changed but for the time.
-func (l *List[K]) NoteRefusal(now time.Time, k K, asked time.Duration) bool {
+func (l *List[K]) NoteRefusal(now time.Time, upstream K, delay time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := l.word(now, k)
-	first := asked > 0 && !now.Before(w.over)
-	if asked > 0 && !w.asked {
-		w.asked = true
-		l.asking.Add(1)
+	rec := l.recordOf(now, upstream)
+	isNew := delay > 0 && !now.Before(rec.requestedEnd)
+	if delay > 0 && !rec.requested {
+		rec.requested = true
+		l.requestedCount.Add(1)
 	}
-	wait := min(asked, l.Rule.Max)
-	if asked <= 0 {
+	wait := min(delay, l.Rule.Max)
+	if delay <= 0 {
 		wait = l.Rule.Default
 	}
-	l.extend(w, now.Add(wait))
-	if asked > 0 && now.Add(wait).After(w.over) {
-		w.over = now.Add(wait)
+	l.extend(rec, now.Add(wait))
+	if delay > 0 && now.Add(wait).After(rec.requestedEnd) {
+		rec.requestedEnd = now.Add(wait)
 	}
-	return first
+	return isNew
 }
 
 // NoteLeaving notes that an upstream said that it leaves, and reports whether that is new.
-func (l *List[K]) NoteLeaving(now time.Time, k K) bool {
+func (l *List[K]) NoteLeaving(now time.Time, upstream K) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := l.word(now, k)
-	first := !w.leaving || !now.Before(w.until)
-	w.leaving = true
-	l.extend(w, now.Add(l.Rule.Leaving))
-	return first
+	rec := l.recordOf(now, upstream)
+	isNew := !rec.leaving || !now.Before(rec.end)
+	rec.leaving = true
+	l.extend(rec, now.Add(l.Rule.Leaving))
+	return isNew
 }
 
 // extend lets a word hold until a time at least; the mutex is held.
-func (l *List[K]) extend(w *word, until time.Time) {
-	if until.After(w.until) {
-		w.until = until
+func (l *List[K]) extend(rec *record, until time.Time) {
+	if until.After(rec.end) {
+		rec.end = until
 	}
-	if latest := l.latest.Load(); latest == nil || until.After(*latest) {
-		l.latest.Store(&until)
+	if latest := l.latestEnd.Load(); latest == nil || until.After(*latest) {
+		l.latestEnd.Store(&until)
 	}
 }
 
-// quiet reports whether no word holds anything.
-func (l *List[K]) quiet(now time.Time) bool {
-	latest := l.latest.Load()
-	return l.asking.Load() == 0 && (latest == nil || !now.Before(*latest))
+// idle reports whether no word holds anything.
+func (l *List[K]) idle(now time.Time) bool {
+	latest := l.latestEnd.Load()
+	return l.requestedCount.Load() == 0 && (latest == nil || !now.Before(*latest))
 }
 
-// word returns the word of an upstream, a new one where there is none; the mutex is held.
-func (l *List[K]) word(now time.Time, k K) *word {
-	w := l.words[k]
-	if w != nil {
-		return w
+// recordOf returns the word of an upstream, a new one where there is none; the mutex is held.
+func (l *List[K]) recordOf(now time.Time, upstream K) *record {
+	rec := l.records[upstream]
+	if rec != nil {
+		return rec
 	}
-	if len(l.words) >= max(l.sweep, sweepAt) {
-		l.drop(now)
-		l.sweep = 2 * len(l.words)
+	if len(l.records) >= max(l.sweepSize, minSweepSize) {
+		l.dropExpired(now)
+		l.sweepSize = 2 * len(l.records)
 	}
-	w = &word{}
-	l.words[k] = w
-	return w
+	rec = &record{}
+	l.records[upstream] = rec
+	return rec
 }
 
-// drop forgets what is over. An upstream that has not been tried since counts as any other after as long again as it may ask for.
-func (l *List[K]) drop(now time.Time) {
-	for k, w := range l.words {
-		if now.Sub(w.until) < l.Rule.Max {
+// dropExpired forgets what is over. An upstream that has not been tried since counts as any other after as long again as it may ask for.
+func (l *List[K]) dropExpired(now time.Time) {
+	for upstream, rec := range l.records {
+		if now.Sub(rec.end) < l.Rule.Max {
 			continue
 		}
-		delete(l.words, k)
-		if w.asked {
-			l.asking.Add(-1)
+		delete(l.records, upstream)
+		if rec.requested {
+			l.requestedCount.Add(-1)
 		}
 	}
 }
 
 // StateOf returns what an upstream asked for as it stands.
-func (l *List[K]) StateOf(now time.Time, k K) State {
-	if l.quiet(now) {
+func (l *List[K]) StateOf(now time.Time, upstream K) State {
+	if l.idle(now) {
 		return State{}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.words[k].state(now)
+	return l.records[upstream].state(now)
 }
 
-func (w *word) state(now time.Time) State {
+func (w *record) state(now time.Time) State {
 	switch {
 	case w == nil:
 		return State{}
-	case now.Before(w.until):
-		return State{Remaining: w.until.Sub(now), Leaving: w.leaving, Requested: w.asked}
+	case now.Before(w.end):
+		return State{Remaining: w.end.Sub(now), Leaving: w.leaving, Requested: w.requested}
 	}
-	return State{Requested: w.asked, Probing: w.asked && now.Before(w.tried)}
+	return State{Requested: w.requested, Probing: w.requested && now.Before(w.probeUntil)}
 }
 
 // BeginProbe notes that a request goes to an upstream, and reports whether it is the one that tries it. Whoever gets true calls End.
-func (l *List[K]) BeginProbe(now time.Time, k K) bool {
-	if l.quiet(now) {
+func (l *List[K]) BeginProbe(now time.Time, upstream K) bool {
+	if l.idle(now) {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := l.words[k]
-	if w == nil || !w.asked || now.Before(w.tried) {
+	rec := l.records[upstream]
+	if rec == nil || !rec.requested || now.Before(rec.probeUntil) {
 		return false
 	}
-	w.tried = now.Add(tryFor)
+	rec.probeUntil = now.Add(probeTimeout)
 	return true
 }
 
 // EndProbe ends a trial; taken is set when the upstream has begun to work on the request.
-func (l *List[K]) EndProbe(k K, taken bool) {
+func (l *List[K]) EndProbe(upstream K, accepted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := l.words[k]
-	if w == nil {
+	rec := l.records[upstream]
+	if rec == nil {
 		return
 	}
-	w.tried = time.Time{}
-	if taken && w.asked {
-		w.asked = false
-		l.asking.Add(-1)
+	rec.probeUntil = time.Time{}
+	if accepted && rec.requested {
+		rec.requested = false
+		l.requestedCount.Add(-1)
 	}
 }
 
 // Each calls visit for each upstream that wants nothing yet.
-func (l *List[K]) Each(now time.Time, visit func(k K, s State)) {
+func (l *List[K]) Each(now time.Time, visit func(upstream K, s State)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for k, w := range l.words {
-		if s := w.state(now); s.Remaining > 0 {
-			visit(k, s)
+	for upstream, rec := range l.records {
+		if s := rec.state(now); s.Remaining > 0 {
+			visit(upstream, s)
 		}
 	}
 }
--- a/backoff/model_test.go
+++ b/backoff/model_test.go
@@ -11,72 +11,72 @@
 	"github.com/dunlinquay/dunlinquay/backoff"
 )
 
-// book is the same list in the plainest way: it forgets nothing and is never quiet.
-type book struct {
-	until, tried   map[int]time.Time
-	asked, leaving map[int]bool
+// referenceList is the same list in the plainest way: it forgets nothing and is never quiet.
+type referenceList struct {
+	end, probeUntil    map[int]time.Time
+	requested, leaving map[int]bool
 }
 
-func (b *book) of(now time.Time, k int) backoff.State {
-	if left := b.until[k].Sub(now); left > 0 {
-		return backoff.State{Remaining: left, Leaving: b.leaving[k], Requested: b.asked[k]}
+func (b *referenceList) stateOf(now time.Time, upstream int) backoff.State {
+	if left := b.end[upstream].Sub(now); left > 0 {
+		return backoff.State{Remaining: left, Leaving: b.leaving[upstream], Requested: b.requested[upstream]}
 	}
-	return backoff.State{Requested: b.asked[k], Probing: b.asked[k] && now.Before(b.tried[k])}
+	return backoff.State{Requested: b.requested[upstream], Probing: b.requested[upstream] && now.Before(b.probeUntil[upstream])}
 }
 
-func (b *book) extend(k int, until time.Time) {
-	if until.After(b.until[k]) {
-		b.until[k] = until
+func (b *referenceList) extend(upstream int, until time.Time) {
+	if until.After(b.end[upstream]) {
+		b.end[upstream] = until
 	}
 }
 
 // Whatever is asked, tried and taken in whichever order, the list says the same as a plain book of it.
-func TestListAgainstABook(t *testing.T) {
+func TestListAgainstReference(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		r := backoff.Rule{Max: 20 * time.Second, Default: 100 * time.Millisecond, Leaving: 15 * time.Second}
-		l := backoff.New[int](r)
-		b := &book{map[int]time.Time{}, map[int]time.Time{}, map[int]bool{}, map[int]bool{}}
-		now := start
+		rule := backoff.Rule{Max: 20 * time.Second, Default: 100 * time.Millisecond, Leaving: 15 * time.Second}
+		list := backoff.New[int](rule)
+		reference := &referenceList{map[int]time.Time{}, map[int]time.Time{}, map[int]bool{}, map[int]bool{}}
+		now := startTime
 		for step := range 400 {
 			now = now.Add(time.Duration(random.ExpFloat64() * float64(300*time.Millisecond)))
-			k := random.IntN(6)
-			var what string
+			upstream := random.IntN(6)
+			var action string
 			switch n := random.IntN(10); {
 			case n < 2:
-				what = "refuse"
-				l.NoteRefusal(now, k, 0)
-				b.extend(k, now.Add(r.Default))
+				action = "refuse"
+				list.NoteRefusal(now, upstream, 0)
+				reference.extend(upstream, now.Add(rule.Default))
 			case n < 5:
-				asked := time.Duration(random.IntN(4000)+1) * time.Millisecond
-				what = fmt.Sprint("ask ", asked)
-				l.NoteRefusal(now, k, asked)
-				b.asked[k] = true
-				b.extend(k, now.Add(asked))
+				delay := time.Duration(random.IntN(4000)+1) * time.Millisecond
+				action = fmt.Sprint("ask ", delay)
+				list.NoteRefusal(now, upstream, delay)
+				reference.requested[upstream] = true
+				reference.extend(upstream, now.Add(delay))
 			case n == 5 && random.IntN(20) == 0:
-				what = "leave"
-				l.NoteLeaving(now, k)
-				b.leaving[k] = true
-				b.extend(k, now.Add(r.Leaving))
+				action = "leave"
+				list.NoteLeaving(now, upstream)
+				reference.leaving[upstream] = true
+				reference.extend(upstream, now.Add(rule.Leaving))
 			case n < 9:
-				what = "begin"
-				got, want := l.BeginProbe(now, k), b.asked[k] && !now.Before(b.tried[k])
+				action = "begin"
+				got, want := list.BeginProbe(now, upstream), reference.requested[upstream] && !now.Before(reference.probeUntil[upstream])
 				if got != want {
-					t.Fatalf("seed %d, step %d: %d tries %t, want %t", seed, step, k, got, want)
+					t.Fatalf("seed %d, step %d: %d tries %t, want %t", seed, step, upstream, got, want)
 				}
 				if want {
-					b.tried[k] = now.Add(10 * time.Second)
+					reference.probeUntil[upstream] = now.Add(10 * time.Second)
 				}
 			default:
-				taken := random.IntN(2) == 0
-				what = fmt.Sprint("end ", taken)
-				l.EndProbe(k, taken)
-				b.tried[k] = time.Time{}
-				b.asked[k] = b.asked[k] && !taken
+				accepted := random.IntN(2) == 0
+				action = fmt.Sprint("end ", accepted)
+				list.EndProbe(upstream, accepted)
+				reference.probeUntil[upstream] = time.Time{}
+				reference.requested[upstream] = reference.requested[upstream] && !accepted
 			}
-			for k := range 6 {
-				if diff := cmp.Diff(b.of(now, k), l.StateOf(now, k)); diff != "" {
-					t.Fatalf("seed %d, step %d, after %s: upstream %d (-want +got):\n%s", seed, step, what, k, diff)
+			for upstream := range 6 {
+				if diff := cmp.Diff(reference.stateOf(now, upstream), list.StateOf(now, upstream)); diff != "" {
+					t.Fatalf("seed %d, step %d, after %s: upstream %d (-want +got):\n%s", seed, step, action, upstream, diff)
 				}
 			}
 		}
--- a/backoff/refusal.go
+++ b/backoff/refusal.go
@@ -18,8 +18,8 @@
 func (r *Refusal) Unwrap() error { return r.cause }
 
 // NewRefusal adds the time that an upstream asked for to its refusal.
-func NewRefusal(cause error, asked time.Duration) error {
-	return &Refusal{Backoff: asked, cause: cause}
+func NewRefusal(cause error, backoff time.Duration) error {
+	return &Refusal{Backoff: backoff, cause: cause}
 }
 
 // RequestedBy returns the time that an upstream asked for with err, 0 when it asked for none.
