--- a/overload/doc.go
+++ b/overload/doc.go
@@ -1,2 +1,2 @@
-// Package overload decides which requests wait, in which order they go on and which are refused when more is asked for than engines take in time.
+// Package overload orders the requests that wait while demand exceeds the capacity of the engines, and decides which of them to refuse.
 package overload
--- a/overload/period.go
+++ b/overload/period.go
@@ -3,20 +3,19 @@
 import "time"
 
 const (
-	// maxPeriodGap is the time without a sign of excess after which it is over: some passes of an engine with all slots taken.
+	// maxPeriodGap is how long after the last Extend a period is over: several iterations of an engine with all slots in use.
 	maxPeriodGap = 500 * time.Millisecond
-	// maxRetryAfter bounds the time after which a caller is told to come back: callers do not wait longer than a third of the
-	// time that they have left.
+	// maxRetryAfter bounds the Retry-After value: callers wait for at most a third of their remaining time.
 	maxRetryAfter = 2500 * time.Millisecond
 )
 
-// Period is how long more has been asked for than there is room for.
+// Period is a span of time in which capacity is exceeded.
 type Period struct {
 	startedAt    time.Time
 	lastExtended time.Time
 }
 
-// Extend takes a sign of excess and returns how long it has lasted.
+// Extend notes that capacity is exceeded now, and returns how long the period has lasted.
 func (e *Period) Extend(now time.Time) time.Duration {
 	if now.Sub(e.lastExtended) > maxPeriodGap {
 		e.startedAt = now
@@ -25,13 +24,13 @@
 	return now.Sub(e.startedAt)
 }
 
-// Reset forgets the excess.
+// Reset ends the period.
 func (e *Period) Reset() {
 	*e = Period{}
 }
 
-// RetryAfter returns when a caller that is refused for want of room shall come back: how long the excess will last is not known, so
-// it is taken to last as long again as it has lasted already.
+// RetryAfter extends the period and returns the time after which a refused caller should retry: as long as the period has lasted,
+// since its end is not known.
 func (e *Period) RetryAfter(now time.Time) time.Duration {
 	return min(maxRetryAfter, e.Extend(now))
 }
--- a/overload/queue.go
+++ b/overload/queue.go
@@ -1,27 +1,28 @@
 package overload
 
-// One queue holds the requests for one model that find no room. Each look goes
-// through them in order and offers each one to the groups:
+// A queue holds the requests for one model that find no capacity. Each dispatch
+// offers them to the groups, rank by rank:
 //
-//	begun     first come first
-//	in time   the one that must go soonest first; one that fits nowhere does not
-//	          hold up those that have more time
-//	last try  first come first, after the others but for a part of the room
-//	late      first come first, what is left
+//	started        first in, first out
+//	in time        earliest due time first; a request that fits nowhere does not
+//	               block those that are due later
+//	final attempt  first in, first out, after the ranks above except for a
+//	               reserved share of the capacity
+//	late           first in, first out, with the capacity that remains
 //
-// What a load pattern asks of it:
+// The rules handle these load patterns:
 //
-//   - A short burst delays requests by some passes: they wait, the most urgent
-//     first, and are in time.
-//   - A flood that lasts fills all groups. Whoever is late by then would take
-//     the room of one that is not, so late requests are refused at once, as
-//     soon as there has been no room for them for some passes; their callers
-//     come back when it may be over. So is one behind more others than go on
-//     before it is late itself: it would only wait for its refusal.
-//   - After a loss of power everybody comes back, many of them late. They get
-//     a part of the room, so that they are not refused a second time, and no
-//     more, so that not everybody is late in turn.
-//   - Callers that come back too often only compete for that part.
+//   - A short burst delays requests by a few iterations. They wait, the most
+//     urgent first, and are answered in time.
+//   - A sustained overload fills all groups. A late request would use the
+//     capacity of one that can still be in time, so late requests are refused at
+//     once when there has been no capacity for them for a few iterations, and
+//     their callers retry later. A request behind more others than can be sent
+//     before it is due is refused too, since it would only wait to be refused.
+//   - After a power failure all callers retry and many requests are late. They
+//     get a share of the capacity, so that they are not refused a second time,
+//     and no more, so that the other requests do not become late in turn.
+//   - Callers that retry too often only compete for that share.
 
 import (
 	"slices"
@@ -29,21 +30,21 @@
 )
 
 const (
-	// lateRefusalDelay is how long there must have been no room for late requests until they are refused at once: two to three passes
-	// of an engine with all slots taken, in which each group shows what room it has.
+	// lateRefusalDelay is how long there must have been no capacity for late requests until they are refused at once: two to three
+	// iterations of an engine with all slots in use, in which the free capacity of each group is seen.
 	lateRefusalDelay = 300 * time.Millisecond
-	// finalAttemptShare is the part of the room that last tries get while others wait that can be in time.
+	// finalAttemptShare is what final attempts get, relative to the in-time requests that are sent meanwhile.
 	finalAttemptShare = 0.25
-	// alwaysQueued is how many requests of a rank may wait whatever they can expect: of one nothing needs to be known of how fast they
-	// go. More at each of many entries with few requests add up to a long line that waits in vain.
+	// alwaysQueued is how many requests of a rank may wait even while the send rate is unknown. A higher number at each of many
+	// entries with few requests adds up to a long queue that is refused in the end.
 	alwaysQueued = 1
-	// rateWindow is the time over which the rate at which requests go on is smoothed.
+	// rateWindow is the time over which the send rate is smoothed.
 	rateWindow = 2 * time.Second
-	// maxFailedOffers bounds the requests of one rank beyond those in time that are offered in vain in one look.
+	// maxFailedOffers bounds the unsuccessful offers of one rank in one dispatch; requests that can be in time are all offered.
 	maxFailedOffers = 8
 )
 
-// Queued is a request in a queue, and what its owner keeps of it.
+// Queued is a request in a queue, with its owner's value.
 type Queued[T any] struct {
 	Request
 	Value T
@@ -51,36 +52,36 @@
 	rank Rank
 }
 
-// Queue holds what waits for the groups of one model; it is not safe for concurrent use.
+// Queue holds the requests that wait for the groups of one model; it is not safe for concurrent use.
 type Queue[T any] struct {
 	byRank [rankCount][]*Queued[T]
-	// noLateCapacity is how long there has been no room for late requests, refusing how long requests have been refused.
+	// noLateCapacity is the period without capacity for late requests, refusals the period in which requests are refused.
 	noLateCapacity Period
 	refusals       Period
-	// finalAttemptCredit is the room that last tries are owed, in requests.
+	// finalAttemptCredit is the capacity reserved for final attempts so far, in requests.
 	finalAttemptCredit float64
-	// rates are how many requests of each rank go on in a second.
+	// rates are the send rates of the ranks.
 	rates [rankCount]rate
 }
 
-// rate is a smoothed number of events a second, as of a time.
+// rate is a smoothed number of events per second at a point in time.
 type rate struct {
 	perSecond float64
 	at        time.Time
 }
 
-// add notes so many events.
+// add counts n events.
 func (r *rate) add(now time.Time, n int) {
 	r.perSecond = r.valueAt(now) + float64(n)/rateWindow.Seconds()
 	r.at = now
 }
 
-// valueAt returns the events a second; without any the rate falls to nothing within rateWindow.
+// valueAt returns the events per second at a time; without further events it falls to 0 within rateWindow.
 func (r *rate) valueAt(now time.Time) float64 {
 	return r.perSecond * max(0, 1-now.Sub(r.at).Seconds()/rateWindow.Seconds())
 }
 
-// Len returns how many requests wait.
+// Len returns the number of waiting requests.
 func (q *Queue[T]) Len() int {
 	n := 0
 	for _, waiting := range q.byRank {
@@ -89,7 +90,7 @@
 	return n
 }
 
-// Add lets a request wait.
+// Add queues a request.
 func (q *Queue[T]) Add(now time.Time, r Request, value T) *Queued[T] {
 	queued := &Queued[T]{Request: r, Value: value}
 	q.insert(now, queued)
@@ -104,12 +105,12 @@
 		if other.sortKey().After(key) {
 			return 1
 		}
-		return -1 // equal ones keep the order in which they came
+		return -1 // requests with equal keys keep their order of arrival
 	})
 	q.byRank[queued.rank] = slices.Insert(waiting, i, queued)
 }
 
-// sortKey orders the requests of one rank.
+// sortKey is the time by which the requests of a rank are sorted.
 func (w *Queued[T]) sortKey() time.Time {
 	if w.rank == InTime {
 		return w.Due
@@ -117,7 +118,7 @@
 	return w.QueuedAt
 }
 
-// Remove takes a request out that does not wait any more.
+// Remove drops a request that no longer waits.
 func (q *Queue[T]) Remove(queued *Queued[T]) {
 	waiting := q.byRank[queued.rank]
 	if i := slices.Index(waiting, queued); i >= 0 {
@@ -125,18 +126,18 @@
 	}
 }
 
-// NoteCapacity notes that a group had room for a late request.
+// NoteCapacity notes that a group had capacity for a late request.
 func (q *Queue[T]) NoteCapacity() {
 	q.noLateCapacity.Reset()
 }
 
-// RetryAfter returns when a request that is refused now shall come back.
+// RetryAfter returns the time after which the caller of a request that is refused now should retry.
 func (q *Queue[T]) RetryAfter(now time.Time) time.Duration {
 	return q.refusals.RetryAfter(now)
 }
 
-// Dispatch offers the waiting requests to the groups in their order, and refuses those that it is in vain to keep. Send reports whether
-// it sent a request on, or ended it; room is the rank whose room it may use. Neither function may change the queue.
+// Dispatch offers the waiting requests to the groups in order and refuses those that have no chance. Send reports whether it sent or
+// ended the request; capacityRank is the rank whose capacity the request may use. Neither function may change the queue.
 func (q *Queue[T]) Dispatch(now time.Time, send func(queued *Queued[T], capacityRank Rank) bool, refuse func(queued *Queued[T])) {
 	q.demoteLate(now)
 	for rank := range Rank(rankCount) {
@@ -172,7 +173,7 @@
 	}
 }
 
-// demoteLate moves requests that can't be in time any more to their next rank.
+// demoteLate moves requests that can no longer be in time to their next rank.
 func (q *Queue[T]) demoteLate(now time.Time) {
 	waiting := q.byRank[InTime]
 	lateCount := 0
@@ -185,7 +186,7 @@
 	q.byRank[InTime] = slices.Delete(waiting, 0, lateCount)
 }
 
-// offer offers the requests of a rank in order, as requests of the rank room, until most have been sent, and returns how many were.
+// offer offers the requests of a rank in order, with the capacity of capacityRank, until maxSent are sent, and returns how many were.
 func (q *Queue[T]) offer(now time.Time, rank, capacityRank Rank, maxSent int, send func(queued *Queued[T], capacityRank Rank) bool) int {
 	waiting := q.byRank[rank]
 	remaining := waiting[:0]
@@ -210,18 +211,18 @@
 	return sent
 }
 
-// hopeless reports whether a request in that place of the line of a rank waits in vain: so many before it do not go on in the time
-// that it has.
+// hopeless reports whether a request at that position of a rank has no chance: at the present rate, those ahead of it are not sent
+// in the time that it has left.
 func (q *Queue[T]) hopeless(rank Rank, position int, timeLeft time.Duration, now time.Time) bool {
 	return position >= alwaysQueued && float64(position) > q.rates[rank].valueAt(now)*timeLeft.Seconds()
 }
 
-// refuseIf refuses the requests of a rank for which in vain holds.
-func (q *Queue[T]) refuseIf(rank Rank, refuse func(queued *Queued[T]), hopeless func(position int, queued *Queued[T]) bool) {
+// refuseIf refuses the requests of a rank for which mustRefuse returns true.
+func (q *Queue[T]) refuseIf(rank Rank, refuse func(queued *Queued[T]), mustRefuse func(position int, queued *Queued[T]) bool) {
 	waiting := q.byRank[rank]
 	remaining := waiting[:0]
 	for _, queued := range waiting {
-		if hopeless(len(remaining), queued) {
+		if mustRefuse(len(remaining), queued) {
 			refuse(queued)
 			continue
 		}
--- a/overload/queue_test.go
+++ b/overload/queue_test.go
@@ -14,11 +14,11 @@
 
 var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// queueTester offers what waits to a number of places, and notes what became of each request.
+// queueTester dispatches a queue with a limited capacity, and records which requests were sent and refused.
 type queueTester struct {
 	queue    overload.Queue[string]
 	capacity int
-	// lateAllowed is set when late requests may have the places too.
+	// lateAllowed is set when late requests may use the capacity too.
 	lateAllowed bool
 	sent        []string
 	refused     []string
@@ -47,32 +47,32 @@
 	return overload.Request{Due: startTime.Add(at)}
 }
 
-// Room goes to begun streams first, then to the most urgent of those that can be in time, and late ones get what is left.
+// Started requests are sent first, then those in time by due time, then final attempts, and late requests last.
 func TestDispatchOrder(t *testing.T) {
 	tester := &queueTester{capacity: 6, lateAllowed: true}
 	tester.add(0, "late", dueAt(-ms))
-	tester.add(1*ms, "last try", overload.Request{Due: startTime.Add(-ms), FinalAttempt: true})
+	tester.add(1*ms, "final attempt", overload.Request{Due: startTime.Add(-ms), FinalAttempt: true})
 	tester.add(2*ms, "has time", dueAt(300*ms))
 	tester.add(3*ms, "urgent", dueAt(50*ms))
-	tester.add(4*ms, "begun", overload.Request{Due: startTime.Add(-ms), Started: true})
+	tester.add(4*ms, "started", overload.Request{Due: startTime.Add(-ms), Started: true})
 	tester.add(5*ms, "as urgent", dueAt(50*ms))
 	tester.dispatch(10 * ms)
-	want := []string{"begun", "urgent", "as urgent", "has time", "last try", "late"}
+	want := []string{"started", "urgent", "as urgent", "has time", "final attempt", "late"}
 	if diff := cmp.Diff(want, tester.sent); diff != "" {
 		t.Errorf("order (-want +got):\n%s", diff)
 	}
 }
 
-// A late request is refused as soon as there has been no room for late ones for some passes, and not before; room that is seen
-// meanwhile starts that anew.
+// A late request is refused when there has been no capacity for late requests for lateRefusalDelay, and not before; any capacity seen
+// in between restarts the delay.
 func TestLateRequestsUnderSustainedOverload(t *testing.T) {
 	for _, tt := range []struct {
 		name       string
 		capacityAt time.Duration
 		want       time.Duration
 	}{
-		{"no room for late ones", -1, 310 * ms},
-		{"some in between", 200 * ms, 510 * ms},
+		{"no capacity for late requests", -1, 310 * ms},
+		{"some capacity in between", 200 * ms, 510 * ms},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			tester := &queueTester{}
@@ -94,7 +94,7 @@
 	}
 }
 
-// One that can be in time is kept until it can't, and then refused at once when the flood has lasted.
+// A request that can be in time is kept until it becomes late, and then refused at once if the overload has lasted long enough.
 func TestRequestsThatBecomeLate(t *testing.T) {
 	tester := &queueTester{}
 	tester.add(0, "first", dueAt(100*ms))
@@ -115,18 +115,18 @@
 	}
 }
 
-// Last tries get one place in five while others that can be in time take the rest: a quarter of what these get.
+// Final attempts get one send in five, a quarter of what requests in time get.
 func TestShareOfFinalAttempts(t *testing.T) {
 	tester := &queueTester{}
 	for i := range 40 {
 		tester.add(time.Duration(i)*ms, "new", dueAt(10*time.Second))
 	}
-	addReturning := func() { tester.add(50*ms, "back", overload.Request{Due: startTime.Add(-ms), FinalAttempt: true}) }
+	addReturning := func() { tester.add(50*ms, "returning", overload.Request{Due: startTime.Add(-ms), FinalAttempt: true}) }
 	addReturning()
 	for at := range 20 {
 		tester.capacity = 1
 		tester.dispatch(time.Duration(100+at) * ms)
-		if tester.sent[len(tester.sent)-1] == "back" {
+		if tester.sent[len(tester.sent)-1] == "returning" {
 			addReturning()
 		}
 	}
@@ -134,40 +134,40 @@
 	for _, name := range tester.sent {
 		sentByName[name]++
 	}
-	if diff := cmp.Diff(map[string]int{"new": 16, "back": 4}, sentByName); diff != "" {
+	if diff := cmp.Diff(map[string]int{"new": 16, "returning": 4}, sentByName); diff != "" {
 		t.Errorf("sent (-want +got):\n%s", diff)
 	}
 }
 
-// A last try behind more than go on before its caller leaves is refused at once.
+// A final attempt behind more requests than can be sent before its caller gives up is refused at once.
 func TestHopelessFinalAttempts(t *testing.T) {
 	tester := &queueTester{}
 	request := overload.Request{Due: startTime.Add(-ms), FinalAttempt: true, Expires: startTime.Add(1400 * ms)}
 	for range 40 {
-		tester.add(0, "back", request)
+		tester.add(0, "returning", request)
 	}
 	tester.dispatch(0)
 	if len(tester.refused) != 39 {
-		t.Errorf("%d of 40 refused while none goes on, want all but one", len(tester.refused))
+		t.Errorf("%d of 40 refused while none is sent, want all but one", len(tester.refused))
 	}
-	// With ten in a second that go on, fourteen can wait.
+	// At ten sends per second, fourteen requests can wait.
 	tester = &queueTester{lateAllowed: true}
 	for i := range 60 {
-		tester.add(time.Duration(i)*100*ms, "back", overload.Request{Due: startTime.Add(-ms), FinalAttempt: true})
+		tester.add(time.Duration(i)*100*ms, "returning", overload.Request{Due: startTime.Add(-ms), FinalAttempt: true})
 		tester.capacity = 1
 		tester.dispatch(time.Duration(i) * 100 * ms)
 	}
 	request.Expires = startTime.Add(7400 * ms)
 	for range 40 {
-		tester.add(6*time.Second, "back", request)
+		tester.add(6*time.Second, "returning", request)
 	}
 	tester.dispatch(6 * time.Second)
 	if queuedCount := tester.queue.Len(); queuedCount < 10 || queuedCount > 16 {
-		t.Errorf("%d of 40 wait, want about as many as go on", queuedCount)
+		t.Errorf("%d of 40 wait, want about as many as can be sent in time", queuedCount)
 	}
 }
 
-// Nothing is offered or kept whose caller will have left.
+// Requests whose callers will have given up are neither offered nor kept.
 func TestExpiredRequestsAreRefused(t *testing.T) {
 	tester := &queueTester{capacity: 9}
 	for _, r := range []overload.Request{{Started: true}, {Due: startTime.Add(time.Hour)}, {FinalAttempt: true}, {}} {
@@ -191,7 +191,7 @@
 	}
 }
 
-// Callers are told to stay away for as long again as the excess has lasted, within a bound; after a pause it counts from new.
+// Retry-After is as long as the overload has lasted, within a bound; a gap starts a new period.
 func TestRetryAfter(t *testing.T) {
 	var period overload.Period
 	var got []time.Duration
@@ -204,11 +204,11 @@
 	got = append(got, period.RetryAfter(startTime.Add(6100*ms)))
 	want := []time.Duration{0, 400 * ms, 800 * ms, 1200 * ms, 0, 300 * ms, 2500 * ms}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("to come back after (-want +got):\n%s", diff)
+		t.Errorf("Retry-After (-want +got):\n%s", diff)
 	}
 }
 
-// What callers spent before is told from what most of their class say, whatever a few say.
+// The time elapsed on earlier attempts is derived from the time that most callers announce, whatever a few announce.
 func TestPriorElapsed(t *testing.T) {
 	var typical overload.TypicalWait
 	priorElapsed := func(announced ...time.Duration) (got []time.Duration) {
@@ -218,25 +218,24 @@
 		return got
 	}
 	if diff := cmp.Diff([]time.Duration{0, 0}, priorElapsed(5000*ms, 6000*ms)); diff != "" {
-		t.Errorf("before much is known (-want +got):\n%s", diff)
+		t.Errorf("before enough requests are known (-want +got):\n%s", diff)
 	}
 	for range 20 {
 		priorElapsed(6000 * ms)
 	}
 	got := priorElapsed(5710*ms, 6000*ms, 99*time.Second, 4630*ms, 0)
 	if diff := cmp.Diff([]time.Duration{290 * ms, 0, 0, 1370 * ms, 0}, got); diff != "" {
-		t.Errorf("spent before (-want +got):\n%s", diff)
+		t.Errorf("elapsed before (-want +got):\n%s", diff)
 	}
 	for range 40 {
 		priorElapsed(9000 * ms)
 	}
 	if diff := cmp.Diff([]time.Duration{3000 * ms}, priorElapsed(6000*ms)); diff != "" {
-		t.Errorf("after the usual time has changed (-want +got):\n%s", diff)
+		t.Errorf("after the typical time has changed (-want +got):\n%s", diff)
 	}
 }
 
-// BenchmarkDispatch is one look at 1,000 requests that wait, of which none has room, beside a busy machine: 13.1 µs, 13 ns for each, and no
-// allocation (median of three). There was no such look before.
+// BenchmarkDispatch is one dispatch of 1,000 waiting requests without any capacity.
 func BenchmarkDispatch(b *testing.B) {
 	var q overload.Queue[int]
 	for i := range 1000 {
@@ -250,8 +249,8 @@
 	}
 }
 
-// Where callers differ in how long they wait, those who say far less than the longest came back; where many wait for a short time
-// only, nothing is made of it.
+// Where announced times differ by little, a time far below the longest is taken for a retry; where first attempts differ by much, it
+// is not.
 func TestPriorElapsedOfDifferingCallers(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for _, tt := range []struct {
@@ -278,10 +277,10 @@
 				}
 			}
 			if falsePositives > 0 {
-				t.Errorf("%d of 1000 first tries are taken for ones that came back", falsePositives)
+				t.Errorf("%d of 1000 first attempts are taken for retries", falsePositives)
 			}
 			if tt.detectable && found < 800 {
-				t.Errorf("%d of 1000 that came back after 2.5 s are known", found)
+				t.Errorf("%d of 1000 retries after 2.5 s are detected", found)
 			}
 		})
 	}
--- a/overload/rank.go
+++ b/overload/rank.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// Rank says who goes first among requests that wait for room; a lower one goes before a higher one.
+// Rank orders waiting requests; lower ranks are sent first.
 type Rank int
 
 // The ranks, in order.
 const (
-	// Started is for requests that an upstream was lost under: their callers have a part of the answer, or have waited for one.
+	// Started is for requests that an upstream may have worked on, or whose callers have a part of the answer.
 	Started Rank = iota
-	// InTime is for requests that can still be answered within their aim.
+	// InTime is for requests that can still meet their aim.
 	InTime
-	// FinalAttempt is for requests that are late and whose callers do not come back another time: a refusal ends them.
+	// FinalAttempt is for late requests whose callers will not retry: a refusal is final.
 	FinalAttempt
-	// Late is for requests that are late and whose callers can come back.
+	// Late is for late requests whose callers can retry.
 	Late
 
 	rankCount = int(Late) + 1
 )
 
-// Request is what the rules know of a request.
+// Request holds the properties of a request by which it is queued.
 type Request struct {
-	// QueuedAt is when it began to wait.
+	// QueuedAt is when the request was queued.
 	QueuedAt time.Time
-	// Due is the last moment at which it can be sent and still be in time at an idle group.
+	// Due is the latest time at which it can be sent to an idle group and still be in time.
 	Due time.Time
-	// Expires is the last moment at which it can be sent and be answered before its caller leaves.
+	// Expires is the latest time at which it can be sent and be answered before its caller gives up.
 	Expires time.Time
-	// Started and FinalAttempt are set for the requests that these ranks name.
+	// Started and FinalAttempt are set for requests that the ranks of these names describe.
 	Started      bool
 	FinalAttempt bool
 }
 
-// LatestSend returns the last moment at which it is worth sending: for one whose caller does not come back also when it is late.
+// LatestSend returns the latest time at which sending is worthwhile; a request whose caller will not retry is also sent late.
 func (r *Request) LatestSend() time.Time {
 	if r.Started || r.FinalAttempt {
 		return r.Expires
@@ -40,7 +40,7 @@
 	return r.Due
 }
 
-// Rank returns the request's rank at a time.
+// Rank returns the request's rank at a point in time.
 func (r *Request) Rank(now time.Time) Rank {
 	switch {
 	case r.Started:
