--- a/estimate/doc.go
+++ b/estimate/doc.go
@@ -1,2 +1,2 @@
-// Package estimate works out how long a request takes at a group of engines, from the engine's published figures.
+// Package estimate predicts iteration times and times to first event of a group of engines from the figures that the engine publishes.
 package estimate
--- a/estimate/estimate.go
+++ b/estimate/estimate.go
@@ -1,15 +1,16 @@
 package estimate
 
-// An engine works in passes. A pass reads the prompts that wait, then plays
-// Stride token steps for every sequence that writes, and its events go out at
-// its end:
+// An engine uses continuous batching. Each iteration prefills the pending
+// prompts and then runs Stride token steps for every decoding sequence; its
+// events are sent at its end:
 //
-//	| read a, b, c | steps for all | read d | steps for all | ...
-//	               first words of a, b, c   first word of d
+//	| prefill a, b, c | steps for all | prefill d | steps for all | ...
+//	                first events of a, b, c     first event of d
 //
-// So what a request waits for are the prompts that are read in the same pass,
-// and so do all streams of the group: their pause is the length of a pass. The
-// number of requests says little, because prompts differ by ten times in size.
+// A request therefore waits for all prompts that are prefilled in the same
+// iteration, and so do the streams of the group: their event gap is the length
+// of an iteration. The number of requests says little about that length, because
+// prompts differ in size by a factor of ten.
 
 import (
 	"time"
@@ -18,27 +19,27 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// Group is what the engine publishes of a group of one model, in the form that the estimates need.
+// Group holds the published figures of a group of one model in the form that the estimates need.
 type Group struct {
-	// perPromptToken is the time to read one token of a prompt, steps that of the token steps of a pass without any sequence,
-	// perSequence what each sequence adds to a pass.
+	// perPromptToken is the prefill time of one token, iterationBase the time of an iteration without prompts and sequences,
+	// perSequence the time that each sequence adds to an iteration; all in ns.
 	perPromptToken float64
 	iterationBase  float64
 	perSequence    float64
 	slots          int
-	// answerTime is how long an answer of usual length keeps its slot when all slots are taken.
+	// answerTime is how long an answer of typical length uses its slot while all slots are in use, in ns.
 	answerTime float64
 }
 
-// Load is what is known to be at a group.
+// Load is the known load of a group.
 type Load struct {
-	// PendingPrompt are the tokens of prompts that were sent and of which no word came yet.
+	// PendingPrompt is the number of tokens of prompts that were sent and have no event yet.
 	PendingPrompt ident.Tokens
-	// Requests are all requests there, read or not.
+	// Requests is the number of all requests, with or without events.
 	Requests int
 }
 
-// NewGroup returns the figures of groups of m; all takes slowdown times as long, 1 for a group that runs as it should.
+// NewGroup returns the figures of groups of the model; slowdown multiplies all times and is 1 for a group at full speed.
 func NewGroup(engine *httproute.Engine, model *httproute.Model, slowdown float64) Group {
 	slowFactor := model.Pace * slowdown
 	stepsPerIteration := float64(max(1, engine.Stride))
@@ -54,8 +55,8 @@
 	return g
 }
 
-// IterationTime returns the length of a pass that reads so many tokens while so many requests write, which is also the pause that all
-// streams of the group make.
+// IterationTime returns the length of an iteration that prefills promptTokens while that many requests are decoding. It is also the
+// event gap of all streams of the group.
 func (g *Group) IterationTime(promptTokens ident.Tokens, decoding int) time.Duration {
 	return time.Duration(g.iterationNanos(float64(promptTokens), decoding))
 }
@@ -64,9 +65,9 @@
 	return promptTokens*g.perPromptToken + g.iterationBase + g.perSequence*float64(min(decoding, g.slots))
 }
 
-// FirstEvent returns the time until the first event of a request whose prompt has so many tokens: half of the pass that is in
-// progress when it comes, a slot when none is free, and the pass that reads it along with what else waits. It is 0 for an upstream
-// whose figures are not known.
+// FirstEvent returns the time to the first event of a request: half of the iteration in progress when it arrives, the wait for a slot
+// if none is free, and the iteration that prefills its prompt together with the other pending ones. It is 0 for an upstream whose
+// figures are not known.
 func (g *Group) FirstEvent(load Load, promptTokens ident.Tokens) time.Duration {
 	if g.slots == 0 {
 		return 0
@@ -75,7 +76,7 @@
 	return time.Duration(currentIteration + g.slotWait(load.Requests) + g.iterationNanos(float64(load.PendingPrompt+promptTokens), load.Requests+1))
 }
 
-// Remaining returns how many of so many requests are still there after a time, if as many end in a moment as usual.
+// Remaining returns how many of the requests are still in progress after a time, if requests finish at the typical rate.
 func (g *Group) Remaining(requests int, after time.Duration) int {
 	if g.answerTime <= 0 || after <= 0 {
 		return requests
@@ -83,7 +84,7 @@
 	return int(float64(requests)/(1+float64(after)/g.answerTime) + 0.5)
 }
 
-// slotWait is the time until a slot is free: slots free up one after the other over the time of an answer.
+// slotWait is the time until a slot is free: the slots become free one by one, evenly over answerTime.
 func (g *Group) slotWait(requests int) float64 {
 	excess := requests + 1 - g.slots
 	if excess <= 0 {
--- a/estimate/estimate_test.go
+++ b/estimate/estimate_test.go
@@ -11,7 +11,7 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// engine reads 50 tokens a ms and plays 5 steps of 6 ms in a pass; each of 20 sequences adds 0.2 ms to a step.
+// engine prefills 50 tokens per ms and runs 5 steps of 6 ms per iteration; each of at most 20 sequences adds 0.2 ms to a step.
 func engine() *httproute.Engine {
 	return &httproute.Engine{
 		Slots: 20, Step: 6 * time.Millisecond, PerSequence: 200 * time.Microsecond, ReadRate: 50_000, Stride: 5,
@@ -30,19 +30,19 @@
 		decoding     int
 		want         time.Duration
 	}{
-		{"nothing to do", 0, 1, 0, 0, 30 * time.Millisecond},
-		{"reading only", 0, 1, 2000, 0, 70 * time.Millisecond},
-		{"writing only", 0, 1, 0, 10, 40 * time.Millisecond},
+		{"idle", 0, 1, 0, 0, 30 * time.Millisecond},
+		{"prefill only", 0, 1, 2000, 0, 70 * time.Millisecond},
+		{"decoding only", 0, 1, 0, 10, 40 * time.Millisecond},
 		{"both", 0, 1, 2000, 10, 80 * time.Millisecond},
-		{"no more write than there are slots", 0, 1, 0, 50, 50 * time.Millisecond},
-		{"a model that runs at half the time", 1, 1, 2000, 10, 40 * time.Millisecond},
+		{"more requests than slots", 0, 1, 0, 50, 50 * time.Millisecond},
+		{"a model that takes half the time", 1, 1, 2000, 10, 40 * time.Millisecond},
 		{"a group across domains", 0, 3, 2000, 10, 240 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			group := estimate.NewGroup(testEngine, &testEngine.Models[tt.model], tt.slowdown)
 			if diff := cmp.Diff(tt.want, group.IterationTime(tt.promptTokens, tt.decoding).Round(time.Microsecond)); diff != "" {
-				t.Errorf("length of a pass (-want +got):\n%s", diff)
+				t.Errorf("iteration time (-want +got):\n%s", diff)
 			}
 		})
 	}
@@ -57,28 +57,28 @@
 		prompt ident.Tokens
 		want   time.Duration
 	}{
-		{"nothing there", estimate.Load{}, 0, 46 * time.Millisecond},
+		{"idle", estimate.Load{}, 0, 46 * time.Millisecond},
 		{"a long prompt", estimate.Load{}, 5000, 146 * time.Millisecond},
 		{"behind a long prompt", estimate.Load{PendingPrompt: 5000, Requests: 1}, 500, 157500 * time.Microsecond},
-		{"beside ten that write", estimate.Load{Requests: 10}, 500, 71 * time.Millisecond},
+		{"beside ten that decode", estimate.Load{Requests: 10}, 500, 71 * time.Millisecond},
 		{"the last slot", estimate.Load{Requests: 19}, 0, 74500 * time.Microsecond},
-		{"two must leave first", estimate.Load{Requests: 21}, 0, 175 * time.Millisecond},
+		{"two must finish first", estimate.Load{Requests: 21}, 0, 175 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if diff := cmp.Diff(tt.want, group.FirstEvent(tt.load, tt.prompt).Round(time.Microsecond)); diff != "" {
-				t.Errorf("time to the first word (-want +got):\n%s", diff)
+				t.Errorf("time to first event (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// An engine that publishes nothing but its slots has no estimate; the relay then goes by the number of requests.
+// An engine that publishes no times has no estimate.
 func TestEngineWithoutFigures(t *testing.T) {
 	testEngine := &httproute.Engine{Models: []httproute.Model{{Name: "m", Size: 1, Pace: 1}}}
 	group := estimate.NewGroup(testEngine, &testEngine.Models[0], 1)
 	if diff := cmp.Diff(time.Duration(0), group.FirstEvent(estimate.Load{Requests: 3}, 100)); diff != "" {
-		t.Errorf("time to the first word (-want +got):\n%s", diff)
+		t.Errorf("time to first event (-want +got):\n%s", diff)
 	}
 }
 
