--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,2 +1,2 @@
-// Package quarantine decides which work is not sent to upstreams any more because upstreams ended while they ran it.
+// Package quarantine decides which repeated requests are no longer sent to upstreams because upstreams crashed while running them.
 package quarantine
--- a/quarantine/list.go
+++ b/quarantine/list.go
@@ -1,20 +1,21 @@
 package quarantine
 
-// A request may end every upstream that runs it, and its caller sends it again
-// and again, to any entry. No entry alone can see that: to each the request is
-// new and the upstream was sound. So what is counted is the work, not the
-// request, and all entries count together:
+// A request can crash every upstream that runs it while its caller sends it
+// again and again, to any entry. A single entry cannot detect that: to each entry
+// the request is new and the upstream was healthy. Crashes are therefore counted
+// by request fingerprint and merged across all entries:
 //
-//	entry 1   ran on u1, u1 ended           {u1}
-//	entry 2   ran on u2, u2 ended           {u1, u2}
-//	entry 3   ran on u3, u3 ended           {u1, u2, u3}: held
-//	entry 4   it comes again                refused at once
+//	entry 1   sent it to u1, u1 crashed     {u1}
+//	entry 2   sent it to u2, u2 crashed     {u1, u2}
+//	entry 3   sent it to u3, u3 crashed     {u1, u2, u3}: quarantined
+//	entry 4   receives it                   refused at once
 //
-// An end is named by the life that ended, so reports may be lost, repeated and
-// arrive in any order. Whatever else ran on an upstream that ended is counted
-// too, since nobody can tell which of a batch was at fault; the next whole
-// answer clears it. Held work is let in again after a time, once, and is held
-// for twice as long if that ends one more upstream.
+// A crash is identified by the incarnation that crashed, so reports can be lost,
+// repeated and reordered. All other requests in progress on that upstream are
+// counted as well, since it is not known which request of a batch caused the
+// crash; a complete answer clears the count of its fingerprint. When a quarantine
+// has ended, one request is admitted as a trial, and a further crash doubles the
+// quarantine.
 
 import (
 	"cmp"
@@ -27,58 +28,59 @@
 )
 
 const (
-	// MaxCrashes bounds the ends that are remembered of one work: with the usual rule, the number after which it is held longest.
+	// MaxCrashes bounds the crashes that are kept of one fingerprint; with the default rule, the quarantine is longest at that number.
 	MaxCrashes = 9
-	// MaxDuration bounds how long work is held.
+	// MaxDuration bounds a quarantine.
 	MaxDuration = time.Hour
-	// retention is how long something is remembered after it was last learnt: work that comes again more seldom ends less than three
-	// upstreams an hour more than work that does not.
+	// retention is how long a record is kept after its last change: a request repeated at longer intervals crashes fewer than three
+	// additional upstreams per hour.
 	retention = time.Hour
-	// resendFor is how long a change is told again and again; what is held is told as long as it is, to entries that have just started.
+	// resendFor is how long a change is sent repeatedly. Quarantines are sent until they end, for entries that have just started.
 	resendFor = 10 * time.Second
-	// trialTimeout is how long others wait for the one that tries held work once more: longer than requests take.
+	// trialTimeout is how long other requests wait for the outcome of a trial: longer than requests take.
 	trialTimeout = 10 * time.Second
-	// sameCrashTolerance is how far two reports may be apart on when the same end was: news take some ms, a sync with the leader half a second.
+	// sameCrashTolerance is how far the times of the same crash may differ between reports: an update between entries takes a few ms,
+	// a sync with the leader half a second.
 	sameCrashTolerance = time.Second
-	// digestLifetime is how long a digest is used again while nothing is learnt, minDigestInterval while something is: each sync with the leader asks
-	// for it, and with many entries and records it would fill the leader's time.
+	// digestLifetime is how long a digest is reused while nothing changes, minDigestInterval while something does: every sync with the
+	// leader needs it, and with many entries and records computing it each time would overload the leader.
 	digestLifetime    = 500 * time.Millisecond
 	minDigestInterval = 50 * time.Millisecond
-	// evictionSample is how many records are compared to find one to forget.
+	// evictionSample is how many records are compared to find one to evict.
 	evictionSample = 8
 )
 
-// Rule says what is held, and for how long.
+// Rule says after how many crashes a fingerprint is quarantined, and for how long.
 type Rule struct {
-	// Crashes is how many upstreams must have ended under a work in a row.
+	// Crashes is the number of consecutive crashes that starts a quarantine.
 	Crashes int
-	// InitialDuration is how long it is held at first.
+	// InitialDuration is the length of the first quarantine.
 	InitialDuration time.Duration
-	// MaxRecords bounds the works that are remembered; one takes 200 bytes with one end and 320 with nine.
+	// MaxRecords bounds the fingerprints that are kept; each takes 200 bytes with one crash and 320 with nine.
 	MaxRecords int
 }
 
-// DefaultRule is three ends, since one or two in a row also meet work that is not at fault; a minute, which bounds what one work ends
-// to nine upstreams an hour; and records that take about 1 MB in all.
+// DefaultRule requires three crashes, since one or two in a row also affect requests that are not at fault; starts with a minute, which
+// limits one fingerprint to nine crashes per hour; and keeps records of about 1 MB in all.
 func DefaultRule() Rule {
 	return Rule{Crashes: 3, InitialDuration: time.Minute, MaxRecords: 4096}
 }
 
-// List is what is known of work that upstreams ended under; the zero value knows nothing.
+// List holds the crashes per request fingerprint; its zero value is empty.
 type List struct {
 	Rule Rule
 
 	mu      sync.Mutex
 	records map[Fingerprint]*record
-	// digest is Sum as it was at digestAt, old when anything was learnt since.
+	// digest is the digest computed at digestAt; digestStale is set when a record has changed since.
 	digest      uint64
 	digestAt    time.Time
 	digestStale bool
-	// nextToSend is the work that is told next, by its place among those to be told.
+	// nextToSend is the index of the report that ToSend returns next.
 	nextToSend int
 }
 
-// Remaining returns how long the work is still not to be sent to upstreams, 0 when it may.
+// Remaining returns how long the fingerprint must not be sent to upstreams, 0 when it may be sent.
 func (l *List) Remaining(now time.Time, fingerprint Fingerprint) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,7 +91,7 @@
 	return max(0, r.trialUntil.Sub(now), l.quarantinedUntil(r).Sub(now))
 }
 
-// quarantinedUntil returns when a record stops being held, the zero time when it is not.
+// quarantinedUntil returns the end of a record's quarantine, the zero time when there is none.
 func (l *List) quarantinedUntil(r *record) time.Time {
 	if len(r.crashes) < l.Rule.Crashes {
 		return time.Time{}
@@ -97,8 +99,8 @@
 	return r.lastCrash.Add(min(MaxDuration, l.Rule.InitialDuration<<(len(r.crashes)-l.Rule.Crashes)))
 }
 
-// BeginTrial notes that work which may be sent is sent now. Work that was held before gets one try at a time; ok is then set, and others
-// must be told by the report.
+// BeginTrial notes that a request with the fingerprint is sent now. After a quarantine only one at a time is sent; ok is then set, and
+// the report must be sent to the other entries.
 func (l *List) BeginTrial(now time.Time, fingerprint Fingerprint) (report Report, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,7 +114,7 @@
 	return report, true
 }
 
-// Crashed notes that a life ended while it ran the work, and returns what others must be told.
+// Crashed notes that an incarnation crashed while it ran the request, and returns the report for the other entries.
 func (l *List) Crashed(now time.Time, fingerprint Fingerprint, crash CrashID) Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,8 +125,8 @@
 	return r.report(fingerprint, now)
 }
 
-// Answered notes that the work has a whole answer. If upstreams had ended under it they count no more; ok is then set, and others
-// must be told by the report.
+// Answered notes a complete answer. If there were crashes, they are cleared; ok is then set, and the report must be sent to the other
+// entries.
 func (l *List) Answered(now time.Time, fingerprint Fingerprint) (report Report, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,13 +139,13 @@
 	return r.report(fingerprint, now), true
 }
 
-// Merge takes what somebody else knows, and reports whether that was new.
+// Merge merges the report of another process, and reports whether the report changed the list.
 func (l *List) Merge(now time.Time, report *Report) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	fingerprint := report.Fingerprint()
 	if l.records[fingerprint] == nil && len(report.Ends) == 0 {
-		return false // it clears what nothing is known of
+		return false // nothing to clear
 	}
 	r := l.recordOf(fingerprint)
 	if report.Cleared < r.cleared {
@@ -174,7 +176,7 @@
 	return changed
 }
 
-// recordOf returns the record of a work, a new one when there is none.
+// recordOf returns the record of a fingerprint, a new one when there is none.
 func (l *List) recordOf(fingerprint Fingerprint) *record {
 	if r := l.records[fingerprint]; r != nil {
 		return r
@@ -190,8 +192,8 @@
 	return r
 }
 
-// evictOne forgets the record that matters least of some that are drawn at random: somebody who sends ever new work that ends
-// upstreams must not push out what is held.
+// evictOne deletes the record with the fewest crashes, and of those the oldest, of a random sample: a caller that crashes upstreams
+// with ever new requests must not evict the quarantined ones.
 func (l *List) evictOne() {
 	var victimKey Fingerprint
 	var victim *record
@@ -207,7 +209,7 @@
 	delete(l.records, victimKey)
 }
 
-// Crashes returns how many upstreams have ended under a work in a row.
+// Crashes returns the number of consecutive crashes of a fingerprint.
 func (l *List) Crashes(fingerprint Fingerprint) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -218,14 +220,14 @@
 	return len(r.crashes)
 }
 
-// Len returns how many works are remembered.
+// Len returns the number of records.
 func (l *List) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.records)
 }
 
-// QuarantinedLen returns how many works are held.
+// QuarantinedLen returns the number of quarantined fingerprints.
 func (l *List) QuarantinedLen(now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -238,19 +240,19 @@
 	return n
 }
 
-// Quarantined returns what is held, the longest list of ends first.
+// Quarantined returns the reports on quarantined fingerprints, most crashes first.
 func (l *List) Quarantined(now time.Time) []Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.reports(now, func(r *record) bool { return l.quarantinedUntil(r).After(now) })
 }
 
-// toShare returns what others are to be told: what has changed lately, and what is held.
+// toShare returns the reports that other entries need: on recent changes and on quarantines.
 func (l *List) toShare(now time.Time) []Report {
 	return l.reports(now, func(r *record) bool { return now.Sub(r.changedAt) < resendFor || l.quarantinedUntil(r).After(now) })
 }
 
-// reports returns the reports on some records in an order that does not depend on the map, and forgets what is too old.
+// reports returns the reports on the included records in a fixed order, and deletes outdated records.
 func (l *List) reports(now time.Time, include func(r *record) bool) []Report {
 	var list []Report
 	for fingerprint, r := range l.records {
@@ -267,7 +269,7 @@
 	return list
 }
 
-// ToSend returns up to most reports to be told now: by turns all that have changed lately, and what is held.
+// ToSend returns up to limit reports to be sent now; successive calls cycle through recent changes and quarantines.
 func (l *List) ToSend(now time.Time, limit int) []Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -281,7 +283,7 @@
 	return list[:limit]
 }
 
-// Digest is a digest of all that others are to be told, as of a moment ago: two lists with the same one have nothing to tell each other.
+// Digest returns a recent digest of the reports that other entries need; two lists with equal digests need no exchange.
 func (l *List) Digest(now time.Time) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -301,7 +303,7 @@
 	var buf [8]byte
 	write := func(n uint64) {
 		binary.LittleEndian.PutUint64(buf[:], n)
-		_, _ = digest.Write(buf[:]) // a hash takes everything
+		_, _ = digest.Write(buf[:]) // a hash accepts everything
 	}
 	for i := range list {
 		write(uint64(list[i].Content))
--- a/quarantine/list_test.go
+++ b/quarantine/list_test.go
@@ -15,7 +15,7 @@
 	"github.com/dunlinquay/dunlinquay/quarantine"
 )
 
-// TestMain fixes the seed of property tests unless one is given.
+// TestMain fixes the seed of the property tests unless a seed is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
@@ -36,7 +36,7 @@
 	return quarantine.CrashIDOf(ident.Incarnation(fmt.Sprint("life-", n)))
 }
 
-// Three upstreams in a row hold a work for a minute, each further one for twice as long, up to an hour.
+// Three consecutive crashes quarantine a fingerprint for a minute; each further crash doubles that, up to an hour.
 func TestQuarantineDuration(t *testing.T) {
 	list := newList()
 	now := startTime
@@ -52,14 +52,14 @@
 		want = append(want, time.Duration(minutes)*time.Minute)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("held (-want +got):\n%s", diff)
+		t.Errorf("quarantined (-want +got):\n%s", diff)
 	}
 	if list.Remaining(startTime, quarantine.Fingerprint{Customer: "other", Content: 7}) > 0 || list.Remaining(startTime, quarantine.Fingerprint{Customer: "office", Content: 8}) > 0 {
-		t.Error("other work is held")
+		t.Error("another fingerprint is quarantined")
 	}
 }
 
-// The same end counts once, whoever tells of it and how often.
+// A crash counts once, however often it is noted and reported.
 func TestCrashCountsOnce(t *testing.T) {
 	list := newList()
 	for range 5 {
@@ -67,11 +67,11 @@
 		list.Merge(startTime, &report)
 	}
 	if got := list.Crashes(testFingerprint); got != 1 {
-		t.Errorf("%d ends, want 1", got)
+		t.Errorf("%d crashes, want 1", got)
 	}
 }
 
-// A whole answer clears the ends before it, here and at everybody who hears of it, and late reports of them change nothing.
+// A complete answer clears earlier crashes, locally and at every receiver of the report; late reports of these crashes change nothing.
 func TestAnswerClearsCrashes(t *testing.T) {
 	a, b := newList(), newList()
 	var reports []quarantine.Report
@@ -80,25 +80,25 @@
 		b.Merge(startTime, &reports[n])
 	}
 	if b.Remaining(startTime, testFingerprint) == 0 {
-		t.Fatal("not held after three ends that were told")
+		t.Fatal("not quarantined after three reported crashes")
 	}
 	cleared, ok := a.Answered(startTime, testFingerprint)
 	if !ok {
-		t.Fatal("nothing to tell of an answer that clears")
+		t.Fatal("no report of an answer that clears crashes")
 	}
 	b.Merge(startTime, &cleared)
 	for i := range reports {
 		b.Merge(startTime, &reports[i])
 	}
 	if a.Remaining(startTime, testFingerprint) > 0 || b.Remaining(startTime, testFingerprint) > 0 || b.Crashes(testFingerprint) > 0 {
-		t.Errorf("held after an answer: %v, %v, %d ends", a.Remaining(startTime, testFingerprint), b.Remaining(startTime, testFingerprint), b.Crashes(testFingerprint))
+		t.Errorf("quarantined after an answer: %v, %v, %d crashes", a.Remaining(startTime, testFingerprint), b.Remaining(startTime, testFingerprint), b.Crashes(testFingerprint))
 	}
 	if _, ok := a.Answered(startTime, testFingerprint); ok {
-		t.Error("a second answer is told")
+		t.Error("a second answer is reported")
 	}
 }
 
-// Work whose time is up is tried by one; the others wait until they hear how it went, or for a while.
+// When a quarantine has ended, one entry runs a trial; the others wait for its outcome, or for the trial timeout.
 func TestOneTrialAtATime(t *testing.T) {
 	a, b := newList(), newList()
 	for n := range 3 {
@@ -107,27 +107,27 @@
 	}
 	later := startTime.Add(61 * time.Second)
 	if a.Remaining(later, testFingerprint) > 0 || b.Remaining(later, testFingerprint) > 0 {
-		t.Fatal("still held")
+		t.Fatal("still quarantined")
 	}
 	report, ok := a.BeginTrial(later, testFingerprint)
 	if !ok {
-		t.Fatal("nothing to tell of a try")
+		t.Fatal("no report of a trial")
 	}
 	b.Merge(later, &report)
 	if a.Remaining(later, testFingerprint) == 0 || b.Remaining(later, testFingerprint) == 0 {
-		t.Error("a second try is let in beside the first")
+		t.Error("a second trial is admitted during the first")
 	}
 	if b.Remaining(later.Add(11*time.Second), testFingerprint) > 0 {
-		t.Error("held although nothing was heard of the try for long")
+		t.Error("quarantined after the trial timeout")
 	}
 	report = a.Crashed(later, testFingerprint, crashID(3))
 	b.Merge(later, &report)
 	if got := b.Remaining(later, testFingerprint); got != 2*time.Minute {
-		t.Errorf("held for %v after a fourth end, want 2m", got)
+		t.Errorf("quarantined for %v after a fourth crash, want 2m", got)
 	}
 }
 
-// One that hears of held work late holds it no longer than the others.
+// An entry that receives a report late ends the quarantine at the same time as the others.
 func TestLateReceiverQuarantinesAsLong(t *testing.T) {
 	a, b := newList(), newList()
 	for n := range 3 {
@@ -138,11 +138,11 @@
 		b.Merge(now, &r)
 	}
 	if diff := cmp.Diff(a.Remaining(now, testFingerprint), b.Remaining(now, testFingerprint)); diff != "" {
-		t.Errorf("held (-first +late):\n%s", diff)
+		t.Errorf("quarantined (-first +late):\n%s", diff)
 	}
 }
 
-// Ever new work that ends one upstream each pushes out neither what is held nor more than the bound allows.
+// Many fingerprints with one crash each neither exceed the bound nor evict a quarantined one.
 func TestMemoryIsBounded(t *testing.T) {
 	list := newList()
 	for n := range 3 {
@@ -155,15 +155,15 @@
 		t.Errorf("%d records, want %d at most", list.Len(), list.Rule.MaxRecords)
 	}
 	if list.Remaining(startTime.Add(50*time.Second), testFingerprint) == 0 {
-		t.Error("held work was pushed out")
+		t.Error("the quarantined fingerprint was evicted")
 	}
 	list.ToSend(startTime.Add(3*time.Hour), 1)
 	if list.Len() > 0 {
-		t.Errorf("%d records after hours without news", list.Len())
+		t.Errorf("%d records after hours without changes", list.Len())
 	}
 }
 
-// What cannot be true in a report does no harm: ages below zero and beyond all bounds, too many ends.
+// Invalid reports do no harm: negative and huge ages, too many crashes.
 func TestInvalidReports(t *testing.T) {
 	for _, age := range []int64{-1 << 62, -1, 1 << 62} {
 		list := newList()
@@ -173,15 +173,15 @@
 		}
 		list.Merge(startTime, &r)
 		if got := list.Remaining(startTime, testFingerprint); got > time.Hour {
-			t.Errorf("age %d: held for %v", age, got)
+			t.Errorf("age %d: quarantined for %v", age, got)
 		}
 		if got := list.Crashes(testFingerprint); got > 9 {
-			t.Errorf("%d ends are kept", got)
+			t.Errorf("%d crashes are kept", got)
 		}
 	}
 }
 
-// Lists that have heard the same reports know the same, in whatever order these came and how often each.
+// Lists that have received the same reports are equal, whatever the order and repetition of the reports.
 func TestReportsCommute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var reports []quarantine.Report
@@ -203,10 +203,10 @@
 			b.Merge(startTime, &reports[rapid.IntRange(0, i).Draw(t, "again")])
 		}
 		if diff := cmp.Diff(a.ToSend(startTime, 10), b.ToSend(startTime, 10)); diff != "" {
-			t.Fatalf("what is known (-one order +another):\n%s", diff)
+			t.Fatalf("reports (-one order +another):\n%s", diff)
 		}
 		if a.Digest(startTime) != b.Digest(startTime) {
-			t.Fatal("the same knowledge has two sums")
+			t.Fatal("equal lists have different digests")
 		}
 	})
 }
@@ -219,7 +219,7 @@
 	return list
 }
 
-// BenchmarkRemaining is what each request pays at an entry that remembers as much as it may.
+// BenchmarkRemaining is the check that each request needs, with the maximum number of records.
 func BenchmarkRemaining(b *testing.B) {
 	list := newList()
 	for n := range list.Rule.MaxRecords {
@@ -231,7 +231,7 @@
 	}
 }
 
-// BenchmarkDigest is what a change costs that has to be told, with as many records as there may be.
+// BenchmarkDigest is one change followed by a digest, with the maximum number of records.
 func BenchmarkDigest(b *testing.B) {
 	list := newList()
 	for n := range list.Rule.MaxRecords {
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -11,13 +11,13 @@
 	"github.com/dunlinquay/dunlinquay/quarantine"
 )
 
-// listNetwork is a few lists that tell each other of one work which ends whatever runs it.
+// listNetwork is a number of lists that report to each other on one fingerprint; every run of its request crashes an upstream.
 type listNetwork struct {
 	lists []*quarantine.List
-	// runs counts the runs of each list since it was last empty, all of them together lives.
+	// runs counts the runs of each list since it was last reset, crashes the runs of all lists.
 	runs    []int
 	crashes int
-	// inFlight holds what was told and has not arrived.
+	// inFlight holds the reports that were sent and have not arrived.
 	inFlight []delivery
 }
 
@@ -34,7 +34,7 @@
 	return s
 }
 
-// request lets the work come to one list, which runs it unless it is held.
+// request runs the request at one list unless it is quarantined there.
 func (s *listNetwork) request(listIndex int) {
 	if s.lists[listIndex].Remaining(startTime, testFingerprint) > 0 {
 		return
@@ -49,7 +49,7 @@
 	}
 }
 
-// deliver lets one report arrive, which stays on its way when it is to come again.
+// deliver delivers one report, which stays in flight if it is to be repeated.
 func (s *listNetwork) deliver(n int, repeated bool) {
 	delivered := s.inFlight[n]
 	s.lists[delivered.to].Merge(startTime, &delivered.report)
@@ -62,15 +62,15 @@
 	s.inFlight = append(s.inFlight[:n:n], s.inFlight[n+1:]...)
 }
 
-// exchange lets one list tell another all that it has to tell.
+// exchange sends all reports of one list to another.
 func (s *listNetwork) exchange(from, to int) {
 	for _, r := range s.lists[from].ToSend(startTime, 10) {
 		s.lists[to].Merge(startTime, &r)
 	}
 }
 
-// Whatever is lost, late or repeated, and whoever forgets everything: no list runs the work more than three times, and once each has
-// met each other nobody runs it as soon as there were three ends. Where every report arrives before the next request there are three.
+// Whatever reports are lost, late or repeated, and whichever lists are reset: no list runs the request more than three times, and once
+// all lists have exchanged reports, none runs it if any knew of three crashes.
 func TestTheBoundHoldsInEveryOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "lists")
@@ -92,7 +92,7 @@
 				network.lists[i], network.runs[i] = newList(), 0
 			}
 			if network.runs[i] > 3 {
-				t.Fatalf("list %d ran the work %d times", i, network.runs[i])
+				t.Fatalf("list %d ran the request %d times", i, network.runs[i])
 			}
 		}
 		for from := range n {
@@ -109,12 +109,12 @@
 			network.request(i)
 		}
 		if maxCrashes >= 3 && network.crashes > before {
-			t.Fatalf("ran %d times more although the lists knew of %d ends", network.crashes-before, maxCrashes)
+			t.Fatalf("ran %d times more although the lists knew of %d crashes", network.crashes-before, maxCrashes)
 		}
 	})
 }
 
-// Where every report arrives before the next request, three runs are all, however many lists there are.
+// If every report arrives before the next request, there are three runs, however many lists there are.
 func TestThreeRunsWithReliableDelivery(t *testing.T) {
 	for _, n := range []int{1, 3, 9, 30, 300} {
 		network := newListNetwork(n)
@@ -130,7 +130,7 @@
 	}
 }
 
-// An hour of repeats, one each second, ends nine upstreams and no more.
+// A request repeated every second crashes at most nine upstreams in an hour.
 func TestRepeatedRequestsForAnHour(t *testing.T) {
 	list := newList()
 	runs := 0
--- a/quarantine/work.go
+++ b/quarantine/work.go
@@ -9,62 +9,62 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// Fingerprint names what is the same when a request comes again under another id: whose it is and what it contains.
+// Fingerprint identifies a request that is sent again under another id, by customer and content.
 type Fingerprint struct {
 	Customer ident.Customer
 	Content  ident.Content
 }
 
-// ContentOf returns the digest of a path with its query, and a body.
+// ContentOf returns the digest of a path with query and a body.
 func ContentOf(path string, body []byte) ident.Content {
 	var digest xxhash.Digest
 	digest.Reset()
-	_, _ = digest.WriteString(path) // a hash takes everything
+	_, _ = digest.WriteString(path) // a hash accepts everything
 	_, _ = digest.Write([]byte{0})
 	_, _ = digest.Write(body)
 	return ident.Content(digest.Sum64())
 }
 
-// CrashID names the life of an upstream that ended.
+// CrashID identifies a crash by a digest of the incarnation that crashed.
 type CrashID uint64
 
-// CrashIDOf returns the name of the end of one life.
+// CrashIDOf returns the id of an incarnation's crash.
 func CrashIDOf(incarnation ident.Incarnation) CrashID {
 	return CrashID(xxhash.Sum64String(string(incarnation)))
 }
 
-// Report tells others what is known of one work. Of two reports the one with more in Cleared counts; at the same number the ends of
-// both do, so it does not matter in which order and how often reports arrive.
+// Report is what is known of one fingerprint, as sent to other processes. Of two reports the one with the higher Cleared counts; with
+// equal ones the crashes are united, so the order and repetition of reports do not matter.
 type Report struct {
 	Customer ident.Customer `cbor:"1,keyasint,omitempty"`
 	Content  ident.Content  `cbor:"2,keyasint"`
-	// Cleared is how often the work had a whole answer after upstreams had ended; ends before that do not count.
+	// Cleared is how often a complete answer has cleared crashes; earlier crashes do not count.
 	Cleared uint32 `cbor:"3,keyasint,omitempty"`
-	// Ends are the lives that ended, in order.
+	// Ends are the crashes, in ascending order.
 	Ends []CrashID `cbor:"4,keyasint,omitempty"`
-	// AgeMS is how long ago the newest of them ended, in ms.
+	// AgeMS is the age of the newest crash in ms.
 	AgeMS int64 `cbor:"5,keyasint,omitempty"`
-	// Trying is set while the sender tries the work once more after it was held.
+	// Trying is set when the sender is running a trial after a quarantine.
 	Trying bool `cbor:"6,keyasint,omitempty"`
 }
 
-// Fingerprint returns what the report is about.
+// Fingerprint returns the fingerprint that the report is about.
 func (r *Report) Fingerprint() Fingerprint {
 	return Fingerprint{r.Customer, r.Content}
 }
 
-// record is what is known of one work.
+// record is what is known of one fingerprint.
 type record struct {
 	cleared uint32
 	crashes []CrashID
-	// lastCrash is when the newest end was, changed when anything was learnt.
+	// lastCrash is the time of the newest crash, changedAt the time of the last change.
 	lastCrash time.Time
 	changedAt time.Time
-	// trialUntil is until when somebody tries it once more.
+	// trialUntil is the time until which a trial can be running.
 	trialUntil time.Time
 }
 
-// add takes ends and reports whether any was new. Where there are too many the smallest stay, so that all keep the same ones.
+// add adds crashes and reports whether any was new. Beyond MaxCrashes the smallest ids are kept, so that all processes keep the same ones.
 func (r *record) add(crashes []CrashID) bool {
 	added := false
 	for _, crash := range crashes {
--- a/quarantine/work_test.go
+++ b/quarantine/work_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// BenchmarkContent is what telling requests apart costs an entry: a usual body and the largest.
+// BenchmarkContent is the digest of a body of typical size and of one of 4 MiB.
 func BenchmarkContent(b *testing.B) {
 	for name, size := range map[string]int{"2 KiB": 2 << 10, "4 MiB": 4 << 20} {
 		b.Run(name, func(b *testing.B) {
