--- a/stall/doc.go
+++ b/stall/doc.go
@@ -1,2 +1,2 @@
-// Package stall tells whether a group of engines stands still, from when its signs are due and from what several entries say.
+// Package stall detects groups of engines that have stalled, from when their next events are due and from the suspicions of several entries.
 package stall
--- a/stall/margin.go
+++ b/stall/margin.go
@@ -1,39 +1,39 @@
 package stall
 
-// A group that has lost a member takes requests and answers nothing. How soon
-// that shows depends on how well one knows when its next sign is due: a fixed
-// limit that never gives a false alarm is several times the pause that callers
-// take for in time. From the prompts that are known to be unread a pass can be
-// bounded, and by how much signs miss that bound is learnt for each model:
+// A group that has lost a member accepts requests and answers none of them. How
+// soon that is detected depends on how well the time of its next event is known:
+// a fixed limit without false alarms is several times the event gap that counts
+// as in time. The pending prompts bound the length of an iteration, and how late
+// events are relative to that bound is learnt for each model:
 //
-//	sign            bound of the pass     fixed limit
-//	 |---- pass -----|- margin -|          |
-//	 0               45         60 ms      550 ms
+//	event           bound of the iteration   fixed limit
+//	 |---- iteration --|- margin -|           |
+//	 0                 45         60 ms       550 ms
 //
-// The longer the prompts of a model, the further its signs miss their bounds.
+// Models with longer prompts need larger margins.
 
 import "time"
 
 const (
-	// defaultMargin is the margin until enough signs have come: more than nearly all are late.
+	// defaultMargin is the margin until minEvents are known; nearly all events are less late.
 	defaultMargin = 100 * time.Millisecond
-	// missedFraction is the part of the signs that may come after the margin. One who suspects a group too early does no harm: it
-	// takes several at the same time, and most signs are late for one entry only.
+	// missedFraction is the fraction of the events that are later than the margin. A single premature suspicion does no harm: it takes
+	// several at the same time, and most events are late for one entry only.
 	missedFraction = 0.002
-	// firstBinStart and binWidth divide the time around a bound into bins; a sign beyond the last one is not learnt from: the group
-	// had stopped for a moment, or a packet was lost and sent again, which TCP does after 200 ms.
+	// firstBinStart and binWidth divide the time around a bound into bins. Events after the last bin are ignored: either the group had
+	// stalled briefly, or a packet was lost, which TCP retransmits after 200 ms.
 	firstBinStart = -100 * time.Millisecond
 	binWidth      = 5 * time.Millisecond
 	binCount      = 44
-	// minEvents is the number of signs from which on the margin is learnt. Of few signs the latest says little of the next ones,
-	// so they get as much more as the margin is when nothing is known, and less as more come: without that entries
-	// take groups that work for standing still after their first prompts. Generation is how many are kept apart:
-	// the margin goes by this generation and the one before. An entry with seven streams sees one in half a minute.
+	// minEvents is the number of events from which the margin is learnt. The latest of few events says little about the next ones, so
+	// the margin starts with an extra of defaultMargin that shrinks with every event: without that, entries take healthy groups for
+	// stalled after their first prompts. The margin is derived from the current and the previous generation of generationSize events;
+	// an entry with seven streams sees that many in half a minute.
 	minEvents      = 50
 	generationSize = 4000
 )
 
-// Margin is how long after their bound signs of one model's groups may come; the zero value has learnt nothing.
+// Margin learns how late events of one model's groups are relative to their bound; its zero value has learnt nothing.
 type Margin struct {
 	current, previous [binCount]uint16
 	currentCount      int
@@ -42,7 +42,7 @@
 	stale             bool
 }
 
-// Observe takes how long after its bound a sign came, negative when it came sooner.
+// Observe adds how late an event was relative to its bound, negative when it was early.
 func (m *Margin) Observe(late time.Duration) {
 	bin := int((late - firstBinStart) / binWidth)
 	if bin >= binCount {
@@ -57,7 +57,7 @@
 	}
 }
 
-// Current returns the margin.
+// Current returns the margin after which a group without an event is suspected.
 func (m *Margin) Current() time.Duration {
 	if !m.hasPrevious && m.currentCount < minEvents {
 		return defaultMargin
@@ -68,7 +68,7 @@
 	return m.value
 }
 
-// quantile returns the end of the bin that all signs but a part came before, and some more while there are few.
+// quantile returns the end of the bin before which all but missedFraction of the events arrived, plus an extra for a small sample.
 func (m *Margin) quantile() time.Duration {
 	total := m.currentCount
 	if m.hasPrevious {
--- a/stall/stall_test.go
+++ b/stall/stall_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-// The margin is what all but two in a thousand signs keep, and forgets what was late long ago; a sign after a stall teaches nothing.
+// The margin covers all but two in a thousand events and forgets old generations; events after a stall are ignored.
 func TestMargin(t *testing.T) {
 	var margin stall.Margin
 	note := func(n int, late time.Duration) time.Duration {
@@ -21,7 +21,7 @@
 		}
 		return margin.Current()
 	}
-	// Of few signs the margin is up to 100 ms more: 100 ms with 50 signs, 5 ms with 1,000.
+	// A small sample adds up to 100 ms: 100 ms with 50 events, 5 ms with 1,000.
 	got := []time.Duration{
 		margin.Current(), note(49, -12*ms), note(1, -12*ms), note(50, -12*ms), note(900, -12*ms), note(1, 33*ms), note(5, 33*ms), note(99, 600*ms),
 		note(4000, -12*ms), note(4000, -12*ms), note(40, 119*ms), note(4000, -200*ms), note(4000, -200*ms),
@@ -40,7 +40,7 @@
 		{0, 89, 2}, {1, 89, 2}, {5, 89, 2}, {20, 89, 8}, {48, 89, 15}, {10, 8, 3}, {26, 8, 4}, {20, 1, 2}, {20, 0, 2},
 	} {
 		if got := stall.RequiredSuspicions(tt.requests, tt.entries); got != tt.want {
-			t.Errorf("%d requests of %d entries: %d witnesses, want %d", tt.requests, tt.entries, got, tt.want)
+			t.Errorf("%d requests of %d entries: %d suspicions required, want %d", tt.requests, tt.entries, got, tt.want)
 		}
 	}
 }
@@ -58,7 +58,7 @@
 	if diff := cmp.Diff([]int{0, 2, 1, 0}, got); diff != "" {
 		t.Errorf("suspicions (-want +got):\n%s", diff)
 	}
-	// A sign of the pass that was the last one for one that suspects it says nothing, one of a later pass does.
+	// An event of the last iteration that a suspecting entry saw refutes nothing, one of a later iteration does.
 	suspicions.Add(now, now.Add(-70*ms), "a")
 	suspicions.Add(now, now.Add(-40*ms), "b")
 	refuted := []bool{suspicions.Refute(now.Add(-60 * ms)), suspicions.Refute(now.Add(-30 * ms)), suspicions.Refute(now.Add(-30 * ms))}
@@ -66,13 +66,12 @@
 		t.Errorf("refuted (-want +got):\n%s", diff)
 	}
 	if got := suspicions.Count(now); got != 1 {
-		t.Errorf("%d suspects after one was refuted, want 1", got)
+		t.Errorf("%d suspicions after one was refuted, want 1", got)
 	}
 }
 
-// Streams of 60 entries at 18 groups, with events that are late as they were seen to be, and a link that loses one packet in
-// forty for those of one hall: no group is taken for one that stands still in ten minutes, while one that stops is found within
-// two passes after the margin.
+// 60 entries have streams at 18 groups with realistic delays, and a link loses one packet in forty for a third of the entries: there is
+// no false alarm in ten minutes, and a group that stalls is suspected by enough entries within 300 ms after its event was due.
 func TestFalseAlarmsAndDetection(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	const entries, streams, iteration = 60, 18, 45 * ms
@@ -86,7 +85,7 @@
 			entry := random.IntN(entries)
 			late := time.Duration((random.ExpFloat64()*4 - 15) * float64(ms))
 			if entry < entries/3 && random.IntN(40) == 0 {
-				late += 200 * ms // sent again by TCP
+				late += 200 * ms // retransmitted by TCP
 			}
 			if late > margins[entry].Current() {
 				suspicions.Add(now, now, entry)
@@ -108,6 +107,6 @@
 		worst = max(worst, margins[entry].Current())
 	}
 	if suspicions.Count(now) < required || worst > 300*ms {
-		t.Errorf("a group that stops is suspected by %d of %d needed within %v", suspicions.Count(now), required, iteration+worst)
+		t.Errorf("a stalled group is suspected by %d of %d required within %v", suspicions.Count(now), required, iteration+worst)
 	}
 }
