--- a/unread/doc.go
+++ b/unread/doc.go
@@ -1,2 +1,2 @@
-// Package unread keeps which words upstreams say in their answers that nothing here reads.
+// Package unread collects the headers of upstreams' answers that are not recognized.
 package unread
--- a/unread/list.go
+++ b/unread/list.go
@@ -1,14 +1,15 @@
 package unread
 
-// A peer may say what it wants with a word that this build does not know. Nobody
-// acts on it then, and nobody sees that: callers and upstreams suffer first. So
-// each header of an answer that is neither known here, nor standard, nor declared
-// as the application's own is noted once for each life of an upstream:
+// An upstream can request something with a header that this build does not know.
+// The request is then ignored, and the first visible effect is on callers and
+// upstreams. So every header of an answer that is neither recognized here, nor
+// standard, nor declared as the application's own is recorded once per
+// incarnation of an upstream:
 //
 //	Content-Type: text/event-stream     standard
-//	Request-Id: 17                      known
-//	Weight-Versions: 3                  the application's own, by the settings
-//	Queue-Hint: 7                       noted
+//	Request-Id: 17                      recognized
+//	Weight-Versions: 3                  declared as the application's own
+//	Queue-Hint: 7                       recorded
 
 import (
 	"maps"
@@ -18,14 +19,14 @@
 )
 
 const (
-	// maxNamesPerUpstream bounds the names that are kept of one upstream, maxUpstreams the upstreams: an upstream may make names up.
+	// maxNamesPerUpstream and maxUpstreams bound the memory, since an upstream can send arbitrary names.
 	maxNamesPerUpstream = 8
 	maxUpstreams        = 4096
-	// maxNameBytes bounds a name.
+	// maxNameBytes is the length to which names are cut.
 	maxNameBytes = 64
 )
 
-// standardHeaders are the headers that HTTP and what is usual around it define for answers; they concern what carries an answer, or the caller.
+// standardHeaders are the headers that HTTP and related standards define for answers; they concern intermediaries or the caller.
 var standardHeaders = canonicalSet(
 	"Accept-Ranges", "Access-Control-Allow-Credentials", "Access-Control-Allow-Headers", "Access-Control-Allow-Methods",
 	"Access-Control-Allow-Origin", "Access-Control-Expose-Headers", "Access-Control-Max-Age", "Age", "Allow", "Alt-Svc", "Cache-Control",
@@ -44,7 +45,7 @@
 	return s
 }
 
-// List is which words were noted, by upstream.
+// List holds the recorded header names by upstream.
 type List[K comparable] struct {
 	recognized map[string]bool
 
@@ -52,14 +53,14 @@
 	namesByUpstream map[K]map[string]bool
 }
 
-// New returns a list for a reader that knows some headers beside the standard ones.
+// New returns a list for a reader that recognizes the given headers in addition to the standard ones.
 func New[K comparable](recognized ...string) *List[K] {
 	l := &List[K]{recognized: canonicalSet(recognized...), namesByUpstream: map[K]map[string]bool{}}
 	maps.Copy(l.recognized, standardHeaders)
 	return l
 }
 
-// AddHeaders notes the headers of an answer that nothing reads, and returns those that are new of this upstream.
+// AddHeaders records the unrecognized headers of an answer, and returns those that are new for the upstream.
 func (l *List[K]) AddHeaders(upstream K, header http.Header) []string {
 	var added []string
 	for name := range header {
@@ -70,7 +71,7 @@
 	return added
 }
 
-// AddNames notes names that another reader found, and returns those that are new of this upstream.
+// AddNames records names that another reader found, and returns those that are new for the upstream.
 func (l *List[K]) AddNames(upstream K, names []string) []string {
 	var added []string
 	for _, name := range names {
@@ -81,7 +82,7 @@
 	return added
 }
 
-// Each calls visit for each upstream of which something was noted.
+// Each calls visit for each upstream with recorded names.
 func (l *List[K]) Each(visit func(upstream K, names []string)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,7 +91,7 @@
 	}
 }
 
-// add reports whether a name is new of an upstream.
+// add records a name, and reports whether it is new for the upstream.
 func (l *List[K]) add(upstream K, name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,14 +107,14 @@
 	return true
 }
 
-// Of returns what was noted of an upstream, in order.
+// Of returns the names recorded for an upstream, sorted.
 func (l *List[K]) Of(upstream K) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Sorted(maps.Keys(l.namesByUpstream[upstream]))
 }
 
-// Retain forgets the upstreams that keep does not name.
+// Retain drops the upstreams for which keep returns false.
 func (l *List[K]) Retain(keep func(upstream K) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/unread/list_test.go
+++ b/unread/list_test.go
@@ -19,7 +19,7 @@
 	return header
 }
 
-// A word is told once for each upstream; what is known, standard or declared is none.
+// A name is returned once for each upstream; recognized, standard and declared headers never are.
 func TestNamesAreRecordedOnce(t *testing.T) {
 	list := unread.New[string]("request-id", "Weight-Versions")
 	for _, tt := range []struct {
@@ -38,7 +38,7 @@
 		}
 	}
 	if diff := cmp.Diff([]string{"Other", "Queue-Hint"}, list.Of("u")); diff != "" {
-		t.Errorf("noted of u (-want +got):\n%s", diff)
+		t.Errorf("recorded for u (-want +got):\n%s", diff)
 	}
 	list.Retain(func(upstream string) bool { return upstream == "v" })
 	if got := list.Of("u"); len(got) > 0 || !slices.Equal(list.Of("v"), []string{"Queue-Hint"}) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// An upstream that makes up ever new names fills nothing.
+// The number of recorded names is bounded, whatever names upstreams send.
 func TestNamesAreBounded(t *testing.T) {
 	list := unread.New[int]()
 	recorded := 0
@@ -56,6 +56,6 @@
 		}
 	}
 	if recorded > 8*4096 {
-		t.Errorf("%d names told", recorded)
+		t.Errorf("%d names recorded", recorded)
 	}
 }
