--- a/backoff/doc.go
+++ b/backoff/doc.go
@@ -1,2 +1,2 @@
-// Package backoff keeps what upstreams asked of this VM: to be sent nothing for a time, or nothing any more because they leave.
+// Package backoff keeps which upstreams requested a backoff from this VM or announced that they are leaving.
 package backoff
--- a/backoff/export_test.go
+++ b/backoff/export_test.go
@@ -1,6 +1,6 @@
 package backoff
 
-// Len returns how many words are kept.
+// Len returns the number of records.
 func Len[K comparable](l *List[K]) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/backoff/header.go
+++ b/backoff/header.go
@@ -11,37 +11,39 @@
 )
 
 const (
-	// maxTextBytes bounds the text that is read; the longest date of HTTP has 33 bytes.
+	// maxTextBytes bounds a Retry-After value; the longest HTTP date has 33 bytes.
 	maxTextBytes = 40
-	// maxSeconds bounds what is read as a number: more does not fit into a duration.
+	// maxSeconds bounds a number of seconds so that it fits into a time.Duration.
 	maxSeconds = 1e9
 )
 
-// Notice is what an upstream asks for with one answer.
+// Notice is what an upstream requests with one answer.
 type Notice struct {
-	// Backoff is the time for which it wants nothing, 0 when it names none; Text is what it said, as it came but for its length.
+	// Backoff is the time for which it requests not to be sent anything, 0 when it names none; RetryAfterText is the header as received,
+	// cut to maxTextBytes.
 	Backoff        time.Duration
 	RetryAfterText string
-	// Leaving is set when it says that it leaves.
+	// Leaving is set when it announces that it is leaving.
 	Leaving bool
-	// BackoffErr tells that what it asks for can't be read.
+	// BackoffErr is set when the requested backoff can't be parsed.
 	BackoffErr error
-	// Limit is the rate that it takes from all together, when Limited is set; LimitErr tells that what it names can't be read.
+	// Limit is the rate that it accepts from all senders together, if Limited is set; LimitErr is set when its limit can't be parsed.
 	Limit    ratelimit.Rate
 	Limited  bool
 	LimitErr error
-	// Header is the head of the answer, nil where it is not known who answered.
+	// Header is the header of the answer, nil when it is not known which upstream answered.
 	Header http.Header
 }
 
-// HeaderNames are the names of the headers in which upstreams ask for what HTTP has no word for.
+// HeaderNames are the names of the non-standard headers with which upstreams make requests to their senders.
 type HeaderNames struct {
-	// Leaving stands in the answers of one that leaves, Limit names the requests a second that it takes from all together.
+	// Leaving marks the answers of an upstream that is leaving, Limit has the requests per second that it accepts from all senders together.
 	Leaving string
 	Limit   string
 }
 
-// ParseNotice reads what an answer asks for. Who answered a misdirected request is not known, so that such an answer asks for nothing.
+// ParseNotice parses what an answer requests. The notice of a misdirected request (status 421) is empty, since it is not known which
+// upstream answered.
 func ParseNotice(resp *http.Response, names HeaderNames, now time.Time) Notice {
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		return Notice{}
@@ -55,13 +57,13 @@
 	return notice
 }
 
-// IsRefusal reports whether a status says that there is no room: only such answers ask for time.
+// IsRefusal reports whether a status means that the upstream is at capacity; only such answers request a backoff.
 func IsRefusal(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// ParseRetryAfter returns the time that an answer asks for with Retry-After (RFC 9110, section 10.2.3), 0 when it asks for none. Seconds may have
-// a fraction. A date is held against the answer's own Date, so that no time of day but the upstream's counts, or against now.
+// ParseRetryAfter returns the backoff of an answer's Retry-After headers (RFC 9110, section 10.2.3), 0 without any. Seconds can have a
+// fraction. A date is compared with the answer's own Date, so that differing clocks do not matter, or with now if there is none.
 func ParseRetryAfter(header http.Header, now time.Time) (time.Duration, error) {
 	var longest time.Duration
 	for _, text := range header["Retry-After"] {
@@ -76,7 +78,7 @@
 
 func parseOne(text, date string, now time.Time) (time.Duration, error) {
 	if len(text) > maxTextBytes {
-		return 0, result.New(result.BackoffUnreadable, "%d bytes are too long for a time", len(text))
+		return 0, result.New(result.BackoffUnreadable, "Retry-After has %d bytes, more than a time needs", len(text))
 	}
 	if strings.Trim(text, "0123456789.") == "" {
 		return parseSeconds(text)
@@ -91,7 +93,7 @@
 	return max(0, until.Sub(now)), nil
 }
 
-// parseSeconds reads digits with at most one point among them.
+// parseSeconds parses digits with at most one decimal point.
 func parseSeconds(text string) (time.Duration, error) {
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -101,5 +103,5 @@
 }
 
 func unreadableError(text string) error {
-	return result.New(result.BackoffUnreadable, "%q is neither a number of seconds nor a date", text)
+	return result.New(result.BackoffUnreadable, "Retry-After %q is neither a number of seconds nor a date", text)
 }
--- a/backoff/header_test.go
+++ b/backoff/header_test.go
@@ -9,7 +9,7 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// Both forms that HTTP allows are read, by the upstream's own clock where it tells it; nothing else is.
+// Both forms that HTTP allows are parsed, dates relative to the answer's Date where there is one; anything else is an error.
 func TestParseRetryAfter(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -21,17 +21,17 @@
 		{name: "nothing"},
 		{name: "seconds", text: []string{"3"}, want: 3 * time.Second},
 		{name: "a fraction", text: []string{" 0.25 "}, want: 250 * time.Millisecond},
-		{name: "none", text: []string{"0"}},
+		{name: "zero", text: []string{"0"}},
 		{name: "an hour", text: []string{"3600"}, want: time.Hour},
-		{name: "more than fits", text: []string{"99999999999999999999"}, want: 1e9 * time.Second},
+		{name: "more than a duration holds", text: []string{"99999999999999999999"}, want: 1e9 * time.Second},
 		{name: "two", text: []string{"1", "3"}, want: 3 * time.Second},
 		{name: "a date", text: []string{"Tue, 01 Jan 2030 00:00:05 GMT"}, want: 5 * time.Second},
 		{name: "a date by another clock", text: []string{"Tue, 01 Jan 2019 00:00:05 GMT"}, date: "Tue, 01 Jan 2019 00:00:03 GMT", want: 2 * time.Second},
-		{name: "a date that is over", text: []string{"Mon, 31 Dec 2029 23:59:05 GMT"}},
-		{name: "less than none", text: []string{"-3"}, wantErr: true},
-		{name: "no number", text: []string{"soon"}, wantErr: true},
+		{name: "a past date", text: []string{"Mon, 31 Dec 2029 23:59:05 GMT"}},
+		{name: "negative", text: []string{"-3"}, wantErr: true},
+		{name: "not a number", text: []string{"soon"}, wantErr: true},
 		{name: "not finite", text: []string{"Inf"}, wantErr: true},
-		{name: "a power", text: []string{"1e3"}, wantErr: true},
+		{name: "an exponent", text: []string{"1e3"}, wantErr: true},
 		{name: "two points", text: []string{"1.2.3"}, wantErr: true},
 		{name: "empty", text: []string{""}, wantErr: true},
 		{name: "too long", text: []string{"00000000000000000000000000000000000000000000000000003"}, wantErr: true},
@@ -55,7 +55,7 @@
 	}
 }
 
-// FuzzParseRetryAfter holds that no text of an upstream makes a time that is negative.
+// FuzzParseRetryAfter checks that no text results in a negative backoff.
 func FuzzParseRetryAfter(f *testing.F) {
 	for _, text := range []string{"3", "0.25", "-1", "1e999", ".", "99999999999999999999", "Tue, 01 Jan 2030 00:00:05 GMT", "Tue, 31 Dec 9999 23:59:59 GMT"} {
 		f.Add(text, "")
--- a/backoff/list.go
+++ b/backoff/list.go
@@ -1,20 +1,20 @@
 package backoff
 
-// An upstream that is overrun says for how long it wants nothing from this VM,
-// and one that leaves says so in its answers, before any list tells. Whatever
-// chooses an upstream asks this list, and whatever is about to send asks once
-// more, since the answer may have come meanwhile:
+// An overloaded upstream names a time in which it should get nothing from this
+// VM, and an upstream that is leaving says so in its answers before the roster
+// does. The list is checked when an upstream is chosen and again before sending,
+// since an answer can have arrived in between:
 //
 //	0.000   request 1 -> u       503, Retry-After: 3
-//	0.002   request 2 -> u       chosen before the answer came: not sent
-//	3.000   request 3 -> u       the time is over, this one tries
-//	3.001   request 4            u is passed over until 3 was taken
-//	3.150   200 for request 3    u takes requests as any other
+//	0.002   request 2 -> u       chosen before that answer arrived: not sent
+//	3.000   request 3 -> u       the backoff is over, this is the probe
+//	3.001   request 4            u is skipped until request 3 is accepted
+//	3.150   200 for request 3    u gets requests like any other upstream
 //
-// The word binds for the life that gave it and not for its group, address or
-// place in a list; nothing but time ends it early, not even a whole answer to a
-// request that was sent before. Only this VM is bound: an upstream asks those
-// who overrun it.
+// A backoff applies to the incarnation that requested it, not to its group,
+// address or place in a list. Only time ends it, not even a complete answer to a
+// request that was sent before. It binds this VM only: an upstream requests a
+// backoff from the senders that overload it.
 
 import (
 	"sync"
@@ -22,70 +22,72 @@
 	"time"
 )
 
-// Rule bounds what an upstream may ask for.
+// Rule bounds the backoffs.
 type Rule struct {
-	// Max is the longest time that one answer may ask for.
+	// Max is the longest backoff that one answer can request.
 	Max time.Duration
-	// Default is how long an upstream is passed over that refuses for want of room and names no time.
+	// Default is the backoff after a refusal for lack of capacity that names no time.
 	Default time.Duration
-	// Leaving is how long one is passed over that said that it leaves.
+	// Leaving is the backoff of an upstream that is leaving.
 	Leaving time.Duration
 }
 
-// DefaultRule is a minute, so that one header with an hour in it silences an upstream that works again for no longer than that and is
-// tried with one request a minute; a pass or two of an engine with all slots taken; and ten minutes, many times what a planned end takes.
+// DefaultRule limits a backoff to a minute, so that an upstream that named an hour is probed once per minute; backs off for an iteration
+// or two of an engine with all slots in use where no time is named; and for ten minutes, many times what a planned shutdown takes, from
+// an upstream that is leaving.
 func DefaultRule() Rule {
 	return Rule{Max: time.Minute, Default: 120 * time.Millisecond, Leaving: 10 * time.Minute}
 }
 
 const (
-	// minSweepSize is how many words are kept before those that are over are looked for.
+	// minSweepSize is the number of records from which expired ones are dropped.
 	minSweepSize = 256
-	// probeTimeout is how long others wait for the one that tries an upstream: longer than a request takes until it is begun, so that one
-	// whose end is never told keeps nobody away for good.
+	// probeTimeout is how long other requests wait for the outcome of a probe. It is longer than a request takes to be accepted, and
+	// bounds the wait for a probe that is never ended.
 	probeTimeout = 10 * time.Second
 )
 
-// List is what upstreams asked for, by their lives or addresses; exported fields are set before use.
+// List holds the backoffs by incarnation or address of the upstream; exported fields are set before use.
 type List[K comparable] struct {
 	Rule Rule
 
-	// latestEnd is when the last time that anybody asked for is over, asking how many words have asked set: most of the time no word holds
-	// anything, and each choice asks for each upstream.
+	// latestEnd is the end of the latest backoff, requestedCount the number of records with requested set. With these, StateOf needs no
+	// lock while no record applies, which is most of the time; it is called for each upstream at each choice.
 	latestEnd      atomic.Pointer[time.Time]
 	requestedCount atomic.Int64
 
 	mu      sync.Mutex
 	records map[K]*record
-	// sweepSize is how many words there may be until those that are over are dropped.
+	// sweepSize is the number of records at which expired ones are dropped.
 	sweepSize int
 }
 
-// record is what one upstream asked for.
+// record is the backoff of one upstream.
 type record struct {
-	// end is when it may be sent something again, leaving is set when it said that it leaves.
+	// end is the end of the backoff; leaving is set when the upstream announced that it is leaving.
 	end     time.Time
 	leaving bool
-	// requested is set from when it asked for time until it has taken a request, tried until when one is out to find that out.
+	// requested is set from a requested backoff until the upstream accepts a request; probeUntil is the time until which a probe is
+	// running.
 	requested  bool
 	probeUntil time.Time
-	// requestedEnd is when the time that it asked for is, which until may be after.
+	// requestedEnd is the end of the requested backoff, at or before end.
 	requestedEnd time.Time
 }
 
-// State is what an upstream asked for as it stands.
+// State is the backoff of an upstream at a point in time.
 type State struct {
-	// Remaining is how long it wants nothing yet.
+	// Remaining is how long it must get no request.
 	Remaining time.Duration
-	// Leaving is set when that is because it leaves.
+	// Leaving is set when the reason is that it is leaving.
 	Leaving bool
-	// Requested is set when it asked for time and has taken nothing since, Busy while one request tries whether it does.
+	// Requested is set when it requested a backoff and has accepted no request since, Probing while a request tests whether it does.
 	Requested bool
 	Probing   bool
 }
 
-// Admits reports whether a request may go there now. An upstream that asked for time gets the first ones singly, since it was overrun:
-// all that wait for it would otherwise reach it at the same moment.
+// Admits reports whether a request can be sent now. After a requested backoff there is one probe at a time, since all waiting requests
+// would otherwise reach the upstream at the same moment.
 func (s State) Admits() bool {
 	return s.Remaining <= 0 && !s.Probing
 }
@@ -95,8 +97,8 @@
 	return &List[K]{Rule: rule, records: map[K]*record{}}
 }
 
-// NoteRefusal notes that an upstream turned a request away, and asked for a time, 0 when it named none. It reports whether what is known
-// of it has changed but for the time.
+// NoteRefusal notes that an upstream refused a request and requested a backoff, 0 when it named none. It reports whether a
+// requested backoff starts; extending one does not count.
 func (l *List[K]) NoteRefusal(now time.Time, upstream K, delay time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,7 +119,7 @@
 	return isNew
 }
 
-// NoteLeaving notes that an upstream said that it leaves, and reports whether that is new.
+// NoteLeaving notes that an upstream announced that it is leaving, and reports whether that is new.
 func (l *List[K]) NoteLeaving(now time.Time, upstream K) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,7 +130,7 @@
 	return isNew
 }
 
-// extend lets a word hold until a time at least; the mutex is held.
+// extend extends a backoff to at least until; the mutex is held.
 func (l *List[K]) extend(rec *record, until time.Time) {
 	if until.After(rec.end) {
 		rec.end = until
@@ -138,13 +140,13 @@
 	}
 }
 
-// idle reports whether no word holds anything.
+// idle reports whether no record affects any upstream.
 func (l *List[K]) idle(now time.Time) bool {
 	latest := l.latestEnd.Load()
 	return l.requestedCount.Load() == 0 && (latest == nil || !now.Before(*latest))
 }
 
-// recordOf returns the word of an upstream, a new one where there is none; the mutex is held.
+// recordOf returns the record of an upstream, a new one when there is none; the mutex is held.
 func (l *List[K]) recordOf(now time.Time, upstream K) *record {
 	rec := l.records[upstream]
 	if rec != nil {
@@ -159,7 +161,7 @@
 	return rec
 }
 
-// dropExpired forgets what is over. An upstream that has not been tried since counts as any other after as long again as it may ask for.
+// dropExpired drops the records whose backoff ended at least Rule.Max ago, also those of upstreams that were not probed since.
 func (l *List[K]) dropExpired(now time.Time) {
 	for upstream, rec := range l.records {
 		if now.Sub(rec.end) < l.Rule.Max {
@@ -172,7 +174,7 @@
 	}
 }
 
-// StateOf returns what an upstream asked for as it stands.
+// StateOf returns the state of an upstream.
 func (l *List[K]) StateOf(now time.Time, upstream K) State {
 	if l.idle(now) {
 		return State{}
@@ -192,7 +194,7 @@
 	return State{Requested: w.requested, Probing: w.requested && now.Before(w.probeUntil)}
 }
 
-// BeginProbe notes that a request goes to an upstream, and reports whether it is the one that tries it. Whoever gets true calls End.
+// BeginProbe notes that a request is sent to an upstream, and reports whether it is the probe. If so, the caller must call EndProbe.
 func (l *List[K]) BeginProbe(now time.Time, upstream K) bool {
 	if l.idle(now) {
 		return false
@@ -207,7 +209,7 @@
 	return true
 }
 
-// EndProbe ends a trial; taken is set when the upstream has begun to work on the request.
+// EndProbe ends a probe; accepted is set when the upstream has started to work on the request.
 func (l *List[K]) EndProbe(upstream K, accepted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -222,7 +224,7 @@
 	}
 }
 
-// Each calls visit for each upstream that wants nothing yet.
+// Each calls visit for each upstream that must get no request now.
 func (l *List[K]) Each(now time.Time, visit func(upstream K, s State)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/backoff/list_test.go
+++ b/backoff/list_test.go
@@ -15,14 +15,14 @@
 	return backoff.Rule{Max: 20 * time.Second, Default: 100 * time.Millisecond, Leaving: time.Minute}
 }
 
-// An upstream gets nothing in the time that it asked for, then one request until it has taken one.
+// An upstream gets nothing during its backoff, and then one probe at a time until it accepts one.
 func TestProbesAfterBackoff(t *testing.T) {
 	list := backoff.New[string](testRule())
 	if !list.NoteRefusal(startTime, "u", 3*time.Second) {
-		t.Error("its first word is not new")
+		t.Error("the first backoff is not new")
 	}
 	if list.NoteRefusal(startTime.Add(time.Second), "u", time.Second) {
-		t.Error("a second word while it rests counts as new")
+		t.Error("a second backoff within the first counts as new")
 	}
 	end := startTime.Add(3 * time.Second)
 	steps := []struct {
@@ -33,14 +33,14 @@
 	}{
 		{"just before the end", func() {}, end.Add(-time.Millisecond), backoff.State{Remaining: time.Millisecond, Requested: true}},
 		{"at the end", func() {}, end, backoff.State{Requested: true}},
-		{"while one tries", func() { list.BeginProbe(end, "u") }, end, backoff.State{Requested: true, Probing: true}},
-		{"the one was lost", func() { list.EndProbe("u", false) }, end, backoff.State{Requested: true}},
-		{"the next is refused", func() { list.BeginProbe(end, "u"); list.NoteRefusal(end, "u", 0); list.EndProbe("u", false) }, end, backoff.State{Remaining: 100 * time.Millisecond, Requested: true}},
-		{"one tries, and is never heard of", func() { list.BeginProbe(end.Add(time.Second), "u") }, end.Add(2 * time.Second), backoff.State{Requested: true, Probing: true}},
-		{"somebody else tries", func() {}, end.Add(20 * time.Second), backoff.State{Requested: true}},
-		{"its end is told late", func() { list.EndProbe("u", false) }, end.Add(20 * time.Second), backoff.State{Requested: true}},
-		{"it is still tried singly", func() {}, end.Add(time.Second), backoff.State{Requested: true}},
-		{"it has taken one", func() { list.BeginProbe(end, "u"); list.EndProbe("u", true) }, end.Add(time.Second), backoff.State{}},
+		{"during a probe", func() { list.BeginProbe(end, "u") }, end, backoff.State{Requested: true, Probing: true}},
+		{"the probe was lost", func() { list.EndProbe("u", false) }, end, backoff.State{Requested: true}},
+		{"the next probe is refused", func() { list.BeginProbe(end, "u"); list.NoteRefusal(end, "u", 0); list.EndProbe("u", false) }, end, backoff.State{Remaining: 100 * time.Millisecond, Requested: true}},
+		{"a probe that is not ended", func() { list.BeginProbe(end.Add(time.Second), "u") }, end.Add(2 * time.Second), backoff.State{Requested: true, Probing: true}},
+		{"that probe has timed out", func() {}, end.Add(20 * time.Second), backoff.State{Requested: true}},
+		{"that probe is ended late", func() { list.EndProbe("u", false) }, end.Add(20 * time.Second), backoff.State{Requested: true}},
+		{"no probe was accepted yet", func() {}, end.Add(time.Second), backoff.State{Requested: true}},
+		{"a probe is accepted", func() { list.BeginProbe(end, "u"); list.EndProbe("u", true) }, end.Add(time.Second), backoff.State{}},
 	}
 	for _, step := range steps {
 		step.do()
@@ -53,7 +53,7 @@
 	}
 }
 
-// Whatever an upstream asks for is bounded: by the rule, and only the longest word counts.
+// Backoffs are bounded by the rule, and the longest of several applies.
 func TestBackoffIsBounded(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
@@ -61,7 +61,7 @@
 		want   time.Duration
 	}{
 		{"nothing", []time.Duration{0}, 100 * time.Millisecond},
-		{"less than nothing", []time.Duration{-time.Hour}, 100 * time.Millisecond},
+		{"negative", []time.Duration{-time.Hour}, 100 * time.Millisecond},
 		{"a short time", []time.Duration{20 * time.Millisecond}, 20 * time.Millisecond},
 		{"a day", []time.Duration{24 * time.Hour}, 20 * time.Second},
 		{"long, then short", []time.Duration{3 * time.Second, time.Second}, 3 * time.Second},
@@ -73,16 +73,16 @@
 			list.NoteRefusal(startTime, "u", d)
 		}
 		if got := list.StateOf(startTime, "u").Remaining; got != tt.want {
-			t.Errorf("%s: left alone for %v, want %v", tt.name, got, tt.want)
+			t.Errorf("%s: backoff of %v, want %v", tt.name, got, tt.want)
 		}
 	}
 }
 
-// An upstream that leaves gets nothing, also after the time that it asked for, and is not forgotten among many others.
+// A leaving upstream gets nothing until its backoff ends, also while many other upstreams request backoffs.
 func TestLeavingUpstreamIsRemembered(t *testing.T) {
 	list := backoff.New[int](testRule())
 	if !list.NoteLeaving(startTime, 0) || list.NoteLeaving(startTime, 0) {
-		t.Error("only its first word is new")
+		t.Error("want the first notice new, and only that")
 	}
 	for i := 1; i < 2000; i++ {
 		list.NoteRefusal(startTime.Add(time.Duration(i)*10*time.Millisecond), i, time.Second)
@@ -92,32 +92,33 @@
 		t.Errorf("half a minute later (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff(backoff.State{}, list.StateOf(startTime.Add(time.Minute), 0)); diff != "" {
-		t.Errorf("after the time for which it is believed (-want +got):\n%s", diff)
+		t.Errorf("after the backoff (-want +got):\n%s", diff)
 	}
 }
 
-// Words that are over are dropped, so that lives which come and go take no memory.
+// Expired records are dropped, so that memory does not grow with the number of incarnations.
 func TestExpiredRecordsAreDropped(t *testing.T) {
 	list := backoff.New[int](testRule())
 	for i := range 100_000 {
 		list.NoteRefusal(startTime.Add(time.Duration(i)*100*time.Millisecond), i, time.Second)
 	}
 	if n := backoff.Len(list); n > 1000 {
-		t.Errorf("%d words are kept, of which a few hundred can hold anything", n)
+		t.Errorf("%d records are kept, of which a few hundred can apply", n)
 	}
 }
 
-// A time that is asked for right after a refusal without one, or in a longer one, is new: operators and other entries are told of it.
+// A backoff requested after a refusal without one, or after the end of the last requested one, is new: it is logged and sent to the
+// other entries.
 func TestBackoffAfterPlainRefusalIsNew(t *testing.T) {
 	list := backoff.New[string](testRule())
 	if list.NoteRefusal(startTime, "u", 0) {
-		t.Error("a refusal without a time counts as a word")
+		t.Error("a refusal without a time counts as a requested backoff")
 	}
 	if !list.NoteRefusal(startTime.Add(10*time.Millisecond), "u", time.Second) {
-		t.Error("the time that is asked for first is not new")
+		t.Error("the first requested backoff is not new")
 	}
 	list.NoteRefusal(startTime.Add(time.Second), "u", 0)
 	if !list.NoteRefusal(startTime.Add(1050*time.Millisecond), "u", time.Second) {
-		t.Error("one that is asked for after the first is over is not new")
+		t.Error("a backoff requested after the end of the first is not new")
 	}
 }
--- a/backoff/model_test.go
+++ b/backoff/model_test.go
@@ -11,7 +11,7 @@
 	"github.com/dunlinquay/dunlinquay/backoff"
 )
 
-// referenceList is the same list in the plainest way: it forgets nothing and is never quiet.
+// referenceList is a simple implementation of List: it never drops records and has no fast path.
 type referenceList struct {
 	end, probeUntil    map[int]time.Time
 	requested, leaving map[int]bool
@@ -30,7 +30,7 @@
 	}
 }
 
-// Whatever is asked, tried and taken in whichever order, the list says the same as a plain book of it.
+// For random sequences of refusals, notices and probes, the list has the same states as the reference.
 func TestListAgainstReference(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -44,32 +44,32 @@
 			var action string
 			switch n := random.IntN(10); {
 			case n < 2:
-				action = "refuse"
+				action = "refusal"
 				list.NoteRefusal(now, upstream, 0)
 				reference.extend(upstream, now.Add(rule.Default))
 			case n < 5:
 				delay := time.Duration(random.IntN(4000)+1) * time.Millisecond
-				action = fmt.Sprint("ask ", delay)
+				action = fmt.Sprint("backoff ", delay)
 				list.NoteRefusal(now, upstream, delay)
 				reference.requested[upstream] = true
 				reference.extend(upstream, now.Add(delay))
 			case n == 5 && random.IntN(20) == 0:
-				action = "leave"
+				action = "leaving"
 				list.NoteLeaving(now, upstream)
 				reference.leaving[upstream] = true
 				reference.extend(upstream, now.Add(rule.Leaving))
 			case n < 9:
-				action = "begin"
+				action = "begin probe"
 				got, want := list.BeginProbe(now, upstream), reference.requested[upstream] && !now.Before(reference.probeUntil[upstream])
 				if got != want {
-					t.Fatalf("seed %d, step %d: %d tries %t, want %t", seed, step, upstream, got, want)
+					t.Fatalf("seed %d, step %d: upstream %d is probed %t, want %t", seed, step, upstream, got, want)
 				}
 				if want {
 					reference.probeUntil[upstream] = now.Add(10 * time.Second)
 				}
 			default:
 				accepted := random.IntN(2) == 0
-				action = fmt.Sprint("end ", accepted)
+				action = fmt.Sprint("end probe ", accepted)
 				list.EndProbe(upstream, accepted)
 				reference.probeUntil[upstream] = time.Time{}
 				reference.requested[upstream] = reference.requested[upstream] && !accepted
