--- a/relay/answer.go
+++ b/relay/answer.go
@@ -183,9 +183,9 @@
 
 func (x *exchange) copyHeader(from http.Header) {
 	h := x.w.Header()
-	named := connectionOptions(from)
+	connectionNamed := connectionOptions(from)
 	for name, values := range from {
-		if hopByHopHeaders[name] || named[name] {
+		if hopByHopHeaders[name] || connectionNamed[name] {
 			continue
 		}
 		h[name] = values
--- a/relay/bench_test.go
+++ b/relay/bench_test.go
@@ -23,7 +23,7 @@
 // benchUpstream answers plain requests, and streams of benchEvents events that each go out by themselves.
 func benchUpstream(b *testing.B) *httptest.Server {
 	b.Helper()
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Request", r.Header.Get("Request"))
 		w.Header().Set("Signature", "s")
 		if r.URL.Path == "/safe/x" {
@@ -35,8 +35,8 @@
 			_ = http.NewResponseController(w).Flush()
 		}
 	}))
-	b.Cleanup(s.Close)
-	return s
+	b.Cleanup(server.Close)
+	return server
 }
 
 func benchRelay(b *testing.B, address string) *httptest.Server {
@@ -61,9 +61,9 @@
 		Groups: []roster.Group{{Name: "g", Service: "model", Model: "m", Phase: roster.PhaseOpen, Members: []ident.Incarnation{"h"}}},
 	})
 	s.SetConfirmed(time.Now())
-	front := httptest.NewServer(s)
-	b.Cleanup(front.Close)
-	return front
+	server := httptest.NewServer(s)
+	b.Cleanup(server.Close)
+	return server
 }
 
 // Each front is measured against the standard library's reverse proxy in the same run; time is wall time of one caller.
@@ -75,12 +75,12 @@
 	}
 	proxy := httputil.NewSingleHostReverseProxy(target)
 	proxy.FlushInterval = -1
-	bare := httptest.NewServer(proxy)
-	b.Cleanup(bare.Close)
-	own := benchRelay(b, upstream.Listener.Addr().String())
+	proxyServer := httptest.NewServer(proxy)
+	b.Cleanup(proxyServer.Close)
+	relayServer := benchRelay(b, upstream.Listener.Addr().String())
 	for _, path := range []string{"/safe/x", "/stream/x"} {
-		for name, front := range map[string]*httptest.Server{"relay": own, "reverse-proxy": bare, "none": upstream} {
-			b.Run(name+path, func(b *testing.B) { benchCalls(b, front.URL+path) })
+		for name, server := range map[string]*httptest.Server{"relay": relayServer, "reverse-proxy": proxyServer, "none": upstream} {
+			b.Run(name+path, func(b *testing.B) { benchCalls(b, server.URL+path) })
 		}
 	}
 }
@@ -113,9 +113,9 @@
 // µs among 16 groups and 28.6 µs among 200 (one run); where targets keep them: 1.9 µs and 20.5 µs (medians of three), no allocation. With one that asked for time among 200: 36 µs where
 // nobody asked 30 µs (medians of three, beside a busier machine).
 func BenchmarkChoose(b *testing.B) {
-	for _, c := range []struct{ groups, asked int }{{16, 0}, {200, 0}, {200, 1}} {
-		groups := c.groups
-		b.Run(fmt.Sprintf("%d-groups-%d-asked", groups, c.asked), func(b *testing.B) {
+	for _, tt := range []struct{ groups, asked int }{{16, 0}, {200, 0}, {200, 1}} {
+		groups := tt.groups
+		b.Run(fmt.Sprintf("%d-groups-%d-asked", groups, tt.asked), func(b *testing.B) {
 			s := relay.New(headerNames(), transport.TCP())
 			cfg := timedConfig()
 			s.SetConfig(cfg)
@@ -128,7 +128,7 @@
 				})
 			}
 			s.ApplyRoster(&d)
-			for i := range c.asked {
+			for i := range tt.asked {
 				s.Backoff.NoteRefusal(s.Now(), ident.Incarnation(fmt.Sprintf("i-%08x", i)), time.Minute)
 			}
 			choose := relay.GroupChooser(s, &cfg.Routes[2], "m", 1000)
--- a/relay/conn.go
+++ b/relay/conn.go
@@ -49,21 +49,21 @@
 	if c.br.Buffered() > 0 {
 		return false
 	}
-	sys, ok := c.Conn.(syscall.Conn)
+	syscallConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := sys.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	var peek error
-	var b [1]byte
+	var peekErr error
+	var buf [1]byte
 	err = raw.Read(func(fd uintptr) bool {
-		_, _, peek = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		_, _, peekErr = syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return true
 	})
-	return err == nil && errors.Is(peek, syscall.EAGAIN)
+	return err == nil && errors.Is(peekErr, syscall.EAGAIN)
 }
 
 // connPool keeps idle connections by address, the one used last on top.
@@ -80,13 +80,13 @@
 }
 
 // get returns a kept connection, or a new one; once is set for a request that must not meet a stale connection.
-func (p *connPool) get(ctx context.Context, address string, once bool) (*upstreamConn, error) {
+func (p *connPool) get(ctx context.Context, address string, unrepeatable bool) (*upstreamConn, error) {
 	for {
 		c := p.pop(address)
 		if c == nil {
 			break
 		}
-		stale := once && p.now().Sub(c.idleSince) > maxIdleForOnce
+		stale := unrepeatable && p.now().Sub(c.idleSince) > maxIdleForOnce
 		if !stale && p.now().Before(c.expires) && c.alive() {
 			c.reused = true
 			return c, nil
@@ -106,17 +106,17 @@
 func (p *connPool) pop(address string) *upstreamConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[address]
-	if len(list) == 0 {
+	conns := p.idle[address]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := list[len(list)-1]
-	p.idle[address] = list[:len(list)-1]
+	c := conns[len(conns)-1]
+	p.idle[address] = conns[:len(conns)-1]
 	return c
 }
 
 // put keeps c for the next request when the answer allows it, and fewer than most are kept.
-func (p *connPool) put(c *upstreamConn, answer *http.Response, most int) {
+func (p *connPool) put(c *upstreamConn, answer *http.Response, maxIdle int) {
 	if answer.Close || answer.ContentLength < 0 && len(answer.TransferEncoding) == 0 || c.br.Buffered() > 0 {
 		c.Close()
 		return
@@ -129,7 +129,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.address]) >= most {
+	if len(p.idle[c.address]) >= maxIdle {
 		c.Close()
 		return
 	}
@@ -151,14 +151,14 @@
 }
 
 // prune closes connections that have expired and those to addresses that are no longer used.
-func (p *connPool) prune(used func(address string) bool) {
+func (p *connPool) prune(inUse func(address string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	for address, list := range p.idle {
+	for address, conns := range p.idle {
 		var kept []*upstreamConn
-		for _, c := range list {
-			if used(address) && now.Before(c.expires) {
+		for _, c := range conns {
+			if inUse(address) && now.Before(c.expires) {
 				kept = append(kept, c)
 				continue
 			}
@@ -180,21 +180,21 @@
 // maxIdleConns returns how many connections to an upstream are kept: this entry's part of those that it takes from all entries, without
 // those that can be in use. It resets any more.
 func (x *exchange) maxIdleConns(t *target) int {
-	takes := x.service.MaxConnections
-	if takes <= 0 {
+	maxConnections := x.service.MaxConnections
+	if maxConnections <= 0 {
 		return maxIdlePerUpstream
 	}
-	spare := takes - int(float64(t.slots)*(1+queuePerSlot(x.service)))
+	spare := maxConnections - int(float64(t.slots)*(1+queuePerSlot(x.service)))
 	return min(maxIdlePerUpstream, x.s.localShare(spare, t.id))
 }
 
 // localShare returns this entry's part of what an upstream has for all entries. The mutex is not held.
-func (s *Relay) localShare(n int, id ident.Incarnation) int {
+func (s *Relay) localShare(total int, id ident.Incarnation) int {
 	s.mu.Lock()
 	entries := s.entries
 	s.mu.Unlock()
 	if entries == nil {
-		return max(1, n/s.Budget.Entries())
+		return max(1, total/s.Budget.Entries())
 	}
-	return entries.Share(n, string(id))
+	return entries.Share(total, string(id))
 }
--- a/relay/cut_test.go
+++ b/relay/conn_failure_test.go
@@ -14,26 +14,26 @@
 
 // The record of a request tells how each connection without a whole answer ended, and what had come over it.
 func TestRecordNamesConnectionFailure(t *testing.T) {
-	part := func(c net.Conn, r *http.Request) bool { return respondStream(c, r, 1, 2, false) }
-	for _, c := range []struct {
+	respondPart := func(tt net.Conn, r *http.Request) bool { return respondStream(tt, r, 1, 2, false) }
+	for _, tt := range []struct {
 		name string
 		play responder
 		want relay.Attempt
 	}{
 		{"closed", always(func(net.Conn, *http.Request) bool { return false }), relay.Attempt{ConnFailure: relay.ConnClosed}},
-		{"reset", always(func(c net.Conn, _ *http.Request) bool { return resetConn(c) }), relay.Attempt{ConnFailure: relay.ConnReset}},
-		{"closed within a stream", always(part), relay.Attempt{ConnFailure: relay.ConnClosed, Events: 2}},
-		{"no answer", always(func(c net.Conn, _ *http.Request) bool {
-			_, _ = io.WriteString(c, "nothing like an answer\r\n\r\n")
+		{"reset", always(func(tt net.Conn, _ *http.Request) bool { return resetConn(tt) }), relay.Attempt{ConnFailure: relay.ConnReset}},
+		{"closed within a stream", always(respondPart), relay.Attempt{ConnFailure: relay.ConnClosed, Events: 2}},
+		{"no answer", always(func(tt net.Conn, _ *http.Request) bool {
+			_, _ = io.WriteString(tt, "nothing like an answer\r\n\r\n")
 			return false
 		}), relay.Attempt{ConnFailure: relay.ConnUnusable}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			s := newTestEntry(t, nil, []*upstream{newUpstream(t, c.play)})
+		t.Run(tt.name, func(t *testing.T) {
+			s := newTestEntry(t, nil, []*upstream{newUpstream(t, tt.play)})
 			s.do(s.request("POST", "/stream/x", "id", "body"))
 			s.relay.Wait()
 			got := s.records[0].Attempts[0]
-			if diff := cmp.Diff(c.want, relay.Attempt{ConnFailure: got.ConnFailure, Events: got.Events}); diff != "" {
+			if diff := cmp.Diff(tt.want, relay.Attempt{ConnFailure: got.ConnFailure, Events: got.Events}); diff != "" {
 				t.Errorf("try (-want +got):\n%s", diff)
 			}
 			if want := quarantine.ContentOf("/stream/x", []byte("body")); s.records[0].Content != want {
--- a/relay/words_test.go
+++ b/relay/connections_test.go
@@ -17,7 +17,7 @@
 
 // An upstream says with its answer whether a connection may be used again, and for how long: what it closes soon is not sent on.
 func TestConnectionReuseFollowsAnswerHeaders(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name, header string
 		// idle is how long nothing is sent after the first answer.
 		idle time.Duration
@@ -30,7 +30,7 @@
 		{"one more parameter", "Keep-Alive: max=9, timeout=1", time.Second, false},
 		{"unreadable", "Keep-Alive: timeout=soon", 2 * time.Second, true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tt.name, func(t *testing.T) {
 			vm := &suspendableClock{startedAt: time.Now()}
 			var mu sync.Mutex
 			conns := map[net.Conn]bool{}
@@ -39,7 +39,7 @@
 				conns[conn] = true
 				mu.Unlock()
 				body := "answer to " + r.Header.Get("Request")
-				_, err := io.WriteString(conn, answerHead(r, 200, signature, c.header, fmt.Sprintf("Content-Length: %d", len(body)))+body)
+				_, err := io.WriteString(conn, answerHead(r, 200, signature, tt.header, fmt.Sprintf("Content-Length: %d", len(body)))+body)
 				return err == nil
 			}))
 			s := newTestEntry(t, []*upstream{u}, nil)
@@ -49,12 +49,12 @@
 				if got := s.do(s.request("POST", "/safe/x", fmt.Sprint(n), "")); got.Status != http.StatusOK {
 					t.Fatalf("status %d", got.Status)
 				}
-				vm.suspendedFor = c.idle
+				vm.suspendedFor = tt.idle
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			if kept := len(conns) == 1; kept != c.kept {
-				t.Errorf("%d connections for two requests, kept want %t", len(conns), c.kept)
+			if kept := len(conns) == 1; kept != tt.kept {
+				t.Errorf("%d connections for two requests, kept want %t", len(conns), tt.kept)
 			}
 		})
 	}
@@ -62,27 +62,27 @@
 
 // A head that names the member at fault did not run the request: another group does, and the leader is told whom it blames.
 func TestBlamedMemberIsReported(t *testing.T) {
-	blames := newUpstream(t, always(func(c net.Conn, r *http.Request) bool {
+	blaming := newUpstream(t, always(func(c net.Conn, r *http.Request) bool {
 		_, err := io.WriteString(c, answerHead(r, 503, "Not-Run: 1", "Blamed: m1", "Content-Length: 0"))
 		return err == nil
 	}))
-	works := newUpstream(t, always(func(c net.Conn, r *http.Request) bool { return respondStream(c, r, 1, 2, true) }))
-	s := newTestEntry(t, nil, []*upstream{blames, works})
+	healthy := newUpstream(t, always(func(c net.Conn, r *http.Request) bool { return respondStream(c, r, 1, 2, true) }))
+	s := newTestEntry(t, nil, []*upstream{blaming, healthy})
 	s.relay.RandomInt = func(int) int { return 0 } // the first of equals is asked first
 	for n := range 8 {
 		if got := s.do(s.request("POST", "/stream/x", fmt.Sprint(n), "")); got.Status != http.StatusOK || !got.Complete {
 			t.Errorf("request %d: %+v", n, got)
 		}
 	}
-	seen, _ := s.relay.CollectObservations()
-	told := map[ident.Incarnation]string{}
-	for _, one := range seen {
-		told[one.ID] = one.Blamed
+	observations, _ := s.relay.CollectObservations()
+	blamed := map[ident.Incarnation]string{}
+	for _, observation := range observations {
+		blamed[observation.ID] = observation.Blamed
 	}
-	if told["h0"] != "m1" || told["h1"] != "" {
-		t.Errorf("blamed %v, want m1 by h0", told)
+	if blamed["h0"] != "m1" || blamed["h1"] != "" {
+		t.Errorf("blamed %v, want m1 by h0", blamed)
 	}
-	if n := len(blames.received()); n != 1 {
+	if n := len(blaming.received()); n != 1 {
 		t.Errorf("%d requests reached the group with a member at fault, want the first", n)
 	}
 }
@@ -91,7 +91,7 @@
 // part of them, beside those that are in use.
 func TestIdleConnectionsAreBoundedByUpstream(t *testing.T) {
 	const burst = 12
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name          string
 		most, entries int
 		want          int
@@ -101,20 +101,20 @@
 		{"few", 30, 2, 3},
 		{"not one for each entry", 25, 60, 1},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			all := make(chan struct{})
+		t.Run(tt.name, func(t *testing.T) {
+			allArrived := make(chan struct{})
 			u := newUpstream(t, func(conn net.Conn, r *http.Request, n int) bool {
 				if n == burst {
-					close(all)
+					close(allArrived)
 				}
-				<-all
+				<-allArrived
 				return respondComplete(conn, r)
 			})
 			s := newTestEntry(t, []*upstream{u}, nil)
 			cfg := config()
-			cfg.Services[0].MaxConnections = c.most
+			cfg.Services[0].MaxConnections = tt.most
 			s.relay.SetConfig(cfg)
-			s.relay.Budget.SetEntries(c.entries)
+			s.relay.Budget.SetEntries(tt.entries)
 			s.relay.ApplyRoster(&roster.Delta{Full: true, Revision: 2, Upstreams: []roster.Upstream{
 				{ID: "p0", Service: "plain", Address: u.address(), Slots: burst},
 			}})
@@ -123,8 +123,8 @@
 				wg.Go(func() { s.do(s.request("POST", "/unsafe/x", fmt.Sprint(n), "")) })
 			}
 			wg.Wait()
-			if got := relay.IdleConnections(s.relay, u.address()); got != c.want {
-				t.Errorf("%d connections kept, want %d", got, c.want)
+			if got := relay.IdleConnections(s.relay, u.address()); got != tt.want {
+				t.Errorf("%d connections kept, want %d", got, tt.want)
 			}
 		})
 	}
@@ -163,7 +163,7 @@
 // An upstream that takes fewer connections than it has slots for gets no more requests at once than it takes connections, by what this entry
 // sends and what others have there.
 func TestConcurrentRequestsAreBoundedByConnections(t *testing.T) {
-	const takes, slots, others = 6, 12, 2
+	const maxConnections, slots, others = 6, 12, 2
 	arrived, release := make(chan struct{}, 2*slots), make(chan struct{})
 	u := newUpstream(t, func(conn net.Conn, r *http.Request, _ int) bool {
 		arrived <- struct{}{}
@@ -172,14 +172,14 @@
 	})
 	s := newTestEntry(t, []*upstream{u}, nil)
 	cfg := config()
-	cfg.Services[0].MaxConnections = takes
+	cfg.Services[0].MaxConnections = maxConnections
 	s.relay.SetConfig(cfg)
 	s.relay.ApplyRoster(&roster.Delta{Full: true, Revision: 2, Upstreams: []roster.Upstream{
 		{ID: "p0", Service: "plain", Address: u.address(), Slots: slots},
 	}})
 	s.relay.SetPeerCounts(map[ident.Incarnation]int{"p0": others})
 	var first, rest sync.WaitGroup
-	for n := range takes - others {
+	for n := range maxConnections - others {
 		first.Go(func() { s.do(s.request("POST", "/unsafe/x", fmt.Sprint(n), "")) })
 		<-arrived
 	}
@@ -192,7 +192,7 @@
 	}
 	rest.Wait()
 	if n := len(arrived); n > 0 {
-		t.Errorf("%d requests more than %d, beside %d of others, reached an upstream that takes %d connections", n, takes-others, others, takes)
+		t.Errorf("%d requests more than %d, beside %d of others, reached an upstream that takes %d connections", n, maxConnections-others, others, maxConnections)
 	}
 	close(release)
 	first.Wait()
--- a/relay/demand_test.go
+++ b/relay/demand_test.go
@@ -11,7 +11,7 @@
 
 // The most that an answer may hold says little of what it will; the caller's estimate does.
 func TestDemand(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name     string
 		tokens   string
 		estimate string
@@ -25,17 +25,17 @@
 		{"nothing", "", "", relay.Demand{Requests: 1, Answer: 116}},
 		{"a negative number", "-5,-1", "-1", relay.Demand{Requests: 1, Answer: 116}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tt.name, func(t *testing.T) {
 			s := newTestEntry(t, nil, nil)
 			cfg := config()
 			cfg.Services[1].Engine.Usual.Answer = 116
 			s.relay.SetConfig(cfg)
 			r := s.request("POST", "/stream/x", "1", "")
-			r.Header.Set("Tokens", c.tokens)
-			r.Header.Set("Estimate", c.estimate)
+			r.Header.Set("Tokens", tt.tokens)
+			r.Header.Set("Estimate", tt.estimate)
 			s.do(r)
 			_, demand := s.relay.CollectObservations()
-			if diff := cmp.Diff(map[ident.Model]relay.Demand{"m": c.want}, demand); diff != "" {
+			if diff := cmp.Diff(map[ident.Model]relay.Demand{"m": tt.want}, demand); diff != "" {
 				t.Errorf("demand (-want +got):\n%s", diff)
 			}
 		})
--- a/relay/launch.go
+++ b/relay/dispatch_delay.go
@@ -29,11 +29,11 @@
 }
 
 // update takes how long a first word took beyond the estimate.
-func (l dispatchDelay) update(took time.Duration) dispatchDelay {
-	off := min(maxDelayError, max(-maxDelayError, took-l.mean))
-	l.mean += time.Duration(delaySmoothing * float64(off))
+func (l dispatchDelay) update(sample time.Duration) dispatchDelay {
+	sampleError := min(maxDelayError, max(-maxDelayError, sample-l.mean))
+	l.mean += time.Duration(delaySmoothing * float64(sampleError))
 	l.mean = min(maxDispatchDelay, max(-maxDispatchDelay, l.mean))
-	l.deviation += time.Duration(delaySmoothing * float64(off.Abs()-l.deviation))
+	l.deviation += time.Duration(delaySmoothing * float64(sampleError.Abs()-l.deviation))
 	l.deviation = min(maxDelayDeviation, max(minDelayDeviation, l.deviation))
 	return l
 }
--- a/relay/drain_test.go
+++ b/relay/drain_test.go
@@ -47,19 +47,19 @@
 				s := newSignalEntry(3)
 				s.placeUpstreams()
 				u := s.upstreams[0]
-				began := time.Now()
-				drainAt, backAt := began.Add(3*time.Second), began.Add(7*time.Second)
+				startedAt := time.Now()
+				drainAt, endAt := startedAt.Add(3*time.Second), startedAt.Add(7*time.Second)
 				time.AfterFunc(3*time.Second, func() { s.relay.SetDrained([]ident.Hall{"a"}) })
 				time.AfterFunc(4*time.Second, func() { s.placeUpstreams() }) // news of the roster do not take it back
 				time.AfterFunc(7*time.Second, func() { s.relay.SetDrained(nil) })
 				s.load(path)
-				if n := len(u.arrivals(began, drainAt)); n == 0 {
+				if n := len(u.arrivals(startedAt, drainAt)); n == 0 {
 					t.Error("nothing came before: the test shows nothing")
 				}
-				if n := len(u.arrivals(drainAt.Add(upstreamRoundTrip), backAt)); n != 0 {
+				if n := len(u.arrivals(drainAt.Add(upstreamRoundTrip), endAt)); n != 0 {
 					t.Errorf("%d requests came while the hall was drained", n)
 				}
-				if n := len(u.arrivals(backAt, backAt.Add(time.Hour))); n == 0 {
+				if n := len(u.arrivals(endAt, endAt.Add(time.Hour))); n == 0 {
 					t.Error("nothing came after it was taken back")
 				}
 				s.relay.Wait()
@@ -81,12 +81,12 @@
 		u := s.upstreams[0]
 		u.extraDialTime = 40 * time.Millisecond
 		time.AfterFunc(20*time.Millisecond, func() { s.relay.SetDrained([]ident.Hall{"a"}) })
-		began := time.Now()
+		startedAt := time.Now()
 		w := s.send("/unsafe/x", "one")
 		if w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" {
 			t.Errorf("status %d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 		}
-		if n := len(u.arrivals(began, began.Add(time.Hour))); n != 0 {
+		if n := len(u.arrivals(startedAt, startedAt.Add(time.Hour))); n != 0 {
 			t.Errorf("%d requests came", n)
 		}
 		u.close()
@@ -100,9 +100,9 @@
 			s := newSignalEntry(2)
 			s.placeUpstreams()
 			s.relay.SetDrained([]ident.Hall{"a", "b"})
-			began := time.Now()
+			startedAt := time.Now()
 			w := s.send(path, "one")
-			if took := time.Since(began); w.Code != http.StatusServiceUnavailable || took > 0 {
+			if took := time.Since(startedAt); w.Code != http.StatusServiceUnavailable || took > 0 {
 				t.Errorf("status %d after %v", w.Code, took)
 			}
 		})
@@ -116,37 +116,37 @@
 		for _, path := range []string{"/safe/x", "/stream/x"} {
 			t.Run(strconv.Itoa(entries)+path, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					g := newCluster(entries, limitHeads)
+					cluster := newCluster(entries, limitHeads)
 					cfg := config()
 					for i := range cfg.Services {
 						cfg.Services[i].ColdRate = coldRate
 					}
-					for _, s := range g.entries {
+					for _, s := range cluster.entries {
 						s.relay.SetConfig(cfg)
 						s.placeUpstreams(0)
 					}
-					u := g.entries[0].upstreams[0]
-					began := time.Now()
-					const cold = 5 * time.Second
-					time.AfterFunc(cold, func() {
-						for _, s := range g.entries {
+					u := cluster.entries[0].upstreams[0]
+					startedAt := time.Now()
+					const coldTime = 5 * time.Second
+					time.AfterFunc(coldTime, func() {
+						for _, s := range cluster.entries {
 							s.placeUpstreams()
 						}
 					})
-					g.load(path, limitPerSecond, 8*time.Second)
+					cluster.load(path, limitPerSecond, 8*time.Second)
 					// The first second belongs to a coordinator that may have taken another one's place.
-					list := u.arrivals(began.Add(time.Second), began.Add(cold))
-					if got := maxInSpan(u.arrivals(began, began.Add(cold)), time.Second); float64(got) > 1.2*coldRate {
+					coldArrivals := u.arrivals(startedAt.Add(time.Second), startedAt.Add(coldTime))
+					if got := maxInSpan(u.arrivals(startedAt, startedAt.Add(coldTime)), time.Second); float64(got) > 1.2*coldRate {
 						t.Errorf("%d requests in a second, %d a second are taken", got, coldRate)
 					}
-					if got, wants := float64(len(list)), 0.9*coldRate*(cold-time.Second).Seconds(); got < 0.9*wants-1 {
-						t.Errorf("%.0f requests in all, want nearly %.0f", got, wants)
+					if got, want := float64(len(coldArrivals)), 0.9*coldRate*(coldTime-time.Second).Seconds(); got < 0.9*want-1 {
+						t.Errorf("%.0f requests in all, want nearly %.0f", got, want)
 					}
-					warm := u.arrivals(began.Add(cold+time.Second), began.Add(8*time.Second))
-					if got := maxInSpan(warm, time.Second); got <= coldRate {
+					warmArrivals := u.arrivals(startedAt.Add(coldTime+time.Second), startedAt.Add(8*time.Second))
+					if got := maxInSpan(warmArrivals, time.Second); got <= coldRate {
 						t.Errorf("%d requests in a second once it is warm", got)
 					}
-					for _, r := range g.records() {
+					for _, r := range cluster.records() {
 						if r.Code != 0 {
 							t.Errorf("request %s: code %d, %s", r.ID, r.Code, r.ErrorText)
 						}
@@ -182,7 +182,7 @@
 
 // The homes of routes and of customers both bind, for first tries and for others.
 func TestHomeRegions(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name            string
 		route, customer []ident.Region
 		first, second   bool
@@ -196,32 +196,32 @@
 		{"a region without upstreams", []ident.Region{"north"}, nil, false, false, result.OutOfHome},
 	} {
 		for _, path := range []string{"/safe/x", "/stream/x"} {
-			t.Run(c.name+path, func(t *testing.T) {
+			t.Run(tt.name+path, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					s := newSignalEntry(2)
 					cfg := config()
 					for i := range cfg.Routes {
-						cfg.Routes[i].Homes = c.route
+						cfg.Routes[i].Homes = tt.route
 					}
-					cfg.Customers[0].Homes = c.customer
+					cfg.Customers[0].Homes = tt.customer
 					s.relay.Regions = map[ident.Hall]ident.Region{"a": "east", "b": "west"}
 					s.relay.SetConfig(cfg)
 					s.placeUpstreams()
-					began := time.Now()
+					startedAt := time.Now()
 					for n := range 20 {
 						s.send(path, strconv.Itoa(n))
 					}
-					for i, may := range []bool{c.first, c.second} {
+					for i, want := range []bool{tt.first, tt.second} {
 						u := s.upstreams[i]
-						if came := len(u.arrivals(began, began.Add(time.Hour))) > 0; came != may {
-							t.Errorf("upstream %d gets requests: %v, want %v", i, came, may)
+						if got := len(u.arrivals(startedAt, startedAt.Add(time.Hour))) > 0; got != want {
+							t.Errorf("upstream %d gets requests: %v, want %v", i, got, want)
 						}
 						u.close()
 					}
 					s.relay.Wait()
 					for _, r := range s.records {
-						if r.Code != c.code {
-							t.Errorf("code %d, want %d", r.Code, c.code)
+						if r.Code != tt.code {
+							t.Errorf("code %d, want %d", r.Code, tt.code)
 						}
 					}
 				})
--- a/relay/finish.go
+++ b/relay/finish.go
@@ -56,9 +56,9 @@
 	h.Set("Content-Type", jsonContentType)
 	x.status = info.Status
 	x.w.WriteHeader(info.Status)
-	text := `{"result-code":` + strconv.Itoa(int(info.Code)) + `,"result":"` + info.Name + `","not-run":` + strconv.FormatBool(info.NotRun) + "}\n"
-	if _, werr := io.WriteString(x.w, text); werr != nil {
-		x.attempts = append(x.attempts, Attempt{Result: "refusal not delivered: " + werr.Error()})
+	body := `{"result-code":` + strconv.Itoa(int(info.Code)) + `,"result":"` + info.Name + `","not-run":` + strconv.FormatBool(info.NotRun) + "}\n"
+	if _, writeErr := io.WriteString(x.w, body); writeErr != nil {
+		x.attempts = append(x.attempts, Attempt{Result: "refusal not delivered: " + writeErr.Error()})
 	}
 }
 
@@ -86,25 +86,25 @@
 }
 
 func (x *exchange) newRecord(err error) *Record {
-	rec := &Record{
+	record := &Record{
 		ID: x.requestID, Model: x.model, Content: x.content, Code: result.CodeOf(err), Status: x.status, ConfirmedAge: x.s.ConfirmedAge(), Attempts: x.attempts,
 		Prompt: x.promptTokens, Events: x.eventCount, FirstEvent: x.firstEventAfter, ExpectedFirstEvent: x.expectedFirstEvent, MaxEventGap: x.longestGap, Total: x.s.Now().Sub(x.arrivedAt),
 		PriorElapsed: x.priorElapsed, RetryAfter: x.sentRetryAfter, LimitWaits: x.permitDenials,
 	}
 	if err != nil {
-		rec.ErrorText = result.Message(err)
+		record.ErrorText = result.Message(err)
 	}
 	if x.table != nil {
-		rec.Version = x.table.Config.Version
+		record.Version = x.table.Config.Version
 	}
 	if x.route != nil {
-		rec.Route = x.route.Name
+		record.Route = x.route.Name
 	}
 	if x.customer != nil {
-		rec.Customer = x.customer.Name
+		record.Customer = x.customer.Name
 	}
-	rec.Revision = x.s.revision()
-	return rec
+	record.Revision = x.s.revision()
+	return record
 }
 
 func (s *Relay) revision() roster.Revision {
--- a/relay/memory_test.go
+++ b/relay/memory_test.go
@@ -32,32 +32,32 @@
 // Bodies that come slowly are held within a bound over all requests: what is beyond it is refused at once as not run, and what is held ends
 // well.
 func TestMemoryOfSlowBodiesIsBounded(t *testing.T) {
-	const size, callers, fit = 100 << 10, 12, 4
+	const size, callers, fitting = 100 << 10, 12, 4
 	u := newUpstream(t, always(respondComplete))
 	s := newTestEntry(t, []*upstream{u}, nil)
-	s.relay.SetMemoryLimit(fit * size)
-	rest := make(chan struct{})
+	s.relay.SetMemoryLimit(fitting * size)
+	resume := make(chan struct{})
 	var wg sync.WaitGroup
 	statuses := make(chan int, callers)
 	for i := range callers {
 		wg.Go(func() {
 			r := s.request(http.MethodPost, "/safe/x", fmt.Sprint(i), "")
 			half := strings.Repeat("x", size/2)
-			r.Body = io.NopCloser(&slowBody{strings.NewReader(half), rest, strings.NewReader(half)})
+			r.Body = io.NopCloser(&slowBody{strings.NewReader(half), resume, strings.NewReader(half)})
 			r.ContentLength = size
 			statuses <- s.do(r).Status
 		})
 	}
 	refused := 0
-	for range callers - 2*fit {
+	for range callers - 2*fitting {
 		if status := <-statuses; status == http.StatusServiceUnavailable {
 			refused++
 		}
 	}
-	if refused != callers-2*fit {
-		t.Errorf("%d refused while the others were held, want %d", refused, callers-2*fit)
+	if refused != callers-2*fitting {
+		t.Errorf("%d refused while the others were held, want %d", refused, callers-2*fitting)
 	}
-	close(rest)
+	close(resume)
 	wg.Wait()
 	s.relay.Wait()
 	close(statuses)
--- a/relay/counts.go
+++ b/relay/peer_counts.go
@@ -41,26 +41,26 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
-	c := &s.peerCounts
-	if !c.receivedAt.IsZero() {
-		c.interval += time.Duration(countSmoothing * float64(min(time.Second, now.Sub(c.receivedAt))-c.interval))
+	counts := &s.peerCounts
+	if !counts.receivedAt.IsZero() {
+		counts.interval += time.Duration(countSmoothing * float64(min(time.Second, now.Sub(counts.receivedAt))-counts.interval))
 	}
-	c.others, c.receivedAt = others, now
+	counts.others, counts.receivedAt = others, now
 	if s.entries == nil || s.entries.AllUseAll() {
 		return
 	}
-	for _, models := range s.index.groupTargets {
-		for model, list := range models {
-			c.spillCredit[model] = min(maxSpill, c.spillCredit[model]+spillFraction*s.freeOutsideSubset(list)/float64(s.entries.Total()))
+	for _, byModel := range s.index.groupTargets {
+		for model, targets := range byModel {
+			counts.spillCredit[model] = min(maxSpill, counts.spillCredit[model]+spillFraction*s.freeOutsideSubset(targets)/float64(s.entries.Total()))
 		}
 	}
 }
 
 // freeOutsideSubset returns how many slots are free in groups that this entry does not use; the mutex is held.
-func (s *Relay) freeOutsideSubset(list []target) float64 {
+func (s *Relay) freeOutsideSubset(targets []target) float64 {
 	free := 0
-	for i := range list {
-		if t := &list[i]; !t.inSubset {
+	for i := range targets {
+		if t := &targets[i]; !t.inSubset {
 			free += max(0, t.slots-s.peerCounts.others[t.id])
 		}
 	}
@@ -69,18 +69,18 @@
 
 // loadOf returns what is there at t by all that is known; the mutex is held.
 func (s *Relay) loadOf(t *target, now time.Time) estimate.Load {
-	ts := s.stateOf(t)
+	state := s.stateOf(t)
 	others := s.peerCounts.others[t.id]
-	at := estimate.Load{PendingPrompt: ts.pendingTokensNow(now)}
+	load := estimate.Load{PendingPrompt: state.pendingTokensNow(now)}
 	if !t.inSubset {
-		at.PendingPrompt += ident.Tokens(pendingFraction * float64(others) * float64(t.typicalPrompt))
-		at.Requests = ts.inflight + others
-		return at
+		load.PendingPrompt += ident.Tokens(pendingFraction * float64(others) * float64(t.typicalPrompt))
+		load.Requests = state.inflight + others
+		return load
 	}
 	age := now.Sub(s.peerCounts.receivedAt) + s.peerCounts.interval/2
-	at.Requests = ts.inflight + ts.peerPromptsSince(now.Add(-age))
+	load.Requests = state.inflight + state.peerPromptsSince(now.Add(-age))
 	if others > 0 {
-		at.Requests += t.timing.Remaining(others, age)
+		load.Requests += t.timing.Remaining(others, age)
 	}
-	return at
+	return load
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -60,14 +60,14 @@
 	// Observe takes each finished request; it must not block.
 	Observe func(r *Record)
 	// SendUpdate passes on that a prompt was sent, to the entries that use the group or to all when there is no list; it must not block.
-	SendUpdate func(n EntryUpdate, to []string)
+	SendUpdate func(update EntryUpdate, to []string)
 	// Quarantine is the work that is held because upstreams ended under it.
 	Quarantine *quarantine.List
 	// OnQuarantine takes what operators are told of held work; it must not block.
-	OnQuarantine func(h *QuarantineEvent)
+	OnQuarantine func(event *QuarantineEvent)
 	// Backoff is what upstreams asked this entry for, Asked takes what operators are told of it; it must not block.
 	Backoff        *backoff.List[ident.Incarnation]
-	OnBackpressure func(a *BackpressureEvent)
+	OnBackpressure func(event *BackpressureEvent)
 	// Limits keep this entry, together with all others, within the limits that upstreams named.
 	Limits *ratelimit.Limiter[ident.Incarnation]
 	// Unrecognized is what upstreams say in their answers that nothing here reads.
@@ -162,27 +162,27 @@
 }
 
 // ApplyRoster applies what changed of upstreams and groups.
-func (s *Relay) ApplyRoster(d *roster.Delta) {
+func (s *Relay) ApplyRoster(delta *roster.Delta) {
 	s.mu.Lock()
-	s.rosterCopy.Apply(d)
-	if d.Empty() {
+	s.rosterCopy.Apply(delta)
+	if delta.Empty() {
 		s.mu.Unlock()
 		return
 	}
-	f := newTargetIndex(s.rosterCopy, s.table.Load(), s.entries, s.index.drainedHalls)
-	s.setIndex(f)
+	index := newTargetIndex(s.rosterCopy, s.table.Load(), s.entries, s.index.drainedHalls)
+	s.setIndex(index)
 	now := s.Now()
-	for group, head := range f.heads {
+	for group, head := range index.heads {
 		s.stateFor(head).resetForGroup(now, group)
 	}
-	for id, ts := range s.states {
-		if !f.incarnations[id] && ts.inflight == 0 {
+	for id, state := range s.states {
+		if !index.incarnations[id] && state.inflight == 0 {
 			delete(s.states, id)
 		}
 	}
 	s.mu.Unlock()
-	s.Unrecognized.Retain(func(id ident.Incarnation) bool { return f.incarnations[id] })
-	s.pool.prune(func(address string) bool { return f.addresses[address] })
+	s.Unrecognized.Retain(func(id ident.Incarnation) bool { return index.incarnations[id] })
+	s.pool.prune(func(address string) bool { return index.addresses[address] })
 }
 
 // SetEntries tells which entries share the groups.
@@ -198,25 +198,25 @@
 }
 
 // setIndex puts targets in force; the mutex is held.
-func (s *Relay) setIndex(f *targetIndex) {
-	s.index = f
-	s.Limits.Table.SetCaps(f.coldLimits)
+func (s *Relay) setIndex(index *targetIndex) {
+	s.index = index
+	s.Limits.Table.SetCaps(index.coldLimits)
 }
 
 // SetDrained replaces the halls whose upstreams get no request from now on; what runs there goes on.
 func (s *Relay) SetDrained(halls []ident.Hall) {
-	drained := map[ident.Hall]bool{}
+	drainedHalls := map[ident.Hall]bool{}
 	for _, hall := range halls {
-		drained[hall] = true
+		drainedHalls[hall] = true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for hall := range s.index.drainedHalls {
-		if !drained[hall] {
+		if !drainedHalls[hall] {
 			s.markCold(hall)
 		}
 	}
-	s.setIndex(newTargetIndex(s.rosterCopy, s.table.Load(), s.entries, drained))
+	s.setIndex(newTargetIndex(s.rosterCopy, s.table.Load(), s.entries, drainedHalls))
 }
 
 // RosterSums returns the digests of what this entry has of the roster, nil when it has nothing.
@@ -331,31 +331,31 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
-	groups := map[ident.Incarnation]ident.Group{}
+	groupByHead := map[ident.Incarnation]ident.Group{}
 	for name, head := range s.index.heads {
-		groups[head] = name
+		groupByHead[head] = name
 	}
-	var seen []Observation
-	for id, ts := range s.states {
-		stands := s.declaredStalled(ts, now)
-		asked := s.Backoff.StateOf(now, id)
+	var observations []Observation
+	for id, state := range s.states {
+		stalled := s.declaredStalled(state, now)
+		backoffState := s.Backoff.StateOf(now, id)
 		limit := s.limitObservation(id, now)
-		if ts.inflight == 0 && ts.lastContact.IsZero() && !ts.connectionRefused && !stands && asked.Remaining == 0 && limit == nil {
+		if state.inflight == 0 && state.lastContact.IsZero() && !state.connectionRefused && !stalled && backoffState.Remaining == 0 && limit == nil {
 			continue
 		}
-		one := Observation{ID: id, Group: groups[id], Inflight: ts.inflight, Answered: -1, Silence: ts.waitWithoutProgress(now), Refused: ts.connectionRefused, Blamed: ts.blamedMember}
-		one.Stands = stands
-		one.Backoff, one.Leaving, one.Limit = asked.Remaining, asked.Leaving, limit
-		one.Events, one.Pauses = ts.eventCount, ts.eventGapTotal
-		ts.eventCount, ts.eventGapTotal = 0, 0
-		if !ts.lastContact.IsZero() {
-			one.Answered = now.Sub(ts.lastContact)
+		observation := Observation{ID: id, Group: groupByHead[id], Inflight: state.inflight, Answered: -1, Silence: state.waitWithoutProgress(now), Refused: state.connectionRefused, Blamed: state.blamedMember}
+		observation.Stands = stalled
+		observation.Backoff, observation.Leaving, observation.Limit = backoffState.Remaining, backoffState.Leaving, limit
+		observation.Events, observation.Pauses = state.eventCount, state.eventGapTotal
+		state.eventCount, state.eventGapTotal = 0, 0
+		if !state.lastContact.IsZero() {
+			observation.Answered = now.Sub(state.lastContact)
 		}
-		seen = append(seen, one)
+		observations = append(observations, observation)
 	}
 	demand := s.demand
 	s.demand = map[ident.Model]Demand{}
-	return seen, demand
+	return observations, demand
 }
 
 // ServeHTTP takes one caller's request.
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -80,20 +80,20 @@
 		s.records = append(s.records, r)
 	}
 	s.relay.SetConfig(config())
-	d := roster.Delta{Full: true, Revision: 1}
+	delta := roster.Delta{Full: true, Revision: 1}
 	for i, u := range plain {
-		d.Upstreams = append(d.Upstreams, roster.Upstream{
+		delta.Upstreams = append(delta.Upstreams, roster.Upstream{
 			ID: ident.Incarnation(fmt.Sprintf("p%d", i)), Service: "plain", Address: u.address(), Slots: 4,
 		})
 	}
 	for i, u := range heads {
 		id := ident.Incarnation(fmt.Sprintf("h%d", i))
-		d.Upstreams = append(d.Upstreams, roster.Upstream{ID: id, Service: "model", Address: u.address(), Slots: 4})
-		d.Groups = append(d.Groups, roster.Group{
+		delta.Upstreams = append(delta.Upstreams, roster.Upstream{ID: id, Service: "model", Address: u.address(), Slots: 4})
+		delta.Groups = append(delta.Groups, roster.Group{
 			Name: ident.Group(fmt.Sprintf("g%d", i)), Service: "model", Model: "m", Phase: roster.PhaseOpen, Members: []ident.Incarnation{id},
 		})
 	}
-	s.relay.ApplyRoster(&d)
+	s.relay.ApplyRoster(&delta)
 	s.relay.SetConfirmed(time.Now())
 	s.server = httptest.NewServer(s.relay)
 	t.Cleanup(s.server.Close)
@@ -140,12 +140,12 @@
 // most once, and what is called not run did not.
 func TestUpstreamFaults(t *testing.T) {
 	write := func(text func(r *http.Request) string, keep bool) responder {
-		return func(c net.Conn, r *http.Request, _ int) bool {
-			_, err := io.WriteString(c, text(r))
+		return func(tt net.Conn, r *http.Request, _ int) bool {
+			_, err := io.WriteString(tt, text(r))
 			return keep && err == nil
 		}
 	}
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name         string
 		first        responder
 		safe, unsafe int // statuses; 200 means the sound upstream's or this one's whole answer
@@ -153,12 +153,12 @@
 	}{
 		{"sound", always(respondComplete), 200, 200, true},
 		{"refuses", always(respondNotRun), 200, 200, false},
-		{"is another life", func(c net.Conn, _ *http.Request, _ int) bool {
-			_, err := io.WriteString(c, "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n")
+		{"is another life", func(tt net.Conn, _ *http.Request, _ int) bool {
+			_, err := io.WriteString(tt, "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n")
 			return err == nil
 		}, 200, 200, false},
 		{"closes without an answer", func(net.Conn, *http.Request, int) bool { return false }, 200, 502, true},
-		{"resets", func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) }, 200, 502, true},
+		{"resets", func(tt net.Conn, _ *http.Request, _ int) bool { return resetConn(tt) }, 200, 502, true},
 		{"cuts the answer", write(func(r *http.Request) string { return answerHead(r, 200, signature, "Content-Length: 50") + "part" }, false), 200, 502, true},
 		{"answers another request only", write(func(*http.Request) string {
 			return "HTTP/1.1 200 X\r\nRequest: other\r\n" + signature + "\r\nContent-Length: 5\r\n\r\nother"
@@ -184,15 +184,15 @@
 		}, true), 200, 200, true},
 	} {
 		for _, kind := range []string{"safe", "unsafe"} {
-			t.Run(c.name+"/"+kind, func(t *testing.T) {
-				first := newUpstream(t, c.first)
+			t.Run(tt.name+"/"+kind, func(t *testing.T) {
+				first := newUpstream(t, tt.first)
 				second := newUpstream(t, always(respondComplete))
 				s := newTestEntry(t, []*upstream{first, second}, nil)
 				// Load on the second makes the first the better choice.
 				s.relay.SetPeerCounts(map[ident.Incarnation]int{"p1": 3})
-				want := c.safe
+				want := tt.safe
 				if kind == "unsafe" {
-					want = c.unsafe
+					want = tt.unsafe
 				}
 				for i := range 2 {
 					id := fmt.Sprintf("%s-%d", kind, i)
@@ -205,10 +205,10 @@
 					}
 				}
 				ran := map[string]int{}
-				for _, a := range append(first.received(), second.received()...) {
-					ran[a.ID]++
+				for _, request := range append(first.received(), second.received()...) {
+					ran[request.ID]++
 				}
-				if kind == "unsafe" && c.ran && ran["unsafe-0"] != 1 {
+				if kind == "unsafe" && tt.ran && ran["unsafe-0"] != 1 {
 					t.Errorf("a request that may run once arrived %d times", ran["unsafe-0"])
 				}
 			})
@@ -233,7 +233,7 @@
 }
 
 func TestRefusals(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name   string
 		change func(s *testEntry, r *http.Request)
 		status int
@@ -257,25 +257,25 @@
 		{"nothing serves", func(s *testEntry, _ *http.Request) { s.relay.ApplyRoster(&roster.Delta{Full: true}) }, 503, result.NoWholeGroup, true},
 		{"all are full", func(s *testEntry, _ *http.Request) { s.relay.SetPeerCounts(map[ident.Incarnation]int{"p0": 100}) }, 503, result.Overloaded, true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tt.name, func(t *testing.T) {
 			u := newUpstream(t, always(respondComplete))
 			s := newTestEntry(t, []*upstream{u}, nil)
 			r := s.request("GET", "/safe/x", "id", "")
-			c.change(s, r)
+			tt.change(s, r)
 			resp, err := http.DefaultClient.Do(r)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer resp.Body.Close()
-			if resp.StatusCode != c.status || (resp.Header.Get("Retry-After") != "") != c.retry {
+			if resp.StatusCode != tt.status || (resp.Header.Get("Retry-After") != "") != tt.retry {
 				t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 			}
 			if n := len(u.received()); n != 0 {
 				t.Errorf("%d requests arrived although refused", n)
 			}
 			s.relay.Wait()
-			if got := s.records[0].Code; got != c.code {
-				t.Errorf("code %d, want %d", got, c.code)
+			if got := s.records[0].Code; got != tt.code {
+				t.Errorf("code %d, want %d", got, tt.code)
 			}
 		})
 	}
@@ -307,32 +307,32 @@
 // The first upstream breaks a stream off in each way; the caller sees every event once, in order, and an end only when the
 // stream ended.
 func TestStreams(t *testing.T) {
-	rest := func(c net.Conn, r *http.Request, _ int) bool {
+	rest := func(tt net.Conn, r *http.Request, _ int) bool {
 		from := 1
 		_, _ = fmt.Sscan(r.Header.Get("Event"), &from)
 		if r.Header.Get("Event") != "" {
 			from++
 		}
-		return respondStream(c, r, from, 5, true)
+		return respondStream(tt, r, from, 5, true)
 	}
 	part := func(text string) responder {
-		return func(c net.Conn, r *http.Request, _ int) bool {
+		return func(tt net.Conn, r *http.Request, _ int) bool {
 			out := answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
 			if text != "" {
 				out += fmt.Sprintf("%x\r\n%s\r\n", len(text), text)
 			}
-			_, _ = io.WriteString(c, out)
-			return resetConn(c)
+			_, _ = io.WriteString(tt, out)
+			return resetConn(tt)
 		}
 	}
 	ended := func(text string) responder {
-		return func(c net.Conn, r *http.Request, _ int) bool {
-			_, err := io.WriteString(c, answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+
+		return func(tt net.Conn, r *http.Request, _ int) bool {
+			_, err := io.WriteString(tt, answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+
 				fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(text), text))
 			return err == nil
 		}
 	}
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name  string
 		first responder
 		// once tells whether the stream is whole when it may not be continued.
@@ -345,26 +345,26 @@
 		{"leaves an event out", ended(eventText(1, 2) + eventText(4, 5)), false},
 		{"sends an event twice", ended(eventText(1, 3) + eventText(3, 5)), true},
 		{"breaks off before the first event", part(""), false},
-		{"ends without any event", func(c net.Conn, r *http.Request, _ int) bool {
-			_, err := io.WriteString(c, answerHead(r, 200, signature, "Transfer-Encoding: chunked")+"0\r\n\r\n")
+		{"ends without any event", func(tt net.Conn, r *http.Request, _ int) bool {
+			_, err := io.WriteString(tt, answerHead(r, 200, signature, "Transfer-Encoding: chunked")+"0\r\n\r\n")
 			return err == nil
 		}, false},
-		{"goes silent after three events", func(c net.Conn, r *http.Request, _ int) bool {
-			respondStream(c, r, 1, 3, false)
-			return stayOpenSilent(c)
+		{"goes silent after three events", func(tt net.Conn, r *http.Request, _ int) bool {
+			respondStream(tt, r, 1, 3, false)
+			return stayOpenSilent(tt)
 		}, false},
-		{"goes silent before the head", func(c net.Conn, _ *http.Request, _ int) bool { return stayOpenSilent(c) }, false},
+		{"goes silent before the head", func(tt net.Conn, _ *http.Request, _ int) bool { return stayOpenSilent(tt) }, false},
 	} {
 		for _, kind := range []string{"stream", "once"} {
-			if kind == "once" && strings.Contains(c.name, "silent") {
+			if kind == "once" && strings.Contains(tt.name, "silent") {
 				continue // Nothing may be done but wait.
 			}
-			t.Run(c.name+"/"+kind, func(t *testing.T) {
-				first, second := newUpstream(t, c.first), newUpstream(t, rest)
+			t.Run(tt.name+"/"+kind, func(t *testing.T) {
+				first, second := newUpstream(t, tt.first), newUpstream(t, rest)
 				s := newTestEntry(t, nil, []*upstream{first, second})
 				s.relay.SetPeerCounts(map[ident.Incarnation]int{"h1": 3})
 				got := s.do(s.request("POST", "/"+kind+"/x", "id", "prompt"))
-				if kind == "stream" || c.once {
+				if kind == "stream" || tt.once {
 					if diff := cmp.Diff(reply{200, eventText(1, 5), true}, got); diff != "" {
 						t.Errorf("reply (-want +got):\n%s", diff)
 					}
@@ -400,7 +400,7 @@
 		t.Run(path, func(t *testing.T) {
 			arrived := make(chan struct{}, 4)
 			ended := make(chan struct{}, 4)
-			hang := func(c net.Conn, r *http.Request, _ int) bool {
+			respond := func(c net.Conn, r *http.Request, _ int) bool {
 				if strings.HasPrefix(r.RequestURI, "/stream/") {
 					respondStream(c, r, 1, 1, false)
 				}
@@ -409,16 +409,16 @@
 				ended <- struct{}{}
 				return false
 			}
-			u := newUpstream(t, hang)
+			u := newUpstream(t, respond)
 			s := newTestEntry(t, []*upstream{u}, []*upstream{u})
-			ctx, leave := context.WithCancel(context.Background())
+			ctx, disconnect := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
 				s.do(s.request("POST", path, "id", "x").WithContext(ctx))
 			}()
 			<-arrived
-			leave()
+			disconnect()
 			<-ended
 			<-done
 			s.relay.Wait()
@@ -430,17 +430,17 @@
 }
 
 func TestDeadlineExpires(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		path   string
 		status int
 	}{{"/safe/x", 504}, {"/unsafe/x", 504}, {"/stream/x", 504}} {
-		t.Run(c.path, func(t *testing.T) {
-			u := newUpstream(t, func(c net.Conn, _ *http.Request, _ int) bool { return stayOpenSilent(c) })
+		t.Run(tt.path, func(t *testing.T) {
+			u := newUpstream(t, func(tt net.Conn, _ *http.Request, _ int) bool { return stayOpenSilent(tt) })
 			s := newTestEntry(t, []*upstream{u}, []*upstream{u})
-			r := s.request("POST", c.path, "id", "x")
+			r := s.request("POST", tt.path, "id", "x")
 			r.Header.Set("Deadline", "150")
-			if got := s.do(r); got.Status != c.status {
-				t.Errorf("status %d, want %d", got.Status, c.status)
+			if got := s.do(r); got.Status != tt.status {
+				t.Errorf("status %d, want %d", got.Status, tt.status)
 			}
 		})
 	}
@@ -448,52 +448,52 @@
 
 func TestBudget(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b := relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 20})
-	b.Now = func() time.Time { return now }
-	use := func() int {
+	budget := relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 20})
+	budget.Now = func() time.Time { return now }
+	useAll := func() int {
 		n := 0
-		for b.AllowRetry("s") {
+		for budget.AllowRetry("s") {
 			n++
 		}
 		return n
 	}
-	if got := use(); got != 17 {
+	if got := useAll(); got != 17 {
 		t.Errorf("%d repeats without requests, want 17: 0.85 of the allowance", got)
 	}
 	for range 100 {
-		b.CountRequest("s")
+		budget.CountRequest("s")
 	}
-	if got := use(); got != 17 {
+	if got := useAll(); got != 17 {
 		t.Errorf("%d repeats for 100 requests, want 17: 0.85 of a fifth", got)
 	}
 	now = now.Add(5 * time.Second)
-	if got := use(); got != 0 {
+	if got := useAll(); got != 0 {
 		t.Errorf("%d repeats within the same window", got)
 	}
 	now = now.Add(6 * time.Second)
-	if got := use(); got != 17 {
+	if got := useAll(); got != 17 {
 		t.Errorf("%d repeats in the next window, want 17", got)
 	}
-	b.SetEntries(4)
+	budget.SetEntries(4)
 	now = now.Add(20 * time.Second)
-	if got := use(); got != 4 {
+	if got := useAll(); got != 4 {
 		t.Errorf("%d repeats with four entries, want 4", got)
 	}
-	if !b.AllowRetry("other") {
+	if !budget.AllowRetry("other") {
 		t.Error("services share a budget")
 	}
 }
 
 func TestRetriesStopWhenBudgetIsExhausted(t *testing.T) {
-	broken := newUpstream(t, func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) })
-	other := newUpstream(t, func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) })
-	s := newTestEntry(t, []*upstream{broken, other}, nil)
+	first := newUpstream(t, func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) })
+	second := newUpstream(t, func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) })
+	s := newTestEntry(t, []*upstream{first, second}, nil)
 	s.relay.Budget = relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0, Window: time.Hour, Allowance: 10})
 	const requests = 30
 	for i := range requests {
 		s.do(s.request("GET", "/safe/x", fmt.Sprint(i), ""))
 	}
-	if got := len(broken.received()) + len(other.received()); got != requests+8 {
+	if got := len(first.received()) + len(second.received()); got != requests+8 {
 		t.Errorf("%d arrivals for %d requests, want 8 repeats", got, requests)
 	}
 }
--- a/relay/request.go
+++ b/relay/request.go
@@ -20,14 +20,14 @@
 	writeStrings(bw, x.r.Method, " ", x.r.RequestURI, " HTTP/1.1\r\n")
 	writeHeader(bw, "Host", x.r.Host)
 	names := &x.s.Headers
-	own := map[string]bool{
+	ownHeaders := map[string]bool{
 		http.CanonicalHeaderKey(names.Key): true, http.CanonicalHeaderKey(names.Customer): true,
 		http.CanonicalHeaderKey(names.Incarnation): true, http.CanonicalHeaderKey(names.Deadline): true,
 		http.CanonicalHeaderKey(names.EventID): true, http.CanonicalHeaderKey(names.Priority): true,
 	}
-	named := connectionOptions(x.r.Header)
+	connectionNamed := connectionOptions(x.r.Header)
 	for name, values := range x.r.Header {
-		if hopByHopHeaders[name] || own[name] || named[name] {
+		if hopByHopHeaders[name] || ownHeaders[name] || connectionNamed[name] {
 			continue
 		}
 		for _, v := range values {
@@ -67,13 +67,13 @@
 }
 
 // connectionOptions returns the headers that the caller's Connection header names.
-func connectionOptions(h http.Header) map[string]bool {
-	list := h["Connection"]
-	if len(list) == 0 {
+func connectionOptions(header http.Header) map[string]bool {
+	values := header["Connection"]
+	if len(values) == 0 {
 		return nil
 	}
 	named := map[string]bool{}
-	for _, v := range list {
+	for _, v := range values {
 		for _, token := range strings.Split(v, ",") {
 			named[http.CanonicalHeaderKey(strings.TrimSpace(token))] = true
 		}
@@ -90,16 +90,16 @@
 
 // enginePriority is the customer's or the route's rank; a request that was held up goes before its equals.
 func (x *exchange) enginePriority() int {
-	p := x.route.Priority
+	priority := x.route.Priority
 	if x.customer != nil && x.customer.HasPriority {
-		p = x.customer.Priority
+		priority = x.customer.Priority
 	}
 	if x.missesAim() {
-		p += latePenalty
+		priority += latePenalty
 	} else {
-		p += priorityHeadroom - int(x.s.Now().Sub(x.arrivedAt)/agingStep)
+		priority += priorityHeadroom - int(x.s.Now().Sub(x.arrivedAt)/agingStep)
 	}
-	return min(lowestPriority, max(highestPriority, p))
+	return min(lowestPriority, max(highestPriority, priority))
 }
 
 // missesAim reports whether the answer misses the route's aim whatever an engine does: those that can still make it go first.
--- a/relay/request_fuzz_test.go
+++ b/relay/request_fuzz_test.go
@@ -35,8 +35,8 @@
 		if err != nil || !strings.HasPrefix(path, "/") {
 			t.Skip()
 		}
-		s, end := newFuzzEntry()
-		defer end()
+		s, closeAll := newFuzzEntry()
+		defer closeAll()
 		r.RequestURI = r.URL.RequestURI()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -77,29 +77,29 @@
 }
 
 // newFuzzEntry returns an entry before two engines that answer at once.
-func newFuzzEntry() (s *relay.Relay, end func()) {
+func newFuzzEntry() (s *relay.Relay, closeAll func()) {
 	var conns []net.Conn
 	var mu sync.Mutex
-	u := &upstream{respond: always(func(c net.Conn, r *http.Request) bool { return respondStream(c, r, 1, 2, true) })}
+	engine := &upstream{respond: always(func(c net.Conn, r *http.Request) bool { return respondStream(c, r, 1, 2, true) })}
 	s = relay.New(headerNames(), func(context.Context, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		mu.Lock()
 		defer mu.Unlock()
 		conns = append(conns, near, far)
-		go u.serve(far)
+		go engine.serve(far)
 		return near, nil
 	})
 	s.KeyValidity = time.Hour
 	s.Budget = relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 100})
 	s.SetConfig(timedConfig())
-	d := roster.Delta{Full: true, Revision: 1}
+	delta := roster.Delta{Full: true, Revision: 1}
 	for _, id := range []ident.Incarnation{"h0", "h1"} {
-		d.Upstreams = append(d.Upstreams, roster.Upstream{ID: id, Service: "model", Address: string(id), Slots: 4})
-		d.Groups = append(d.Groups, roster.Group{
+		delta.Upstreams = append(delta.Upstreams, roster.Upstream{ID: id, Service: "model", Address: string(id), Slots: 4})
+		delta.Groups = append(delta.Groups, roster.Group{
 			Name: ident.Group("g" + id), Service: "model", Model: "m", Phase: roster.PhaseOpen, Members: []ident.Incarnation{id},
 		})
 	}
-	s.ApplyRoster(&d)
+	s.ApplyRoster(&delta)
 	s.SetConfirmed(time.Now())
 	return s, func() {
 		mu.Lock()
@@ -117,17 +117,17 @@
 	f.Add("h1", int64(0), int64(0), int64(-1<<62), uint32(0), int64(0), 0)
 	f.Add("", int64(1<<62), int64(-5), int64(-5), uint32(1<<31), int64(-1<<62), 40)
 	f.Fuzz(func(t *testing.T, head string, prompt, silent, worked int64, cleared uint32, age int64, ends int) {
-		s, end := newFuzzEntry()
-		defer end()
-		n := relay.EntryUpdate{Head: ident.Incarnation(head), PromptTokens: ident.Tokens(prompt), SilentMS: silent, ProgressAgeMS: worked}
+		s, closeAll := newFuzzEntry()
+		defer closeAll()
+		update := relay.EntryUpdate{Head: ident.Incarnation(head), PromptTokens: ident.Tokens(prompt), SilentMS: silent, ProgressAgeMS: worked}
 		if ends > 0 {
-			n.QuarantineReport = &quarantine.Report{Customer: "office", Content: quarantine.ContentOf("/stream/x", []byte("other")), Cleared: cleared, AgeMS: age}
+			update.QuarantineReport = &quarantine.Report{Customer: "office", Content: quarantine.ContentOf("/stream/x", []byte("other")), Cleared: cleared, AgeMS: age}
 			for i := range min(ends, 100) {
-				n.QuarantineReport.Ends = append(n.QuarantineReport.Ends, quarantine.CrashID(i*i))
+				update.QuarantineReport.Ends = append(update.QuarantineReport.Ends, quarantine.CrashID(i*i))
 			}
 		}
 		for i := range 3 {
-			s.Receive(n, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7))
+			s.Receive(update, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7))
 		}
 		next := httptest.NewRequest(http.MethodPost, "/stream/x", strings.NewReader("next"))
 		next.Host = "h"
@@ -135,7 +135,7 @@
 			next.Header.Set(name, value)
 		}
 		if got := serveWithoutPanic(t, s, next); got != http.StatusOK {
-			t.Errorf("the next request got status %d after %+v", got, n)
+			t.Errorf("the next request got status %d after %+v", got, update)
 		}
 	})
 }
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -47,32 +47,32 @@
 // next returns the next whole event; io.EOF means that the stream ended between two events.
 func (e *eventReader) next() (event, error) {
 	e.buf = e.buf[:0]
-	ev := event{}
+	event := event{}
 	for {
 		line, err := e.br.ReadSlice('\n')
 		e.buf = append(e.buf, line...)
 		if errors.Is(err, bufio.ErrBufferFull) {
 			if len(e.buf) > maxEventBytes {
-				return ev, errEventTooLong
+				return event, errEventTooLong
 			}
 			continue
 		}
 		if errors.Is(err, io.EOF) && len(e.buf) > 0 {
-			return ev, errPartialEvent
+			return event, errPartialEvent
 		}
 		if err != nil {
-			return ev, err
+			return event, err
 		}
 		text := bytes.TrimRight(line, "\r\n")
 		if id, ok := bytes.CutPrefix(text, idFieldPrefix); ok {
-			ev.id = string(bytes.TrimSpace(id))
+			event.id = string(bytes.TrimSpace(id))
 		}
 		if len(text) == 0 {
-			ev.raw = e.buf
-			return ev, nil
+			event.raw = e.buf
+			return event, nil
 		}
 		if len(e.buf) > maxEventBytes {
-			return ev, errEventTooLong
+			return event, errEventTooLong
 		}
 	}
 }
@@ -154,15 +154,15 @@
 
 // checkEventOrder reports whether ev was passed on before; an event that leaves others out is an error.
 func (x *exchange) checkEventOrder(ev *event) (skip bool, err error) {
-	last, known := eventNumber(x.lastEventID)
-	now, numbered := eventNumber(ev.id)
+	lastNumber, hasLast := eventNumber(x.lastEventID)
+	number, hasNumber := eventNumber(ev.id)
 	switch {
-	case !known || !numbered:
+	case !hasLast || !hasNumber:
 		return false, nil
-	case now > last+1:
+	case number > lastNumber+1:
 		return false, errMissingEvents
 	}
-	return now <= last, nil
+	return number <= lastNumber, nil
 }
 
 // eventNumber reads the id of an event; ids that are not numbers are passed on unchecked.
--- /dev/null
+++ b/relay/target_index.go
@@ -0,0 +1,222 @@
+package relay
+
+import (
+	"sort"
+
+	"github.com/dunlinquay/dunlinquay/estimate"
+	"github.com/dunlinquay/dunlinquay/httproute"
+	"github.com/dunlinquay/dunlinquay/ident"
+	"github.com/dunlinquay/dunlinquay/ratelimit"
+	"github.com/dunlinquay/dunlinquay/roster"
+	"github.com/dunlinquay/dunlinquay/sharing"
+)
+
+// target is where a request may be sent: a worker of a plain service, or the head of an open group.
+type target struct {
+	id            ident.Incarnation
+	address       string
+	hall          ident.Hall
+	slots         int
+	group         ident.Group
+	model         ident.Model
+	crossDomain   bool
+	hasSlowMember bool
+	silent        bool
+	// inSubset is set when this entry hears of all prompts that are sent there, users are the entries that do, nil when all do.
+	inSubset bool
+	users    []string
+	// timing are the figures of a group of engines, prompt is the usual size of a prompt there; a plain worker has none.
+	timing        estimate.Group
+	typicalPrompt ident.Tokens
+	// state is what this entry knows of the upstream, once it was looked for; it is guarded by the relay's mutex.
+	state *targetState
+}
+
+// targetIndex lays a copy of the roster out for routing; but for the states of its targets it is never changed after newTargetIndex.
+type targetIndex struct {
+	plainTargets map[ident.Service][]target
+	groupTargets map[ident.Service]map[ident.Model][]target
+	addresses    map[string]bool
+	incarnations map[ident.Incarnation]bool
+	heads        map[ident.Group]ident.Incarnation
+	// byHead are the groups by their heads.
+	byHead map[ident.Incarnation]*target
+	// usedModels are the models of which this entry uses any group.
+	usedModels map[ident.Model]bool
+	// coldLimits are the limits of cold upstreams.
+	coldLimits map[ident.Incarnation]ratelimit.Rate
+	// drainedHalls are the halls whose upstreams get nothing new, left the groups there, which may have streams yet.
+	drainedHalls  map[ident.Hall]bool
+	drainedGroups []target
+}
+
+func newTargetIndex(rosterCopy *roster.Copy, table *httproute.Table, entries *sharing.Entries, drainedHalls map[ident.Hall]bool) *targetIndex {
+	index := &targetIndex{
+		plainTargets: map[ident.Service][]target{},
+		groupTargets: map[ident.Service]map[ident.Model][]target{},
+		addresses:    map[string]bool{},
+		incarnations: map[ident.Incarnation]bool{},
+		heads:        map[ident.Group]ident.Incarnation{},
+		byHead:       map[ident.Incarnation]*target{},
+		usedModels:   map[ident.Model]bool{},
+		coldLimits:   map[ident.Incarnation]ratelimit.Rate{},
+		drainedHalls: drainedHalls,
+	}
+	for id, upstream := range rosterCopy.Upstreams {
+		index.addresses[upstream.Address] = true
+		index.incarnations[id] = true
+		if coldLimit := coldRate(table, &upstream); coldLimit > 0 {
+			index.coldLimits[id] = coldLimit
+		}
+		if upstream.Draining || drainedHalls[upstream.Hall] || hasEngine(table, upstream.Service) {
+			continue
+		}
+		index.plainTargets[upstream.Service] = append(index.plainTargets[upstream.Service], target{
+			id: id, address: upstream.Address, hall: upstream.Hall, slots: upstream.Slots, silent: upstream.Silent, inSubset: true,
+		})
+	}
+	for name := range rosterCopy.Groups {
+		group := rosterCopy.Groups[name]
+		index.addGroup(rosterCopy, table, &group)
+	}
+	for _, targets := range index.plainTargets {
+		sortTargets(targets)
+	}
+	for _, byModel := range index.groupTargets {
+		for model, targets := range byModel {
+			sortTargets(targets)
+			index.usedModels[model] = assignUsers(targets, entries) || index.usedModels[model]
+			for i := range targets {
+				index.byHead[targets[i].id] = &targets[i]
+			}
+		}
+	}
+	for i := range index.drainedGroups {
+		index.byHead[index.drainedGroups[i].id] = &index.drainedGroups[i]
+	}
+	return index
+}
+
+// assignUsers notes which entries use each of the groups of one model, and reports whether this one uses any.
+func assignUsers(targets []target, entries *sharing.Entries) bool {
+	if entries == nil || entries.AllUseAll() {
+		for i := range targets {
+			targets[i].inSubset = true
+		}
+		return true
+	}
+	groupsByHall := map[ident.Hall][]sharing.Group{}
+	for i := range targets {
+		groupsByHall[targets[i].hall] = append(groupsByHall[targets[i].hall], sharing.Group{Name: targets[i].group})
+	}
+	for hall, groups := range groupsByHall {
+		entries.AssignUsers(hall, groups)
+	}
+	anyUsed := false
+	for i := range targets {
+		t := &targets[i]
+		// Both lists are in the same order.
+		group := groupsByHall[t.hall][0]
+		groupsByHall[t.hall] = groupsByHall[t.hall][1:]
+		t.inSubset, t.users = group.Used, group.Users
+		anyUsed = anyUsed || group.Used
+	}
+	return anyUsed
+}
+
+// coldRateFraction is the part of what a cold upstream takes that it gets.
+const coldRateFraction = 0.9
+
+// coldRate is how many requests a second an upstream gets from all entries while it is cold, 0 when it is not or its service has no bound.
+func coldRate(table *httproute.Table, upstream *roster.Upstream) ratelimit.Rate {
+	if !upstream.Cold || table == nil {
+		return 0
+	}
+	service := table.Service(upstream.Service)
+	if service == nil {
+		return 0
+	}
+	return ratelimit.Rate(coldRateFraction * service.ColdRate)
+}
+
+func hasEngine(table *httproute.Table, name ident.Service) bool {
+	if table == nil {
+		return false
+	}
+	service := table.Service(name)
+	return service != nil && service.Engine != nil
+}
+
+// addGroup adds an open group all of whose members stay.
+func (f *targetIndex) addGroup(rosterCopy *roster.Copy, table *httproute.Table, group *roster.Group) {
+	if group.Phase != roster.PhaseOpen || table == nil {
+		return
+	}
+	for _, id := range group.Members {
+		if member, ok := rosterCopy.Upstreams[id]; !ok || member.Draining {
+			return
+		}
+	}
+	head := rosterCopy.Upstreams[group.Head()]
+	if group.Far {
+		head.Slots = min(head.Slots, crossDomainSlotsOf(table, group))
+	}
+	t := target{
+		id: head.ID, address: head.Address, hall: head.Hall, slots: head.Slots, group: group.Name, model: group.Model, crossDomain: group.Far, hasSlowMember: group.Slow, silent: head.Silent,
+		timing: timingOf(table, group), typicalPrompt: typicalPromptOf(table, group),
+	}
+	f.heads[group.Name] = head.ID
+	if f.drainedHalls[head.Hall] {
+		f.drainedGroups = append(f.drainedGroups, t)
+		return
+	}
+	byModel := f.groupTargets[group.Service]
+	if byModel == nil {
+		byModel = map[ident.Model][]target{}
+		f.groupTargets[group.Service] = byModel
+	}
+	byModel[group.Model] = append(byModel[group.Model], t)
+}
+
+// timingOf returns the figures by which requests at g are rated, none for a model that the engine does not publish.
+func timingOf(table *httproute.Table, group *roster.Group) estimate.Group {
+	service := table.Service(group.Service)
+	if service == nil || service.Engine == nil {
+		return estimate.Group{}
+	}
+	model, ok := service.Engine.Model(group.Model)
+	if !ok {
+		return estimate.Group{}
+	}
+	if group.Far || group.Slow {
+		return estimate.NewGroup(service.Engine, model, groupSlowdown(service))
+	}
+	return estimate.NewGroup(service.Engine, model, 1)
+}
+
+// typicalPromptOf returns the mean size of prompts of the service of g.
+func typicalPromptOf(table *httproute.Table, group *roster.Group) ident.Tokens {
+	if service := table.Service(group.Service); service != nil && service.Engine != nil {
+		return service.Engine.Usual.Prompt
+	}
+	return 0
+}
+
+// crossDomainSlots is how many requests a group across domains gets at pace 1: with more, its pauses grow past the usual aims.
+const crossDomainSlots = 7
+
+func crossDomainSlotsOf(table *httproute.Table, group *roster.Group) int {
+	service := table.Service(group.Service)
+	if service == nil || service.Engine == nil {
+		return crossDomainSlots
+	}
+	model, ok := service.Engine.Model(group.Model)
+	if !ok || model.Pace <= 0 {
+		return crossDomainSlots
+	}
+	return int(crossDomainSlots / model.Pace)
+}
+
+func sortTargets(targets []target) {
+	sort.Slice(targets, func(i, j int) bool { return targets[i].id < targets[j].id })
+}
--- a/relay/timeout_test.go
+++ b/relay/timeout_test.go
@@ -24,17 +24,17 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		began := time.Now()
+		startedAt := time.Now()
 		fmt.Fprint(conn, "POST /safe/x HTTP/1.1\r\nHost: h\r\nRequest: r1\r\nKey: secret\r\n"+kind)
-		if err := conn.SetReadDeadline(began.Add(5 * time.Second)); err != nil {
+		if err := conn.SetReadDeadline(startedAt.Add(5 * time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
-			t.Fatalf("no answer after %v: %v", time.Since(began), err)
+			t.Fatalf("no answer after %v: %v", time.Since(startedAt), err)
 		}
 		resp.Body.Close()
-		if took := time.Since(began); took < 200*time.Millisecond || took > 700*time.Millisecond {
+		if took := time.Since(startedAt); took < 200*time.Millisecond || took > 700*time.Millisecond {
 			t.Errorf("answered after %v by a time-out of 200 ms", took)
 		}
 		if resp.StatusCode != http.StatusServiceUnavailable || len(u.received()) != 0 {
@@ -52,31 +52,31 @@
 // A request ends by its route's time-out, whatever its upstreams leave out and whether or not its caller says how long it waits.
 func TestRouteTimeoutIsKept(t *testing.T) {
 	const timeout, slack = 300 * time.Millisecond, 500 * time.Millisecond
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name string
-		play func(c net.Conn, r *http.Request) bool
+		play func(tt net.Conn, r *http.Request) bool
 	}{
 		{"all of it", func(net.Conn, *http.Request) bool { return true }},
-		{"the body", func(c net.Conn, r *http.Request) bool {
-			_, err := io.WriteString(c, answerHead(r, 200, signature, "Content-Length: 50"))
+		{"the body", func(tt net.Conn, r *http.Request) bool {
+			_, err := io.WriteString(tt, answerHead(r, 200, signature, "Content-Length: 50"))
 			return err == nil
 		}},
-		{"the end", func(c net.Conn, r *http.Request) bool {
-			_, err := io.WriteString(c, answerHead(r, 200, signature, "Content-Length: 50")+"part")
+		{"the end", func(tt net.Conn, r *http.Request) bool {
+			_, err := io.WriteString(tt, answerHead(r, 200, signature, "Content-Length: 50")+"part")
 			return err == nil
 		}},
-		{"later events", func(c net.Conn, r *http.Request) bool {
+		{"later events", func(tt net.Conn, r *http.Request) bool {
 			text := eventText(1, 2)
-			_, err := io.WriteString(c, answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+
+			_, err := io.WriteString(tt, answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+
 				fmt.Sprintf("%x\r\n%s\r\n", len(text), text))
 			return err == nil
 		}},
 	} {
 		for _, route := range []string{"safe", "unsafe", "stream", "once"} {
-			for _, says := range []string{"", "60000"} {
-				t.Run(c.name+"/"+route+"/"+says, func(t *testing.T) {
+			for _, callerDeadline := range []string{"", "60000"} {
+				t.Run(tt.name+"/"+route+"/"+callerDeadline, func(t *testing.T) {
 					t.Parallel()
-					plain, heads := newUpstream(t, always(c.play)), newUpstream(t, always(c.play))
+					plain, heads := newUpstream(t, always(tt.play)), newUpstream(t, always(tt.play))
 					s := newTestEntry(t, []*upstream{plain}, []*upstream{heads})
 					cfg := config()
 					for i := range cfg.Routes {
@@ -86,12 +86,12 @@
 					ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 					defer cancel()
 					r := s.request("POST", "/"+route+"/x", "r1", "body").WithContext(ctx)
-					if says != "" {
-						r.Header.Set("Deadline", says)
+					if callerDeadline != "" {
+						r.Header.Set("Deadline", callerDeadline)
 					}
-					began := time.Now()
+					startedAt := time.Now()
 					got := s.do(r)
-					if took := time.Since(began); took > timeout+slack {
+					if took := time.Since(startedAt); took > timeout+slack {
 						t.Errorf("ended after %v with %+v", took, got)
 					}
 					if got.Status == http.StatusOK && got.Complete {
