--- a/relay/answer.go
+++ b/relay/answer.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// maxAnswerBytes bounds an answer that is read whole before it is passed on.
+	// maxAnswerBytes bounds an answer that is read completely before it is forwarded.
 	maxAnswerBytes = 8 << 20
 	// maxForeignAnswers is how many answers to other requests are skipped on one connection.
 	maxForeignAnswers = 2
 )
 
-// answer is an upstream's whole answer.
+// answer is an upstream's complete answer.
 type answer struct {
 	status int
 	header http.Header
@@ -25,11 +25,11 @@
 }
 
 var (
-	errForeignAnswers = errors.New("answers to other requests on the connection")
+	errForeignAnswers = errors.New("only answers to other requests on the connection")
 	errAnswerTooLong  = errors.New("answer too long")
 )
 
-// forwardAnswer reads the answer and passes it on.
+// forwardAnswer reads the answer and forwards it to the caller.
 func (f *forwarder) forwardAnswer() attemptOutcome {
 	x := f.x
 	resp, err := f.readAnswerHead()
@@ -51,13 +51,13 @@
 	return f.forwardWhole(resp)
 }
 
-// noteRun notes that an upstream may have worked on the request.
+// noteRun counts an attempt in which the upstream may have run the request.
 func (x *exchange) noteRun() {
 	x.mayHaveRun = true
 	x.runCount++
 }
 
-// readAnswerHead returns the head of the answer to this request; a late answer to an earlier one is skipped.
+// readAnswerHead returns the head of the answer to this request; late answers to earlier requests are skipped.
 func (f *forwarder) readAnswerHead() (*http.Response, error) {
 	for range maxForeignAnswers + 1 {
 		resp, err := http.ReadResponse(f.conn.br, f.x.r)
@@ -83,12 +83,12 @@
 	return nil, errForeignAnswers
 }
 
-// refusesThisRequest reports whether an answer without a request's id can only be a refusal of this request.
+// refusesThisRequest reports whether an answer without a request id must be a refusal of this request.
 func (f *forwarder) refusesThisRequest(resp *http.Response) bool {
 	return resp.StatusCode == http.StatusMisdirectedRequest || resp.Header.Get(f.x.s.Headers.NotRun) != ""
 }
 
-// notRunByUpstream reports whether the upstream certainly did not run the request.
+// notRunByUpstream reports whether the answer says that the upstream did not run the request, and marks a failed target as suspect.
 func (f *forwarder) notRunByUpstream(resp *http.Response) bool {
 	s := f.x.s
 	misdirected := resp.StatusCode == http.StatusMisdirectedRequest
@@ -110,7 +110,7 @@
 	return true
 }
 
-// reuseAfterRefusal reads the rest of a refusal and keeps the connection.
+// reuseAfterRefusal reads the rest of a refusal and keeps the connection for reuse.
 func (f *forwarder) reuseAfterRefusal(resp *http.Response) {
 	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswerBytes)); err != nil {
 		f.conn.Close()
@@ -119,10 +119,10 @@
 	f.returnConn(resp)
 }
 
-// forwardWhole reads a whole answer before anything goes to the caller.
+// forwardWhole reads a complete answer before anything is sent to the caller.
 func (f *forwarder) forwardWhole(resp *http.Response) attemptOutcome {
 	x := f.x
-	// What an earlier try brought is passed on only if this one brings nothing better, and is then as small as a failure.
+	// An earlier answer is forwarded only if this attempt fails too; it is an error answer and small.
 	x.releaseAnswer()
 	err := x.reserveAnswer(resp)
 	var body []byte
@@ -145,7 +145,7 @@
 		return outcomeFailed
 	}
 	if x.headSent {
-		// The stream that this was to continue has another answer already.
+		// The caller already has the head of the stream that this answer was to continue.
 		return outcomeBroken
 	}
 	x.firstEventAfter = x.s.Now().Sub(x.arrivedAt)
@@ -153,7 +153,7 @@
 	return outcomeDone
 }
 
-// isUpstreamFailure reports whether another upstream might do better.
+// isUpstreamFailure reports whether a status is a failure after which another upstream could succeed.
 func isUpstreamFailure(status int) bool {
 	return status >= http.StatusInternalServerError
 }
@@ -169,7 +169,7 @@
 	return body, nil
 }
 
-// writeAnswer gives the caller an upstream's answer unchanged.
+// writeAnswer sends an upstream's answer to the caller unchanged.
 func (x *exchange) writeAnswer(a *answer) {
 	x.copyHeader(a.header)
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
--- a/relay/conn.go
+++ b/relay/conn.go
@@ -1,9 +1,8 @@
 package relay
 
-// net/http's transport sends a request again by itself when a kept connection
-// breaks. That must never happen to a request that may run only once, so the
-// relay keeps its own connections and decides itself. The parser of answers is
-// net/http's.
+// net/http's Transport sends a request again on its own when a kept connection
+// breaks. That must not happen to a request that may run only once, so the relay
+// has its own connection pool; answers are parsed by net/http.
 
 import (
 	"bufio"
@@ -24,12 +23,12 @@
 const (
 	readBufferBytes  = 4 << 10
 	writeBufferBytes = 4 << 10
-	// maxIdlePerUpstream bounds the kept connections to one upstream, where it does not take fewer.
+	// maxIdlePerUpstream bounds the idle connections to one upstream, unless that accepts fewer.
 	maxIdlePerUpstream = 16
-	// defaultIdleTimeout is how long a connection is kept when the upstream does not say; idleTimeoutMargin is taken off what it says.
+	// defaultIdleTimeout is how long a connection is kept if the upstream names no time; idleTimeoutMargin is subtracted from a named one.
 	defaultIdleTimeout = 10 * time.Second
 	idleTimeoutMargin  = 700 * time.Millisecond
-	// maxIdleForOnce is how long a connection may have been idle to carry a request that can't be repeated.
+	// maxIdleForOnce is how long a connection can have been idle to be used for a request that must not be repeated.
 	maxIdleForOnce = 500 * time.Millisecond
 )
 
@@ -44,7 +43,7 @@
 	expires   time.Time
 }
 
-// alive reports whether an idle connection is open and has nothing to read; bytes that nobody asked for spoil it.
+// alive reports whether an idle connection is open and has nothing to read; it can't be reused after unsolicited bytes.
 func (c *upstreamConn) alive() bool {
 	if c.br.Buffered() > 0 {
 		return false
@@ -66,7 +65,7 @@
 	return err == nil && errors.Is(peekErr, syscall.EAGAIN)
 }
 
-// connPool keeps idle connections by address, the one used last on top.
+// connPool keeps idle connections by address, the most recently used one last.
 type connPool struct {
 	dial transport.Dial
 	now  func() time.Time
@@ -79,7 +78,7 @@
 	return &connPool{dial: dial, now: now, idle: map[string][]*upstreamConn{}}
 }
 
-// get returns a kept connection, or a new one; once is set for a request that must not meet a stale connection.
+// get returns an idle connection, or a new one; unrepeatable is set for a request that must not be sent on a stale connection.
 func (p *connPool) get(ctx context.Context, address string, unrepeatable bool) (*upstreamConn, error) {
 	for {
 		c := p.pop(address)
@@ -115,7 +114,7 @@
 	return c
 }
 
-// put keeps c for the next request when the answer allows it, and fewer than most are kept.
+// put keeps c for the next request if the answer allows it and fewer than maxIdle connections are kept.
 func (p *connPool) put(c *upstreamConn, answer *http.Response, maxIdle int) {
 	if answer.Close || answer.ContentLength < 0 && len(answer.TransferEncoding) == 0 || c.br.Buffered() > 0 {
 		c.Close()
@@ -136,7 +135,7 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// keepAliveTimeout reads the time in a Keep-Alive header.
+// keepAliveTimeout parses the timeout of a Keep-Alive header.
 func keepAliveTimeout(header string) time.Duration {
 	for _, part := range strings.Split(header, ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
@@ -150,7 +149,7 @@
 	return defaultIdleTimeout
 }
 
-// prune closes connections that have expired and those to addresses that are no longer used.
+// prune closes expired connections and those to addresses that are no longer in use.
 func (p *connPool) prune(inUse func(address string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,13 +171,13 @@
 	}
 }
 
-// returnConn keeps the connection of a try whose answer has been read.
+// returnConn returns the connection to the pool after the answer has been read.
 func (f *forwarder) returnConn(answer *http.Response) {
 	f.x.s.pool.put(f.conn, answer, f.x.maxIdleConns(f.target))
 }
 
-// maxIdleConns returns how many connections to an upstream are kept: this entry's part of those that it takes from all entries, without
-// those that can be in use. It resets any more.
+// maxIdleConns returns how many idle connections to an upstream are kept: this entry's share of those that the upstream accepts from all
+// entries, without those that can be in use. The upstream resets any further ones.
 func (x *exchange) maxIdleConns(t *target) int {
 	maxConnections := x.service.MaxConnections
 	if maxConnections <= 0 {
@@ -188,7 +187,7 @@
 	return min(maxIdlePerUpstream, x.s.localShare(spare, t.id))
 }
 
-// localShare returns this entry's part of what an upstream has for all entries. The mutex is not held.
+// localShare returns this entry's share of a total that an upstream has for all entries. The mutex is not held.
 func (s *Relay) localShare(total int, id ident.Incarnation) int {
 	s.mu.Lock()
 	entries := s.entries
--- a/relay/conn_failure.go
+++ b/relay/conn_failure.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// ConnFailure says how the connection of a try without a whole answer ended.
+// ConnFailure is how the connection failed of an attempt without a complete answer.
 type ConnFailure string
 
-// The ways in which a connection ends.
+// The ways in which a connection fails.
 const (
-	// ConnClosed means that the upstream closed the connection, as the kernel of a VM does for a process that has ended.
+	// ConnClosed means that the upstream closed the connection, as a kernel does for a process that has ended.
 	ConnClosed ConnFailure = "closed"
-	// ConnReset means that it was reset.
+	// ConnReset means that the connection was reset.
 	ConnReset ConnFailure = "reset"
-	// ConnUnusable means that what came is no answer to this request.
+	// ConnUnusable means that the received bytes are no valid answer to the request.
 	ConnUnusable ConnFailure = "unusable"
 )
 
-// connFailureOf tells how a connection ended by the error that its reader or writer met.
+// connFailureOf returns the connection failure that a read or write error indicates.
 func connFailureOf(err error) ConnFailure {
 	switch {
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, errPartialEvent):
@@ -32,7 +32,7 @@
 	return ConnUnusable
 }
 
-// setOutcome takes over what the follower saw of the try until it ended; f is nil when nothing was sent.
+// setOutcome copies what the forwarder observed of the attempt; f is nil when nothing was sent.
 func (t *Attempt) setOutcome(f *forwarder, now time.Time) {
 	if f == nil {
 		return
--- a/relay/dispatch_delay.go
+++ b/relay/dispatch_delay.go
@@ -7,28 +7,26 @@
 )
 
 const (
-	// defaultDispatchDelay is what a first word takes beyond the passes of the estimate until it has been measured: what engines
-	// usually need. defaultDelayDeviation is how far first words are off that.
+	// defaultDispatchDelay and defaultDelayDeviation are typical of engines; they are used until a first event of a model has arrived.
 	defaultDispatchDelay  = 100 * time.Millisecond
 	defaultDelayDeviation = 30 * time.Millisecond
-	// delaySmoothing is the weight of a new first word in what is known, maxDelayError how far off it may be taken to be: without
-	// that a few first words of a group that stood still for a moment make an entry believe for long that nothing can be in time,
-	// and refuse what others take.
+	// delaySmoothing is the weight of a new first event, maxDelayError bounds its deviation from the mean: otherwise a few first events of
+	// a group that had stalled briefly would make an entry refuse requests for a long time because none seems to be in time.
 	delaySmoothing = 0.05
 	maxDelayError  = 100 * time.Millisecond
-	// maxDispatchDelay, minDelayDeviation and maxDelayDeviation bound them.
+	// maxDispatchDelay bounds the mean in both directions, minDelayDeviation and maxDelayDeviation bound the deviation.
 	maxDispatchDelay  = 200 * time.Millisecond
 	minDelayDeviation = 10 * time.Millisecond
 	maxDelayDeviation = 60 * time.Millisecond
 )
 
-// dispatchDelay is what first words of a model take beyond the estimate: the average, and how far they are off it on average.
+// dispatchDelay is how much later than estimated the first events of a model arrive: the mean, and the mean deviation from it.
 type dispatchDelay struct {
 	mean      time.Duration
 	deviation time.Duration
 }
 
-// update takes how long a first word took beyond the estimate.
+// update adds the delay of one first event.
 func (l dispatchDelay) update(sample time.Duration) dispatchDelay {
 	sampleError := min(maxDelayError, max(-maxDelayError, sample-l.mean))
 	l.mean += time.Duration(delaySmoothing * float64(sampleError))
@@ -38,7 +36,7 @@
 	return l
 }
 
-// dispatchDelayOf returns what first words of a model take beyond the estimate; the mutex is held.
+// dispatchDelayOf returns the dispatch delay of a model; the mutex is held.
 func (s *Relay) dispatchDelayOf(model ident.Model) dispatchDelay {
 	if l, ok := s.dispatchDelays[model]; ok {
 		return l
@@ -46,7 +44,7 @@
 	return dispatchDelay{defaultDispatchDelay, defaultDelayDeviation}
 }
 
-// learnDispatchDelay takes the first word of the first try of a request; the mutex is held.
+// learnDispatchDelay learns from the first event of a request with a single attempt; the mutex is held.
 func (x *exchange) learnDispatchDelay() {
 	if x.expectedFirstEvent == 0 || len(x.attempts) != 1 {
 		return
--- a/relay/finish.go
+++ b/relay/finish.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// retryAfterFull and retryAfterNoGroup are when a caller shall come back after a refusal: slots free up every 70 ms, a group
-	// forms in about a second. retryAfterNoConfig is for a daemon that has no configuration or no confirmation by the leader: daemons
-	// that start together need two seconds.
+	// retryAfterFull is the Retry-After of an entry without capacity: slots become free every 70 ms. retryAfterNoGroup is used while no
+	// group can serve: forming one takes about a second. retryAfterNoConfig is used without a configuration or a confirmation by the
+	// leader: daemons that start together need two seconds.
 	retryAfterFull     = 300 * time.Millisecond
 	retryAfterNoGroup  = 700 * time.Millisecond
 	retryAfterNoConfig = 1800 * time.Millisecond
-	// retryJitter is the part of it by which callers are spread.
+	// retryJitter is the maximum random fraction that is added, so that callers do not retry at the same time.
 	retryJitter     = 0.5
 	jsonContentType = "application/json"
 )
 
-// finish gives the caller the final answer when it has none yet, and accounts for the request.
+// finish sends the final answer to a caller that has none yet, and records the request.
 func (x *exchange) finish(err error) {
 	switch {
 	case err == nil:
@@ -39,7 +39,7 @@
 	x.s.Observe(x.newRecord(err))
 }
 
-// refuse writes a refusal with its code; one that did not run, or may run again, also says when to come back.
+// refuse writes a refusal with its code. If the request did not run, or can be repeated, the refusal has a Retry-After header.
 func (x *exchange) refuse(err error) {
 	info := result.Lookup(result.CodeOf(err))
 	x.s.noteRefusal()
@@ -78,7 +78,7 @@
 	return retryAfterNoGroup
 }
 
-// closeIfStopping lets the caller go elsewhere with its next request where this entry will not serve it.
+// closeIfStopping closes the connection after the answer if this entry will not serve the caller's next request.
 func (x *exchange) closeIfStopping() {
 	if x.s.stopping.Load() || x.s.keysLapseSoon() {
 		x.w.Header().Set("Connection", "close")
--- a/relay/memory.go
+++ b/relay/memory.go
@@ -1,9 +1,9 @@
 package relay
 
-// A body is held whole until its request has ended, an answer until its caller
-// has read it, and callers may be slow. So both have a bound over all requests:
-// a body beyond it is refused as not run, and an answer stays with its upstream
-// until there is room.
+// A body is kept in memory until its request has ended, an answer until its
+// caller has read it, and callers can be slow. Both are bounded over all
+// requests: a body beyond the bound is refused as not run, and an answer is not
+// read from its upstream until there is memory for it.
 
 import (
 	"context"
@@ -16,27 +16,27 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// defaultMemoryBytes bounds bodies, and answers, where nobody sets another bound, in bytes.
+// defaultMemoryBytes bounds the bodies, and the answers, unless SetMemoryLimit is called.
 const defaultMemoryBytes = 64 << 20
 
-var errMemoryLimit = errors.New("too much is held for other requests")
+var errMemoryLimit = errors.New("memory bound reached by the bodies of other requests")
 
-// memory is what may be held for all requests together.
+// memory accounts for the bodies and answers of all requests, each up to maxBytes.
 type memory struct {
 	bodies, answers *semaphore.Weighted
 	maxBytes        int64
 }
 
-func newMemory(most int64) *memory {
-	return &memory{semaphore.NewWeighted(most), semaphore.NewWeighted(most), most}
+func newMemory(maxBytes int64) *memory {
+	return &memory{semaphore.NewWeighted(maxBytes), semaphore.NewWeighted(maxBytes), maxBytes}
 }
 
-// SetMemoryLimit bounds the bodies, and the answers, that are held at the same moment, in bytes; it is called before the relay serves.
-func (s *Relay) SetMemoryLimit(most int64) {
-	s.memory = newMemory(most)
+// SetMemoryLimit bounds the bodies, and the answers, that are in memory at the same time; it must be called before the relay serves.
+func (s *Relay) SetMemoryLimit(maxBytes int64) {
+	s.memory = newMemory(maxBytes)
 }
 
-// bodyReader counts what is read of a body against the bound.
+// bodyReader counts the bytes read of a body against the bound.
 type bodyReader struct {
 	io.Reader
 	x *exchange
@@ -51,7 +51,7 @@
 	return n, err
 }
 
-// reserveAnswer waits until there is room for an answer.
+// reserveAnswer waits until there is memory for an answer.
 func (x *exchange) reserveAnswer(resp *http.Response) error {
 	size := resp.ContentLength
 	if size < 0 || size > maxAnswerBytes {
@@ -61,13 +61,13 @@
 	ctx, cancel := context.WithTimeout(x.r.Context(), x.timeLeft())
 	defer cancel()
 	if err := x.s.memory.answers.Acquire(ctx, size); err != nil {
-		return result.Wrap(err, result.TimedOut, "no room for the answer in time")
+		return result.Wrap(err, result.TimedOut, "no memory for the answer in time")
 	}
 	x.answerBytes += size
 	return nil
 }
 
-// releaseMemory gives back what was held for the request.
+// releaseMemory releases the memory of the request's body and answer.
 func (x *exchange) releaseMemory() {
 	x.s.memory.bodies.Release(x.bodyBytes)
 	x.releaseAnswer()
--- a/relay/names.go
+++ b/relay/names.go
@@ -2,39 +2,39 @@
 
 import "github.com/dunlinquay/dunlinquay/backoff"
 
-// HeaderNames are the header names that callers and upstreams use; the adapter to a platform fills them in.
+// HeaderNames are the header names that callers and upstreams use, as set by the adapter to a platform.
 type HeaderNames struct {
-	// RequestID names a request; upstreams repeat it in their answers.
+	// RequestID identifies a request; upstreams repeat it in their answers.
 	RequestID string
-	// Deadline is how many milliseconds the caller still waits.
+	// Deadline is the remaining time of the caller in ms.
 	Deadline string
-	// Key is the caller's key, Customer the name that takes its place towards upstreams.
+	// Key is the caller's key, which is replaced by the Customer's name towards upstreams.
 	Key      string
 	Customer string
-	// Incarnation names the life of the upstream that a request is meant for.
+	// Incarnation identifies the incarnation of the upstream that a request is sent to.
 	Incarnation string
-	// Signature stands in an answer that an upstream worked out.
+	// Signature is present in the answers that an upstream computed.
 	Signature string
-	// NotRun stands in a refusal of an upstream that did not run the request.
+	// NotRun is present in the refusals of upstreams that did not run the request.
 	NotRun string
-	// Blamed names the member that made a group fail.
+	// Blamed is the member that made a group fail.
 	Blamed string
 	// EventID is the last event that the caller has received.
 	EventID string
-	// Model names the model, Tokens has the prompt's tokens and the most tokens of the answer.
+	// Model is the model, Tokens the prompt's tokens and the maximum tokens of the answer.
 	Model  string
 	Tokens string
-	// AnswerEstimate is the caller's guess of the answer's tokens: right at the median, often far off.
+	// AnswerEstimate is the caller's estimate of the answer's tokens, which is often far off for a single request.
 	AnswerEstimate string
-	// Priority orders requests at an engine; 0 goes first.
+	// Priority orders requests at an engine; 0 is first.
 	Priority string
-	// Backpressure are those in which upstreams ask for something.
+	// Backpressure has the headers with which upstreams limit their senders.
 	Backpressure backoff.HeaderNames
-	// Application are headers of answers that are between the application and its callers.
+	// Application are the answer headers that the application defines for its callers.
 	Application []string
 }
 
-// Recognized returns the headers of answers that are read here, or that are not meant for us.
+// Recognized returns the answer headers that the relay reads or that are declared as the application's own.
 func (n *HeaderNames) Recognized() []string {
 	return append([]string{
 		n.RequestID, n.Signature, n.NotRun, n.Blamed, n.EventID, n.Backpressure.Leaving, n.Backpressure.Limit,
--- a/relay/peer_counts.go
+++ b/relay/peer_counts.go
@@ -1,11 +1,11 @@
 package relay
 
-// How many requests other entries have at a group comes from the leader, some
-// tenths of a second late. Of the groups that this entry uses it hears what was
-// sent since, so it can tell what is there now. Of all other groups it knows
-// only these counts, as do all entries at the same moment: what has room by them
-// would get the requests of everybody. So each entry sends there no more than
-// its part of the room.
+// The request counts of the other entries are sent by the leader, some tenths of
+// a second late. For the groups in its subset, an entry is notified of what was
+// sent since, so it knows the present load. For all other groups it knows only
+// the counts, as do all entries at the same time, and a group with free capacity
+// by these counts would get requests from all of them. Each entry therefore
+// uses no more than its share of that capacity.
 
 import (
 	"time"
@@ -15,28 +15,28 @@
 )
 
 const (
-	// pendingFraction is the part of the requests at a group whose prompts are taken to be unread where nothing is heard of them: what first
-	// words usually take of the time of whole answers.
+	// pendingFraction is the assumed fraction of the requests at a group outside the subset whose prompts are pending: the typical time
+	// to first event relative to the time of a complete answer.
 	pendingFraction = 0.2
-	// spillFraction is the part of the free slots of groups that an entry does not use which all entries together may fill until
-	// the next counts, maxSpill bounds what one entry may save up.
+	// spillFraction is the fraction of the free slots outside the subset that all entries together can fill until the next counts;
+	// maxSpill bounds the credit that one entry accumulates.
 	spillFraction = 0.5
 	maxSpill      = 4.0
-	// countSmoothing is the weight of a new interval between counts.
+	// countSmoothing is the weight of a new interval in the mean interval between counts.
 	countSmoothing = 0.2
 )
 
-// peerCounts are the requests that the other entries have at each upstream, by the leader.
+// peerCounts are the request counts of the other entries by upstream, as sent by the leader.
 type peerCounts struct {
 	others map[ident.Incarnation]int
-	// receivedAt is when they came, every how long after one another they come.
+	// receivedAt is when they were received, interval the mean time between them.
 	receivedAt time.Time
 	interval   time.Duration
-	// spillCredit is how many requests this entry may send to groups that it does not use, by model.
+	// spillCredit is how many requests this entry can send to groups outside its subset, by model.
 	spillCredit map[ident.Model]float64
 }
 
-// SetPeerCounts tells how many requests the other entries have at each upstream.
+// SetPeerCounts replaces the request counts of the other entries.
 func (s *Relay) SetPeerCounts(others map[ident.Incarnation]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +56,7 @@
 	}
 }
 
-// freeOutsideSubset returns how many slots are free in groups that this entry does not use; the mutex is held.
+// freeOutsideSubset returns how many slots are free in groups outside the subset; the mutex is held.
 func (s *Relay) freeOutsideSubset(targets []target) float64 {
 	free := 0
 	for i := range targets {
@@ -67,7 +67,7 @@
 	return float64(free)
 }
 
-// loadOf returns what is there at t by all that is known; the mutex is held.
+// loadOf returns the estimated load of t; the mutex is held.
 func (s *Relay) loadOf(t *target, now time.Time) estimate.Load {
 	state := s.stateOf(t)
 	others := s.peerCounts.others[t.id]
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -25,101 +25,103 @@
 )
 
 const (
-	// silenceLimit is how long requests may wait at an engine without a sign before it is avoided: a pass with a full
-	// batch takes 70 ms, with a long prompt read in between 200 ms.
+	// silenceLimit is how long requests can wait at an engine without an event before it is avoided. An iteration with a full batch takes
+	// 70 ms, with a long prompt 200 ms.
 	silenceLimit = 500 * time.Millisecond
 	// firstEventTimeout and eventGapTimeout are how long a stream waits for an event before it is moved to another group.
 	firstEventTimeout = 900 * time.Millisecond
 	eventGapTimeout   = 550 * time.Millisecond
-	// answerAimFraction is the part of a repeatable request's aim after which it is tried elsewhere.
+	// answerAimFraction is the fraction of its aim after which a repeatable request without an answer is sent to another upstream.
 	answerAimFraction = 0.9
-	// recheckInterval is how long a stalled stream waits before it looks for another group again.
+	// recheckInterval is how often a stalled stream checks whether another group has capacity.
 	recheckInterval = 100 * time.Millisecond
-	// dialTimeout bounds the opening of a connection; it takes a few milliseconds within a region, and what is sent again after
-	// a loss comes after a second.
+	// dialTimeout bounds opening a connection, which takes a few milliseconds within a region. It is not worth waiting for a TCP
+	// retransmission, which takes a second.
 	dialTimeout = 60 * time.Millisecond
 	// maxSends bounds how often one request is sent, refusals included.
 	maxSends = 4
-	// keyLapseMargin is how long before keys lapse an entry stops being ready: balancers look each second or so, and want to miss it twice.
+	// keyLapseMargin is how long before its keys lapse an entry stops being ready: balancers check about once per second, and require two
+	// failed checks.
 	keyLapseMargin = 2500 * time.Millisecond
-	// staleConfigAge is the age of the newest confirmation from the leader from which on an unknown route or key may be a new one.
+	// staleConfigAge is the age of the leader's newest confirmation from which an unknown route or key can be one that was added since.
 	staleConfigAge = 1500 * time.Millisecond
 )
 
-// Relay passes callers' requests on; exported fields are set before it serves.
+// Relay forwards callers' requests to upstreams; exported fields are set before it serves.
 type Relay struct {
 	Headers HeaderNames
 	Hall    ident.Hall
 	Dial    transport.Dial
 	Now     func() time.Time
 	Budget  *RetryBudget
-	// Regions are those of the halls, for routes and customers that are bound to some.
+	// Regions are the regions of the halls, for routes and customers that are restricted to some regions.
 	Regions map[ident.Hall]ident.Region
-	// KeyValidity is how long after the leader's newest confirmation keys are still believed.
+	// KeyValidity is how long after the leader's newest confirmation keys are accepted.
 	KeyValidity time.Duration
-	// Observe takes each finished request; it must not block.
+	// Observe is called with the record of each finished request; it must not block.
 	Observe func(r *Record)
-	// SendUpdate passes on that a prompt was sent, to the entries that use the group or to all when there is no list; it must not block.
+	// SendUpdate sends an update to the entries in to, or to all other entries if to is nil; it must not block.
 	SendUpdate func(update EntryUpdate, to []string)
-	// Quarantine is the work that is held because upstreams ended under it.
+	// Quarantine holds the request fingerprints under which upstreams crashed.
 	Quarantine *quarantine.List
-	// OnQuarantine takes what operators are told of held work; it must not block.
+	// OnQuarantine is called when a fingerprint is quarantined, admitted as a trial, or cleared; it must not block.
 	OnQuarantine func(event *QuarantineEvent)
-	// Backoff is what upstreams asked this entry for, Asked takes what operators are told of it; it must not block.
+	// Backoff holds the backoffs that upstreams requested from this entry. OnBackpressure is called when what an upstream requests
+	// changes; it must not block.
 	Backoff        *backoff.List[ident.Incarnation]
 	OnBackpressure func(event *BackpressureEvent)
-	// Limits keep this entry, together with all others, within the limits that upstreams named.
+	// Limits keeps this entry, together with all others, within the limits that upstreams name.
 	Limits *ratelimit.Limiter[ident.Incarnation]
-	// Unrecognized is what upstreams say in their answers that nothing here reads.
+	// Unrecognized holds the unrecognized headers of upstreams' answers.
 	Unrecognized *unread.List[ident.Incarnation]
 	// RandomInt returns a random number below n.
 	RandomInt func(n int) int
 
-	// memory bounds what is held for all requests.
+	// memory bounds the bodies and answers that are kept in memory.
 	memory *memory
-	// coordinators say which entry coordinates an upstream.
+	// coordinators tells which entry coordinates an upstream's limit.
 	coordinators *ratelimit.Coordinators
 	pool         *connPool
 	table        atomic.Pointer[httproute.Table]
 	confirmedAt  atomic.Pointer[time.Time]
 	stopping     atomic.Bool
 	inProgress   sync.WaitGroup
-	// createdAt is when this relay was made, informed is closed with the first confirmation by control.
+	// createdAt is when the relay was created; firstConfirmation is closed with the first confirmation by the leader.
 	createdAt         time.Time
 	firstConfirmation chan struct{}
 
 	mu         sync.Mutex
 	rosterCopy *roster.Copy
 	entries    *sharing.Entries
-	// newEntryAt is when this entry last heard of another one that it had not known.
+	// newEntryAt is when an entry was last added.
 	newEntryAt time.Time
 	index      *targetIndex
 	states     map[ident.Incarnation]*targetState
 	peerCounts peerCounts
 	demand     map[ident.Model]Demand
-	// dispatchDelays is what first words took beyond the estimate, by model.
+	// dispatchDelays is how much later than estimated first events arrive, by model.
 	dispatchDelays map[ident.Model]dispatchDelay
-	// eventMargins are what is learnt of when events of a model come, firstEventMargins of its first words.
+	// eventMargins are the learnt margins of further events by model, firstEventMargins those of first events.
 	eventMargins      map[ident.Model]*stall.Margin
 	firstEventMargins map[ident.Model]*stall.Margin
-	// queues hold the requests that wait for groups, looking is set while any does.
+	// queues hold the requests that wait for groups; dispatchScheduled is set while a timer for the next dispatch is running.
 	queues            map[queueKey]*overload.Queue[*queuedRequest]
 	dispatchScheduled bool
-	// limitRetryTimes are the times until which callers of each line were told to come back for what upstreams take within their limits.
+	// limitRetryTimes are the times from which the next refused caller of each queue can be told to retry within the upstreams' limits.
 	limitRetryTimes map[queueKey]time.Time
-	// lastRefusal is when a request was last refused here.
+	// lastRefusal is when this entry last refused a request.
 	lastRefusal time.Time
-	// typicalWaits are the times that callers of a class say they wait.
+	// typicalWaits are the waiting times that callers of each class announce.
 	typicalWaits map[ident.Class]*overload.TypicalWait
-	// quarantineSyncScheduled is set while other entries are told of works by turns.
+	// quarantineSyncScheduled is set while reports are sent periodically to other entries.
 	quarantineSyncScheduled bool
-	// candidates are those of the choice in progress.
+	// candidates is reused by every choice.
 	candidates candidates
-	// startSlots hold the stream whose turn it is, of those that were held at the start.
+	// startSlots let the streams of a model that were held at the start continue one by one.
 	startSlots map[ident.Model]chan struct{}
 }
 
-// New returns a relay that knows no configuration yet.
+// New returns a relay without a configuration.
 func New(names HeaderNames, dial transport.Dial) *Relay {
 	s := &Relay{
 		Headers: names, Dial: dial, Now: clock.Now, Observe: func(*Record) {}, SendUpdate: func(EntryUpdate, []string) {}, RandomInt: rand.IntN,
@@ -142,7 +144,7 @@
 	return s
 }
 
-// SetConfig puts a checked configuration in force for requests that come from now on.
+// SetConfig applies a checked configuration to requests that arrive from now on.
 func (s *Relay) SetConfig(cfg *httproute.Config) {
 	table := httproute.NewTable(cfg)
 	s.table.Store(table)
@@ -153,7 +155,7 @@
 	s.signalFirstConfirmation()
 }
 
-// Version returns the version in force, 0 when there is none.
+// Version returns the version of the configuration in force, 0 without one.
 func (s *Relay) Version() httproute.Version {
 	if t := s.table.Load(); t != nil {
 		return t.Config.Version
@@ -161,7 +163,7 @@
 	return 0
 }
 
-// ApplyRoster applies what changed of upstreams and groups.
+// ApplyRoster applies a change of upstreams and groups.
 func (s *Relay) ApplyRoster(delta *roster.Delta) {
 	s.mu.Lock()
 	s.rosterCopy.Apply(delta)
@@ -185,7 +187,7 @@
 	s.pool.prune(func(address string) bool { return index.addresses[address] })
 }
 
-// SetEntries tells which entries share the groups.
+// SetEntries replaces the entries that share the groups.
 func (s *Relay) SetEntries(entries *sharing.Entries) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,13 +199,13 @@
 	s.setIndex(newTargetIndex(s.rosterCopy, s.table.Load(), entries, s.index.drainedHalls))
 }
 
-// setIndex puts targets in force; the mutex is held.
+// setIndex replaces the target index; the mutex is held.
 func (s *Relay) setIndex(index *targetIndex) {
 	s.index = index
 	s.Limits.Table.SetCaps(index.coldLimits)
 }
 
-// SetDrained replaces the halls whose upstreams get no request from now on; what runs there goes on.
+// SetDrained replaces the drained halls, whose upstreams get no new requests; requests in progress continue.
 func (s *Relay) SetDrained(halls []ident.Hall) {
 	drainedHalls := map[ident.Hall]bool{}
 	for _, hall := range halls {
@@ -219,7 +221,7 @@
 	s.setIndex(newTargetIndex(s.rosterCopy, s.table.Load(), s.entries, drainedHalls))
 }
 
-// RosterSums returns the digests of what this entry has of the roster, nil when it has nothing.
+// RosterSums returns the digests of this entry's roster copy, nil when that is empty.
 func (s *Relay) RosterSums() *roster.Digests {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,21 +231,21 @@
 	return s.rosterCopy.Digests()
 }
 
-// Upstreams returns the lives of upstreams that this entry knows.
+// Upstreams returns the incarnations of the known upstreams.
 func (s *Relay) Upstreams() []ident.Incarnation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Collect(maps.Keys(s.index.incarnations))
 }
 
-// Drained returns the halls whose upstreams get nothing new, in order.
+// Drained returns the drained halls, sorted.
 func (s *Relay) Drained() []ident.Hall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Sorted(maps.Keys(s.index.drainedHalls))
 }
 
-// markCold takes the upstreams of a hall for cold until the leader says otherwise, as it does once they have reported; the mutex is held.
+// markCold marks the upstreams of a hall as cold until the roster of the leader says otherwise; the mutex is held.
 func (s *Relay) markCold(hall ident.Hall) {
 	for id, u := range s.rosterCopy.Upstreams {
 		if u.Hall == hall {
@@ -253,14 +255,14 @@
 	}
 }
 
-// isDrained reports whether the upstreams of a hall get nothing new.
+// isDrained reports whether a hall is drained.
 func (s *Relay) isDrained(hall ident.Hall) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.index.drainedHalls[hall]
 }
 
-// SetConfirmed notes that everything the leader had confirmed at that moment is in force here.
+// SetConfirmed notes that everything that the leader had confirmed by then is in force at this entry.
 func (s *Relay) SetConfirmed(at time.Time) {
 	s.confirmedAt.Store(&at)
 	s.mu.Lock()
@@ -268,7 +270,7 @@
 	s.signalFirstConfirmation()
 }
 
-// ConfirmedAge returns how old the leader's newest confirmation is; it is very large before the first.
+// ConfirmedAge returns the age of the leader's newest confirmation, one hour if there was none.
 func (s *Relay) ConfirmedAge() time.Duration {
 	if at := s.confirmedAt.Load(); at != nil {
 		return s.Now().Sub(*at)
@@ -276,18 +278,18 @@
 	return time.Hour
 }
 
-// Ready reports whether callers may come here: requests can be served, also when those that come now are.
+// Ready reports whether a balancer can send callers to this entry: requests that arrive now can be served to their end.
 func (s *Relay) Ready() bool {
 	return !s.stopping.Load() && s.table.Load() != nil && !s.keysLapseSoon()
 }
 
-// keysLapseSoon reports whether keys are believed for less time than the balancer and callers need to go elsewhere: an entry that is cut off
-// from control would refuse them then.
+// keysLapseSoon reports whether keys are accepted for less time than the balancer and callers need to switch to another entry: an entry
+// that is cut off from control refuses them afterwards.
 func (s *Relay) keysLapseSoon() bool {
 	return s.ConfirmedAge() > s.KeyValidity-min(keyLapseMargin, s.KeyValidity/2)
 }
 
-// Stop makes answers close their connections; requests go on being served.
+// Stop makes answers close their connections; requests are still served.
 func (s *Relay) Stop() {
 	s.stopping.Store(true)
 }
@@ -297,36 +299,38 @@
 	return s.stopping.Load()
 }
 
-// Demand is work that was asked for.
+// Demand is the number of requests for a model, with their prompt tokens and expected answer tokens.
 type Demand struct {
 	Requests int
 	Prompt   ident.Tokens
 	Answer   ident.Tokens
 }
 
-// Observation is what this entry saw of one upstream that it has requests at or heard from.
+// Observation is what this entry observed of one upstream.
 type Observation struct {
 	ID       ident.Incarnation
 	Group    ident.Group
 	Inflight int
-	// Answered is how long ago it last sent anything; negative when it never did.
+	// Answered is the time since it last sent anything, negative when it never did.
 	Answered time.Duration
-	Silence  time.Duration
-	// Stands is set when the group stands still by what several entries saw.
-	Stands  bool
+	// Silence is how long requests have waited there without progress.
+	Silence time.Duration
+	// Stands is set when the group has stalled by the suspicions of several entries.
+	Stands bool
+	// Refused is set when it refused a connection, Blamed is the member that it named as the cause of a failure.
 	Refused bool
 	Blamed  string
-	// Backoff is how long it wants nothing from this entry yet, Leaving is set when that is because it leaves.
+	// Backoff is the remaining backoff of this entry; Leaving is set when the reason is that the upstream is leaving.
 	Backoff time.Duration
 	Leaving bool
-	// Limit is what is known of its limit, nil where it has none.
+	// Limit is its limit, nil without one.
 	Limit *LimitObservation
-	// Events and Pauses are the events that came since the last look and the time between them, over all streams.
+	// Events is the number of further events since the last collection and Pauses the sum of the gaps before them, over all streams.
 	Events int
 	Pauses time.Duration
 }
 
-// CollectObservations returns what was seen of every upstream, and the demand since the last look.
+// CollectObservations returns the observations of all upstreams and the demand since the last call.
 func (s *Relay) CollectObservations() ([]Observation, map[ident.Model]Demand) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -358,7 +362,7 @@
 	return observations, demand
 }
 
-// ServeHTTP takes one caller's request.
+// ServeHTTP serves one caller's request.
 func (s *Relay) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.inProgress.Add(1)
 	defer s.inProgress.Done()
@@ -376,7 +380,7 @@
 	s.inProgress.Wait()
 }
 
-// Record tells how one request went.
+// Record describes a finished request.
 type Record struct {
 	ID       string
 	Route    ident.Class
@@ -387,7 +391,7 @@
 	Code      result.Code
 	Status    int
 	ErrorText string
-	// Version and Revision are the configuration and the roster that decided, ConfirmedAge the age of the leader's confirmation.
+	// Version and Revision are those of the configuration and the roster in force, ConfirmedAge is the age of the leader's confirmation.
 	Version      httproute.Version
 	Revision     roster.Revision
 	ConfirmedAge time.Duration
@@ -395,45 +399,45 @@
 	Prompt       ident.Tokens
 	Events       int
 	FirstEvent   time.Duration
-	// ExpectedFirstEvent is when the first word was to come by the estimate of the first try, 0 where there is none.
+	// ExpectedFirstEvent is the time to first event by the estimate of the first attempt, 0 without one.
 	ExpectedFirstEvent time.Duration
-	// MaxEventGap is the longest pause between two events.
+	// MaxEventGap is the longest gap between two events.
 	MaxEventGap time.Duration
 	Total       time.Duration
-	// PriorElapsed is what the caller spent on earlier tries, as far as that is known.
+	// PriorElapsed is the time elapsed on earlier attempts of the caller, 0 where it is not known.
 	PriorElapsed time.Duration
-	// LimitWaits is how often nothing was to be had of the limit of an upstream that the request was meant for.
+	// LimitWaits is how often no permit was granted for the chosen upstream.
 	LimitWaits int
-	// RetryAfter is when the caller was told to come back.
+	// RetryAfter is the time after which the caller was told to retry.
 	RetryAfter time.Duration
 }
 
-// Attempt is one upstream that a request was meant for.
+// Attempt describes the attempt to send a request to one upstream.
 type Attempt struct {
 	Upstream ident.Incarnation `json:"to"`
 	Group    ident.Group       `json:"group,omitempty"`
 	Result   string            `json:"result"`
-	// StartMS is when it began, in ms after the request came.
+	// StartMS is its start, in ms after the request arrived.
 	StartMS int64 `json:"at-ms"`
-	// EstimateMS is the estimated time to the first word in ms, Unread and Requests are what this entry knew to be there.
+	// EstimateMS is the estimated time to first event in ms; PendingPrompt and Requests are the known load of the upstream.
 	EstimateMS    int64        `json:"first-ms,omitempty"`
 	PendingPrompt ident.Tokens `json:"unread,omitempty"`
 	Requests      int          `json:"requests,omitempty"`
-	// SilentMS is how long it had been silent in ms when it was given up, and Suspicions how many entries suspected its group.
+	// SilentMS is how long the upstream had been silent when the attempt was abandoned, Suspicions how many entries suspected its group.
 	SilentMS   int64 `json:"silent-ms,omitempty"`
 	Suspicions int   `json:"suspicions,omitempty"`
-	// ConnFailure says how the connection of a try ended that has no whole answer, RanMS is how long after the request was sent in ms, and
-	// Events how many events had come of it.
+	// ConnFailure is how the connection failed of an attempt without a complete answer, RanMS the time since the request was sent, and
+	// Events the number of events that had arrived.
 	ConnFailure ConnFailure `json:"cut,omitempty"`
 	RanMS       int64       `json:"ran-ms,omitempty"`
 	Events      int         `json:"events,omitempty"`
-	// Status is the upstream's answer where that was a failure or a refusal, RetryAfter what it said of when to come back, and
-	// Leaving is set when it said that it leaves.
+	// Status is the upstream's status if it failed or refused, RetryAfter its Retry-After header; Leaving is set when it announced that it
+	// is leaving.
 	Status     int    `json:"status,omitempty"`
 	RetryAfter string `json:"retry-after,omitempty"`
 	Leaving    bool   `json:"leaving,omitempty"`
-	// Limit is the limit that it named in its answer, in requests a second.
+	// Limit is the limit that its answer named, in requests per second.
 	Limit ratelimit.Rate `json:"limit,omitempty"`
-	// PassedOver is how many others wanted nothing when this one was chosen.
+	// PassedOver is how many other upstreams were unavailable at the choice.
 	PassedOver int `json:"passed-over,omitempty"`
 }
--- a/relay/request.go
+++ b/relay/request.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// hopByHopHeaders concern one connection only and are not passed on (RFC 9110, section 7.6.1).
+// hopByHopHeaders concern one connection only and are not forwarded (RFC 9110, section 7.6.1).
 var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 }
 
-// writeRequest writes the caller's request, with what the relay sets itself.
+// writeRequest writes the caller's request, with the headers that the relay sets itself.
 func (x *exchange) writeRequest(conn *upstreamConn, t *target) error {
 	bw := conn.bw
 	writeStrings(bw, x.r.Method, " ", x.r.RequestURI, " HTTP/1.1\r\n")
@@ -59,7 +59,7 @@
 	writeStrings(bw, name, ": ", value, "\r\n")
 }
 
-// writeStrings writes parts; an error of a bufio.Writer stays until Flush returns it.
+// writeStrings writes parts; a bufio.Writer keeps its first error until Flush returns it.
 func writeStrings(bw *bufio.Writer, parts ...string) {
 	for _, part := range parts {
 		_, _ = bw.WriteString(part)
@@ -84,11 +84,11 @@
 const (
 	highestPriority = 0
 	lowestPriority  = 9
-	// agingStep is how much waiting raises a request by one priority at the engine.
+	// agingStep is the waiting time that raises a request by one priority at the engine.
 	agingStep = 150 * time.Millisecond
 )
 
-// enginePriority is the customer's or the route's rank; a request that was held up goes before its equals.
+// enginePriority is the priority of the customer or else of the route, raised for requests that were delayed and lowered for late ones.
 func (x *exchange) enginePriority() int {
 	priority := x.route.Priority
 	if x.customer != nil && x.customer.HasPriority {
@@ -102,12 +102,12 @@
 	return min(lowestPriority, max(highestPriority, priority))
 }
 
-// missesAim reports whether the answer misses the route's aim whatever an engine does: those that can still make it go first.
+// missesAim reports whether the answer will miss the route's aim anyway; requests that can still meet it have priority.
 func (x *exchange) missesAim() bool {
 	return x.missesAimAt(x.s.Now())
 }
 
-// missesAimAt reports the same for an answer that goes on at that time.
+// missesAimAt reports the same for an answer that continues at a given time.
 func (x *exchange) missesAimAt(at time.Time) bool {
 	if x.heldAtStart || x.r.Header.Get(x.s.Headers.EventID) != "" {
 		return true
@@ -118,8 +118,8 @@
 	return x.route.GapAim > 0 && at.Sub(x.lastEventAt) > x.route.GapAim
 }
 
-// latePenalty puts requests that are late behind those that are not.
+// latePenalty lowers the priority of late requests.
 const latePenalty = 5
 
-// priorityHeadroom leaves ranks above the declared ones for requests that were held up.
+// priorityHeadroom leaves priorities above the declared ones for requests that were delayed.
 const priorityHeadroom = 3
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -1,11 +1,10 @@
 package relay
 
-// A stream is passed on event by event: an event that did not arrive whole is
-// not passed on, and one that was passed on before is not passed on again. A
-// stream that breaks off is continued at another upstream after the last
-// event, within the same answer:
+// A stream is forwarded event by event: an incomplete event is not forwarded,
+// and no event is forwarded twice. A stream that breaks is continued by another
+// upstream after the last event, within the same answer:
 //
-//	upstream 1:  id 1, id 2, (breaks off)
+//	upstream 1:  id 1, id 2, (breaks)
 //	upstream 2:  Last-Event-Id: 2 -> id 3, id 4, end
 //	caller:      id 1, id 2, id 3, id 4, end
 
@@ -22,62 +21,62 @@
 const maxEventBytes = 1 << 20
 
 var (
-	errPartialEvent     = errors.New("the stream ends within an event")
-	errEventTooLong     = errors.New("an event is too long")
-	errNoEvents         = errors.New("the stream has no event")
-	errMissingEvents    = errors.New("events are missing")
-	errNoSignature      = errors.New("the answer has no signature")
-	errCallerNotReading = errors.New("the caller does not read")
+	errPartialEvent     = errors.New("stream ended within an event")
+	errEventTooLong     = errors.New("event too long")
+	errNoEvents         = errors.New("stream ended without any event")
+	errMissingEvents    = errors.New("event ids skip numbers")
+	errNoSignature      = errors.New("stream without a signature or with a content encoding")
+	errCallerNotReading = errors.New("writing to the caller failed")
 )
 
 var idFieldPrefix = []byte("id:")
 
-// event is one event as it stands in the stream.
+// event is one event with its bytes in the stream.
 type event struct {
 	raw []byte
 	id  string
 }
 
-// eventReader cuts a stream into events.
+// eventReader splits a stream into events.
 type eventReader struct {
 	br  *bufio.Reader
 	buf []byte
 }
 
-// next returns the next whole event; io.EOF means that the stream ended between two events.
+// next returns the next complete event, and io.EOF if the stream ended between two events.
 func (e *eventReader) next() (event, error) {
 	e.buf = e.buf[:0]
-	event := event{}
+	ev := event{}
 	for {
 		line, err := e.br.ReadSlice('\n')
 		e.buf = append(e.buf, line...)
 		if errors.Is(err, bufio.ErrBufferFull) {
 			if len(e.buf) > maxEventBytes {
-				return event, errEventTooLong
+				return ev, errEventTooLong
 			}
 			continue
 		}
 		if errors.Is(err, io.EOF) && len(e.buf) > 0 {
-			return event, errPartialEvent
+			return ev, errPartialEvent
 		}
 		if err != nil {
-			return event, err
+			return ev, err
 		}
 		text := bytes.TrimRight(line, "\r\n")
 		if id, ok := bytes.CutPrefix(text, idFieldPrefix); ok {
-			event.id = string(bytes.TrimSpace(id))
+			ev.id = string(bytes.TrimSpace(id))
 		}
 		if len(text) == 0 {
-			event.raw = e.buf
-			return event, nil
+			ev.raw = e.buf
+			return ev, nil
 		}
 		if len(e.buf) > maxEventBytes {
-			return event, errEventTooLong
+			return ev, errEventTooLong
 		}
 	}
 }
 
-// forwardStream passes events on until the stream ends, breaks off or is given up.
+// forwardStream forwards events until the stream ends, breaks or is abandoned.
 func (f *forwarder) forwardStream(resp *http.Response) attemptOutcome {
 	err := f.checkSignature(resp)
 	if err == nil {
@@ -95,7 +94,7 @@
 	return outcomeDone
 }
 
-// checkSignature gives the caller the head of the first upstream's answer; a stream that is continued keeps it.
+// checkSignature rejects an answer that is not signed, or is encoded and can't be split into events.
 func (f *forwarder) checkSignature(resp *http.Response) error {
 	if resp.Header.Get(f.x.s.Headers.Signature) == "" || resp.Header.Get("Content-Encoding") != "" {
 		return errNoSignature
@@ -152,7 +151,7 @@
 	return http.NewResponseController(x.w).Flush()
 }
 
-// checkEventOrder reports whether ev was passed on before; an event that leaves others out is an error.
+// checkEventOrder reports whether ev was forwarded before; an event whose id skips numbers is an error.
 func (x *exchange) checkEventOrder(ev *event) (skip bool, err error) {
 	lastNumber, hasLast := eventNumber(x.lastEventID)
 	number, hasNumber := eventNumber(ev.id)
@@ -165,21 +164,21 @@
 	return number <= lastNumber, nil
 }
 
-// eventNumber reads the id of an event; ids that are not numbers are passed on unchecked.
+// eventNumber parses the id of an event; events with other ids are forwarded unchecked.
 func eventNumber(id string) (int64, bool) {
 	n, err := strconv.ParseInt(id, 10, 64)
 	return n, err == nil
 }
 
-// recordEvent notes that ev went to the caller.
+// recordEvent accounts for an event that was forwarded to the caller.
 func (f *forwarder) recordEvent(ev *event) {
 	x, s := f.x, f.x.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
-	tooLong := f.learnProgress(now)
+	tooLate := f.learnProgress(now)
 	x.clearPendingLocked(f.state)
-	f.state.noteIteration(now, tooLong)
+	f.state.noteIteration(now, tooLate)
 	f.streaming = true
 	if x.eventCount == 0 {
 		x.firstEventAfter = now.Sub(x.arrivedAt)
--- a/relay/target_index.go
+++ b/relay/target_index.go
@@ -11,7 +11,7 @@
 	"github.com/dunlinquay/dunlinquay/sharing"
 )
 
-// target is where a request may be sent: a worker of a plain service, or the head of an open group.
+// target is an upstream to which requests can be sent: a worker of a plain service, or the head of an open group.
 type target struct {
 	id            ident.Incarnation
 	address       string
@@ -21,31 +21,33 @@
 	model         ident.Model
 	crossDomain   bool
 	hasSlowMember bool
-	silent        bool
-	// inSubset is set when this entry hears of all prompts that are sent there, users are the entries that do, nil when all do.
+	// silent is set when the upstream does not report to the leader.
+	silent bool
+	// inSubset is set when this entry uses the target and is notified of all prompts sent there. users are the other entries that are,
+	// nil when all are.
 	inSubset bool
 	users    []string
-	// timing are the figures of a group of engines, prompt is the usual size of a prompt there; a plain worker has none.
+	// timing has the figures of a group of engines, typicalPrompt its mean prompt size; a plain worker has neither.
 	timing        estimate.Group
 	typicalPrompt ident.Tokens
-	// state is what this entry knows of the upstream, once it was looked for; it is guarded by the relay's mutex.
+	// state caches the state of the upstream; it is guarded by the relay's mutex.
 	state *targetState
 }
 
-// targetIndex lays a copy of the roster out for routing; but for the states of its targets it is never changed after newTargetIndex.
+// targetIndex is the roster indexed for routing. It is immutable except for the states cached in its targets.
 type targetIndex struct {
 	plainTargets map[ident.Service][]target
 	groupTargets map[ident.Service]map[ident.Model][]target
 	addresses    map[string]bool
 	incarnations map[ident.Incarnation]bool
 	heads        map[ident.Group]ident.Incarnation
-	// byHead are the groups by their heads.
+	// byHead are the groups by head.
 	byHead map[ident.Incarnation]*target
-	// usedModels are the models of which this entry uses any group.
+	// usedModels are the models with a group in the subset of this entry.
 	usedModels map[ident.Model]bool
 	// coldLimits are the limits of cold upstreams.
 	coldLimits map[ident.Incarnation]ratelimit.Rate
-	// drainedHalls are the halls whose upstreams get nothing new, left the groups there, which may have streams yet.
+	// drainedHalls are the halls whose upstreams get no new requests; drainedGroups are the groups there, which can still have streams.
 	drainedHalls  map[ident.Hall]bool
 	drainedGroups []target
 }
@@ -97,7 +99,7 @@
 	return index
 }
 
-// assignUsers notes which entries use each of the groups of one model, and reports whether this one uses any.
+// assignUsers sets which entries use each group of one model, and reports whether this entry uses any.
 func assignUsers(targets []target, entries *sharing.Entries) bool {
 	if entries == nil || entries.AllUseAll() {
 		for i := range targets {
@@ -124,10 +126,10 @@
 	return anyUsed
 }
 
-// coldRateFraction is the part of what a cold upstream takes that it gets.
+// coldRateFraction is the fraction of its accepted rate that a cold upstream is sent.
 const coldRateFraction = 0.9
 
-// coldRate is how many requests a second an upstream gets from all entries while it is cold, 0 when it is not or its service has no bound.
+// coldRate is how many requests per second all entries together send to a cold upstream, 0 when it is warm or its service has no bound.
 func coldRate(table *httproute.Table, upstream *roster.Upstream) ratelimit.Rate {
 	if !upstream.Cold || table == nil {
 		return 0
@@ -147,7 +149,7 @@
 	return service != nil && service.Engine != nil
 }
 
-// addGroup adds an open group all of whose members stay.
+// addGroup adds an open group, unless one of its members is missing or draining.
 func (f *targetIndex) addGroup(rosterCopy *roster.Copy, table *httproute.Table, group *roster.Group) {
 	if group.Phase != roster.PhaseOpen || table == nil {
 		return
@@ -178,7 +180,7 @@
 	byModel[group.Model] = append(byModel[group.Model], t)
 }
 
-// timingOf returns the figures by which requests at g are rated, none for a model that the engine does not publish.
+// timingOf returns the timing figures of a group, none for a model that the engine does not publish.
 func timingOf(table *httproute.Table, group *roster.Group) estimate.Group {
 	service := table.Service(group.Service)
 	if service == nil || service.Engine == nil {
@@ -194,7 +196,7 @@
 	return estimate.NewGroup(service.Engine, model, 1)
 }
 
-// typicalPromptOf returns the mean size of prompts of the service of g.
+// typicalPromptOf returns the mean prompt size of the group's service.
 func typicalPromptOf(table *httproute.Table, group *roster.Group) ident.Tokens {
 	if service := table.Service(group.Service); service != nil && service.Engine != nil {
 		return service.Engine.Usual.Prompt
@@ -202,7 +204,7 @@
 	return 0
 }
 
-// crossDomainSlots is how many requests a group across domains gets at pace 1: with more, its pauses grow past the usual aims.
+// crossDomainSlots is how many requests a group across domains gets at pace 1; with more, its event gaps exceed typical aims.
 const crossDomainSlots = 7
 
 func crossDomainSlotsOf(table *httproute.Table, group *roster.Group) int {
