--- a/relay/bench_test.go
+++ b/relay/bench_test.go
@@ -20,7 +20,7 @@
 
 const benchEvents = 27
 
-// benchUpstream answers plain requests, and streams of benchEvents events that each go out by themselves.
+// benchUpstream answers plain requests, and streams of benchEvents events that are flushed one by one.
 func benchUpstream(b *testing.B) *httptest.Server {
 	b.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -66,7 +66,7 @@
 	return server
 }
 
-// Each front is measured against the standard library's reverse proxy in the same run; time is wall time of one caller.
+// BenchmarkRequests compares the relay with the standard library's reverse proxy and with no proxy, for one caller.
 func BenchmarkRequests(b *testing.B) {
 	upstream := benchUpstream(b)
 	target, err := url.Parse(upstream.URL)
@@ -109,9 +109,7 @@
 	}
 }
 
-// BenchmarkChoose is one choice of a group among many, beside a busy machine. Where every target state is looked for again in each choice: 2.8
-// µs among 16 groups and 28.6 µs among 200 (one run); where targets keep them: 1.9 µs and 20.5 µs (medians of three), no allocation. With one that asked for time among 200: 36 µs where
-// nobody asked 30 µs (medians of three, beside a busier machine).
+// BenchmarkChoose is one choice of a group among many, also while one of them has requested a backoff.
 func BenchmarkChoose(b *testing.B) {
 	for _, tt := range []struct{ groups, asked int }{{16, 0}, {200, 0}, {200, 1}} {
 		groups := tt.groups
--- a/relay/conn_failure_test.go
+++ b/relay/conn_failure_test.go
@@ -12,7 +12,7 @@
 	"github.com/dunlinquay/dunlinquay/relay"
 )
 
-// The record of a request tells how each connection without a whole answer ended, and what had come over it.
+// The record of a request has, for each connection without a complete answer, how it failed and how many events had arrived.
 func TestRecordNamesConnectionFailure(t *testing.T) {
 	respondPart := func(tt net.Conn, r *http.Request) bool { return respondStream(tt, r, 1, 2, false) }
 	for _, tt := range []struct {
@@ -34,7 +34,7 @@
 			s.relay.Wait()
 			got := s.records[0].Attempts[0]
 			if diff := cmp.Diff(tt.want, relay.Attempt{ConnFailure: got.ConnFailure, Events: got.Events}); diff != "" {
-				t.Errorf("try (-want +got):\n%s", diff)
+				t.Errorf("attempt (-want +got):\n%s", diff)
 			}
 			if want := quarantine.ContentOf("/stream/x", []byte("body")); s.records[0].Content != want {
 				t.Errorf("content %v, want %v", s.records[0].Content, want)
--- a/relay/connections_test.go
+++ b/relay/connections_test.go
@@ -15,19 +15,19 @@
 	"github.com/dunlinquay/dunlinquay/sharing"
 )
 
-// An upstream says with its answer whether a connection may be used again, and for how long: what it closes soon is not sent on.
+// The headers of an answer say whether its connection can be reused, and for how long: a connection that is about to be closed is not.
 func TestConnectionReuseFollowsAnswerHeaders(t *testing.T) {
 	for _, tt := range []struct {
 		name, header string
-		// idle is how long nothing is sent after the first answer.
+		// idle is the time between the first answer and the second request.
 		idle time.Duration
 		kept bool
 	}{
-		{"nothing said", "X: y", 2 * time.Second, true},
+		{"no header", "X: y", 2 * time.Second, true},
 		{"close", "Connection: close", 0, false},
-		{"kept for two seconds, used after one", "Keep-Alive: timeout=2", time.Second, true},
-		{"kept for two seconds, used right before", "Keep-Alive: timeout=2", 1500 * time.Millisecond, false},
-		{"one more parameter", "Keep-Alive: max=9, timeout=1", time.Second, false},
+		{"timeout of two seconds, used after one", "Keep-Alive: timeout=2", time.Second, true},
+		{"timeout of two seconds, used shortly before", "Keep-Alive: timeout=2", 1500 * time.Millisecond, false},
+		{"another parameter", "Keep-Alive: max=9, timeout=1", time.Second, false},
 		{"unreadable", "Keep-Alive: timeout=soon", 2 * time.Second, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// A head that names the member at fault did not run the request: another group does, and the leader is told whom it blames.
+// A head that names a faulty member did not run the request: another group does, and the member is reported to the leader.
 func TestBlamedMemberIsReported(t *testing.T) {
 	blaming := newUpstream(t, always(func(c net.Conn, r *http.Request) bool {
 		_, err := io.WriteString(c, answerHead(r, 503, "Not-Run: 1", "Blamed: m1", "Content-Length: 0"))
@@ -68,7 +68,7 @@
 	}))
 	healthy := newUpstream(t, always(func(c net.Conn, r *http.Request) bool { return respondStream(c, r, 1, 2, true) }))
 	s := newTestEntry(t, nil, []*upstream{blaming, healthy})
-	s.relay.RandomInt = func(int) int { return 0 } // the first of equals is asked first
+	s.relay.RandomInt = func(int) int { return 0 } // prefer the first of equal targets
 	for n := range 8 {
 		if got := s.do(s.request("POST", "/stream/x", fmt.Sprint(n), "")); got.Status != http.StatusOK || !got.Complete {
 			t.Errorf("request %d: %+v", n, got)
@@ -80,26 +80,26 @@
 		blamed[observation.ID] = observation.Blamed
 	}
 	if blamed["h0"] != "m1" || blamed["h1"] != "" {
-		t.Errorf("blamed %v, want m1 by h0", blamed)
+		t.Errorf("blamed members %v, want m1 by h0", blamed)
 	}
 	if n := len(blaming.received()); n != 1 {
-		t.Errorf("%d requests reached the group with a member at fault, want the first", n)
+		t.Errorf("%d requests reached the group with a faulty member, want 1", n)
 	}
 }
 
-// An upstream takes so many connections from all entries together and resets any more: what an entry keeps open after a burst is its
-// part of them, beside those that are in use.
+// An upstream accepts a maximum of connections from all entries together and resets any more: after a burst, an entry keeps its share of
+// those that are not in use.
 func TestIdleConnectionsAreBoundedByUpstream(t *testing.T) {
 	const burst = 12
 	for _, tt := range []struct {
-		name          string
-		most, entries int
-		want          int
+		name                    string
+		maxConnections, entries int
+		want                    int
 	}{
-		{"nothing declared", 0, 2, burst},
-		{"many", 1000, 2, burst},
-		{"few", 30, 2, 3},
-		{"not one for each entry", 25, 60, 1},
+		{"no maximum", 0, 2, burst},
+		{"high maximum", 1000, 2, burst},
+		{"low maximum", 30, 2, 3},
+		{"less than one per entry", 25, 60, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			allArrived := make(chan struct{})
@@ -112,7 +112,7 @@
 			})
 			s := newTestEntry(t, []*upstream{u}, nil)
 			cfg := config()
-			cfg.Services[0].MaxConnections = tt.most
+			cfg.Services[0].MaxConnections = tt.maxConnections
 			s.relay.SetConfig(cfg)
 			s.relay.Budget.SetEntries(tt.entries)
 			s.relay.ApplyRoster(&roster.Delta{Full: true, Revision: 2, Upstreams: []roster.Upstream{
@@ -130,8 +130,8 @@
 	}
 }
 
-// Where there are more entries than connections that an upstream has left, only some of them may keep one: one of each of 60 entries would be
-// more than twice as many as it takes.
+// When there are more entries than idle connections that an upstream accepts, only some entries keep one: one for each of 60 entries
+// would be more than twice as many as accepted.
 func TestIdleConnectionsOfManyEntries(t *testing.T) {
 	const entries, upstreams = 60, 40
 	var names []string
@@ -154,14 +154,14 @@
 		s.do(s.request("POST", "/unsafe/x", "x", ""))
 		kept += relay.IdleConnections(s.relay, u.address())
 	}
-	// 22 are left of 25, for 60 entries.
+	// 22 of 25 connections are left for 60 entries.
 	if expected := upstreams * 22 / entries; kept < expected/2 || kept > expected*2 {
-		t.Errorf("this entry kept one at %d of %d upstreams, want about %d", kept, upstreams, expected)
+		t.Errorf("this entry keeps a connection to %d of %d upstreams, want about %d", kept, upstreams, expected)
 	}
 }
 
-// An upstream that takes fewer connections than it has slots for gets no more requests at once than it takes connections, by what this entry
-// sends and what others have there.
+// An upstream that accepts fewer connections than it has slots gets no more concurrent requests than connections, counting those of this
+// entry and of the others.
 func TestConcurrentRequestsAreBoundedByConnections(t *testing.T) {
 	const maxConnections, slots, others = 6, 12, 2
 	arrived, release := make(chan struct{}, 2*slots), make(chan struct{})
@@ -192,7 +192,7 @@
 	}
 	rest.Wait()
 	if n := len(arrived); n > 0 {
-		t.Errorf("%d requests more than %d, beside %d of others, reached an upstream that takes %d connections", n, maxConnections-others, others, maxConnections)
+		t.Errorf("%d requests more than %d, in addition to %d of other entries, reached an upstream that accepts %d connections", n, maxConnections-others, others, maxConnections)
 	}
 	close(release)
 	first.Wait()
--- a/relay/demand_test.go
+++ b/relay/demand_test.go
@@ -9,7 +9,7 @@
 	"github.com/dunlinquay/dunlinquay/relay"
 )
 
-// The most that an answer may hold says little of what it will; the caller's estimate does.
+// The demand of a request counts the caller's estimate of the answer, bounded by the maximum tokens that the caller allows.
 func TestDemand(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
@@ -18,10 +18,10 @@
 		want     relay.Demand
 	}{
 		{"an estimate", "1460,335", "120", relay.Demand{Requests: 1, Prompt: 1460, Answer: 120}},
-		{"an estimate over the most", "1460,80", "120", relay.Demand{Requests: 1, Prompt: 1460, Answer: 80}},
+		{"an estimate above the maximum", "1460,80", "120", relay.Demand{Requests: 1, Prompt: 1460, Answer: 80}},
 		{"no estimate", "1460,335", "", relay.Demand{Requests: 1, Prompt: 1460, Answer: 116}},
-		{"no estimate, and less is allowed than usual", "1460,80", "", relay.Demand{Requests: 1, Prompt: 1460, Answer: 80}},
-		{"no number", "many,80", "few", relay.Demand{Requests: 1, Answer: 80}},
+		{"no estimate, and a maximum below the typical answer", "1460,80", "", relay.Demand{Requests: 1, Prompt: 1460, Answer: 80}},
+		{"not a number", "many,80", "few", relay.Demand{Requests: 1, Answer: 80}},
 		{"nothing", "", "", relay.Demand{Requests: 1, Answer: 116}},
 		{"a negative number", "-5,-1", "-1", relay.Demand{Requests: 1, Answer: 116}},
 	} {
--- a/relay/drain_test.go
+++ b/relay/drain_test.go
@@ -12,7 +12,7 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// placeUpstreams puts the upstreams of an entry into halls, "a" for the first and "b" for the others, cold ones as named.
+// placeUpstreams assigns the upstreams of an entry to halls, the first to "a" and the others to "b"; cold are the indexes of cold ones.
 func (s *signalEntry) placeUpstreams(cold ...int) {
 	s.mu.Lock()
 	s.revision++
@@ -38,8 +38,7 @@
 	s.relay.ApplyRoster(&d)
 }
 
-// Nothing new goes to the upstreams of a drained hall by any way, until it is taken back; an entry that starts knows of it before its first
-// request, since both come with one reply.
+// The upstreams of a drained hall get no new request of any kind until the drain ends.
 func TestDrainedHallGetsNoRequests(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/stream/x"} {
 		t.Run(path[1:len(path)-2], func(t *testing.T) {
@@ -50,17 +49,17 @@
 				startedAt := time.Now()
 				drainAt, endAt := startedAt.Add(3*time.Second), startedAt.Add(7*time.Second)
 				time.AfterFunc(3*time.Second, func() { s.relay.SetDrained([]ident.Hall{"a"}) })
-				time.AfterFunc(4*time.Second, func() { s.placeUpstreams() }) // news of the roster do not take it back
+				time.AfterFunc(4*time.Second, func() { s.placeUpstreams() }) // a roster update does not end the drain
 				time.AfterFunc(7*time.Second, func() { s.relay.SetDrained(nil) })
 				s.load(path)
 				if n := len(u.arrivals(startedAt, drainAt)); n == 0 {
-					t.Error("nothing came before: the test shows nothing")
+					t.Error("no requests before the drain: the test checks nothing")
 				}
 				if n := len(u.arrivals(drainAt.Add(upstreamRoundTrip), endAt)); n != 0 {
-					t.Errorf("%d requests came while the hall was drained", n)
+					t.Errorf("%d requests arrived while the hall was drained", n)
 				}
 				if n := len(u.arrivals(endAt, endAt.Add(time.Hour))); n == 0 {
-					t.Error("nothing came after it was taken back")
+					t.Error("no requests after the end of the drain")
 				}
 				s.relay.Wait()
 				for _, r := range s.records {
@@ -73,7 +72,7 @@
 	}
 }
 
-// A request that waits for room, or whose connection is being opened, when its hall is drained does not go there.
+// A request whose connection is being opened when the hall is drained is not sent there.
 func TestHallDrainedWhileRequestIsBeingSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSignalEntry(1)
@@ -87,13 +86,13 @@
 			t.Errorf("status %d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 		}
 		if n := len(u.arrivals(startedAt, startedAt.Add(time.Hour))); n != 0 {
-			t.Errorf("%d requests came", n)
+			t.Errorf("%d requests arrived", n)
 		}
 		u.close()
 	})
 }
 
-// Where all halls with upstreams for a request are drained it is refused at once.
+// A request is refused at once when all halls with upstreams for it are drained.
 func TestAllHallsDrained(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/stream/x"} {
 		synctest.Test(t, func(t *testing.T) {
@@ -109,7 +108,7 @@
 	}
 }
 
-// A cold upstream gets nine tenths of what it takes from all entries together, and more once it is warm.
+// All entries together send a cold upstream nine tenths of its cold rate, and more once it is warm.
 func TestColdUpstreamGetsNoMoreThanItsRate(t *testing.T) {
 	const coldRate = 14
 	for _, entries := range []int{1, 8, 60} {
@@ -134,17 +133,17 @@
 						}
 					})
 					cluster.load(path, limitPerSecond, 8*time.Second)
-					// The first second belongs to a coordinator that may have taken another one's place.
+					// In the first second, its coordinator can be a new one that grants no permits yet.
 					coldArrivals := u.arrivals(startedAt.Add(time.Second), startedAt.Add(coldTime))
 					if got := maxInSpan(u.arrivals(startedAt, startedAt.Add(coldTime)), time.Second); float64(got) > 1.2*coldRate {
-						t.Errorf("%d requests in a second, %d a second are taken", got, coldRate)
+						t.Errorf("%d requests in one second, the cold rate is %d", got, coldRate)
 					}
 					if got, want := float64(len(coldArrivals)), 0.9*coldRate*(coldTime-time.Second).Seconds(); got < 0.9*want-1 {
-						t.Errorf("%.0f requests in all, want nearly %.0f", got, want)
+						t.Errorf("%.0f requests in total, want nearly %.0f", got, want)
 					}
 					warmArrivals := u.arrivals(startedAt.Add(coldTime+time.Second), startedAt.Add(8*time.Second))
 					if got := maxInSpan(warmArrivals, time.Second); got <= coldRate {
-						t.Errorf("%d requests in a second once it is warm", got)
+						t.Errorf("%d requests in one second once it is warm", got)
 					}
 					for _, r := range cluster.records() {
 						if r.Code != 0 {
@@ -157,7 +156,7 @@
 	}
 }
 
-// A hall that is taken back counts as cold until the leader says otherwise, since its upstreams may have turned cold meanwhile.
+// After a drain, the upstreams of a hall count as cold until the leader says otherwise, since they can have been restarted.
 func TestHallIsColdAfterDrainEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSignalEntry(2)
@@ -168,19 +167,19 @@
 		s.relay.SetDrained([]ident.Hall{"a"})
 		s.relay.SetDrained(nil)
 		if w := s.relay.Limits.Table.Effective("p0"); !w.Capped || w.Rate != 0.9*5 {
-			t.Errorf("taken back with the limit %+v", w)
+			t.Errorf("limit %+v after the drain", w)
 		}
 		if w := s.relay.Limits.Table.Effective("p1"); w.Limited() {
 			t.Errorf("an upstream of another hall has the limit %+v", w)
 		}
 		s.placeUpstreams()
 		if w := s.relay.Limits.Table.Effective("p0"); w.Limited() {
-			t.Errorf("warm with the limit %+v", w)
+			t.Errorf("limit %+v once it is warm", w)
 		}
 	})
 }
 
-// The homes of routes and of customers both bind, for first tries and for others.
+// The home regions of routes and of customers both apply, to first attempts and to retries.
 func TestHomeRegions(t *testing.T) {
 	for _, tt := range []struct {
 		name            string
@@ -189,10 +188,10 @@
 		code            result.Code
 	}{
 		{"none", nil, nil, true, true, result.OK},
-		{"of the route", []ident.Region{"east"}, nil, true, false, result.OK},
-		{"of the customer", nil, []ident.Region{"west", "north"}, false, true, result.OK},
-		{"of both", []ident.Region{"east", "west"}, []ident.Region{"west"}, false, true, result.OK},
-		{"nothing in common", []ident.Region{"east"}, []ident.Region{"west"}, false, false, result.OutOfHome},
+		{"route only", []ident.Region{"east"}, nil, true, false, result.OK},
+		{"customer only", nil, []ident.Region{"west", "north"}, false, true, result.OK},
+		{"both", []ident.Region{"east", "west"}, []ident.Region{"west"}, false, true, result.OK},
+		{"no common region", []ident.Region{"east"}, []ident.Region{"west"}, false, false, result.OutOfHome},
 		{"a region without upstreams", []ident.Region{"north"}, nil, false, false, result.OutOfHome},
 	} {
 		for _, path := range []string{"/safe/x", "/stream/x"} {
@@ -214,7 +213,7 @@
 					for i, want := range []bool{tt.first, tt.second} {
 						u := s.upstreams[i]
 						if got := len(u.arrivals(startedAt, startedAt.Add(time.Hour))) > 0; got != want {
-							t.Errorf("upstream %d gets requests: %v, want %v", i, got, want)
+							t.Errorf("upstream %d got requests: %v, want %v", i, got, want)
 						}
 						u.close()
 					}
--- a/relay/memory_test.go
+++ b/relay/memory_test.go
@@ -14,7 +14,7 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// slowBody gives half of a body at once, and the rest when it is let go.
+// slowBody returns half of a body at once, and the rest after resume is closed.
 type slowBody struct {
 	firstHalf  io.Reader
 	resume     <-chan struct{}
@@ -29,8 +29,8 @@
 	return b.secondHalf.Read(p)
 }
 
-// Bodies that come slowly are held within a bound over all requests: what is beyond it is refused at once as not run, and what is held ends
-// well.
+// The memory of slow bodies is bounded over all requests: requests beyond the bound are refused at once as not run, and some of the others
+// are served.
 func TestMemoryOfSlowBodiesIsBounded(t *testing.T) {
 	const size, callers, fitting = 100 << 10, 12, 4
 	u := newUpstream(t, always(respondComplete))
@@ -55,7 +55,7 @@
 		}
 	}
 	if refused != callers-2*fitting {
-		t.Errorf("%d refused while the others were held, want %d", refused, callers-2*fitting)
+		t.Errorf("%d refused while the bodies of others were in memory, want %d", refused, callers-2*fitting)
 	}
 	close(resume)
 	wg.Wait()
@@ -68,10 +68,10 @@
 		}
 	}
 	if served == 0 {
-		t.Error("none of those that were held was served")
+		t.Error("no request with a body in memory was served")
 	}
 	if got := s.do(s.request(http.MethodPost, "/safe/x", "later", strings.Repeat("x", size))); got.Status != http.StatusOK {
-		t.Errorf("status %d once all have ended: what was held is not given back", got.Status)
+		t.Errorf("status %d after all requests have ended: their memory was not released", got.Status)
 	}
 	for _, r := range s.records {
 		if r.Code != result.OK && r.Code != result.Overloaded {
@@ -80,7 +80,7 @@
 	}
 }
 
-// An answer that its caller does not read takes room that others wait for, at their upstreams; it is whole all the same.
+// While the memory of answers is in use, further answers wait at their upstreams; all arrive complete.
 func TestMemoryOfSlowReadersIsBounded(t *testing.T) {
 	body := strings.Repeat("y", 300<<10)
 	u := newUpstream(t, func(c net.Conn, r *http.Request, _ int) bool {
@@ -100,7 +100,7 @@
 	wg.Wait()
 }
 
-// BenchmarkSlowReaders is how much memory a thousand callers take that read nothing of their streams.
+// BenchmarkSlowReaders reports the memory used by a thousand callers that read nothing of their streams.
 func BenchmarkSlowReaders(b *testing.B) {
 	const readers = 1000
 	event := "id: %d\ndata: " + strings.Repeat("z", 500) + "\n\n"
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -59,7 +59,7 @@
 	return cfg
 }
 
-// testEntry is a relay before some upstreams, with its finished requests.
+// testEntry is a relay with test upstreams and the records of its finished requests.
 type testEntry struct {
 	t      testing.TB
 	relay  *relay.Relay
@@ -129,15 +129,15 @@
 	return reply{resp.StatusCode, string(body), err == nil}
 }
 
-// responder is a short name for what an upstream does.
+// responder answers the n-th request of an upstream; returning false closes the connection.
 type responder = func(c net.Conn, r *http.Request, n int) bool
 
 func always(f func(c net.Conn, r *http.Request) bool) responder {
 	return func(c net.Conn, r *http.Request, _ int) bool { return f(c, r) }
 }
 
-// Each fault strikes the upstream that is asked first; the second one is sound. A request that may not be repeated runs at
-// most once, and what is called not run did not.
+// The first upstream has a fault, the second is healthy. A request that must not be repeated runs at most once, and a request reported
+// as not run did not run.
 func TestUpstreamFaults(t *testing.T) {
 	write := func(text func(r *http.Request) string, keep bool) responder {
 		return func(tt net.Conn, r *http.Request, _ int) bool {
@@ -148,18 +148,18 @@
 	for _, tt := range []struct {
 		name         string
 		first        responder
-		safe, unsafe int // statuses; 200 means the sound upstream's or this one's whole answer
+		safe, unsafe int // statuses; 200 means a complete answer of either upstream
 		ran          bool
 	}{
-		{"sound", always(respondComplete), 200, 200, true},
+		{"healthy", always(respondComplete), 200, 200, true},
 		{"refuses", always(respondNotRun), 200, 200, false},
-		{"is another life", func(tt net.Conn, _ *http.Request, _ int) bool {
+		{"is another incarnation", func(tt net.Conn, _ *http.Request, _ int) bool {
 			_, err := io.WriteString(tt, "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n")
 			return err == nil
 		}, 200, 200, false},
 		{"closes without an answer", func(net.Conn, *http.Request, int) bool { return false }, 200, 502, true},
-		{"resets", func(tt net.Conn, _ *http.Request, _ int) bool { return resetConn(tt) }, 200, 502, true},
-		{"cuts the answer", write(func(r *http.Request) string { return answerHead(r, 200, signature, "Content-Length: 50") + "part" }, false), 200, 502, true},
+		{"resets the connection", func(tt net.Conn, _ *http.Request, _ int) bool { return resetConn(tt) }, 200, 502, true},
+		{"closes within the answer", write(func(r *http.Request) string { return answerHead(r, 200, signature, "Content-Length: 50") + "part" }, false), 200, 502, true},
 		{"answers another request only", write(func(*http.Request) string {
 			return "HTTP/1.1 200 X\r\nRequest: other\r\n" + signature + "\r\nContent-Length: 5\r\n\r\nother"
 		}, false), 200, 502, true},
@@ -168,11 +168,11 @@
 			return "HTTP/1.1 200 X\r\nRequest: other\r\n" + signature + "\r\nContent-Length: 5\r\n\r\nother" +
 				answerHead(r, 200, signature, fmt.Sprintf("Content-Length: %d", len(body))) + body
 		}, true), 200, 200, true},
-		{"success without a signature", write(func(r *http.Request) string { return answerHead(r, 200, "Content-Length: 2") + "ok" }, true), 200, 502, true},
-		{"an encoded body", write(func(r *http.Request) string {
+		{"succeeds without a signature", write(func(r *http.Request) string { return answerHead(r, 200, "Content-Length: 2") + "ok" }, true), 200, 502, true},
+		{"sends an encoded body", write(func(r *http.Request) string {
 			return answerHead(r, 200, signature, "Content-Encoding: gzip", "Content-Length: 2") + "ok"
 		}, true), 200, 502, true},
-		{"bytes that are no answer", write(func(*http.Request) string { return "\x00\x01 nothing like an answer\r\n\r\n" }, false), 200, 502, true},
+		{"sends bytes that are no answer", write(func(*http.Request) string { return "\x00\x01 nothing like an answer\r\n\r\n" }, false), 200, 502, true},
 		{"fails", write(func(r *http.Request) string { return answerHead(r, 500, signature, "Content-Length: 4") + "fail" }, true), 200, 500, true},
 		{"ends its answer with the connection", write(func(r *http.Request) string {
 			return answerHead(r, 200, signature) + "answer to " + r.Header.Get("Request")
@@ -188,7 +188,7 @@
 				first := newUpstream(t, tt.first)
 				second := newUpstream(t, always(respondComplete))
 				s := newTestEntry(t, []*upstream{first, second}, nil)
-				// Load on the second makes the first the better choice.
+				// The load of the second upstream makes the relay choose the first.
 				s.relay.SetPeerCounts(map[ident.Incarnation]int{"p1": 3})
 				want := tt.safe
 				if kind == "unsafe" {
@@ -209,7 +209,7 @@
 					ran[request.ID]++
 				}
 				if kind == "unsafe" && tt.ran && ran["unsafe-0"] != 1 {
-					t.Errorf("a request that may run once arrived %d times", ran["unsafe-0"])
+					t.Errorf("a request that must not be repeated arrived %d times", ran["unsafe-0"])
 				}
 			})
 		}
@@ -220,7 +220,7 @@
 	u := newUpstream(t, always(respondComplete))
 	s := newTestEntry(t, []*upstream{u}, nil)
 	r := s.request("POST", "/safe/a%2Fb?x=1&y=%20", "id-1", "the body")
-	r.Header.Set("Customer", "somebody else")
+	r.Header.Set("Customer", "another customer")
 	r.Header.Set("Connection", "Secret")
 	r.Header.Set("Secret", "1")
 	if got := s.do(r); got.Status != 200 {
@@ -228,7 +228,7 @@
 	}
 	want := []receivedRequest{{ID: "id-1", Method: "POST", Path: "/safe/a%2Fb?x=1&y=%20", Body: "the body", Customer: "office", Incarnation: "p0"}}
 	if diff := cmp.Diff(want, u.received()); diff != "" {
-		t.Errorf("arrivals (-want +got):\n%s", diff)
+		t.Errorf("received requests (-want +got):\n%s", diff)
 	}
 }
 
@@ -244,18 +244,18 @@
 		{"no such host", func(_ *testEntry, r *http.Request) { r.Host = "i" }, 404, result.NotFound, false},
 		{"unknown key", func(_ *testEntry, r *http.Request) { r.Header.Set("Key", "wrong") }, 401, result.Unauthorized, false},
 		{"no key", func(_ *testEntry, r *http.Request) { r.Header.Del("Key") }, 401, result.Unauthorized, false},
-		{"deadline is no number", func(_ *testEntry, r *http.Request) { r.Header.Set("Deadline", "soon") }, 400, result.BadRequest, false},
-		{"no such route, word is old", func(s *testEntry, r *http.Request) {
+		{"deadline is not a number", func(_ *testEntry, r *http.Request) { r.Header.Set("Deadline", "soon") }, 400, result.BadRequest, false},
+		{"no such route, confirmation is old", func(s *testEntry, r *http.Request) {
 			r.URL.Path = "/none/"
 			s.relay.SetConfirmed(time.Now().Add(-2 * time.Second))
 		}, 503, result.ControlUnreachable, true},
-		{"unknown key, word is old", func(s *testEntry, r *http.Request) {
+		{"unknown key, confirmation is old", func(s *testEntry, r *http.Request) {
 			r.Header.Set("Key", "new")
 			s.relay.SetConfirmed(time.Now().Add(-2 * time.Second))
 		}, 503, result.ControlUnreachable, true},
 		{"keys have lapsed", func(s *testEntry, _ *http.Request) { s.relay.SetConfirmed(time.Now().Add(-5 * time.Second)) }, 503, result.ControlUnreachable, true},
-		{"nothing serves", func(s *testEntry, _ *http.Request) { s.relay.ApplyRoster(&roster.Delta{Full: true}) }, 503, result.NoWholeGroup, true},
-		{"all are full", func(s *testEntry, _ *http.Request) { s.relay.SetPeerCounts(map[ident.Incarnation]int{"p0": 100}) }, 503, result.Overloaded, true},
+		{"no upstream", func(s *testEntry, _ *http.Request) { s.relay.ApplyRoster(&roster.Delta{Full: true}) }, 503, result.NoWholeGroup, true},
+		{"all upstreams full", func(s *testEntry, _ *http.Request) { s.relay.SetPeerCounts(map[ident.Incarnation]int{"p0": 100}) }, 503, result.Overloaded, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			u := newUpstream(t, always(respondComplete))
@@ -271,7 +271,7 @@
 				t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 			}
 			if n := len(u.received()); n != 0 {
-				t.Errorf("%d requests arrived although refused", n)
+				t.Errorf("%d requests reached the upstream although refused", n)
 			}
 			s.relay.Wait()
 			if got := s.records[0].Code; got != tt.code {
@@ -304,8 +304,8 @@
 	}
 }
 
-// The first upstream breaks a stream off in each way; the caller sees every event once, in order, and an end only when the
-// stream ended.
+// The first upstream breaks a stream in different ways; the caller receives every event once, in order, and an end of the stream only if
+// the stream ended.
 func TestStreams(t *testing.T) {
 	rest := func(tt net.Conn, r *http.Request, _ int) bool {
 		from := 1
@@ -335,16 +335,16 @@
 	for _, tt := range []struct {
 		name  string
 		first responder
-		// once tells whether the stream is whole when it may not be continued.
+		// once is set when the caller gets a complete stream even where it must not be continued.
 		once bool
 	}{
-		{"sound", rest, true},
-		{"breaks off after three events", part(eventText(1, 3)), false},
-		{"breaks off within an event", part(eventText(1, 3) + "id: 4\ndata: pie"), false},
+		{"healthy", rest, true},
+		{"breaks after three events", part(eventText(1, 3)), false},
+		{"breaks within an event", part(eventText(1, 3) + "id: 4\ndata: pie"), false},
 		{"ends within an event", ended(eventText(1, 3) + "id: 4\ndata: pie"), false},
-		{"leaves an event out", ended(eventText(1, 2) + eventText(4, 5)), false},
+		{"skips an event", ended(eventText(1, 2) + eventText(4, 5)), false},
 		{"sends an event twice", ended(eventText(1, 3) + eventText(3, 5)), true},
-		{"breaks off before the first event", part(""), false},
+		{"breaks before the first event", part(""), false},
 		{"ends without any event", func(tt net.Conn, r *http.Request, _ int) bool {
 			_, err := io.WriteString(tt, answerHead(r, 200, signature, "Transfer-Encoding: chunked")+"0\r\n\r\n")
 			return err == nil
@@ -357,7 +357,7 @@
 	} {
 		for _, kind := range []string{"stream", "once"} {
 			if kind == "once" && strings.Contains(tt.name, "silent") {
-				continue // Nothing may be done but wait.
+				continue // the relay can only wait
 			}
 			t.Run(tt.name+"/"+kind, func(t *testing.T) {
 				first, second := newUpstream(t, tt.first), newUpstream(t, rest)
@@ -371,10 +371,10 @@
 					return
 				}
 				if got.Complete && got.Status == 200 {
-					t.Errorf("a broken stream looks whole: %+v", got)
+					t.Errorf("a broken stream appears complete: %+v", got)
 				}
 				if n := len(first.received()) + len(second.received()); n != 1 {
-					t.Errorf("a stream that may not be continued arrived %d times", n)
+					t.Errorf("a stream that must not be continued arrived %d times", n)
 				}
 			})
 		}
@@ -390,11 +390,11 @@
 		t.Errorf("reply (-want +got):\n%s", diff)
 	}
 	if got := u.received()[0].Event; got != "2" {
-		t.Errorf("the upstream was asked to go on after %q", got)
+		t.Errorf("the upstream was asked to continue after event %q", got)
 	}
 }
 
-// When the caller leaves, the upstream's connection ends.
+// When the caller disconnects, the connection to the upstream is closed.
 func TestCallerDisconnects(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/stream/x"} {
 		t.Run(path, func(t *testing.T) {
@@ -458,26 +458,26 @@
 		return n
 	}
 	if got := useAll(); got != 17 {
-		t.Errorf("%d repeats without requests, want 17: 0.85 of the allowance", got)
+		t.Errorf("%d retries without requests, want 17: 0.85 of the allowance", got)
 	}
 	for range 100 {
 		budget.CountRequest("s")
 	}
 	if got := useAll(); got != 17 {
-		t.Errorf("%d repeats for 100 requests, want 17: 0.85 of a fifth", got)
+		t.Errorf("%d retries for 100 requests, want 17: 0.85 of a fifth", got)
 	}
 	now = now.Add(5 * time.Second)
 	if got := useAll(); got != 0 {
-		t.Errorf("%d repeats within the same window", got)
+		t.Errorf("%d retries within the same window", got)
 	}
 	now = now.Add(6 * time.Second)
 	if got := useAll(); got != 17 {
-		t.Errorf("%d repeats in the next window, want 17", got)
+		t.Errorf("%d retries in the next window, want 17", got)
 	}
 	budget.SetEntries(4)
 	now = now.Add(20 * time.Second)
 	if got := useAll(); got != 4 {
-		t.Errorf("%d repeats with four entries, want 4", got)
+		t.Errorf("%d retries with four entries, want 4", got)
 	}
 	if !budget.AllowRetry("other") {
 		t.Error("services share a budget")
@@ -494,7 +494,7 @@
 		s.do(s.request("GET", "/safe/x", fmt.Sprint(i), ""))
 	}
 	if got := len(first.received()) + len(second.received()); got != requests+8 {
-		t.Errorf("%d arrivals for %d requests, want 8 repeats", got, requests)
+		t.Errorf("%d arrivals for %d requests, want 8 retries", got, requests)
 	}
 }
 
@@ -514,6 +514,6 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("status %d, close %v: requests are served, their connections end", resp.StatusCode, resp.Close)
+		t.Errorf("status %d, close %v; want the request served and its connection closed", resp.StatusCode, resp.Close)
 	}
 }
--- a/relay/request_fuzz_test.go
+++ b/relay/request_fuzz_test.go
@@ -18,7 +18,7 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// FuzzRequests sends requests with any headers to a whole entry: none ends it, and the next one is served.
+// FuzzRequests sends requests with arbitrary headers to an entry: none makes it panic, and the next request is served.
 func FuzzRequests(f *testing.F) {
 	for _, seed := range [][]string{
 		{"POST", "/stream/x", "800,40", "40", "6000", "3", "m", "body"},
@@ -55,12 +55,12 @@
 			t.Errorf("the next request got status %d", got)
 		}
 		if _, demand := s.CollectObservations(); demand["m"].Prompt < 0 || demand["m"].Answer < 0 {
-			t.Errorf("demand below zero: %+v", demand["m"])
+			t.Errorf("negative demand: %+v", demand["m"])
 		}
 	})
 }
 
-// serveWithoutPanic serves one request, which may end in no other panic than an answer that is cut off, and returns its status.
+// serveWithoutPanic serves one request and returns its status; the only panic allowed is the one that aborts an answer.
 func serveWithoutPanic(t *testing.T, s *relay.Relay, r *http.Request) int {
 	w := httptest.NewRecorder()
 	func() {
@@ -76,7 +76,7 @@
 	return w.Code
 }
 
-// newFuzzEntry returns an entry before two engines that answer at once.
+// newFuzzEntry returns an entry with two engines that answer at once.
 func newFuzzEntry() (s *relay.Relay, closeAll func()) {
 	var conns []net.Conn
 	var mu sync.Mutex
@@ -110,7 +110,7 @@
 	}
 }
 
-// FuzzEntryUpdates lets an entry hear anything of another one: it goes on, and the next request is served.
+// FuzzEntryUpdates sends arbitrary updates of other entries to an entry: none makes it panic, and the next request is served.
 func FuzzEntryUpdates(f *testing.F) {
 	f.Add("h0", int64(700), int64(0), int64(0), uint32(0), int64(0), 0)
 	f.Add("h0", int64(0), int64(1<<62), int64(0), uint32(0), int64(0), 0)
--- a/relay/timeout_test.go
+++ b/relay/timeout_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// A caller that stops in the middle of its body gets its answer by the route's time-out, and the request does not run.
+// A caller that stops in the middle of its body is answered at the route's timeout, and the request does not run.
 func TestTimeoutOfRequestWithStalledBody(t *testing.T) {
 	u := newUpstream(t, always(respondComplete))
 	s := newTestEntry(t, []*upstream{u}, nil)
@@ -35,13 +35,13 @@
 		}
 		resp.Body.Close()
 		if took := time.Since(startedAt); took < 200*time.Millisecond || took > 700*time.Millisecond {
-			t.Errorf("answered after %v by a time-out of 200 ms", took)
+			t.Errorf("answered after %v with a timeout of 200 ms", took)
 		}
 		if resp.StatusCode != http.StatusServiceUnavailable || len(u.received()) != 0 {
 			t.Errorf("status %d, %d requests at the upstream", resp.StatusCode, len(u.received()))
 		}
 	}
-	// A whole body takes nothing of this to the next request of its connection.
+	// The read deadline of one request does not affect later requests.
 	for i := range 3 {
 		if got := s.do(s.request("POST", "/safe/x", fmt.Sprint("w", i), "body")); got.Status != http.StatusOK {
 			t.Errorf("status %d", got.Status)
@@ -49,14 +49,14 @@
 	}
 }
 
-// A request ends by its route's time-out, whatever its upstreams leave out and whether or not its caller says how long it waits.
+// A request ends at its route's timeout, whatever its upstreams omit and whether or not its caller sends a deadline.
 func TestRouteTimeoutIsKept(t *testing.T) {
 	const timeout, slack = 300 * time.Millisecond, 500 * time.Millisecond
 	for _, tt := range []struct {
 		name string
 		play func(tt net.Conn, r *http.Request) bool
 	}{
-		{"all of it", func(net.Conn, *http.Request) bool { return true }},
+		{"everything", func(net.Conn, *http.Request) bool { return true }},
 		{"the body", func(tt net.Conn, r *http.Request) bool {
 			_, err := io.WriteString(tt, answerHead(r, 200, signature, "Content-Length: 50"))
 			return err == nil
@@ -95,7 +95,7 @@
 						t.Errorf("ended after %v with %+v", took, got)
 					}
 					if got.Status == http.StatusOK && got.Complete {
-						t.Errorf("a whole answer: %+v", got)
+						t.Errorf("a complete answer: %+v", got)
 					}
 				})
 			}
--- a/relay/upstream_test.go
+++ b/relay/upstream_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// upstream is a worker that answers over raw connections, so that every fault of a connection can be played.
+// upstream is a worker that answers over raw connections, so that tests can produce every fault of a connection.
 type upstream struct {
 	t  testing.TB
 	ln net.Listener
@@ -24,7 +24,7 @@
 	wg      sync.WaitGroup
 }
 
-// receivedRequest is what arrived of one request.
+// receivedRequest has the parts of a received request that tests check.
 type receivedRequest struct {
 	ID, Method, Path, Body, Customer, Key, Event, Incarnation string
 }
@@ -91,7 +91,7 @@
 
 const signature = "Signature: s"
 
-// respondComplete answers r with a body that is derived from its id.
+// respondComplete answers r with a body derived from its id.
 func respondComplete(c net.Conn, r *http.Request) bool {
 	body := "answer to " + r.Header.Get("Request")
 	_, err := io.WriteString(c, answerHead(r, 200, signature, fmt.Sprintf("Content-Length: %d", len(body)))+body)
@@ -111,7 +111,7 @@
 	return b.String()
 }
 
-// respondStream answers with the events from one to another; ended tells whether the stream ends properly.
+// respondStream answers with the events from..to; ended says whether the stream ends properly.
 func respondStream(c net.Conn, r *http.Request, from, to int, ended bool) bool {
 	text := eventText(from, to)
 	out := answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked") +
@@ -123,7 +123,7 @@
 	return err == nil && ended
 }
 
-// resetConn breaks a connection so that the other side sees an error and not an end.
+// resetConn makes the connection end with a reset.
 func resetConn(c net.Conn) bool {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -131,7 +131,7 @@
 	return false
 }
 
-// stayOpenSilent waits until the other side gives up.
+// stayOpenSilent sends nothing until the other side closes the connection.
 func stayOpenSilent(c net.Conn) bool {
 	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	_, _ = c.Read(make([]byte, 1))
