--- a/relay/bench_test.go
+++ b/relay/bench_test.go
@@ -111,9 +111,9 @@
 
 // BenchmarkChoose is one choice of a group among many, also while one of them has requested a backoff.
 func BenchmarkChoose(b *testing.B) {
-	for _, tt := range []struct{ groups, asked int }{{16, 0}, {200, 0}, {200, 1}} {
+	for _, tt := range []struct{ groups, backedOff int }{{16, 0}, {200, 0}, {200, 1}} {
 		groups := tt.groups
-		b.Run(fmt.Sprintf("%d-groups-%d-asked", groups, tt.asked), func(b *testing.B) {
+		b.Run(fmt.Sprintf("%d-groups-%d-backed-off", groups, tt.backedOff), func(b *testing.B) {
 			s := relay.New(headerNames(), transport.TCP())
 			cfg := timedConfig()
 			s.SetConfig(cfg)
@@ -126,7 +126,7 @@
 				})
 			}
 			s.ApplyRoster(&d)
-			for i := range tt.asked {
+			for i := range tt.backedOff {
 				s.Backoff.NoteRefusal(s.Now(), ident.Incarnation(fmt.Sprintf("i-%08x", i)), time.Minute)
 			}
 			choose := relay.GroupChooser(s, &cfg.Routes[2], "m", 1000)
--- a/relay/conn_failure_test.go
+++ b/relay/conn_failure_test.go
@@ -14,22 +14,22 @@
 
 // The record of a request has, for each connection without a complete answer, how it failed and how many events had arrived.
 func TestRecordNamesConnectionFailure(t *testing.T) {
-	respondPart := func(tt net.Conn, r *http.Request) bool { return respondStream(tt, r, 1, 2, false) }
+	respondPart := func(c net.Conn, r *http.Request) bool { return respondStream(c, r, 1, 2, false) }
 	for _, tt := range []struct {
-		name string
-		play responder
-		want relay.Attempt
+		name    string
+		respond responder
+		want    relay.Attempt
 	}{
 		{"closed", always(func(net.Conn, *http.Request) bool { return false }), relay.Attempt{ConnFailure: relay.ConnClosed}},
-		{"reset", always(func(tt net.Conn, _ *http.Request) bool { return resetConn(tt) }), relay.Attempt{ConnFailure: relay.ConnReset}},
+		{"reset", always(func(c net.Conn, _ *http.Request) bool { return resetConn(c) }), relay.Attempt{ConnFailure: relay.ConnReset}},
 		{"closed within a stream", always(respondPart), relay.Attempt{ConnFailure: relay.ConnClosed, Events: 2}},
-		{"no answer", always(func(tt net.Conn, _ *http.Request) bool {
-			_, _ = io.WriteString(tt, "nothing like an answer\r\n\r\n")
+		{"no answer", always(func(c net.Conn, _ *http.Request) bool {
+			_, _ = io.WriteString(c, "nothing like an answer\r\n\r\n")
 			return false
 		}), relay.Attempt{ConnFailure: relay.ConnUnusable}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := newTestEntry(t, nil, []*upstream{newUpstream(t, tt.play)})
+			s := newTestEntry(t, nil, []*upstream{newUpstream(t, tt.respond)})
 			s.do(s.request("POST", "/stream/x", "id", "body"))
 			s.relay.Wait()
 			got := s.records[0].Attempts[0]
--- a/relay/drain_test.go
+++ b/relay/drain_test.go
@@ -16,7 +16,7 @@
 func (s *signalEntry) placeUpstreams(cold ...int) {
 	s.mu.Lock()
 	s.revision++
-	d := roster.Delta{Full: true, Revision: s.revision}
+	delta := roster.Delta{Full: true, Revision: s.revision}
 	s.mu.Unlock()
 	for i := range s.upstreams {
 		hall := ident.Hall("b")
@@ -28,17 +28,18 @@
 		for _, c := range cold {
 			u.Cold = u.Cold || c == i
 		}
-		d.Upstreams = append(d.Upstreams, u)
+		delta.Upstreams = append(delta.Upstreams, u)
 		u.ID, u.Service = plain, "plain"
-		d.Upstreams = append(d.Upstreams, u)
-		d.Groups = append(d.Groups, roster.Group{
+		delta.Upstreams = append(delta.Upstreams, u)
+		delta.Groups = append(delta.Groups, roster.Group{
 			Name: ident.Group("g" + string(head)), Service: "model", Model: "m", Phase: roster.PhaseOpen, Members: []ident.Incarnation{head},
 		})
 	}
-	s.relay.ApplyRoster(&d)
+	s.relay.ApplyRoster(&delta)
 }
 
-// The upstreams of a drained hall get no new request of any kind until the drain ends.
+// The upstreams of a drained hall get no new request of any kind until the drain ends. Entries that start are not tested: they receive the
+// drained halls together with the roster, before their first request.
 func TestDrainedHallGetsNoRequests(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/stream/x"} {
 		t.Run(path[1:len(path)-2], func(t *testing.T) {
@@ -72,7 +73,7 @@
 	}
 }
 
-// A request whose connection is being opened when the hall is drained is not sent there.
+// A request whose connection is still being opened when the hall is drained is not sent there.
 func TestHallDrainedWhileRequestIsBeingSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSignalEntry(1)
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -139,9 +139,9 @@
 // The first upstream has a fault, the second is healthy. A request that must not be repeated runs at most once, and a request reported
 // as not run did not run.
 func TestUpstreamFaults(t *testing.T) {
-	write := func(text func(r *http.Request) string, keep bool) responder {
-		return func(tt net.Conn, r *http.Request, _ int) bool {
-			_, err := io.WriteString(tt, text(r))
+	respondWith := func(text func(r *http.Request) string, keep bool) responder {
+		return func(c net.Conn, r *http.Request, _ int) bool {
+			_, err := io.WriteString(c, text(r))
 			return keep && err == nil
 		}
 	}
@@ -153,31 +153,31 @@
 	}{
 		{"healthy", always(respondComplete), 200, 200, true},
 		{"refuses", always(respondNotRun), 200, 200, false},
-		{"is another incarnation", func(tt net.Conn, _ *http.Request, _ int) bool {
-			_, err := io.WriteString(tt, "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n")
+		{"is another incarnation", func(c net.Conn, _ *http.Request, _ int) bool {
+			_, err := io.WriteString(c, "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n")
 			return err == nil
 		}, 200, 200, false},
 		{"closes without an answer", func(net.Conn, *http.Request, int) bool { return false }, 200, 502, true},
-		{"resets the connection", func(tt net.Conn, _ *http.Request, _ int) bool { return resetConn(tt) }, 200, 502, true},
-		{"closes within the answer", write(func(r *http.Request) string { return answerHead(r, 200, signature, "Content-Length: 50") + "part" }, false), 200, 502, true},
-		{"answers another request only", write(func(*http.Request) string {
+		{"resets the connection", func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) }, 200, 502, true},
+		{"closes within the answer", respondWith(func(r *http.Request) string { return answerHead(r, 200, signature, "Content-Length: 50") + "part" }, false), 200, 502, true},
+		{"answers another request only", respondWith(func(*http.Request) string {
 			return "HTTP/1.1 200 X\r\nRequest: other\r\n" + signature + "\r\nContent-Length: 5\r\n\r\nother"
 		}, false), 200, 502, true},
-		{"answers another request first", write(func(r *http.Request) string {
+		{"answers another request first", respondWith(func(r *http.Request) string {
 			body := "answer to " + r.Header.Get("Request")
 			return "HTTP/1.1 200 X\r\nRequest: other\r\n" + signature + "\r\nContent-Length: 5\r\n\r\nother" +
 				answerHead(r, 200, signature, fmt.Sprintf("Content-Length: %d", len(body))) + body
 		}, true), 200, 200, true},
-		{"succeeds without a signature", write(func(r *http.Request) string { return answerHead(r, 200, "Content-Length: 2") + "ok" }, true), 200, 502, true},
-		{"sends an encoded body", write(func(r *http.Request) string {
+		{"succeeds without a signature", respondWith(func(r *http.Request) string { return answerHead(r, 200, "Content-Length: 2") + "ok" }, true), 200, 502, true},
+		{"sends an encoded body", respondWith(func(r *http.Request) string {
 			return answerHead(r, 200, signature, "Content-Encoding: gzip", "Content-Length: 2") + "ok"
 		}, true), 200, 502, true},
-		{"sends bytes that are no answer", write(func(*http.Request) string { return "\x00\x01 nothing like an answer\r\n\r\n" }, false), 200, 502, true},
-		{"fails", write(func(r *http.Request) string { return answerHead(r, 500, signature, "Content-Length: 4") + "fail" }, true), 200, 500, true},
-		{"ends its answer with the connection", write(func(r *http.Request) string {
+		{"sends bytes that are no answer", respondWith(func(*http.Request) string { return "\x00\x01 nothing like an answer\r\n\r\n" }, false), 200, 502, true},
+		{"fails", respondWith(func(r *http.Request) string { return answerHead(r, 500, signature, "Content-Length: 4") + "fail" }, true), 200, 500, true},
+		{"ends its answer with the connection", respondWith(func(r *http.Request) string {
 			return answerHead(r, 200, signature) + "answer to " + r.Header.Get("Request")
 		}, false), 200, 200, true},
-		{"sends a second answer", write(func(r *http.Request) string {
+		{"sends a second answer", respondWith(func(r *http.Request) string {
 			body := "answer to " + r.Header.Get("Request")
 			one := answerHead(r, 200, signature, fmt.Sprintf("Content-Length: %d", len(body))) + body
 			return one + one
@@ -307,27 +307,27 @@
 // The first upstream breaks a stream in different ways; the caller receives every event once, in order, and an end of the stream only if
 // the stream ended.
 func TestStreams(t *testing.T) {
-	rest := func(tt net.Conn, r *http.Request, _ int) bool {
+	resumeStream := func(c net.Conn, r *http.Request, _ int) bool {
 		from := 1
 		_, _ = fmt.Sscan(r.Header.Get("Event"), &from)
 		if r.Header.Get("Event") != "" {
 			from++
 		}
-		return respondStream(tt, r, from, 5, true)
+		return respondStream(c, r, from, 5, true)
 	}
-	part := func(text string) responder {
-		return func(tt net.Conn, r *http.Request, _ int) bool {
+	breakAfter := func(text string) responder {
+		return func(c net.Conn, r *http.Request, _ int) bool {
 			out := answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
 			if text != "" {
 				out += fmt.Sprintf("%x\r\n%s\r\n", len(text), text)
 			}
-			_, _ = io.WriteString(tt, out)
-			return resetConn(tt)
+			_, _ = io.WriteString(c, out)
+			return resetConn(c)
 		}
 	}
-	ended := func(text string) responder {
-		return func(tt net.Conn, r *http.Request, _ int) bool {
-			_, err := io.WriteString(tt, answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+
+	endAfter := func(text string) responder {
+		return func(c net.Conn, r *http.Request, _ int) bool {
+			_, err := io.WriteString(c, answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+
 				fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(text), text))
 			return err == nil
 		}
@@ -338,29 +338,29 @@
 		// once is set when the caller gets a complete stream even where it must not be continued.
 		once bool
 	}{
-		{"healthy", rest, true},
-		{"breaks after three events", part(eventText(1, 3)), false},
-		{"breaks within an event", part(eventText(1, 3) + "id: 4\ndata: pie"), false},
-		{"ends within an event", ended(eventText(1, 3) + "id: 4\ndata: pie"), false},
-		{"skips an event", ended(eventText(1, 2) + eventText(4, 5)), false},
-		{"sends an event twice", ended(eventText(1, 3) + eventText(3, 5)), true},
-		{"breaks before the first event", part(""), false},
-		{"ends without any event", func(tt net.Conn, r *http.Request, _ int) bool {
-			_, err := io.WriteString(tt, answerHead(r, 200, signature, "Transfer-Encoding: chunked")+"0\r\n\r\n")
+		{"healthy", resumeStream, true},
+		{"breaks after three events", breakAfter(eventText(1, 3)), false},
+		{"breaks within an event", breakAfter(eventText(1, 3) + "id: 4\ndata: pie"), false},
+		{"ends within an event", endAfter(eventText(1, 3) + "id: 4\ndata: pie"), false},
+		{"skips an event", endAfter(eventText(1, 2) + eventText(4, 5)), false},
+		{"sends an event twice", endAfter(eventText(1, 3) + eventText(3, 5)), true},
+		{"breaks before the first event", breakAfter(""), false},
+		{"ends without any event", func(c net.Conn, r *http.Request, _ int) bool {
+			_, err := io.WriteString(c, answerHead(r, 200, signature, "Transfer-Encoding: chunked")+"0\r\n\r\n")
 			return err == nil
 		}, false},
-		{"goes silent after three events", func(tt net.Conn, r *http.Request, _ int) bool {
-			respondStream(tt, r, 1, 3, false)
-			return stayOpenSilent(tt)
+		{"goes silent after three events", func(c net.Conn, r *http.Request, _ int) bool {
+			respondStream(c, r, 1, 3, false)
+			return stayOpenSilent(c)
 		}, false},
-		{"goes silent before the head", func(tt net.Conn, _ *http.Request, _ int) bool { return stayOpenSilent(tt) }, false},
+		{"goes silent before the head", func(c net.Conn, _ *http.Request, _ int) bool { return stayOpenSilent(c) }, false},
 	} {
 		for _, kind := range []string{"stream", "once"} {
 			if kind == "once" && strings.Contains(tt.name, "silent") {
 				continue // the relay can only wait
 			}
 			t.Run(tt.name+"/"+kind, func(t *testing.T) {
-				first, second := newUpstream(t, tt.first), newUpstream(t, rest)
+				first, second := newUpstream(t, tt.first), newUpstream(t, resumeStream)
 				s := newTestEntry(t, nil, []*upstream{first, second})
 				s.relay.SetPeerCounts(map[ident.Incarnation]int{"h1": 3})
 				got := s.do(s.request("POST", "/"+kind+"/x", "id", "prompt"))
@@ -435,7 +435,7 @@
 		status int
 	}{{"/safe/x", 504}, {"/unsafe/x", 504}, {"/stream/x", 504}} {
 		t.Run(tt.path, func(t *testing.T) {
-			u := newUpstream(t, func(tt net.Conn, _ *http.Request, _ int) bool { return stayOpenSilent(tt) })
+			u := newUpstream(t, func(c net.Conn, _ *http.Request, _ int) bool { return stayOpenSilent(c) })
 			s := newTestEntry(t, []*upstream{u}, []*upstream{u})
 			r := s.request("POST", tt.path, "id", "x")
 			r.Header.Set("Deadline", "150")
--- a/relay/request_fuzz_test.go
+++ b/relay/request_fuzz_test.go
@@ -82,12 +82,12 @@
 	var mu sync.Mutex
 	engine := &upstream{respond: always(func(c net.Conn, r *http.Request) bool { return respondStream(c, r, 1, 2, true) })}
 	s = relay.New(headerNames(), func(context.Context, string) (net.Conn, error) {
-		near, far := net.Pipe()
+		clientConn, serverConn := net.Pipe()
 		mu.Lock()
 		defer mu.Unlock()
-		conns = append(conns, near, far)
-		go engine.serve(far)
-		return near, nil
+		conns = append(conns, clientConn, serverConn)
+		go engine.serve(serverConn)
+		return clientConn, nil
 	})
 	s.KeyValidity = time.Hour
 	s.Budget = relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 100})
@@ -116,13 +116,13 @@
 	f.Add("h0", int64(0), int64(1<<62), int64(0), uint32(0), int64(0), 0)
 	f.Add("h1", int64(0), int64(0), int64(-1<<62), uint32(0), int64(0), 0)
 	f.Add("", int64(1<<62), int64(-5), int64(-5), uint32(1<<31), int64(-1<<62), 40)
-	f.Fuzz(func(t *testing.T, head string, prompt, silent, worked int64, cleared uint32, age int64, ends int) {
+	f.Fuzz(func(t *testing.T, head string, prompt, silentMS, progressAgeMS int64, cleared uint32, ageMS int64, crashes int) {
 		s, closeAll := newFuzzEntry()
 		defer closeAll()
-		update := relay.EntryUpdate{Head: ident.Incarnation(head), PromptTokens: ident.Tokens(prompt), SilentMS: silent, ProgressAgeMS: worked}
-		if ends > 0 {
-			update.QuarantineReport = &quarantine.Report{Customer: "office", Content: quarantine.ContentOf("/stream/x", []byte("other")), Cleared: cleared, AgeMS: age}
-			for i := range min(ends, 100) {
+		update := relay.EntryUpdate{Head: ident.Incarnation(head), PromptTokens: ident.Tokens(prompt), SilentMS: silentMS, ProgressAgeMS: progressAgeMS}
+		if crashes > 0 {
+			update.QuarantineReport = &quarantine.Report{Customer: "office", Content: quarantine.ContentOf("/stream/x", []byte("other")), Cleared: cleared, AgeMS: ageMS}
+			for i := range min(crashes, 100) {
 				update.QuarantineReport.Ends = append(update.QuarantineReport.Ends, quarantine.CrashID(i*i))
 			}
 		}
--- a/relay/timeout_test.go
+++ b/relay/timeout_test.go
@@ -18,14 +18,14 @@
 	cfg := config()
 	cfg.Routes[0].Timeout = 200 * time.Millisecond
 	s.relay.SetConfig(cfg)
-	for _, kind := range []string{"Content-Length: 10\r\n\r\nhalf", "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"} {
+	for _, bodyStart := range []string{"Content-Length: 10\r\n\r\nhalf", "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"} {
 		conn, err := net.Dial("tcp", s.server.Listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
 		startedAt := time.Now()
-		fmt.Fprint(conn, "POST /safe/x HTTP/1.1\r\nHost: h\r\nRequest: r1\r\nKey: secret\r\n"+kind)
+		fmt.Fprint(conn, "POST /safe/x HTTP/1.1\r\nHost: h\r\nRequest: r1\r\nKey: secret\r\n"+bodyStart)
 		if err := conn.SetReadDeadline(startedAt.Add(5 * time.Second)); err != nil {
 			t.Fatal(err)
 		}
@@ -53,21 +53,21 @@
 func TestRouteTimeoutIsKept(t *testing.T) {
 	const timeout, slack = 300 * time.Millisecond, 500 * time.Millisecond
 	for _, tt := range []struct {
-		name string
-		play func(tt net.Conn, r *http.Request) bool
+		name    string
+		respond func(c net.Conn, r *http.Request) bool
 	}{
 		{"everything", func(net.Conn, *http.Request) bool { return true }},
-		{"the body", func(tt net.Conn, r *http.Request) bool {
-			_, err := io.WriteString(tt, answerHead(r, 200, signature, "Content-Length: 50"))
+		{"the body", func(c net.Conn, r *http.Request) bool {
+			_, err := io.WriteString(c, answerHead(r, 200, signature, "Content-Length: 50"))
 			return err == nil
 		}},
-		{"the end", func(tt net.Conn, r *http.Request) bool {
-			_, err := io.WriteString(tt, answerHead(r, 200, signature, "Content-Length: 50")+"part")
+		{"the end", func(c net.Conn, r *http.Request) bool {
+			_, err := io.WriteString(c, answerHead(r, 200, signature, "Content-Length: 50")+"part")
 			return err == nil
 		}},
-		{"later events", func(tt net.Conn, r *http.Request) bool {
+		{"later events", func(c net.Conn, r *http.Request) bool {
 			text := eventText(1, 2)
-			_, err := io.WriteString(tt, answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+
+			_, err := io.WriteString(c, answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+
 				fmt.Sprintf("%x\r\n%s\r\n", len(text), text))
 			return err == nil
 		}},
@@ -76,7 +76,7 @@
 			for _, callerDeadline := range []string{"", "60000"} {
 				t.Run(tt.name+"/"+route+"/"+callerDeadline, func(t *testing.T) {
 					t.Parallel()
-					plain, heads := newUpstream(t, always(tt.play)), newUpstream(t, always(tt.play))
+					plain, heads := newUpstream(t, always(tt.respond)), newUpstream(t, always(tt.respond))
 					s := newTestEntry(t, []*upstream{plain}, []*upstream{heads})
 					cfg := config()
 					for i := range cfg.Routes {
--- a/relay/upstream_test.go
+++ b/relay/upstream_test.go
@@ -29,13 +29,13 @@
 	ID, Method, Path, Body, Customer, Key, Event, Incarnation string
 }
 
-func newUpstream(t testing.TB, play func(c net.Conn, r *http.Request, n int) bool) *upstream {
+func newUpstream(t testing.TB, respond func(c net.Conn, r *http.Request, n int) bool) *upstream {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &upstream{t: t, ln: ln, respond: play}
+	u := &upstream{t: t, ln: ln, respond: respond}
 	u.wg.Go(u.accept)
 	t.Cleanup(func() { ln.Close() })
 	return u
