--- a/backoff/export_test.go
+++ b/backoff/export_test.go
@@ -1,8 +1,8 @@
 package backoff
 
-// Len returns how many words are kept.
+// Len returns the number of records.
 func Len[K comparable](l *List[K]) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.words)
+	return len(l.records)
 }
--- a/backoff/header.go
+++ b/backoff/header.go
@@ -11,95 +11,97 @@
 )
 
 const (
-	// textMost bounds the text that is read; the longest date of HTTP has 33 bytes.
-	textMost = 40
-	// secondsMost bounds what is read as a number: more does not fit into a duration.
-	secondsMost = 1e9
+	// maxTextBytes bounds a Retry-After value; the longest HTTP date has 33 bytes.
+	maxTextBytes = 40
+	// maxSeconds bounds a number of seconds so that it fits into a time.Duration.
+	maxSeconds = 1e9
 )
 
-// Notice is what an upstream asks for with one answer.
+// Notice is what an upstream requests with one answer.
 type Notice struct {
-	// Backoff is the time for which it wants nothing, 0 when it names none; Text is what it said, as it came but for its length.
+	// Backoff is the time for which it requests not to be sent anything, 0 when it names none; RetryAfterText is the header as received,
+	// cut to maxTextBytes.
 	Backoff        time.Duration
 	RetryAfterText string
-	// Leaving is set when it says that it leaves.
+	// Leaving is set when it announces that it is leaving.
 	Leaving bool
-	// BackoffErr tells that what it asks for can't be read.
+	// BackoffErr is set when the requested backoff can't be parsed.
 	BackoffErr error
-	// Limit is the rate that it takes from all together, when Limited is set; LimitErr tells that what it names can't be read.
+	// Limit is the rate that it accepts from all senders together, if Limited is set; LimitErr is set when its limit can't be parsed.
 	Limit    ratelimit.Rate
 	Limited  bool
 	LimitErr error
-	// Header is the head of the answer, nil where it is not known who answered.
+	// Header is the header of the answer, nil when it is not known which upstream answered.
 	Header http.Header
 }
 
-// HeaderNames are the names of the headers in which upstreams ask for what HTTP has no word for.
+// HeaderNames are the names of the non-standard headers with which upstreams make requests to their senders.
 type HeaderNames struct {
-	// Leaving stands in the answers of one that leaves, Limit names the requests a second that it takes from all together.
+	// Leaving marks the answers of an upstream that is leaving, Limit has the requests per second that it accepts from all senders together.
 	Leaving string
 	Limit   string
 }
 
-// ParseNotice reads what an answer asks for. Who answered a misdirected request is not known, so that such an answer asks for nothing.
-func ParseNotice(resp *http.Response, words HeaderNames, now time.Time) Notice {
+// ParseNotice parses what an answer requests. The notice of a misdirected request (status 421) is empty, since it is not known which
+// upstream answered.
+func ParseNotice(resp *http.Response, names HeaderNames, now time.Time) Notice {
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		return Notice{}
 	}
 	text := resp.Header.Get("Retry-After")
-	w := Notice{RetryAfterText: text[:min(textMost, len(text))], Leaving: resp.Header.Get(words.Leaving) != "", Header: resp.Header}
-	w.Limit, w.Limited, w.LimitErr = ratelimit.ParseHeader(resp.Header, words.Limit)
+	notice := Notice{RetryAfterText: text[:min(maxTextBytes, len(text))], Leaving: resp.Header.Get(names.Leaving) != "", Header: resp.Header}
+	notice.Limit, notice.Limited, notice.LimitErr = ratelimit.ParseHeader(resp.Header, names.Limit)
 	if IsRefusal(resp.StatusCode) {
-		w.Backoff, w.BackoffErr = ParseRetryAfter(resp.Header, now)
+		notice.Backoff, notice.BackoffErr = ParseRetryAfter(resp.Header, now)
 	}
-	return w
+	return notice
 }
 
-// IsRefusal reports whether a status says that there is no room: only such answers ask for time.
+// IsRefusal reports whether a status means that the upstream is at capacity; only such answers request a backoff.
 func IsRefusal(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// ParseRetryAfter returns the time that an answer asks for with Retry-After (RFC 9110, section 10.2.3), 0 when it asks for none. Seconds may have
-// a fraction. A date is held against the answer's own Date, so that no time of day but the upstream's counts, or against now.
-func ParseRetryAfter(h http.Header, now time.Time) (time.Duration, error) {
+// ParseRetryAfter returns the backoff of an answer's Retry-After headers (RFC 9110, section 10.2.3), 0 without any. Seconds can have a
+// fraction. A date is compared with the answer's own Date, so that differing clocks do not matter, or with now if there is none.
+func ParseRetryAfter(header http.Header, now time.Time) (time.Duration, error) {
 	var longest time.Duration
-	for _, text := range h["Retry-After"] {
-		one, err := readOne(strings.TrimSpace(text), h.Get("Date"), now)
+	for _, text := range header["Retry-After"] {
+		duration, err := parseOne(strings.TrimSpace(text), header.Get("Date"), now)
 		if err != nil {
 			return 0, err
 		}
-		longest = max(longest, one)
+		longest = max(longest, duration)
 	}
 	return longest, nil
 }
 
-func readOne(text, date string, now time.Time) (time.Duration, error) {
-	if len(text) > textMost {
-		return 0, result.New(result.BackoffUnreadable, "%d bytes are too long for a time", len(text))
+func parseOne(text, date string, now time.Time) (time.Duration, error) {
+	if len(text) > maxTextBytes {
+		return 0, result.New(result.BackoffUnreadable, "Retry-After has %d bytes, more than a time needs", len(text))
 	}
 	if strings.Trim(text, "0123456789.") == "" {
-		return seconds(text)
+		return parseSeconds(text)
 	}
 	until, err := http.ParseTime(text)
 	if err != nil {
-		return 0, unreadable(text)
+		return 0, unreadableError(text)
 	}
-	if said, err := http.ParseTime(date); err == nil {
-		now = said
+	if serverNow, err := http.ParseTime(date); err == nil {
+		now = serverNow
 	}
 	return max(0, until.Sub(now)), nil
 }
 
-// seconds reads digits with at most one point among them.
-func seconds(text string) (time.Duration, error) {
+// parseSeconds parses digits with at most one decimal point.
+func parseSeconds(text string) (time.Duration, error) {
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		return 0, unreadable(text)
+		return 0, unreadableError(text)
 	}
-	return time.Duration(min(n, secondsMost) * float64(time.Second)), nil
+	return time.Duration(min(n, maxSeconds) * float64(time.Second)), nil
 }
 
-func unreadable(text string) error {
-	return result.New(result.BackoffUnreadable, "%q is neither a number of seconds nor a date", text)
+func unreadableError(text string) error {
+	return result.New(result.BackoffUnreadable, "Retry-After %q is neither a number of seconds nor a date", text)
 }
--- a/quarantine/list_test.go
+++ b/quarantine/list_test.go
@@ -15,7 +15,7 @@
 	"github.com/dunlinquay/dunlinquay/quarantine"
 )
 
-// TestMain fixes the seed of property tests unless one is given.
+// TestMain fixes the seed of the property tests unless a seed is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
@@ -24,164 +24,164 @@
 	os.Exit(m.Run())
 }
 
-var start = time.Unix(1_000_000, 0)
+var startTime = time.Unix(1_000_000, 0)
 
 func newList() *quarantine.List {
 	return &quarantine.List{Rule: quarantine.DefaultRule()}
 }
 
-var work = quarantine.Fingerprint{Customer: "office", Content: 7}
+var testFingerprint = quarantine.Fingerprint{Customer: "office", Content: 7}
 
-func endOf(n int) quarantine.CrashID {
+func crashID(n int) quarantine.CrashID {
 	return quarantine.CrashIDOf(ident.Incarnation(fmt.Sprint("life-", n)))
 }
 
-// Three upstreams in a row hold a work for a minute, each further one for twice as long, up to an hour.
-func TestHolds(t *testing.T) {
-	l := newList()
-	now := start
+// Three consecutive crashes quarantine a fingerprint for a minute; each further crash doubles that, up to an hour.
+func TestQuarantineDuration(t *testing.T) {
+	list := newList()
+	now := startTime
 	var got []time.Duration
 	for n := range 12 {
-		l.Crashed(now, work, endOf(n))
-		held := l.Remaining(now, work)
-		got = append(got, held)
-		now = now.Add(held)
+		list.Crashed(now, testFingerprint, crashID(n))
+		remaining := list.Remaining(now, testFingerprint)
+		got = append(got, remaining)
+		now = now.Add(remaining)
 	}
 	want := []time.Duration{0, 0}
 	for _, minutes := range []int{1, 2, 4, 8, 16, 32, 60, 60, 60, 60} {
 		want = append(want, time.Duration(minutes)*time.Minute)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("held (-want +got):\n%s", diff)
+		t.Errorf("quarantined (-want +got):\n%s", diff)
 	}
-	if l.Remaining(start, quarantine.Fingerprint{Customer: "other", Content: 7}) > 0 || l.Remaining(start, quarantine.Fingerprint{Customer: "office", Content: 8}) > 0 {
-		t.Error("other work is held")
+	if list.Remaining(startTime, quarantine.Fingerprint{Customer: "other", Content: 7}) > 0 || list.Remaining(startTime, quarantine.Fingerprint{Customer: "office", Content: 8}) > 0 {
+		t.Error("another fingerprint is quarantined")
 	}
 }
 
-// The same end counts once, whoever tells of it and how often.
-func TestAnEndCountsOnce(t *testing.T) {
-	l := newList()
+// A crash counts once, however often it is noted and reported.
+func TestCrashCountsOnce(t *testing.T) {
+	list := newList()
 	for range 5 {
-		tell := l.Crashed(start, work, endOf(1))
-		l.Merge(start, &tell)
+		report := list.Crashed(startTime, testFingerprint, crashID(1))
+		list.Merge(startTime, &report)
 	}
-	if got := l.Crashes(work); got != 1 {
-		t.Errorf("%d ends, want 1", got)
+	if got := list.Crashes(testFingerprint); got != 1 {
+		t.Errorf("%d crashes, want 1", got)
 	}
 }
 
-// A whole answer clears the ends before it, here and at everybody who hears of it, and late reports of them change nothing.
-func TestAnAnswerClears(t *testing.T) {
+// A complete answer clears earlier crashes, locally and at every receiver of the report; late reports of these crashes change nothing.
+func TestAnswerClearsCrashes(t *testing.T) {
 	a, b := newList(), newList()
-	var told []quarantine.Report
+	var reports []quarantine.Report
 	for n := range 3 {
-		told = append(told, a.Crashed(start, work, endOf(n)))
-		b.Merge(start, &told[n])
+		reports = append(reports, a.Crashed(startTime, testFingerprint, crashID(n)))
+		b.Merge(startTime, &reports[n])
 	}
-	if b.Remaining(start, work) == 0 {
-		t.Fatal("not held after three ends that were told")
+	if b.Remaining(startTime, testFingerprint) == 0 {
+		t.Fatal("not quarantined after three reported crashes")
 	}
-	cleared, ok := a.Answered(start, work)
+	cleared, ok := a.Answered(startTime, testFingerprint)
 	if !ok {
-		t.Fatal("nothing to tell of an answer that clears")
+		t.Fatal("no report of an answer that clears crashes")
 	}
-	b.Merge(start, &cleared)
-	for i := range told {
-		b.Merge(start, &told[i])
+	b.Merge(startTime, &cleared)
+	for i := range reports {
+		b.Merge(startTime, &reports[i])
 	}
-	if a.Remaining(start, work) > 0 || b.Remaining(start, work) > 0 || b.Crashes(work) > 0 {
-		t.Errorf("held after an answer: %v, %v, %d ends", a.Remaining(start, work), b.Remaining(start, work), b.Crashes(work))
+	if a.Remaining(startTime, testFingerprint) > 0 || b.Remaining(startTime, testFingerprint) > 0 || b.Crashes(testFingerprint) > 0 {
+		t.Errorf("quarantined after an answer: %v, %v, %d crashes", a.Remaining(startTime, testFingerprint), b.Remaining(startTime, testFingerprint), b.Crashes(testFingerprint))
 	}
-	if _, ok := a.Answered(start, work); ok {
-		t.Error("a second answer is told")
+	if _, ok := a.Answered(startTime, testFingerprint); ok {
+		t.Error("a second answer is reported")
 	}
 }
 
-// Work whose time is up is tried by one; the others wait until they hear how it went, or for a while.
-func TestHeldWorkIsTriedByOne(t *testing.T) {
+// When a quarantine has ended, one entry runs a trial; the others wait for its outcome, or for the trial timeout.
+func TestOneTrialAtATime(t *testing.T) {
 	a, b := newList(), newList()
 	for n := range 3 {
-		tell := a.Crashed(start, work, endOf(n))
-		b.Merge(start, &tell)
+		report := a.Crashed(startTime, testFingerprint, crashID(n))
+		b.Merge(startTime, &report)
 	}
-	later := start.Add(61 * time.Second)
-	if a.Remaining(later, work) > 0 || b.Remaining(later, work) > 0 {
-		t.Fatal("still held")
+	later := startTime.Add(61 * time.Second)
+	if a.Remaining(later, testFingerprint) > 0 || b.Remaining(later, testFingerprint) > 0 {
+		t.Fatal("still quarantined")
 	}
-	tell, ok := a.BeginTrial(later, work)
+	report, ok := a.BeginTrial(later, testFingerprint)
 	if !ok {
-		t.Fatal("nothing to tell of a try")
+		t.Fatal("no report of a trial")
 	}
-	b.Merge(later, &tell)
-	if a.Remaining(later, work) == 0 || b.Remaining(later, work) == 0 {
-		t.Error("a second try is let in beside the first")
+	b.Merge(later, &report)
+	if a.Remaining(later, testFingerprint) == 0 || b.Remaining(later, testFingerprint) == 0 {
+		t.Error("a second trial is admitted during the first")
 	}
-	if b.Remaining(later.Add(11*time.Second), work) > 0 {
-		t.Error("held although nothing was heard of the try for long")
+	if b.Remaining(later.Add(11*time.Second), testFingerprint) > 0 {
+		t.Error("quarantined after the trial timeout")
 	}
-	tell = a.Crashed(later, work, endOf(3))
-	b.Merge(later, &tell)
-	if got := b.Remaining(later, work); got != 2*time.Minute {
-		t.Errorf("held for %v after a fourth end, want 2m", got)
+	report = a.Crashed(later, testFingerprint, crashID(3))
+	b.Merge(later, &report)
+	if got := b.Remaining(later, testFingerprint); got != 2*time.Minute {
+		t.Errorf("quarantined for %v after a fourth crash, want 2m", got)
 	}
 }
 
-// One that hears of held work late holds it no longer than the others.
-func TestOneThatStartsLateHoldsAsLong(t *testing.T) {
+// An entry that receives a report late ends the quarantine at the same time as the others.
+func TestLateReceiverQuarantinesAsLong(t *testing.T) {
 	a, b := newList(), newList()
 	for n := range 3 {
-		a.Crashed(start, work, endOf(n))
+		a.Crashed(startTime, testFingerprint, crashID(n))
 	}
-	now := start.Add(40 * time.Second)
+	now := startTime.Add(40 * time.Second)
 	for _, r := range a.ToSend(now, 10) {
 		b.Merge(now, &r)
 	}
-	if diff := cmp.Diff(a.Remaining(now, work), b.Remaining(now, work)); diff != "" {
-		t.Errorf("held (-first +late):\n%s", diff)
+	if diff := cmp.Diff(a.Remaining(now, testFingerprint), b.Remaining(now, testFingerprint)); diff != "" {
+		t.Errorf("quarantined (-first +late):\n%s", diff)
 	}
 }
 
-// Ever new work that ends one upstream each pushes out neither what is held nor more than the bound allows.
+// Many fingerprints with one crash each neither exceed the bound nor evict a quarantined one.
 func TestMemoryIsBounded(t *testing.T) {
-	l := newList()
+	list := newList()
 	for n := range 3 {
-		l.Crashed(start, work, endOf(n))
+		list.Crashed(startTime, testFingerprint, crashID(n))
 	}
 	for n := range 50_000 {
-		l.Crashed(start.Add(time.Duration(n)*time.Millisecond), quarantine.Fingerprint{Content: ident.Content(1000 + n)}, endOf(n))
+		list.Crashed(startTime.Add(time.Duration(n)*time.Millisecond), quarantine.Fingerprint{Content: ident.Content(1000 + n)}, crashID(n))
 	}
-	if l.Len() > l.Rule.MaxRecords {
-		t.Errorf("%d records, want %d at most", l.Len(), l.Rule.MaxRecords)
+	if list.Len() > list.Rule.MaxRecords {
+		t.Errorf("%d records, want %d at most", list.Len(), list.Rule.MaxRecords)
 	}
-	if l.Remaining(start.Add(50*time.Second), work) == 0 {
-		t.Error("held work was pushed out")
+	if list.Remaining(startTime.Add(50*time.Second), testFingerprint) == 0 {
+		t.Error("the quarantined fingerprint was evicted")
 	}
-	l.ToSend(start.Add(3*time.Hour), 1)
-	if l.Len() > 0 {
-		t.Errorf("%d records after hours without news", l.Len())
+	list.ToSend(startTime.Add(3*time.Hour), 1)
+	if list.Len() > 0 {
+		t.Errorf("%d records after hours without changes", list.Len())
 	}
 }
 
-// What cannot be true in a report does no harm: ages below zero and beyond all bounds, too many ends.
-func TestStrangeReports(t *testing.T) {
+// Invalid reports do no harm: negative and huge ages, too many crashes.
+func TestInvalidReports(t *testing.T) {
 	for _, age := range []int64{-1 << 62, -1, 1 << 62} {
-		l := newList()
+		list := newList()
 		r := quarantine.Report{Content: 7, Customer: "office", AgeMS: age}
 		for n := range 1000 {
-			r.Ends = append(r.Ends, endOf(n))
+			r.Ends = append(r.Ends, crashID(n))
 		}
-		l.Merge(start, &r)
-		if got := l.Remaining(start, work); got > time.Hour {
-			t.Errorf("age %d: held for %v", age, got)
+		list.Merge(startTime, &r)
+		if got := list.Remaining(startTime, testFingerprint); got > time.Hour {
+			t.Errorf("age %d: quarantined for %v", age, got)
 		}
-		if got := l.Crashes(work); got > 9 {
-			t.Errorf("%d ends are kept", got)
+		if got := list.Crashes(testFingerprint); got > 9 {
+			t.Errorf("%d crashes are kept", got)
 		}
 	}
 }
 
-// Lists that have heard the same reports know the same, in whatever order these came and how often each.
+// Lists that have received the same reports are equal, whatever the order and repetition of the reports.
 func TestReportsCommute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var reports []quarantine.Report
@@ -189,24 +189,24 @@
 			r := quarantine.Report{Customer: "office", Content: ident.Content(rapid.IntRange(0, 1).Draw(t, "content"))}
 			r.Cleared = uint32(rapid.IntRange(0, 2).Draw(t, "cleared"))
 			for range rapid.IntRange(1, 4).Draw(t, "ends") {
-				r.Ends = append(r.Ends, endOf(rapid.IntRange(0, 20).Draw(t, "end")))
+				r.Ends = append(r.Ends, crashID(rapid.IntRange(0, 20).Draw(t, "end")))
 			}
 			slices.Sort(r.Ends)
 			reports = append(reports, r)
 		}
 		a, b := newList(), newList()
 		for i := range reports {
-			a.Merge(start, &reports[i])
+			a.Merge(startTime, &reports[i])
 		}
 		for _, i := range rapid.Permutation(indexes(len(reports))).Draw(t, "order") {
-			b.Merge(start, &reports[i])
-			b.Merge(start, &reports[rapid.IntRange(0, i).Draw(t, "again")])
+			b.Merge(startTime, &reports[i])
+			b.Merge(startTime, &reports[rapid.IntRange(0, i).Draw(t, "again")])
 		}
-		if diff := cmp.Diff(a.ToSend(start, 10), b.ToSend(start, 10)); diff != "" {
-			t.Fatalf("what is known (-one order +another):\n%s", diff)
+		if diff := cmp.Diff(a.ToSend(startTime, 10), b.ToSend(startTime, 10)); diff != "" {
+			t.Fatalf("reports (-one order +another):\n%s", diff)
 		}
-		if a.Digest(start) != b.Digest(start) {
-			t.Fatal("the same knowledge has two sums")
+		if a.Digest(startTime) != b.Digest(startTime) {
+			t.Fatal("equal lists have different digests")
 		}
 	})
 }
@@ -219,26 +219,26 @@
 	return list
 }
 
-// BenchmarkHeld is what each request pays at an entry that remembers as much as it may.
-func BenchmarkHeld(b *testing.B) {
-	l := newList()
-	for n := range l.Rule.MaxRecords {
-		l.Crashed(start, quarantine.Fingerprint{Customer: "office", Content: ident.Content(n)}, endOf(n))
+// BenchmarkRemaining is the check that each request needs, with the maximum number of records.
+func BenchmarkRemaining(b *testing.B) {
+	list := newList()
+	for n := range list.Rule.MaxRecords {
+		list.Crashed(startTime, quarantine.Fingerprint{Customer: "office", Content: ident.Content(n)}, crashID(n))
 	}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		l.Remaining(start, quarantine.Fingerprint{Customer: "office", Content: ident.Content(n % 10_000)})
+		list.Remaining(startTime, quarantine.Fingerprint{Customer: "office", Content: ident.Content(n % 10_000)})
 	}
 }
 
-// BenchmarkSum is what a change costs that has to be told, with as many records as there may be.
-func BenchmarkSum(b *testing.B) {
-	l := newList()
-	for n := range l.Rule.MaxRecords {
-		l.Crashed(start, quarantine.Fingerprint{Customer: "office", Content: ident.Content(n)}, endOf(n))
+// BenchmarkDigest is one change followed by a digest, with the maximum number of records.
+func BenchmarkDigest(b *testing.B) {
+	list := newList()
+	for n := range list.Rule.MaxRecords {
+		list.Crashed(startTime, quarantine.Fingerprint{Customer: "office", Content: ident.Content(n)}, crashID(n))
 	}
 	for n := 0; b.Loop(); n++ {
-		l.Crashed(start, work, endOf(n))
-		l.Digest(start)
+		list.Crashed(startTime, testFingerprint, crashID(n))
+		list.Digest(startTime)
 	}
 }
--- a/relay/conn.go
+++ b/relay/conn.go
@@ -1,9 +1,8 @@
 package relay
 
-// net/http's transport sends a request again by itself when a kept connection
-// breaks. That must never happen to a request that may run only once, so the
-// relay keeps its own connections and decides itself. The parser of answers is
-// net/http's.
+// net/http's Transport sends a request again on its own when a kept connection
+// breaks. That must not happen to a request that may run only once, so the relay
+// has its own connection pool; answers are parsed by net/http.
 
 import (
 	"bufio"
@@ -24,12 +23,12 @@
 const (
 	readBufferBytes  = 4 << 10
 	writeBufferBytes = 4 << 10
-	// maxIdlePerUpstream bounds the kept connections to one upstream, where it does not take fewer.
+	// maxIdlePerUpstream bounds the idle connections to one upstream, unless that accepts fewer.
 	maxIdlePerUpstream = 16
-	// defaultIdleTimeout is how long a connection is kept when the upstream does not say; idleTimeoutMargin is taken off what it says.
+	// defaultIdleTimeout is how long a connection is kept if the upstream names no time; idleTimeoutMargin is subtracted from a named one.
 	defaultIdleTimeout = 10 * time.Second
 	idleTimeoutMargin  = 700 * time.Millisecond
-	// maxIdleForOnce is how long a connection may have been idle to carry a request that can't be repeated.
+	// maxIdleForOnce is how long a connection can have been idle to be used for a request that must not be repeated.
 	maxIdleForOnce = 500 * time.Millisecond
 )
 
@@ -44,29 +43,29 @@
 	expires   time.Time
 }
 
-// alive reports whether an idle connection is open and has nothing to read; bytes that nobody asked for spoil it.
+// alive reports whether an idle connection is open and has nothing to read; it can't be reused after unsolicited bytes.
 func (c *upstreamConn) alive() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
-	sys, ok := c.Conn.(syscall.Conn)
+	syscallConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := sys.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	var peek error
-	var b [1]byte
+	var peekErr error
+	var buf [1]byte
 	err = raw.Read(func(fd uintptr) bool {
-		_, _, peek = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		_, _, peekErr = syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return true
 	})
-	return err == nil && errors.Is(peek, syscall.EAGAIN)
+	return err == nil && errors.Is(peekErr, syscall.EAGAIN)
 }
 
-// connPool keeps idle connections by address, the one used last on top.
+// connPool keeps idle connections by address, the most recently used one last.
 type connPool struct {
 	dial transport.Dial
 	now  func() time.Time
@@ -79,14 +78,14 @@
 	return &connPool{dial: dial, now: now, idle: map[string][]*upstreamConn{}}
 }
 
-// get returns a kept connection, or a new one; once is set for a request that must not meet a stale connection.
-func (p *connPool) get(ctx context.Context, address string, once bool) (*upstreamConn, error) {
+// get returns an idle connection, or a new one; unrepeatable is set for a request that must not be sent on a stale connection.
+func (p *connPool) get(ctx context.Context, address string, unrepeatable bool) (*upstreamConn, error) {
 	for {
 		c := p.pop(address)
 		if c == nil {
 			break
 		}
-		stale := once && p.now().Sub(c.idleSince) > maxIdleForOnce
+		stale := unrepeatable && p.now().Sub(c.idleSince) > maxIdleForOnce
 		if !stale && p.now().Before(c.expires) && c.alive() {
 			c.reused = true
 			return c, nil
@@ -106,17 +105,17 @@
 func (p *connPool) pop(address string) *upstreamConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[address]
-	if len(list) == 0 {
+	conns := p.idle[address]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := list[len(list)-1]
-	p.idle[address] = list[:len(list)-1]
+	c := conns[len(conns)-1]
+	p.idle[address] = conns[:len(conns)-1]
 	return c
 }
 
-// put keeps c for the next request when the answer allows it, and fewer than most are kept.
-func (p *connPool) put(c *upstreamConn, answer *http.Response, most int) {
+// put keeps c for the next request if the answer allows it and fewer than maxIdle connections are kept.
+func (p *connPool) put(c *upstreamConn, answer *http.Response, maxIdle int) {
 	if answer.Close || answer.ContentLength < 0 && len(answer.TransferEncoding) == 0 || c.br.Buffered() > 0 {
 		c.Close()
 		return
@@ -129,14 +128,14 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.address]) >= most {
+	if len(p.idle[c.address]) >= maxIdle {
 		c.Close()
 		return
 	}
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// keepAliveTimeout reads the time in a Keep-Alive header.
+// keepAliveTimeout parses the timeout of a Keep-Alive header.
 func keepAliveTimeout(header string) time.Duration {
 	for _, part := range strings.Split(header, ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
@@ -150,15 +149,15 @@
 	return defaultIdleTimeout
 }
 
-// prune closes connections that have expired and those to addresses that are no longer used.
-func (p *connPool) prune(used func(address string) bool) {
+// prune closes expired connections and those to addresses that are no longer in use.
+func (p *connPool) prune(inUse func(address string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	for address, list := range p.idle {
+	for address, conns := range p.idle {
 		var kept []*upstreamConn
-		for _, c := range list {
-			if used(address) && now.Before(c.expires) {
+		for _, c := range conns {
+			if inUse(address) && now.Before(c.expires) {
 				kept = append(kept, c)
 				continue
 			}
@@ -172,29 +171,29 @@
 	}
 }
 
-// returnConn keeps the connection of a try whose answer has been read.
+// returnConn returns the connection to the pool after the answer has been read.
 func (f *forwarder) returnConn(answer *http.Response) {
 	f.x.s.pool.put(f.conn, answer, f.x.maxIdleConns(f.target))
 }
 
-// maxIdleConns returns how many connections to an upstream are kept: this entry's part of those that it takes from all entries, without
-// those that can be in use. It resets any more.
+// maxIdleConns returns how many idle connections to an upstream are kept: this entry's share of those that the upstream accepts from all
+// entries, without those that can be in use. The upstream resets any further ones.
 func (x *exchange) maxIdleConns(t *target) int {
-	takes := x.service.MaxConnections
-	if takes <= 0 {
+	maxConnections := x.service.MaxConnections
+	if maxConnections <= 0 {
 		return maxIdlePerUpstream
 	}
-	spare := takes - int(float64(t.slots)*(1+queuePerSlot(x.service)))
+	spare := maxConnections - int(float64(t.slots)*(1+queuePerSlot(x.service)))
 	return min(maxIdlePerUpstream, x.s.localShare(spare, t.id))
 }
 
-// localShare returns this entry's part of what an upstream has for all entries. The mutex is not held.
-func (s *Relay) localShare(n int, id ident.Incarnation) int {
+// localShare returns this entry's share of a total that an upstream has for all entries. The mutex is not held.
+func (s *Relay) localShare(total int, id ident.Incarnation) int {
 	s.mu.Lock()
 	entries := s.entries
 	s.mu.Unlock()
 	if entries == nil {
-		return max(1, n/s.Budget.Entries())
+		return max(1, total/s.Budget.Entries())
 	}
-	return entries.Share(n, string(id))
+	return entries.Share(total, string(id))
 }
--- a/relay/demand_test.go
+++ b/relay/demand_test.go
@@ -9,33 +9,33 @@
 	"github.com/dunlinquay/dunlinquay/relay"
 )
 
-// The most that an answer may hold says little of what it will; the caller's estimate does.
+// The demand of a request counts the caller's estimate of the answer, bounded by the maximum tokens that the caller allows.
 func TestDemand(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name     string
 		tokens   string
 		estimate string
 		want     relay.Demand
 	}{
 		{"an estimate", "1460,335", "120", relay.Demand{Requests: 1, Prompt: 1460, Answer: 120}},
-		{"an estimate over the most", "1460,80", "120", relay.Demand{Requests: 1, Prompt: 1460, Answer: 80}},
+		{"an estimate above the maximum", "1460,80", "120", relay.Demand{Requests: 1, Prompt: 1460, Answer: 80}},
 		{"no estimate", "1460,335", "", relay.Demand{Requests: 1, Prompt: 1460, Answer: 116}},
-		{"no estimate, and less is allowed than usual", "1460,80", "", relay.Demand{Requests: 1, Prompt: 1460, Answer: 80}},
-		{"no number", "many,80", "few", relay.Demand{Requests: 1, Answer: 80}},
+		{"no estimate, and a maximum below the typical answer", "1460,80", "", relay.Demand{Requests: 1, Prompt: 1460, Answer: 80}},
+		{"not a number", "many,80", "few", relay.Demand{Requests: 1, Answer: 80}},
 		{"nothing", "", "", relay.Demand{Requests: 1, Answer: 116}},
 		{"a negative number", "-5,-1", "-1", relay.Demand{Requests: 1, Answer: 116}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tt.name, func(t *testing.T) {
 			s := newTestEntry(t, nil, nil)
 			cfg := config()
 			cfg.Services[1].Engine.Usual.Answer = 116
 			s.relay.SetConfig(cfg)
 			r := s.request("POST", "/stream/x", "1", "")
-			r.Header.Set("Tokens", c.tokens)
-			r.Header.Set("Estimate", c.estimate)
+			r.Header.Set("Tokens", tt.tokens)
+			r.Header.Set("Estimate", tt.estimate)
 			s.do(r)
 			_, demand := s.relay.CollectObservations()
-			if diff := cmp.Diff(map[ident.Model]relay.Demand{"m": c.want}, demand); diff != "" {
+			if diff := cmp.Diff(map[ident.Model]relay.Demand{"m": tt.want}, demand); diff != "" {
 				t.Errorf("demand (-want +got):\n%s", diff)
 			}
 		})
--- a/relay/drain_test.go
+++ b/relay/drain_test.go
@@ -12,11 +12,11 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// placeUpstreams puts the upstreams of an entry into halls, "a" for the first and "b" for the others, cold ones as named.
+// placeUpstreams assigns the upstreams of an entry to halls, the first to "a" and the others to "b"; cold are the indexes of cold ones.
 func (s *signalEntry) placeUpstreams(cold ...int) {
 	s.mu.Lock()
 	s.revision++
-	d := roster.Delta{Full: true, Revision: s.revision}
+	delta := roster.Delta{Full: true, Revision: s.revision}
 	s.mu.Unlock()
 	for i := range s.upstreams {
 		hall := ident.Hall("b")
@@ -28,18 +28,18 @@
 		for _, c := range cold {
 			u.Cold = u.Cold || c == i
 		}
-		d.Upstreams = append(d.Upstreams, u)
+		delta.Upstreams = append(delta.Upstreams, u)
 		u.ID, u.Service = plain, "plain"
-		d.Upstreams = append(d.Upstreams, u)
-		d.Groups = append(d.Groups, roster.Group{
+		delta.Upstreams = append(delta.Upstreams, u)
+		delta.Groups = append(delta.Groups, roster.Group{
 			Name: ident.Group("g" + string(head)), Service: "model", Model: "m", Phase: roster.PhaseOpen, Members: []ident.Incarnation{head},
 		})
 	}
-	s.relay.ApplyRoster(&d)
+	s.relay.ApplyRoster(&delta)
 }
 
-// Nothing new goes to the upstreams of a drained hall by any way, until it is taken back; an entry that starts knows of it before its first
-// request, since both come with one reply.
+// The upstreams of a drained hall get no new request of any kind until the drain ends. Entries that start are not tested: they receive the
+// drained halls together with the roster, before their first request.
 func TestDrainedHallGetsNoRequests(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/stream/x"} {
 		t.Run(path[1:len(path)-2], func(t *testing.T) {
@@ -47,20 +47,20 @@
 				s := newSignalEntry(3)
 				s.placeUpstreams()
 				u := s.upstreams[0]
-				began := time.Now()
-				drainAt, backAt := began.Add(3*time.Second), began.Add(7*time.Second)
+				startedAt := time.Now()
+				drainAt, endAt := startedAt.Add(3*time.Second), startedAt.Add(7*time.Second)
 				time.AfterFunc(3*time.Second, func() { s.relay.SetDrained([]ident.Hall{"a"}) })
-				time.AfterFunc(4*time.Second, func() { s.placeUpstreams() }) // news of the roster do not take it back
+				time.AfterFunc(4*time.Second, func() { s.placeUpstreams() }) // a roster update does not end the drain
 				time.AfterFunc(7*time.Second, func() { s.relay.SetDrained(nil) })
 				s.load(path)
-				if n := len(u.arrivals(began, drainAt)); n == 0 {
-					t.Error("nothing came before: the test shows nothing")
+				if n := len(u.arrivals(startedAt, drainAt)); n == 0 {
+					t.Error("no requests before the drain: the test checks nothing")
 				}
-				if n := len(u.arrivals(drainAt.Add(upstreamRoundTrip), backAt)); n != 0 {
-					t.Errorf("%d requests came while the hall was drained", n)
+				if n := len(u.arrivals(drainAt.Add(upstreamRoundTrip), endAt)); n != 0 {
+					t.Errorf("%d requests arrived while the hall was drained", n)
 				}
-				if n := len(u.arrivals(backAt, backAt.Add(time.Hour))); n == 0 {
-					t.Error("nothing came after it was taken back")
+				if n := len(u.arrivals(endAt, endAt.Add(time.Hour))); n == 0 {
+					t.Error("no requests after the end of the drain")
 				}
 				s.relay.Wait()
 				for _, r := range s.records {
@@ -73,7 +73,7 @@
 	}
 }
 
-// A request that waits for room, or whose connection is being opened, when its hall is drained does not go there.
+// A request whose connection is still being opened when the hall is drained is not sent there.
 func TestHallDrainedWhileRequestIsBeingSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSignalEntry(1)
@@ -81,72 +81,72 @@
 		u := s.upstreams[0]
 		u.extraDialTime = 40 * time.Millisecond
 		time.AfterFunc(20*time.Millisecond, func() { s.relay.SetDrained([]ident.Hall{"a"}) })
-		began := time.Now()
+		startedAt := time.Now()
 		w := s.send("/unsafe/x", "one")
 		if w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" {
 			t.Errorf("status %d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 		}
-		if n := len(u.arrivals(began, began.Add(time.Hour))); n != 0 {
-			t.Errorf("%d requests came", n)
+		if n := len(u.arrivals(startedAt, startedAt.Add(time.Hour))); n != 0 {
+			t.Errorf("%d requests arrived", n)
 		}
 		u.close()
 	})
 }
 
-// Where all halls with upstreams for a request are drained it is refused at once.
+// A request is refused at once when all halls with upstreams for it are drained.
 func TestAllHallsDrained(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/stream/x"} {
 		synctest.Test(t, func(t *testing.T) {
 			s := newSignalEntry(2)
 			s.placeUpstreams()
 			s.relay.SetDrained([]ident.Hall{"a", "b"})
-			began := time.Now()
+			startedAt := time.Now()
 			w := s.send(path, "one")
-			if took := time.Since(began); w.Code != http.StatusServiceUnavailable || took > 0 {
+			if took := time.Since(startedAt); w.Code != http.StatusServiceUnavailable || took > 0 {
 				t.Errorf("status %d after %v", w.Code, took)
 			}
 		})
 	}
 }
 
-// A cold upstream gets nine tenths of what it takes from all entries together, and more once it is warm.
+// All entries together send a cold upstream nine tenths of its cold rate, and more once it is warm.
 func TestColdUpstreamGetsNoMoreThanItsRate(t *testing.T) {
 	const coldRate = 14
 	for _, entries := range []int{1, 8, 60} {
 		for _, path := range []string{"/safe/x", "/stream/x"} {
 			t.Run(strconv.Itoa(entries)+path, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					g := newCluster(entries, limitHeads)
+					cluster := newCluster(entries, limitHeads)
 					cfg := config()
 					for i := range cfg.Services {
 						cfg.Services[i].ColdRate = coldRate
 					}
-					for _, s := range g.entries {
+					for _, s := range cluster.entries {
 						s.relay.SetConfig(cfg)
 						s.placeUpstreams(0)
 					}
-					u := g.entries[0].upstreams[0]
-					began := time.Now()
-					const cold = 5 * time.Second
-					time.AfterFunc(cold, func() {
-						for _, s := range g.entries {
+					u := cluster.entries[0].upstreams[0]
+					startedAt := time.Now()
+					const coldTime = 5 * time.Second
+					time.AfterFunc(coldTime, func() {
+						for _, s := range cluster.entries {
 							s.placeUpstreams()
 						}
 					})
-					g.load(path, limitPerSecond, 8*time.Second)
-					// The first second belongs to a coordinator that may have taken another one's place.
-					list := u.arrivals(began.Add(time.Second), began.Add(cold))
-					if got := maxInSpan(u.arrivals(began, began.Add(cold)), time.Second); float64(got) > 1.2*coldRate {
-						t.Errorf("%d requests in a second, %d a second are taken", got, coldRate)
+					cluster.load(path, limitPerSecond, 8*time.Second)
+					// In the first second, its coordinator can be a new one that grants no permits yet.
+					coldArrivals := u.arrivals(startedAt.Add(time.Second), startedAt.Add(coldTime))
+					if got := maxInSpan(u.arrivals(startedAt, startedAt.Add(coldTime)), time.Second); float64(got) > 1.2*coldRate {
+						t.Errorf("%d requests in one second, the cold rate is %d", got, coldRate)
 					}
-					if got, wants := float64(len(list)), 0.9*coldRate*(cold-time.Second).Seconds(); got < 0.9*wants-1 {
-						t.Errorf("%.0f requests in all, want nearly %.0f", got, wants)
+					if got, want := float64(len(coldArrivals)), 0.9*coldRate*(coldTime-time.Second).Seconds(); got < 0.9*want-1 {
+						t.Errorf("%.0f requests in total, want nearly %.0f", got, want)
 					}
-					warm := u.arrivals(began.Add(cold+time.Second), began.Add(8*time.Second))
-					if got := maxInSpan(warm, time.Second); got <= coldRate {
-						t.Errorf("%d requests in a second once it is warm", got)
+					warmArrivals := u.arrivals(startedAt.Add(coldTime+time.Second), startedAt.Add(8*time.Second))
+					if got := maxInSpan(warmArrivals, time.Second); got <= coldRate {
+						t.Errorf("%d requests in one second once it is warm", got)
 					}
-					for _, r := range g.records() {
+					for _, r := range cluster.records() {
 						if r.Code != 0 {
 							t.Errorf("request %s: code %d, %s", r.ID, r.Code, r.ErrorText)
 						}
@@ -157,7 +157,7 @@
 	}
 }
 
-// A hall that is taken back counts as cold until the leader says otherwise, since its upstreams may have turned cold meanwhile.
+// After a drain, the upstreams of a hall count as cold until the leader says otherwise, since they can have been restarted.
 func TestHallIsColdAfterDrainEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSignalEntry(2)
@@ -168,60 +168,60 @@
 		s.relay.SetDrained([]ident.Hall{"a"})
 		s.relay.SetDrained(nil)
 		if w := s.relay.Limits.Table.Effective("p0"); !w.Capped || w.Rate != 0.9*5 {
-			t.Errorf("taken back with the limit %+v", w)
+			t.Errorf("limit %+v after the drain", w)
 		}
 		if w := s.relay.Limits.Table.Effective("p1"); w.Limited() {
 			t.Errorf("an upstream of another hall has the limit %+v", w)
 		}
 		s.placeUpstreams()
 		if w := s.relay.Limits.Table.Effective("p0"); w.Limited() {
-			t.Errorf("warm with the limit %+v", w)
+			t.Errorf("limit %+v once it is warm", w)
 		}
 	})
 }
 
-// The homes of routes and of customers both bind, for first tries and for others.
+// The home regions of routes and of customers both apply, to first attempts and to retries.
 func TestHomeRegions(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name            string
 		route, customer []ident.Region
 		first, second   bool
 		code            result.Code
 	}{
 		{"none", nil, nil, true, true, result.OK},
-		{"of the route", []ident.Region{"east"}, nil, true, false, result.OK},
-		{"of the customer", nil, []ident.Region{"west", "north"}, false, true, result.OK},
-		{"of both", []ident.Region{"east", "west"}, []ident.Region{"west"}, false, true, result.OK},
-		{"nothing in common", []ident.Region{"east"}, []ident.Region{"west"}, false, false, result.OutOfHome},
+		{"route only", []ident.Region{"east"}, nil, true, false, result.OK},
+		{"customer only", nil, []ident.Region{"west", "north"}, false, true, result.OK},
+		{"both", []ident.Region{"east", "west"}, []ident.Region{"west"}, false, true, result.OK},
+		{"no common region", []ident.Region{"east"}, []ident.Region{"west"}, false, false, result.OutOfHome},
 		{"a region without upstreams", []ident.Region{"north"}, nil, false, false, result.OutOfHome},
 	} {
 		for _, path := range []string{"/safe/x", "/stream/x"} {
-			t.Run(c.name+path, func(t *testing.T) {
+			t.Run(tt.name+path, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					s := newSignalEntry(2)
 					cfg := config()
 					for i := range cfg.Routes {
-						cfg.Routes[i].Homes = c.route
+						cfg.Routes[i].Homes = tt.route
 					}
-					cfg.Customers[0].Homes = c.customer
+					cfg.Customers[0].Homes = tt.customer
 					s.relay.Regions = map[ident.Hall]ident.Region{"a": "east", "b": "west"}
 					s.relay.SetConfig(cfg)
 					s.placeUpstreams()
-					began := time.Now()
+					startedAt := time.Now()
 					for n := range 20 {
 						s.send(path, strconv.Itoa(n))
 					}
-					for i, may := range []bool{c.first, c.second} {
+					for i, want := range []bool{tt.first, tt.second} {
 						u := s.upstreams[i]
-						if came := len(u.arrivals(began, began.Add(time.Hour))) > 0; came != may {
-							t.Errorf("upstream %d gets requests: %v, want %v", i, came, may)
+						if got := len(u.arrivals(startedAt, startedAt.Add(time.Hour))) > 0; got != want {
+							t.Errorf("upstream %d got requests: %v, want %v", i, got, want)
 						}
 						u.close()
 					}
 					s.relay.Wait()
 					for _, r := range s.records {
-						if r.Code != c.code {
-							t.Errorf("code %d, want %d", r.Code, c.code)
+						if r.Code != tt.code {
+							t.Errorf("code %d, want %d", r.Code, tt.code)
 						}
 					}
 				})
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -59,7 +59,7 @@
 	return cfg
 }
 
-// testEntry is a relay before some upstreams, with its finished requests.
+// testEntry is a relay with test upstreams and the records of its finished requests.
 type testEntry struct {
 	t      testing.TB
 	relay  *relay.Relay
@@ -80,20 +80,20 @@
 		s.records = append(s.records, r)
 	}
 	s.relay.SetConfig(config())
-	d := roster.Delta{Full: true, Revision: 1}
+	delta := roster.Delta{Full: true, Revision: 1}
 	for i, u := range plain {
-		d.Upstreams = append(d.Upstreams, roster.Upstream{
+		delta.Upstreams = append(delta.Upstreams, roster.Upstream{
 			ID: ident.Incarnation(fmt.Sprintf("p%d", i)), Service: "plain", Address: u.address(), Slots: 4,
 		})
 	}
 	for i, u := range heads {
 		id := ident.Incarnation(fmt.Sprintf("h%d", i))
-		d.Upstreams = append(d.Upstreams, roster.Upstream{ID: id, Service: "model", Address: u.address(), Slots: 4})
-		d.Groups = append(d.Groups, roster.Group{
+		delta.Upstreams = append(delta.Upstreams, roster.Upstream{ID: id, Service: "model", Address: u.address(), Slots: 4})
+		delta.Groups = append(delta.Groups, roster.Group{
 			Name: ident.Group(fmt.Sprintf("g%d", i)), Service: "model", Model: "m", Phase: roster.PhaseOpen, Members: []ident.Incarnation{id},
 		})
 	}
-	s.relay.ApplyRoster(&d)
+	s.relay.ApplyRoster(&delta)
 	s.relay.SetConfirmed(time.Now())
 	s.server = httptest.NewServer(s.relay)
 	t.Cleanup(s.server.Close)
@@ -129,70 +129,70 @@
 	return reply{resp.StatusCode, string(body), err == nil}
 }
 
-// responder is a short name for what an upstream does.
+// responder answers the n-th request of an upstream; returning false closes the connection.
 type responder = func(c net.Conn, r *http.Request, n int) bool
 
 func always(f func(c net.Conn, r *http.Request) bool) responder {
 	return func(c net.Conn, r *http.Request, _ int) bool { return f(c, r) }
 }
 
-// Each fault strikes the upstream that is asked first; the second one is sound. A request that may not be repeated runs at
-// most once, and what is called not run did not.
+// The first upstream has a fault, the second is healthy. A request that must not be repeated runs at most once, and a request reported
+// as not run did not run.
 func TestUpstreamFaults(t *testing.T) {
-	write := func(text func(r *http.Request) string, keep bool) responder {
+	respondWith := func(text func(r *http.Request) string, keep bool) responder {
 		return func(c net.Conn, r *http.Request, _ int) bool {
 			_, err := io.WriteString(c, text(r))
 			return keep && err == nil
 		}
 	}
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name         string
 		first        responder
-		safe, unsafe int // statuses; 200 means the sound upstream's or this one's whole answer
+		safe, unsafe int // statuses; 200 means a complete answer of either upstream
 		ran          bool
 	}{
-		{"sound", always(respondComplete), 200, 200, true},
+		{"healthy", always(respondComplete), 200, 200, true},
 		{"refuses", always(respondNotRun), 200, 200, false},
-		{"is another life", func(c net.Conn, _ *http.Request, _ int) bool {
+		{"is another incarnation", func(c net.Conn, _ *http.Request, _ int) bool {
 			_, err := io.WriteString(c, "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n")
 			return err == nil
 		}, 200, 200, false},
 		{"closes without an answer", func(net.Conn, *http.Request, int) bool { return false }, 200, 502, true},
-		{"resets", func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) }, 200, 502, true},
-		{"cuts the answer", write(func(r *http.Request) string { return answerHead(r, 200, signature, "Content-Length: 50") + "part" }, false), 200, 502, true},
-		{"answers another request only", write(func(*http.Request) string {
+		{"resets the connection", func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) }, 200, 502, true},
+		{"closes within the answer", respondWith(func(r *http.Request) string { return answerHead(r, 200, signature, "Content-Length: 50") + "part" }, false), 200, 502, true},
+		{"answers another request only", respondWith(func(*http.Request) string {
 			return "HTTP/1.1 200 X\r\nRequest: other\r\n" + signature + "\r\nContent-Length: 5\r\n\r\nother"
 		}, false), 200, 502, true},
-		{"answers another request first", write(func(r *http.Request) string {
+		{"answers another request first", respondWith(func(r *http.Request) string {
 			body := "answer to " + r.Header.Get("Request")
 			return "HTTP/1.1 200 X\r\nRequest: other\r\n" + signature + "\r\nContent-Length: 5\r\n\r\nother" +
 				answerHead(r, 200, signature, fmt.Sprintf("Content-Length: %d", len(body))) + body
 		}, true), 200, 200, true},
-		{"success without a signature", write(func(r *http.Request) string { return answerHead(r, 200, "Content-Length: 2") + "ok" }, true), 200, 502, true},
-		{"an encoded body", write(func(r *http.Request) string {
+		{"succeeds without a signature", respondWith(func(r *http.Request) string { return answerHead(r, 200, "Content-Length: 2") + "ok" }, true), 200, 502, true},
+		{"sends an encoded body", respondWith(func(r *http.Request) string {
 			return answerHead(r, 200, signature, "Content-Encoding: gzip", "Content-Length: 2") + "ok"
 		}, true), 200, 502, true},
-		{"bytes that are no answer", write(func(*http.Request) string { return "\x00\x01 nothing like an answer\r\n\r\n" }, false), 200, 502, true},
-		{"fails", write(func(r *http.Request) string { return answerHead(r, 500, signature, "Content-Length: 4") + "fail" }, true), 200, 500, true},
-		{"ends its answer with the connection", write(func(r *http.Request) string {
+		{"sends bytes that are no answer", respondWith(func(*http.Request) string { return "\x00\x01 nothing like an answer\r\n\r\n" }, false), 200, 502, true},
+		{"fails", respondWith(func(r *http.Request) string { return answerHead(r, 500, signature, "Content-Length: 4") + "fail" }, true), 200, 500, true},
+		{"ends its answer with the connection", respondWith(func(r *http.Request) string {
 			return answerHead(r, 200, signature) + "answer to " + r.Header.Get("Request")
 		}, false), 200, 200, true},
-		{"sends a second answer", write(func(r *http.Request) string {
+		{"sends a second answer", respondWith(func(r *http.Request) string {
 			body := "answer to " + r.Header.Get("Request")
 			one := answerHead(r, 200, signature, fmt.Sprintf("Content-Length: %d", len(body))) + body
 			return one + one
 		}, true), 200, 200, true},
 	} {
 		for _, kind := range []string{"safe", "unsafe"} {
-			t.Run(c.name+"/"+kind, func(t *testing.T) {
-				first := newUpstream(t, c.first)
+			t.Run(tt.name+"/"+kind, func(t *testing.T) {
+				first := newUpstream(t, tt.first)
 				second := newUpstream(t, always(respondComplete))
 				s := newTestEntry(t, []*upstream{first, second}, nil)
-				// Load on the second makes the first the better choice.
+				// The load of the second upstream makes the relay choose the first.
 				s.relay.SetPeerCounts(map[ident.Incarnation]int{"p1": 3})
-				want := c.safe
+				want := tt.safe
 				if kind == "unsafe" {
-					want = c.unsafe
+					want = tt.unsafe
 				}
 				for i := range 2 {
 					id := fmt.Sprintf("%s-%d", kind, i)
@@ -205,11 +205,11 @@
 					}
 				}
 				ran := map[string]int{}
-				for _, a := range append(first.received(), second.received()...) {
-					ran[a.ID]++
+				for _, request := range append(first.received(), second.received()...) {
+					ran[request.ID]++
 				}
-				if kind == "unsafe" && c.ran && ran["unsafe-0"] != 1 {
-					t.Errorf("a request that may run once arrived %d times", ran["unsafe-0"])
+				if kind == "unsafe" && tt.ran && ran["unsafe-0"] != 1 {
+					t.Errorf("a request that must not be repeated arrived %d times", ran["unsafe-0"])
 				}
 			})
 		}
@@ -220,7 +220,7 @@
 	u := newUpstream(t, always(respondComplete))
 	s := newTestEntry(t, []*upstream{u}, nil)
 	r := s.request("POST", "/safe/a%2Fb?x=1&y=%20", "id-1", "the body")
-	r.Header.Set("Customer", "somebody else")
+	r.Header.Set("Customer", "another customer")
 	r.Header.Set("Connection", "Secret")
 	r.Header.Set("Secret", "1")
 	if got := s.do(r); got.Status != 200 {
@@ -228,12 +228,12 @@
 	}
 	want := []receivedRequest{{ID: "id-1", Method: "POST", Path: "/safe/a%2Fb?x=1&y=%20", Body: "the body", Customer: "office", Incarnation: "p0"}}
 	if diff := cmp.Diff(want, u.received()); diff != "" {
-		t.Errorf("arrivals (-want +got):\n%s", diff)
+		t.Errorf("received requests (-want +got):\n%s", diff)
 	}
 }
 
 func TestRefusals(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name   string
 		change func(s *testEntry, r *http.Request)
 		status int
@@ -244,38 +244,38 @@
 		{"no such host", func(_ *testEntry, r *http.Request) { r.Host = "i" }, 404, result.NotFound, false},
 		{"unknown key", func(_ *testEntry, r *http.Request) { r.Header.Set("Key", "wrong") }, 401, result.Unauthorized, false},
 		{"no key", func(_ *testEntry, r *http.Request) { r.Header.Del("Key") }, 401, result.Unauthorized, false},
-		{"deadline is no number", func(_ *testEntry, r *http.Request) { r.Header.Set("Deadline", "soon") }, 400, result.BadRequest, false},
-		{"no such route, word is old", func(s *testEntry, r *http.Request) {
+		{"deadline is not a number", func(_ *testEntry, r *http.Request) { r.Header.Set("Deadline", "soon") }, 400, result.BadRequest, false},
+		{"no such route, confirmation is old", func(s *testEntry, r *http.Request) {
 			r.URL.Path = "/none/"
 			s.relay.SetConfirmed(time.Now().Add(-2 * time.Second))
 		}, 503, result.ControlUnreachable, true},
-		{"unknown key, word is old", func(s *testEntry, r *http.Request) {
+		{"unknown key, confirmation is old", func(s *testEntry, r *http.Request) {
 			r.Header.Set("Key", "new")
 			s.relay.SetConfirmed(time.Now().Add(-2 * time.Second))
 		}, 503, result.ControlUnreachable, true},
 		{"keys have lapsed", func(s *testEntry, _ *http.Request) { s.relay.SetConfirmed(time.Now().Add(-5 * time.Second)) }, 503, result.ControlUnreachable, true},
-		{"nothing serves", func(s *testEntry, _ *http.Request) { s.relay.ApplyRoster(&roster.Delta{Full: true}) }, 503, result.NoWholeGroup, true},
-		{"all are full", func(s *testEntry, _ *http.Request) { s.relay.SetPeerCounts(map[ident.Incarnation]int{"p0": 100}) }, 503, result.Overloaded, true},
+		{"no upstream", func(s *testEntry, _ *http.Request) { s.relay.ApplyRoster(&roster.Delta{Full: true}) }, 503, result.NoWholeGroup, true},
+		{"all upstreams full", func(s *testEntry, _ *http.Request) { s.relay.SetPeerCounts(map[ident.Incarnation]int{"p0": 100}) }, 503, result.Overloaded, true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tt.name, func(t *testing.T) {
 			u := newUpstream(t, always(respondComplete))
 			s := newTestEntry(t, []*upstream{u}, nil)
 			r := s.request("GET", "/safe/x", "id", "")
-			c.change(s, r)
+			tt.change(s, r)
 			resp, err := http.DefaultClient.Do(r)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer resp.Body.Close()
-			if resp.StatusCode != c.status || (resp.Header.Get("Retry-After") != "") != c.retry {
+			if resp.StatusCode != tt.status || (resp.Header.Get("Retry-After") != "") != tt.retry {
 				t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 			}
 			if n := len(u.received()); n != 0 {
-				t.Errorf("%d requests arrived although refused", n)
+				t.Errorf("%d requests reached the upstream although refused", n)
 			}
 			s.relay.Wait()
-			if got := s.records[0].Code; got != c.code {
-				t.Errorf("code %d, want %d", got, c.code)
+			if got := s.records[0].Code; got != tt.code {
+				t.Errorf("code %d, want %d", got, tt.code)
 			}
 		})
 	}
@@ -304,10 +304,10 @@
 	}
 }
 
-// The first upstream breaks a stream off in each way; the caller sees every event once, in order, and an end only when the
-// stream ended.
+// The first upstream breaks a stream in different ways; the caller receives every event once, in order, and an end of the stream only if
+// the stream ended.
 func TestStreams(t *testing.T) {
-	rest := func(c net.Conn, r *http.Request, _ int) bool {
+	resumeStream := func(c net.Conn, r *http.Request, _ int) bool {
 		from := 1
 		_, _ = fmt.Sscan(r.Header.Get("Event"), &from)
 		if r.Header.Get("Event") != "" {
@@ -315,7 +315,7 @@
 		}
 		return respondStream(c, r, from, 5, true)
 	}
-	part := func(text string) responder {
+	breakAfter := func(text string) responder {
 		return func(c net.Conn, r *http.Request, _ int) bool {
 			out := answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
 			if text != "" {
@@ -325,26 +325,26 @@
 			return resetConn(c)
 		}
 	}
-	ended := func(text string) responder {
+	endAfter := func(text string) responder {
 		return func(c net.Conn, r *http.Request, _ int) bool {
 			_, err := io.WriteString(c, answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+
 				fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(text), text))
 			return err == nil
 		}
 	}
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name  string
 		first responder
-		// once tells whether the stream is whole when it may not be continued.
+		// once is set when the caller gets a complete stream even where it must not be continued.
 		once bool
 	}{
-		{"sound", rest, true},
-		{"breaks off after three events", part(eventText(1, 3)), false},
-		{"breaks off within an event", part(eventText(1, 3) + "id: 4\ndata: pie"), false},
-		{"ends within an event", ended(eventText(1, 3) + "id: 4\ndata: pie"), false},
-		{"leaves an event out", ended(eventText(1, 2) + eventText(4, 5)), false},
-		{"sends an event twice", ended(eventText(1, 3) + eventText(3, 5)), true},
-		{"breaks off before the first event", part(""), false},
+		{"healthy", resumeStream, true},
+		{"breaks after three events", breakAfter(eventText(1, 3)), false},
+		{"breaks within an event", breakAfter(eventText(1, 3) + "id: 4\ndata: pie"), false},
+		{"ends within an event", endAfter(eventText(1, 3) + "id: 4\ndata: pie"), false},
+		{"skips an event", endAfter(eventText(1, 2) + eventText(4, 5)), false},
+		{"sends an event twice", endAfter(eventText(1, 3) + eventText(3, 5)), true},
+		{"breaks before the first event", breakAfter(""), false},
 		{"ends without any event", func(c net.Conn, r *http.Request, _ int) bool {
 			_, err := io.WriteString(c, answerHead(r, 200, signature, "Transfer-Encoding: chunked")+"0\r\n\r\n")
 			return err == nil
@@ -356,25 +356,25 @@
 		{"goes silent before the head", func(c net.Conn, _ *http.Request, _ int) bool { return stayOpenSilent(c) }, false},
 	} {
 		for _, kind := range []string{"stream", "once"} {
-			if kind == "once" && strings.Contains(c.name, "silent") {
-				continue // Nothing may be done but wait.
+			if kind == "once" && strings.Contains(tt.name, "silent") {
+				continue // the relay can only wait
 			}
-			t.Run(c.name+"/"+kind, func(t *testing.T) {
-				first, second := newUpstream(t, c.first), newUpstream(t, rest)
+			t.Run(tt.name+"/"+kind, func(t *testing.T) {
+				first, second := newUpstream(t, tt.first), newUpstream(t, resumeStream)
 				s := newTestEntry(t, nil, []*upstream{first, second})
 				s.relay.SetPeerCounts(map[ident.Incarnation]int{"h1": 3})
 				got := s.do(s.request("POST", "/"+kind+"/x", "id", "prompt"))
-				if kind == "stream" || c.once {
+				if kind == "stream" || tt.once {
 					if diff := cmp.Diff(reply{200, eventText(1, 5), true}, got); diff != "" {
 						t.Errorf("reply (-want +got):\n%s", diff)
 					}
 					return
 				}
 				if got.Complete && got.Status == 200 {
-					t.Errorf("a broken stream looks whole: %+v", got)
+					t.Errorf("a broken stream appears complete: %+v", got)
 				}
 				if n := len(first.received()) + len(second.received()); n != 1 {
-					t.Errorf("a stream that may not be continued arrived %d times", n)
+					t.Errorf("a stream that must not be continued arrived %d times", n)
 				}
 			})
 		}
@@ -390,17 +390,17 @@
 		t.Errorf("reply (-want +got):\n%s", diff)
 	}
 	if got := u.received()[0].Event; got != "2" {
-		t.Errorf("the upstream was asked to go on after %q", got)
+		t.Errorf("the upstream was asked to continue after event %q", got)
 	}
 }
 
-// When the caller leaves, the upstream's connection ends.
+// When the caller disconnects, the connection to the upstream is closed.
 func TestCallerDisconnects(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/stream/x"} {
 		t.Run(path, func(t *testing.T) {
 			arrived := make(chan struct{}, 4)
 			ended := make(chan struct{}, 4)
-			hang := func(c net.Conn, r *http.Request, _ int) bool {
+			respond := func(c net.Conn, r *http.Request, _ int) bool {
 				if strings.HasPrefix(r.RequestURI, "/stream/") {
 					respondStream(c, r, 1, 1, false)
 				}
@@ -409,16 +409,16 @@
 				ended <- struct{}{}
 				return false
 			}
-			u := newUpstream(t, hang)
+			u := newUpstream(t, respond)
 			s := newTestEntry(t, []*upstream{u}, []*upstream{u})
-			ctx, leave := context.WithCancel(context.Background())
+			ctx, disconnect := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
 				s.do(s.request("POST", path, "id", "x").WithContext(ctx))
 			}()
 			<-arrived
-			leave()
+			disconnect()
 			<-ended
 			<-done
 			s.relay.Wait()
@@ -430,17 +430,17 @@
 }
 
 func TestDeadlineExpires(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		path   string
 		status int
 	}{{"/safe/x", 504}, {"/unsafe/x", 504}, {"/stream/x", 504}} {
-		t.Run(c.path, func(t *testing.T) {
+		t.Run(tt.path, func(t *testing.T) {
 			u := newUpstream(t, func(c net.Conn, _ *http.Request, _ int) bool { return stayOpenSilent(c) })
 			s := newTestEntry(t, []*upstream{u}, []*upstream{u})
-			r := s.request("POST", c.path, "id", "x")
+			r := s.request("POST", tt.path, "id", "x")
 			r.Header.Set("Deadline", "150")
-			if got := s.do(r); got.Status != c.status {
-				t.Errorf("status %d, want %d", got.Status, c.status)
+			if got := s.do(r); got.Status != tt.status {
+				t.Errorf("status %d, want %d", got.Status, tt.status)
 			}
 		})
 	}
@@ -448,53 +448,53 @@
 
 func TestBudget(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b := relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 20})
-	b.Now = func() time.Time { return now }
-	use := func() int {
+	budget := relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 20})
+	budget.Now = func() time.Time { return now }
+	useAll := func() int {
 		n := 0
-		for b.AllowRetry("s") {
+		for budget.AllowRetry("s") {
 			n++
 		}
 		return n
 	}
-	if got := use(); got != 17 {
-		t.Errorf("%d repeats without requests, want 17: 0.85 of the allowance", got)
+	if got := useAll(); got != 17 {
+		t.Errorf("%d retries without requests, want 17: 0.85 of the allowance", got)
 	}
 	for range 100 {
-		b.CountRequest("s")
+		budget.CountRequest("s")
 	}
-	if got := use(); got != 17 {
-		t.Errorf("%d repeats for 100 requests, want 17: 0.85 of a fifth", got)
+	if got := useAll(); got != 17 {
+		t.Errorf("%d retries for 100 requests, want 17: 0.85 of a fifth", got)
 	}
 	now = now.Add(5 * time.Second)
-	if got := use(); got != 0 {
-		t.Errorf("%d repeats within the same window", got)
+	if got := useAll(); got != 0 {
+		t.Errorf("%d retries within the same window", got)
 	}
 	now = now.Add(6 * time.Second)
-	if got := use(); got != 17 {
-		t.Errorf("%d repeats in the next window, want 17", got)
+	if got := useAll(); got != 17 {
+		t.Errorf("%d retries in the next window, want 17", got)
 	}
-	b.SetEntries(4)
+	budget.SetEntries(4)
 	now = now.Add(20 * time.Second)
-	if got := use(); got != 4 {
-		t.Errorf("%d repeats with four entries, want 4", got)
+	if got := useAll(); got != 4 {
+		t.Errorf("%d retries with four entries, want 4", got)
 	}
-	if !b.AllowRetry("other") {
+	if !budget.AllowRetry("other") {
 		t.Error("services share a budget")
 	}
 }
 
 func TestRetriesStopWhenBudgetIsExhausted(t *testing.T) {
-	broken := newUpstream(t, func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) })
-	other := newUpstream(t, func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) })
-	s := newTestEntry(t, []*upstream{broken, other}, nil)
+	first := newUpstream(t, func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) })
+	second := newUpstream(t, func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) })
+	s := newTestEntry(t, []*upstream{first, second}, nil)
 	s.relay.Budget = relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0, Window: time.Hour, Allowance: 10})
 	const requests = 30
 	for i := range requests {
 		s.do(s.request("GET", "/safe/x", fmt.Sprint(i), ""))
 	}
-	if got := len(broken.received()) + len(other.received()); got != requests+8 {
-		t.Errorf("%d arrivals for %d requests, want 8 repeats", got, requests)
+	if got := len(first.received()) + len(second.received()); got != requests+8 {
+		t.Errorf("%d arrivals for %d requests, want 8 retries", got, requests)
 	}
 }
 
@@ -514,6 +514,6 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("status %d, close %v: requests are served, their connections end", resp.StatusCode, resp.Close)
+		t.Errorf("status %d, close %v; want the request served and its connection closed", resp.StatusCode, resp.Close)
 	}
 }
--- a/relay/request_fuzz_test.go
+++ b/relay/request_fuzz_test.go
@@ -18,7 +18,7 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// FuzzRequests sends requests with any headers to a whole entry: none ends it, and the next one is served.
+// FuzzRequests sends requests with arbitrary headers to an entry: none makes it panic, and the next request is served.
 func FuzzRequests(f *testing.F) {
 	for _, seed := range [][]string{
 		{"POST", "/stream/x", "800,40", "40", "6000", "3", "m", "body"},
@@ -35,8 +35,8 @@
 		if err != nil || !strings.HasPrefix(path, "/") {
 			t.Skip()
 		}
-		s, end := newFuzzEntry()
-		defer end()
+		s, closeAll := newFuzzEntry()
+		defer closeAll()
 		r.RequestURI = r.URL.RequestURI()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -55,12 +55,12 @@
 			t.Errorf("the next request got status %d", got)
 		}
 		if _, demand := s.CollectObservations(); demand["m"].Prompt < 0 || demand["m"].Answer < 0 {
-			t.Errorf("demand below zero: %+v", demand["m"])
+			t.Errorf("negative demand: %+v", demand["m"])
 		}
 	})
 }
 
-// serveWithoutPanic serves one request, which may end in no other panic than an answer that is cut off, and returns its status.
+// serveWithoutPanic serves one request and returns its status; the only panic allowed is the one that aborts an answer.
 func serveWithoutPanic(t *testing.T, s *relay.Relay, r *http.Request) int {
 	w := httptest.NewRecorder()
 	func() {
@@ -76,30 +76,30 @@
 	return w.Code
 }
 
-// newFuzzEntry returns an entry before two engines that answer at once.
-func newFuzzEntry() (s *relay.Relay, end func()) {
+// newFuzzEntry returns an entry with two engines that answer at once.
+func newFuzzEntry() (s *relay.Relay, closeAll func()) {
 	var conns []net.Conn
 	var mu sync.Mutex
-	u := &upstream{respond: always(func(c net.Conn, r *http.Request) bool { return respondStream(c, r, 1, 2, true) })}
+	engine := &upstream{respond: always(func(c net.Conn, r *http.Request) bool { return respondStream(c, r, 1, 2, true) })}
 	s = relay.New(headerNames(), func(context.Context, string) (net.Conn, error) {
-		near, far := net.Pipe()
+		clientConn, serverConn := net.Pipe()
 		mu.Lock()
 		defer mu.Unlock()
-		conns = append(conns, near, far)
-		go u.serve(far)
-		return near, nil
+		conns = append(conns, clientConn, serverConn)
+		go engine.serve(serverConn)
+		return clientConn, nil
 	})
 	s.KeyValidity = time.Hour
 	s.Budget = relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 100})
 	s.SetConfig(timedConfig())
-	d := roster.Delta{Full: true, Revision: 1}
+	delta := roster.Delta{Full: true, Revision: 1}
 	for _, id := range []ident.Incarnation{"h0", "h1"} {
-		d.Upstreams = append(d.Upstreams, roster.Upstream{ID: id, Service: "model", Address: string(id), Slots: 4})
-		d.Groups = append(d.Groups, roster.Group{
+		delta.Upstreams = append(delta.Upstreams, roster.Upstream{ID: id, Service: "model", Address: string(id), Slots: 4})
+		delta.Groups = append(delta.Groups, roster.Group{
 			Name: ident.Group("g" + id), Service: "model", Model: "m", Phase: roster.PhaseOpen, Members: []ident.Incarnation{id},
 		})
 	}
-	s.ApplyRoster(&d)
+	s.ApplyRoster(&delta)
 	s.SetConfirmed(time.Now())
 	return s, func() {
 		mu.Lock()
@@ -110,24 +110,24 @@
 	}
 }
 
-// FuzzEntryUpdates lets an entry hear anything of another one: it goes on, and the next request is served.
+// FuzzEntryUpdates sends arbitrary updates of other entries to an entry: none makes it panic, and the next request is served.
 func FuzzEntryUpdates(f *testing.F) {
 	f.Add("h0", int64(700), int64(0), int64(0), uint32(0), int64(0), 0)
 	f.Add("h0", int64(0), int64(1<<62), int64(0), uint32(0), int64(0), 0)
 	f.Add("h1", int64(0), int64(0), int64(-1<<62), uint32(0), int64(0), 0)
 	f.Add("", int64(1<<62), int64(-5), int64(-5), uint32(1<<31), int64(-1<<62), 40)
-	f.Fuzz(func(t *testing.T, head string, prompt, silent, worked int64, cleared uint32, age int64, ends int) {
-		s, end := newFuzzEntry()
-		defer end()
-		n := relay.EntryUpdate{Head: ident.Incarnation(head), PromptTokens: ident.Tokens(prompt), SilentMS: silent, ProgressAgeMS: worked}
-		if ends > 0 {
-			n.QuarantineReport = &quarantine.Report{Customer: "office", Content: quarantine.ContentOf("/stream/x", []byte("other")), Cleared: cleared, AgeMS: age}
-			for i := range min(ends, 100) {
-				n.QuarantineReport.Ends = append(n.QuarantineReport.Ends, quarantine.CrashID(i*i))
+	f.Fuzz(func(t *testing.T, head string, prompt, silentMS, progressAgeMS int64, cleared uint32, ageMS int64, crashes int) {
+		s, closeAll := newFuzzEntry()
+		defer closeAll()
+		update := relay.EntryUpdate{Head: ident.Incarnation(head), PromptTokens: ident.Tokens(prompt), SilentMS: silentMS, ProgressAgeMS: progressAgeMS}
+		if crashes > 0 {
+			update.QuarantineReport = &quarantine.Report{Customer: "office", Content: quarantine.ContentOf("/stream/x", []byte("other")), Cleared: cleared, AgeMS: ageMS}
+			for i := range min(crashes, 100) {
+				update.QuarantineReport.Ends = append(update.QuarantineReport.Ends, quarantine.CrashID(i*i))
 			}
 		}
 		for i := range 3 {
-			s.Receive(n, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7))
+			s.Receive(update, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7))
 		}
 		next := httptest.NewRequest(http.MethodPost, "/stream/x", strings.NewReader("next"))
 		next.Host = "h"
@@ -135,7 +135,7 @@
 			next.Header.Set(name, value)
 		}
 		if got := serveWithoutPanic(t, s, next); got != http.StatusOK {
-			t.Errorf("the next request got status %d after %+v", got, n)
+			t.Errorf("the next request got status %d after %+v", got, update)
 		}
 	})
 }
--- a/relay/timeout_test.go
+++ b/relay/timeout_test.go
@@ -11,37 +11,37 @@
 	"time"
 )
 
-// A caller that stops in the middle of its body gets its answer by the route's time-out, and the request does not run.
+// A caller that stops in the middle of its body is answered at the route's timeout, and the request does not run.
 func TestTimeoutOfRequestWithStalledBody(t *testing.T) {
 	u := newUpstream(t, always(respondComplete))
 	s := newTestEntry(t, []*upstream{u}, nil)
 	cfg := config()
 	cfg.Routes[0].Timeout = 200 * time.Millisecond
 	s.relay.SetConfig(cfg)
-	for _, kind := range []string{"Content-Length: 10\r\n\r\nhalf", "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"} {
+	for _, bodyStart := range []string{"Content-Length: 10\r\n\r\nhalf", "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"} {
 		conn, err := net.Dial("tcp", s.server.Listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		began := time.Now()
-		fmt.Fprint(conn, "POST /safe/x HTTP/1.1\r\nHost: h\r\nRequest: r1\r\nKey: secret\r\n"+kind)
-		if err := conn.SetReadDeadline(began.Add(5 * time.Second)); err != nil {
+		startedAt := time.Now()
+		fmt.Fprint(conn, "POST /safe/x HTTP/1.1\r\nHost: h\r\nRequest: r1\r\nKey: secret\r\n"+bodyStart)
+		if err := conn.SetReadDeadline(startedAt.Add(5 * time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
-			t.Fatalf("no answer after %v: %v", time.Since(began), err)
+			t.Fatalf("no answer after %v: %v", time.Since(startedAt), err)
 		}
 		resp.Body.Close()
-		if took := time.Since(began); took < 200*time.Millisecond || took > 700*time.Millisecond {
-			t.Errorf("answered after %v by a time-out of 200 ms", took)
+		if took := time.Since(startedAt); took < 200*time.Millisecond || took > 700*time.Millisecond {
+			t.Errorf("answered after %v with a timeout of 200 ms", took)
 		}
 		if resp.StatusCode != http.StatusServiceUnavailable || len(u.received()) != 0 {
 			t.Errorf("status %d, %d requests at the upstream", resp.StatusCode, len(u.received()))
 		}
 	}
-	// A whole body takes nothing of this to the next request of its connection.
+	// The read deadline of one request does not affect later requests.
 	for i := range 3 {
 		if got := s.do(s.request("POST", "/safe/x", fmt.Sprint("w", i), "body")); got.Status != http.StatusOK {
 			t.Errorf("status %d", got.Status)
@@ -49,14 +49,14 @@
 	}
 }
 
-// A request ends by its route's time-out, whatever its upstreams leave out and whether or not its caller says how long it waits.
+// A request ends at its route's timeout, whatever its upstreams omit and whether or not its caller sends a deadline.
 func TestRouteTimeoutIsKept(t *testing.T) {
 	const timeout, slack = 300 * time.Millisecond, 500 * time.Millisecond
-	for _, c := range []struct {
-		name string
-		play func(c net.Conn, r *http.Request) bool
+	for _, tt := range []struct {
+		name    string
+		respond func(c net.Conn, r *http.Request) bool
 	}{
-		{"all of it", func(net.Conn, *http.Request) bool { return true }},
+		{"everything", func(net.Conn, *http.Request) bool { return true }},
 		{"the body", func(c net.Conn, r *http.Request) bool {
 			_, err := io.WriteString(c, answerHead(r, 200, signature, "Content-Length: 50"))
 			return err == nil
@@ -73,10 +73,10 @@
 		}},
 	} {
 		for _, route := range []string{"safe", "unsafe", "stream", "once"} {
-			for _, says := range []string{"", "60000"} {
-				t.Run(c.name+"/"+route+"/"+says, func(t *testing.T) {
+			for _, callerDeadline := range []string{"", "60000"} {
+				t.Run(tt.name+"/"+route+"/"+callerDeadline, func(t *testing.T) {
 					t.Parallel()
-					plain, heads := newUpstream(t, always(c.play)), newUpstream(t, always(c.play))
+					plain, heads := newUpstream(t, always(tt.respond)), newUpstream(t, always(tt.respond))
 					s := newTestEntry(t, []*upstream{plain}, []*upstream{heads})
 					cfg := config()
 					for i := range cfg.Routes {
@@ -86,16 +86,16 @@
 					ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 					defer cancel()
 					r := s.request("POST", "/"+route+"/x", "r1", "body").WithContext(ctx)
-					if says != "" {
-						r.Header.Set("Deadline", says)
+					if callerDeadline != "" {
+						r.Header.Set("Deadline", callerDeadline)
 					}
-					began := time.Now()
+					startedAt := time.Now()
 					got := s.do(r)
-					if took := time.Since(began); took > timeout+slack {
+					if took := time.Since(startedAt); took > timeout+slack {
 						t.Errorf("ended after %v with %+v", took, got)
 					}
 					if got.Status == http.StatusOK && got.Complete {
-						t.Errorf("a whole answer: %+v", got)
+						t.Errorf("a complete answer: %+v", got)
 					}
 				})
 			}
