--- a/site/backoff.go
+++ b/site/backoff.go
@@ -19,58 +19,58 @@
 )
 
 // backoffRule is the rule that the settings give.
-func backoffRule(b *settings.Backoff) backoff.Rule {
+func backoffRule(cfg *settings.Backoff) backoff.Rule {
 	rule := backoff.DefaultRule()
-	rule.Max, rule.Leaving = b.Most.Std(), b.Leaving.Std()
+	rule.Max, rule.Leaving = cfg.Most.Std(), cfg.Leaving.Std()
 	return rule
 }
 
 // ApplyNotice takes what an upstream asks for with its answer to an order or a question.
-func (c *Control) ApplyNotice(id ident.Incarnation, w backoff.Notice) {
+func (c *Control) ApplyNotice(id ident.Incarnation, notice backoff.Notice) {
 	now := clock.Now()
 	switch {
-	case w.BackoffErr != nil:
-		c.Log.Info("upstream asks for something unreadable", "upstream", id, "code", result.CodeOf(w.BackoffErr), "error", result.Message(w.BackoffErr))
-	case w.Backoff > 0 && c.asked.NoteRefusal(now, id, w.Backoff):
-		c.Log.Info("upstream asked for time", "upstream", id, "retry-after", w.RetryAfterText, "asked-ms", w.Backoff.Milliseconds())
+	case notice.BackoffErr != nil:
+		c.Log.Info("upstream asks for something unreadable", "upstream", id, "code", result.CodeOf(notice.BackoffErr), "error", result.Message(notice.BackoffErr))
+	case notice.Backoff > 0 && c.backoffs.NoteRefusal(now, id, notice.Backoff):
+		c.Log.Info("upstream asked for time", "upstream", id, "retry-after", notice.RetryAfterText, "asked-ms", notice.Backoff.Milliseconds())
 	}
-	c.heardLimit(id, &w, now)
-	c.heardUnread(id, w.Header)
-	if r := c.leadership.Load(); w.Leaving && r != nil {
-		r.drain(id, "this daemon")
+	c.applyLimit(id, &notice, now)
+	c.noteUnrecognizedHeaders(id, notice.Header)
+	if r := c.leadership.Load(); notice.Leaving && r != nil {
+		r.markLeaving(id, "this daemon")
 	}
 }
 
-// heardLimit notes the limit that an upstream names. Orders and questions do not count against it: a group is formed by a handful of
+// applyLimit notes the limit that an upstream names. Orders and questions do not count against it: a group is formed by a handful of
 // them, and one that takes few requests must be closed as soon as any other.
-func (c *Control) heardLimit(id ident.Incarnation, w *backoff.Notice, now time.Time) {
-	if w.LimitErr != nil {
-		c.Log.Info("upstream names an unreadable limit", "upstream", id, "code", result.CodeOf(w.LimitErr), "error", result.Message(w.LimitErr))
+func (c *Control) applyLimit(id ident.Incarnation, notice *backoff.Notice, now time.Time) {
+	if notice.LimitErr != nil {
+		c.Log.Info("upstream names an unreadable limit", "upstream", id, "code", result.CodeOf(notice.LimitErr), "error", result.Message(notice.LimitErr))
 	}
-	if !w.Limited {
+	if !notice.Limited {
 		return
 	}
-	if was, changed := c.limits.Record(id, w.Limit, now); changed {
-		c.Log.Info("upstream names a limit", "upstream", id, "limit", w.Limit, "was", was.Rate)
+	if previous, changed := c.limits.Record(id, notice.Limit, now); changed {
+		c.Log.Info("upstream names a limit", "upstream", id, "limit", notice.Limit, "was", previous.Rate)
 	}
 }
 
-// waits reports whether an upstream asked this daemon for time that is not over.
-func (c *Control) waits(id ident.Incarnation) bool {
-	return c.asked.StateOf(clock.Now(), id).Remaining > 0
+// backedOff reports whether an upstream asked this daemon for time that is not over.
+func (c *Control) backedOff(id ident.Incarnation) bool {
+	return c.backoffs.StateOf(clock.Now(), id).Remaining > 0
 }
 
-// paceAsker returns how engines are asked for their pace, nil where they can't be.
-func (c *Control) paceAsker() func(ctx context.Context, address string, id ident.Incarnation) (float64, error) {
+// slowdownQuery returns how engines are asked for their pace, nil where they can't be.
+func (c *Control) slowdownQuery() func(ctx context.Context, address string, id ident.Incarnation) (float64, error) {
 	if c.QuerySlowdown == nil {
 		return nil
 	}
-	return c.askPace
+	return c.queryUnlessBackedOff
 }
 
-// askPace asks an engine for its pace unless it asked for time.
-func (c *Control) askPace(ctx context.Context, address string, id ident.Incarnation) (float64, error) {
-	if c.waits(id) {
+// queryUnlessBackedOff asks an engine for its pace unless it asked for time.
+func (c *Control) queryUnlessBackedOff(ctx context.Context, address string, id ident.Incarnation) (float64, error) {
+	if c.backedOff(id) {
 		return 0, result.New(result.BackedOff, "it asked for time")
 	}
 	return c.QuerySlowdown(ctx, address, id)
@@ -85,71 +85,71 @@
 	Leaving bool  `json:"leaving"`
 }
 
-// asked returns what upstreams want, by the newest calls of all entries; the mutex is held.
-func (r *leadership) asked(now time.Time) map[ident.Incarnation][]BackoffState {
+// backoffStates returns what upstreams want, by the newest calls of all entries; the mutex is held.
+func (r *leadership) backoffStates(now time.Time) map[ident.Incarnation][]BackoffState {
 	list := map[ident.Incarnation][]BackoffState{}
 	for name, e := range r.entries {
 		for i := range e.seen {
 			seen := &e.seen[i]
-			if left := seen.Backoff - now.Sub(e.at); left > 0 {
+			if left := seen.Backoff - now.Sub(e.calledAt); left > 0 {
 				list[seen.ID] = append(list[seen.ID], BackoffState{name, left.Milliseconds(), seen.Leaving})
 			}
 		}
 	}
-	for _, of := range list {
-		slices.SortFunc(of, func(a, b BackoffState) int { return cmp.Compare(a.Entry, b.Entry) })
+	for _, states := range list {
+		slices.SortFunc(states, func(a, b BackoffState) int { return cmp.Compare(a.Entry, b.Entry) })
 	}
 	return list
 }
 
-// drainSeen takes upstreams for what they told an entry that they are: leaving.
-func (r *leadership) drainSeen(call *SyncCall) {
+// applyLeaving takes upstreams for what they told an entry that they are: leaving.
+func (r *leadership) applyLeaving(call *SyncCall) {
 	for i := range call.Seen {
 		if call.Seen[i].Leaving {
-			r.drain(call.Seen[i].ID, call.From)
+			r.markLeaving(call.Seen[i].ID, call.From)
 		}
 	}
 }
 
-// drain notes that an upstream told somebody that it leaves.
-func (r *leadership) drain(id ident.Incarnation, told string) {
+// markLeaving notes that an upstream told somebody that it leaves.
+func (r *leadership) markLeaving(id ident.Incarnation, source string) {
 	if r.roster.MarkDraining(id) {
-		r.c.Log.Info("upstream leaves", "upstream", id, "told", told)
+		r.control.Log.Info("upstream leaves", "upstream", id, "told", source)
 	}
 }
 
-// noteAsking logs and counts what has changed of what an upstream asks for.
-func (e *Entry) noteAsking(a *relay.BackpressureEvent) {
-	e.meter.Scope.Tagged(map[string]string{"kind": string(a.Kind)}).Counter("upstream_askings").Inc(1)
-	fields := []any{"upstream", a.Upstream, "group", a.Group}
-	if a.RetryAfter != "" {
-		fields = append(fields, "retry-after", a.RetryAfter, "asked-ms", a.RequestedDelay.Milliseconds())
+// logUpstreamSignal logs and counts what has changed of what an upstream asks for.
+func (e *Entry) logUpstreamSignal(signal *relay.BackpressureEvent) {
+	e.meter.Scope.Tagged(map[string]string{"kind": string(signal.Kind)}).Counter("upstream_askings").Inc(1)
+	fields := []any{"upstream", signal.Upstream, "group", signal.Group}
+	if signal.RetryAfter != "" {
+		fields = append(fields, "retry-after", signal.RetryAfter, "asked-ms", signal.RequestedDelay.Milliseconds())
 	}
-	if a.EffectiveDelay > 0 {
-		fields = append(fields, "for-ms", a.EffectiveDelay.Milliseconds())
+	if signal.EffectiveDelay > 0 {
+		fields = append(fields, "for-ms", signal.EffectiveDelay.Milliseconds())
 	}
-	if a.Kind == relay.BackpressureLimit || a.Kind == relay.BackpressureLimitRemoved {
-		fields = append(fields, "limit", a.Limit, "was", a.PreviousLimit, "was-since", a.PreviousSince)
+	if signal.Kind == relay.BackpressureLimit || signal.Kind == relay.BackpressureLimitRemoved {
+		fields = append(fields, "limit", signal.Limit, "was", signal.PreviousLimit, "was-since", signal.PreviousSince)
 	}
-	if a.Kind == relay.BackpressureUnrecognized {
-		fields = append(fields, "word", a.HeaderName, "value", a.HeaderValue)
-		e.unread.add(a.Upstream, a.HeaderName)
+	if signal.Kind == relay.BackpressureUnrecognized {
+		fields = append(fields, "word", signal.HeaderName, "value", signal.HeaderValue)
+		e.unrecognized.add(signal.Upstream, signal.HeaderName)
 	}
-	if a.Err != nil {
-		fields = append(fields, "code", result.CodeOf(a.Err), "error", result.Message(a.Err))
+	if signal.Err != nil {
+		fields = append(fields, "code", result.CodeOf(signal.Err), "error", result.Message(signal.Err))
 	}
 	log := e.Log
-	if a.Kind == relay.BackpressureUnreadable || a.Kind == relay.BackpressureUnrecognized {
+	if signal.Kind == relay.BackpressureUnreadable || signal.Kind == relay.BackpressureUnrecognized {
 		// Each answer may have one; what changes a state is kept when the log falls behind.
 		log = e.RequestLog
 	}
-	log.Info("upstream "+string(a.Kind), fields...)
+	log.Info("upstream "+string(signal.Kind), fields...)
 }
 
-// countAsked updates how many upstreams want nothing from this entry, and how many have named a limit.
-func (e *Entry) countAsked(now time.Time) {
+// countBackoffs updates how many upstreams want nothing from this entry, and how many have named a limit.
+func (e *Entry) countBackoffs(now time.Time) {
 	n := 0
 	e.relay.Backoff.Each(now, func(ident.Incarnation, backoff.State) { n++ })
-	e.numbers.backedOff.Update(float64(n))
-	e.numbers.limited.Update(float64(e.relay.Limits.Table.Count()))
+	e.metrics.backedOff.Update(float64(n))
+	e.metrics.limited.Update(float64(e.relay.Limits.Table.Count()))
 }
--- a/site/calls.go
+++ b/site/calls.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// passTimeout bounds a call that is passed on to the leader; upstreams wait for a second.
-	passTimeout = 800 * time.Millisecond
+	// forwardTimeout bounds a call that is passed on to the leader; upstreams wait for a second.
+	forwardTimeout = 800 * time.Millisecond
 	// changeTimeout bounds the acceptance of a configuration.
 	changeTimeout = 2500 * time.Millisecond
 )
 
 // Report takes the report of an upstream; it returns the address for later reports when this daemon does not lead.
 func (c *Control) Report(ctx context.Context, r *roster.Report) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, passTimeout)
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	address, err := c.report(ctx, r)
 	if err == nil && r.Draining {
@@ -36,98 +36,98 @@
 // report takes a report here when this daemon leads, and passes it on with others otherwise.
 func (c *Control) report(ctx context.Context, r *roster.Report) (string, error) {
 	if c.leader() != string(c.self.Name) {
-		return c.reports.take(ctx, r)
+		return c.reportForwarder.submit(ctx, r)
 	}
-	_, err := c.answer(ctx, passTimeout, &ForwardedCall{Kind: CallReport, Reports: []*roster.Report{r}})
+	_, err := c.answerWithTimeout(ctx, forwardTimeout, &ForwardedCall{Kind: CallReport, Reports: []*roster.Report{r}})
 	return "", err
 }
 
-// passReports hands reports to the leader; it returns the address for later ones.
-func (c *Control) passReports(ctx context.Context, list []*roster.Report) (string, error) {
-	reply, err := c.call(ctx, passTimeout, &ForwardedCall{Kind: CallReport, Reports: list})
+// forwardReports hands reports to the leader; it returns the address for later ones.
+func (c *Control) forwardReports(ctx context.Context, list []*roster.Report) (string, error) {
+	reply, err := c.callLeader(ctx, forwardTimeout, &ForwardedCall{Kind: CallReport, Reports: list})
 	return reply.Address, err
 }
 
 // Leave takes the word of an upstream that it is gone.
 func (c *Control) Leave(ctx context.Context, id ident.Incarnation) error {
-	_, err := c.call(ctx, passTimeout, &ForwardedCall{Kind: CallLeave, Upstream: id})
+	_, err := c.callLeader(ctx, forwardTimeout, &ForwardedCall{Kind: CallLeave, Upstream: id})
 	c.Log.Info("upstream gone", "upstream", id, "acknowledged", err == nil)
 	return err
 }
 
 // Replace accepts a configuration that was checked; it returns after a majority has it on disk, and the entries that can be reached in force.
 func (c *Control) Replace(ctx context.Context, version httproute.Version, body []byte) error {
-	began := clock.Now()
+	startedAt := clock.Now()
 	leader := c.leader()
-	_, err := c.order(ctx, changeTimeout, &ForwardedCall{Kind: CallReplace, From: string(c.self.Name), Version: version, Body: body})
-	c.Log.Info("configuration offered", "version", version, "bytes", len(body), "leader", leader, "held", c.machine.Held().Version,
-		"took-ms", clock.Since(began).Milliseconds(), "code", int(result.CodeOf(err)), "why", result.Message(err))
+	_, err := c.retryCall(ctx, changeTimeout, &ForwardedCall{Kind: CallReplace, From: string(c.self.Name), Version: version, Body: body})
+	c.Log.Info("configuration offered", "version", version, "bytes", len(body), "leader", leader, "held", c.stateMachine.Held().Version,
+		"took-ms", clock.Since(startedAt).Milliseconds(), "code", int(result.CodeOf(err)), "why", result.Message(err))
 	return err
 }
 
 // LogRefusedConfig logs a configuration that was refused before it was offered to the leader.
-func (c *Control) LogRefusedConfig(bytes int, why error) {
-	if many, ok := c.refusals.next(clock.Now()); ok {
-		c.Log.Info("configuration refused", "bytes", bytes, "code", int(result.CodeOf(why)), "why", result.Message(why), "since-last", many)
+func (c *Control) LogRefusedConfig(size int, reason error) {
+	if occurrences, ok := c.refusedConfigLog.allow(clock.Now()); ok {
+		c.Log.Info("configuration refused", "bytes", size, "code", int(result.CodeOf(reason)), "why", result.Message(reason), "since-last", occurrences)
 	}
 }
 
 // Read returns the newest configuration as it was sent.
 func (c *Control) Read(ctx context.Context) ([]byte, error) {
-	began := clock.Now()
+	startedAt := clock.Now()
 	leader := c.leader()
-	reply, err := c.order(ctx, passTimeout, &ForwardedCall{Kind: CallRead, From: string(c.self.Name)})
-	if many, ok := c.reads.next(clock.Now()); ok {
-		c.Log.Info("configuration read", "version", reply.Version, "leader", leader, "held", c.machine.Held().Version,
-			"took-ms", clock.Since(began).Milliseconds(), "code", int(result.CodeOf(err)), "since-last", many)
+	reply, err := c.retryCall(ctx, forwardTimeout, &ForwardedCall{Kind: CallRead, From: string(c.self.Name)})
+	if occurrences, ok := c.configReadLog.allow(clock.Now()); ok {
+		c.Log.Info("configuration read", "version", reply.Version, "leader", leader, "held", c.stateMachine.Held().Version,
+			"took-ms", clock.Since(startedAt).Milliseconds(), "code", int(result.CodeOf(err)), "since-last", occurrences)
 	}
 	return reply.Body, err
 }
 
-// order is call for what operators send, which may come twice: it is tried again, at the next leader if need be, as long as there is time.
-func (c *Control) order(ctx context.Context, timeout time.Duration, call *ForwardedCall) (ForwardedReply, error) {
+// retryCall is call for what operators send, which may come twice: it is tried again, at the next leader if need be, as long as there is time.
+func (c *Control) retryCall(ctx context.Context, timeout time.Duration, call *ForwardedCall) (ForwardedReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
 		leader := c.leader()
-		reply, err := c.tryOrder(ctx, leader, timeout, call)
+		reply, err := c.callUntilLeaderChanges(ctx, leader, timeout, call)
 		switch result.CodeOf(err) {
 		case result.NoLeader, result.DaemonUnreached:
 		default:
 			return reply, err
 		}
-		pause(ctx, askPause)
+		sleep(ctx, followRetryPause)
 		if ctx.Err() != nil {
 			return reply, err
 		}
 	}
 }
 
-// tryOrder makes the call and gives it up once another daemon leads: the connection to one that is lost tells nothing.
-func (c *Control) tryOrder(ctx context.Context, leader string, timeout time.Duration, call *ForwardedCall) (ForwardedReply, error) {
+// callUntilLeaderChanges makes the call and gives it up once another daemon leads: the connection to one that is lost tells nothing.
+func (c *Control) callUntilLeaderChanges(ctx context.Context, leader string, timeout time.Duration, call *ForwardedCall) (ForwardedReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		for ctx.Err() == nil {
-			if now := c.leader(); now != leader && now != "" {
+			if current := c.leader(); current != leader && current != "" {
 				cancel()
 			}
-			pause(ctx, askPause)
+			sleep(ctx, followRetryPause)
 		}
 	}()
-	return c.call(ctx, timeout, call)
+	return c.callLeader(ctx, timeout, call)
 }
 
-// call answers a call here when this daemon leads, and passes it on otherwise.
-func (c *Control) call(ctx context.Context, timeout time.Duration, call *ForwardedCall) (ForwardedReply, error) {
+// callLeader answers a call here when this daemon leads, and passes it on otherwise.
+func (c *Control) callLeader(ctx context.Context, timeout time.Duration, call *ForwardedCall) (ForwardedReply, error) {
 	leader := c.leader()
 	if leader == "" {
 		return ForwardedReply{}, result.New(result.NoLeader, "no leader is known")
 	}
 	if leader == string(c.self.Name) {
-		return c.answer(ctx, timeout, call)
+		return c.answerWithTimeout(ctx, timeout, call)
 	}
-	reply, err := c.peers.pass(ctx, leader, timeout, call)
+	reply, err := c.links.forward(ctx, leader, timeout, call)
 	if err != nil {
 		return ForwardedReply{}, err
 	}
@@ -137,24 +137,24 @@
 	return reply, nil
 }
 
-// pass answers a call that another daemon took; the caller may then report here directly.
-func (c *Control) pass(call *ForwardedCall) ForwardedReply {
-	reply, err := c.answer(context.Background(), changeTimeout, call)
+// answerForwarded answers a call that another daemon took; the caller may then report here directly.
+func (c *Control) answerForwarded(call *ForwardedCall) ForwardedReply {
+	reply, err := c.answerWithTimeout(context.Background(), changeTimeout, call)
 	if err != nil {
 		return ForwardedReply{Code: result.CodeOf(err), Text: result.Message(err)}
 	}
-	if r := c.leadership.Load(); call.Kind == CallReport && r != nil && r.roster.Len() <= sentOnMost {
+	if r := c.leadership.Load(); call.Kind == CallReport && r != nil && r.roster.Len() <= maxDirectReporters {
 		reply.Address = c.Settings.Listen.Control
 	}
 	return reply
 }
 
-// answer does what call asks for, as leader.
-func (c *Control) answer(ctx context.Context, timeout time.Duration, call *ForwardedCall) (ForwardedReply, error) {
+// answerWithTimeout does what call asks for, as leader.
+func (c *Control) answerWithTimeout(ctx context.Context, timeout time.Duration, call *ForwardedCall) (ForwardedReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	reply, err := c.answerAsLeader(ctx, call)
-	c.tallies.call(call.Kind, err)
+	c.metrics.call(call.Kind, err)
 	return reply, err
 }
 
@@ -165,17 +165,17 @@
 	}
 	switch call.Kind {
 	case CallReport:
-		c.takeReports(r, call.Reports)
+		c.applyReports(r, call.Reports)
 		return ForwardedReply{}, nil
 	case CallLeave:
 		r.roster.SignOff(clock.Now(), call.Upstream)
 		return ForwardedReply{}, nil
 	case CallReplace:
-		return ForwardedReply{}, c.replace(ctx, r, call)
+		return ForwardedReply{}, c.replaceConfig(ctx, r, call)
 	case CallRead:
-		return c.read()
+		return c.readConfig()
 	case CallDrain:
-		return ForwardedReply{}, c.drain(ctx, r, call)
+		return ForwardedReply{}, c.drainHall(ctx, r, call)
 	case CallInspect:
 		s := r.state(clock.Now())
 		return ForwardedReply{State: &s}, nil
@@ -183,9 +183,9 @@
 	return ForwardedReply{}, result.New(result.PeerRefused, "unknown call %s", call.Kind)
 }
 
-// takeReports takes reports of upstreams whose service is declared. Any other names nothing to use, and must not end the upstream
+// applyReports takes reports of upstreams whose service is declared. Any other names nothing to use, and must not end the upstream
 // at its address; it is taken once a configuration declares the service.
-func (c *Control) takeReports(r *leadership, list []*roster.Report) {
+func (c *Control) applyReports(r *leadership, list []*roster.Report) {
 	table := c.newestTable()
 	for _, report := range list {
 		if table != nil && table.Service(report.Service) == nil {
@@ -200,66 +200,66 @@
 }
 
 // LogUnusableReport logs a report that names nothing to use, at most one each second; the line tells how many came since the last one.
-func (c *Control) LogUnusableReport(id string, why error) {
-	if many, ok := c.unusable.next(clock.Now()); ok {
-		c.Log.Info("report of no use", "upstream", id, "code", int(result.CodeOf(why)), "why", result.Message(why), "since-last", many)
+func (c *Control) LogUnusableReport(upstream string, reason error) {
+	if occurrences, ok := c.unusableReportLog.allow(clock.Now()); ok {
+		c.Log.Info("report of no use", "upstream", upstream, "code", int(result.CodeOf(reason)), "why", result.Message(reason), "since-last", occurrences)
 	}
 }
 
-// replace accepts a configuration and returns when the entries have it in force, as far as they can be reached.
-func (c *Control) replace(ctx context.Context, r *leadership, call *ForwardedCall) error {
-	if call.Version > c.machine.Held().Version {
-		if err := c.decide(ctx, r, call); err != nil {
+// replaceConfig accepts a configuration and returns when the entries have it in force, as far as they can be reached.
+func (c *Control) replaceConfig(ctx context.Context, r *leadership, call *ForwardedCall) error {
+	if call.Version > c.stateMachine.Held().Version {
+		if err := c.proposeOnce(ctx, r, call); err != nil {
 			return err
 		}
 	}
-	r.rollout.wait(ctx, call.Version)
+	r.configRollout.waitInForce(ctx, call.Version)
 	return nil
 }
 
-// decide writes a configuration to the log, once for all calls that bring it at the same time.
-func (c *Control) decide(ctx context.Context, r *leadership, call *ForwardedCall) error {
+// proposeOnce writes a configuration to the log, once for all calls that bring it at the same time.
+func (c *Control) proposeOnce(ctx context.Context, r *leadership, call *ForwardedCall) error {
 	key := strconv.FormatUint(uint64(call.Version), 10) + "/" + strconv.FormatUint(xxhash.Sum64(call.Body), 16)
-	decided := c.offers.DoChan(key, func() (any, error) {
+	done := c.proposals.DoChan(key, func() (any, error) {
 		// Whoever brought it first may leave; the others wait for the same decision.
 		ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 		defer cancel()
 		return nil, c.propose(ctx, r, call)
 	})
 	select {
-	case d := <-decided:
-		return d.Err
+	case outcome := <-done:
+		return outcome.Err
 	case <-ctx.Done():
 		return result.New(result.NoLeader, "the change was not confirmed in time")
 	}
 }
 
 func (c *Control) propose(ctx context.Context, r *leadership, call *ForwardedCall) error {
-	began := clock.Now()
-	before := c.machine.Held().Version
-	if call.Version <= before {
+	startedAt := clock.Now()
+	versionBefore := c.stateMachine.Held().Version
+	if call.Version <= versionBefore {
 		return nil
 	}
-	d, err := catalog.NewDocument(call.Version, call.Body)
+	document, err := catalog.NewDocument(call.Version, call.Body)
 	if err != nil {
 		return result.Wrap(err, result.ChangeInvalid, "the configuration cannot be packed")
 	}
-	data, err := catalog.Encode(d)
+	data, err := catalog.Encode(document)
 	if err != nil {
 		return result.Wrap(err, result.ChangeInvalid, "the configuration cannot be encoded")
 	}
-	c.decided.Add(1)
+	c.proposedConfigs.Add(1)
 	_, index, err := c.node.Propose(ctx, data)
 	if err == nil {
-		r.rollout.accept(began, clock.Now(), call.Version)
+		r.configRollout.track(startedAt, clock.Now(), call.Version)
 	}
-	c.Log.Info("configuration decided", "version", call.Version, "held-before", before, "from", call.From, "index", index,
-		"packed-bytes", len(d.Packed), "took-ms", clock.Since(began).Milliseconds(), "code", int(result.CodeOf(err)))
+	c.Log.Info("configuration decided", "version", call.Version, "held-before", versionBefore, "from", call.From, "index", index,
+		"packed-bytes", len(document.Packed), "took-ms", clock.Since(startedAt).Milliseconds(), "code", int(result.CodeOf(err)))
 	return err
 }
 
-func (c *Control) read() (ForwardedReply, error) {
-	held := c.machine.Held()
+func (c *Control) readConfig() (ForwardedReply, error) {
+	held := c.stateMachine.Held()
 	// The lease is looked at again: nobody else can have accepted a newer one by now.
 	if !c.leads() {
 		return ForwardedReply{}, result.New(result.NoLeader, "this daemon may no longer lead")
@@ -279,29 +279,29 @@
 		c.fillCommitted(call, &reply)
 		return reply
 	}
-	entries := r.note(call)
-	c.waitForNews(r, call, entries)
+	entries := r.applyCall(call)
+	c.waitForUpdates(r, call, entries)
 	reply := SyncReply{
 		Leader: string(c.self.Name), Controls: c.controls(), Leadership: r.name, Entries: entries,
-		Usable: r.usable(call),
+		Usable: r.rosterUsable(call),
 	}
 	if reply.Usable {
 		r.fillChanges(call, &reply)
 	}
 	c.mergeQuarantine(clock.Now(), call, &reply)
-	reply.Limits = r.limitUpdates(clock.Now())
+	reply.Limits = r.limitSummaries(clock.Now())
 	if call.Entry {
 		now := clock.Now()
 		reply.Totals = r.encodedTotals(now)
 		r.fillLists(now, call, &reply)
 	}
 	c.fillCommitted(call, &reply)
-	if large := len(reply.Packed) + len(reply.Config); large > 0 {
-		wait, ok := r.paced.turn(clock.Now(), large)
-		if !ok {
+	if bulkBytes := len(reply.Packed) + len(reply.Config); bulkBytes > 0 {
+		wait, accepted := r.bulkPacer.reserve(clock.Now(), bulkBytes)
+		if !accepted {
 			return SyncReply{Leader: string(c.self.Name), Controls: c.controls()}
 		}
-		pause(context.Background(), wait)
+		sleep(context.Background(), wait)
 	}
 	// Looked at last: what stands in the reply was then the newest that anyone had accepted.
 	reply.Leads = c.leads()
@@ -309,17 +309,17 @@
 }
 
 const (
-	// leaderAwaited is how long a call for news waits at a daemon that knows no leader: all daemons ask at that time, and would ask again at
-	// once. leaderLook is how often the daemon looks.
-	leaderAwaited = 250 * time.Millisecond
-	leaderLook    = 25 * time.Millisecond
+	// maxLeaderWait is how long a call for news waits at a daemon that knows no leader: all daemons ask at that time, and would ask again at
+	// once. leaderPollInterval is how often the daemon looks.
+	maxLeaderWait      = 250 * time.Millisecond
+	leaderPollInterval = 25 * time.Millisecond
 )
 
 // awaitLeader returns the leader, once this daemon knows one or the time is over.
 func (c *Control) awaitLeader() string {
-	for began := clock.Now(); ; pause(context.Background(), leaderLook) {
+	for startedAt := clock.Now(); ; sleep(context.Background(), leaderPollInterval) {
 		leader := c.leader()
-		if leader != "" || clock.Since(began) >= leaderAwaited {
+		if leader != "" || clock.Since(startedAt) >= maxLeaderWait {
 			return leader
 		}
 	}
@@ -328,10 +328,10 @@
 // fillCommitted adds what the caller has not of the configuration and of the drained halls. What this daemon holds was committed, so any may
 // tell it; only the leader can say that it is the newest.
 func (c *Control) fillCommitted(call *SyncCall, reply *SyncReply) {
-	if drained := c.machine.Drained(); drained.Revision > call.Drains {
+	if drained := c.stateMachine.Drained(); drained.Revision > call.Drains {
 		reply.Drained = &drained
 	}
-	held := c.machine.Held()
+	held := c.stateMachine.Held()
 	if held.Version <= call.Version {
 		return
 	}
@@ -344,38 +344,38 @@
 	}
 }
 
-// usable reports whether the roster is of use to the caller: a part of it is better than nothing, but not better than a
+// rosterUsable reports whether the roster is of use to the caller: a part of it is better than nothing, but not better than a
 // copy of the whole.
-func (r *leadership) usable(call *SyncCall) bool {
+func (r *leadership) rosterUsable(call *SyncCall) bool {
 	return call.Leadership == "" || call.Leadership == r.name || r.settled(clock.Now())
 }
 
-// shown is what the caller gets of the roster.
-func (r *leadership) shown(call *SyncCall) *roster.Roster {
+// rosterFor is what the caller gets of the roster.
+func (r *leadership) rosterFor(call *SyncCall) *roster.Roster {
 	if call.Entry {
-		return r.view.Roster
+		return r.entryView.Roster
 	}
 	return r.roster
 }
 
-// waitForNews returns when something is new for the caller, or after a while in which entries tell nothing. News are
+// waitForUpdates returns when something is new for the caller, or after a while in which entries tell nothing. News are
 // gathered for a moment that grows with the number of entries: all of them ask again after each answer.
-func (c *Control) waitForNews(r *leadership, call *SyncCall, entries int) {
+func (c *Control) waitForUpdates(r *leadership, call *SyncCall, entries int) {
 	c.mu.Lock()
-	renewed := c.renewed
+	stateChanged := c.stateChanged
 	c.mu.Unlock()
-	revision, changed := r.shown(call).Changed()
-	behind := r.usable(call) && (call.Leadership != r.name || call.Revision < revision)
-	if behind || c.machine.Held().Version > call.Version || c.machine.Drained().Revision > call.Drains {
-		pause(context.Background(), gatherTime(entries))
+	revision, rosterChanged := r.rosterFor(call).Changed()
+	behind := r.rosterUsable(call) && (call.Leadership != r.name || call.Revision < revision)
+	if behind || c.stateMachine.Held().Version > call.Version || c.stateMachine.Drained().Revision > call.Drains {
+		sleep(context.Background(), gatherTime(entries))
 		return
 	}
 	timer := time.NewTimer(holdTime(entries))
 	defer timer.Stop()
 	select {
-	case <-renewed:
-	case <-changed:
-		pause(context.Background(), gatherTime(entries))
+	case <-stateChanged:
+	case <-rosterChanged:
+		sleep(context.Background(), gatherTime(entries))
 	case <-timer.C:
 	}
 }
--- a/site/control.go
+++ b/site/control.go
@@ -34,11 +34,11 @@
 const (
 	// snapshotEvery is the number of log entries after which a snapshot is taken; each entry is a whole configuration.
 	snapshotEvery = 32
-	// operatorLines bounds the log lines of one kind on operators' calls, in lines a second.
-	operatorLines = 20
-	// headerTime and idleTime bound the connections of upstreams and operators.
-	headerTime = 5 * time.Second
-	idleTime   = 30 * time.Second
+	// operatorLinesPerSecond bounds the log lines of one kind on operators' calls, in lines a second.
+	operatorLinesPerSecond = 20
+	// headerTimeout and idleTimeout bound the connections of upstreams and operators.
+	headerTimeout = 5 * time.Second
+	idleTimeout   = 30 * time.Second
 )
 
 // Control is a daemon that keeps the replicated configuration and, while it leads, the groups; exported fields are set before Run.
@@ -59,47 +59,47 @@
 	// Unrecognized is what upstreams say in their answers that nothing reads.
 	Unrecognized *unread.List[ident.Incarnation]
 
-	self      quorum.MemberID
-	folder    *disk.Folder
-	store     *quorum.Store
-	node      *quorum.Node
-	machine   *catalog.Machine
-	versions  *versions
-	peers     *peers
-	directory *directory
-	meter     *meter.Meter
-	tallies   *tallies
-	failed    chan error
+	self         quorum.MemberID
+	folder       *disk.Folder
+	store        *quorum.Store
+	node         *quorum.Node
+	stateMachine *catalog.Machine
+	versions     *versions
+	links        *controlLinks
+	directory    *directory
+	meter        *meter.Meter
+	metrics      *controlMetrics
+	fatalErr     chan error
 
-	mu     sync.Mutex
-	copied *roster.Copy
-	// copiedAt is when the copy was last confirmed by the leader of copiedOf; recalled is set when it comes from the last
+	mu         sync.Mutex
+	rosterCopy *roster.Copy
+	// copyConfirmedAt is when the copy was last confirmed by the leader of copyLeadership; recalled is set when it comes from the last
 	// life.
-	copiedAt time.Time
-	copiedOf LeadershipID
-	recalled bool
-	// table is the configuration of tableOf laid out; only a leader needs it.
-	table   *httproute.Table
-	tableOf httproute.Version
-	// renewed is closed when another configuration counts, other halls are drained, or this daemon leads no more.
-	renewed   chan struct{}
-	strangers map[quorum.MemberID]time.Time
+	copyConfirmedAt time.Time
+	copyLeadership  LeadershipID
+	copyFromDisk    bool
+	// table is the configuration of tableVersion laid out; only a leader needs it.
+	table        *httproute.Table
+	tableVersion httproute.Version
+	// stateChanged is closed when another configuration counts, other halls are drained, or this daemon leads no more.
+	stateChanged chan struct{}
+	joinRequests map[quorum.MemberID]time.Time
 
-	leadership atomic.Pointer[leadership]
-	reports    *reports
-	unusable   logLimiter
-	// refusals and reads bound the lines on configurations that operators offer and read.
-	refusals logLimiter
-	// offers are the decisions on configurations that are under way.
-	offers singleflight.Group
-	// entriesHeard is how many entries the leader had that this daemon followed last.
-	entriesHeard atomic.Int64
-	// decided counts the configurations that this daemon wrote to the log as leader.
-	decided atomic.Int64
-	reads   logLimiter
-	held    *quarantine.List
-	// asked is what upstreams asked this daemon for.
-	asked *backoff.List[ident.Incarnation]
+	leadership        atomic.Pointer[leadership]
+	reportForwarder   *reportForwarder
+	unusableReportLog logLimiter
+	// refusedConfigLog and reads bound the lines on configurations that operators offer and read.
+	refusedConfigLog logLimiter
+	// proposals are the decisions on configurations that are under way.
+	proposals singleflight.Group
+	// leaderEntries is how many entries the leader had that this daemon followed last.
+	leaderEntries atomic.Int64
+	// proposedConfigs counts the configurations that this daemon wrote to the log as leader.
+	proposedConfigs atomic.Int64
+	configReadLog   logLimiter
+	quarantine      *quarantine.List
+	// backoffs is what upstreams asked this daemon for.
+	backoffs *backoff.List[ident.Incarnation]
 	// limits are the limits that upstreams named to this daemon.
 	limits *ratelimit.LimitTable[ident.Incarnation]
 }
@@ -116,30 +116,30 @@
 	}
 	c := &Control{
 		Settings: cfg, Log: logr.Discard(), Dial: transport.TCP(),
-		self: store.ID(), folder: folder, store: store, node: quorum.NewNode(store), machine: catalog.NewMachine(), versions: &versions{},
-		directory: newDirectory(cfg.SeedPeers()), failed: make(chan error, 1),
-		copied: roster.NewCopy(), renewed: make(chan struct{}), strangers: map[quorum.MemberID]time.Time{},
+		self: store.ID(), folder: folder, store: store, node: quorum.NewNode(store), stateMachine: catalog.NewMachine(), versions: &versions{},
+		directory: newDirectory(cfg.SeedPeers()), fatalErr: make(chan error, 1),
+		rosterCopy: roster.NewCopy(), stateChanged: make(chan struct{}), joinRequests: map[quorum.MemberID]time.Time{},
 	}
-	c.machine.Changed = c.configChanged
-	c.machine.DrainChanged = c.drainChanged
-	c.held = &quarantine.List{Rule: heldRule(&cfg.Quarantine)}
-	c.refusals.Lines, c.reads.Lines = operatorLines, operatorLines
+	c.stateMachine.Changed = c.configChanged
+	c.stateMachine.DrainChanged = c.drainChanged
+	c.quarantine = &quarantine.List{Rule: quarantineRule(&cfg.Quarantine)}
+	c.refusedConfigLog.linesPerSecond, c.configReadLog.linesPerSecond = operatorLinesPerSecond, operatorLinesPerSecond
 	c.limits = ratelimit.NewLimitTable[ident.Incarnation]()
 	c.Unrecognized = unread.New[ident.Incarnation]()
-	c.asked = backoff.New[ident.Incarnation](backoffRule(&cfg.Backoff))
-	c.reports = newReports(c.passReports)
+	c.backoffs = backoff.New[ident.Incarnation](backoffRule(&cfg.Backoff))
+	c.reportForwarder = newReportForwarder(c.forwardReports)
 	c.meter = meter.New()
-	c.tallies = newTallies(c.meter.Scope)
+	c.metrics = newControlMetrics(c.meter.Scope)
 	return c, nil
 }
 
 // Run serves until ctx ends or the data folder fails.
 func (c *Control) Run(ctx context.Context) error {
-	ctx, end := context.WithCancel(ctx)
-	defer end()
-	c.peers = newPeers(ctx, c.Dial)
+	ctx, stop := context.WithCancel(ctx)
+	defer stop()
+	c.links = newControlLinks(ctx, c.Dial)
 	c.prepareNode()
-	c.recall()
+	c.loadRoster()
 	server, err := c.listenPeers()
 	if err != nil {
 		return err
@@ -153,39 +153,39 @@
 	wg.Go(func() { c.node.Run(ctx) })
 	wg.Go(func() { server.Run(ctx) })
 	wg.Go(func() { c.memberLoop(ctx) })
-	wg.Go(func() { c.reports.run(ctx) })
+	wg.Go(func() { c.reportForwarder.run(ctx) })
 	wg.Go(func() { c.leadLoop(ctx) })
 	wg.Go(func() { c.followLoop(ctx) })
-	wg.Go(func() { c.rememberLoop(ctx) })
+	wg.Go(func() { c.saveRosterLoop(ctx) })
 	c.Log.Info("control daemon started", "name", c.Settings.Name, "member", c.self, "seeds", c.Settings.Seeds, "first-start", c.Settings.FirstStart)
 	select {
 	case <-ctx.Done():
-	case err = <-c.failed:
+	case err = <-c.fatalErr:
 		c.Log.Error(err, "control daemon fails", "code", int(result.CodeOf(err)))
 	}
-	c.handOver()
-	end()
+	c.transferLeadership()
+	stop()
 	for _, s := range servers {
 		_ = s.Close()
 	}
 	wg.Wait()
-	c.peers.wait()
+	c.links.wait()
 	c.Log.Info("control daemon stopped")
 	return errors.Join(err, c.meter.Close())
 }
 
 func (c *Control) prepareNode() {
 	cfg := c.Settings.Times
-	n := c.node
-	n.Timing = quorum.Timing{Heartbeat: cfg.Heartbeat.Std(), Election: cfg.Election.Std(), Lease: cfg.Lease.Std()}
-	n.Seed = seedOf(c.self)
-	n.SnapshotEvery = snapshotEvery
-	n.Send = c.peers.send
-	n.Apply = func(_ quorum.Index, data []byte) any { return c.machine.Apply(data) }
-	n.TakeSnapshot = c.machine.Snapshot
-	n.Restore = func(_ quorum.Index, data []byte) error { return c.machine.Restore(data) }
-	n.Fatal = c.fatal
-	n.Log = c.Log
+	node := c.node
+	node.Timing = quorum.Timing{Heartbeat: cfg.Heartbeat.Std(), Election: cfg.Election.Std(), Lease: cfg.Lease.Std()}
+	node.Seed = seedOf(c.self)
+	node.SnapshotEvery = snapshotEvery
+	node.Send = c.links.send
+	node.Apply = func(_ quorum.Index, data []byte) any { return c.stateMachine.Apply(data) }
+	node.TakeSnapshot = c.stateMachine.Snapshot
+	node.Restore = func(_ quorum.Index, data []byte) error { return c.stateMachine.Restore(data) }
+	node.Fatal = c.fatal
+	node.Log = c.Log
 }
 
 // seedOf spreads the members' election times.
@@ -197,7 +197,7 @@
 
 func (c *Control) fatal(err error) {
 	select {
-	case c.failed <- err:
+	case c.fatalErr <- err:
 	default:
 	}
 }
@@ -207,7 +207,7 @@
 	if err != nil {
 		return nil, result.Wrap(err, result.StartFailed, "peers' address cannot be used")
 	}
-	return newServer(ln, &Handlers{Deliver: c.node.Deliver, Hello: c.hello, Join: c.join, Sync: c.sync, Pass: c.pass, Inspect: c.inspect, Drain: c.orderDrain})
+	return newServer(ln, &Handlers{Deliver: c.node.Deliver, Hello: c.hello, Join: c.join, Sync: c.sync, Pass: c.answerForwarded, Inspect: c.inspect, Drain: c.answerDrain})
 }
 
 // serverRunner is a server of links.
@@ -215,13 +215,13 @@
 
 func (c *Control) listenCalls() ([]server, error) {
 	return serveAll(c.Log, []listener{
-		{c.Settings.Listen.Control, &http.Server{Handler: c.Handler, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}},
+		{c.Settings.Listen.Control, &http.Server{Handler: c.Handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}},
 		{c.Settings.Listen.Metrics, c.meter.HTTP()},
 	})
 }
 
-// handOver gives the lead to another member before this one stops.
-func (c *Control) handOver() {
+// transferLeadership gives the lead to another member before this one stops.
+func (c *Control) transferLeadership() {
 	if c.node.Status().Role != quorum.RoleLeader {
 		return
 	}
@@ -229,35 +229,35 @@
 	defer cancel()
 	if c.node.TransferLeadership(ctx) {
 		c.Log.Info("lead handed over")
-		pause(ctx, c.Settings.Times.Heartbeat.Std())
+		sleep(ctx, c.Settings.Times.Heartbeat.Std())
 	}
 }
 
 // configChanged wakes those who wait for a new configuration.
 func (c *Control) configChanged(d catalog.Document) {
 	c.versions.add(d)
-	c.renew()
+	c.notifyWaiting()
 	c.Log.Info("configuration held", "version", d.Version, "packed-bytes", len(d.Packed))
 }
 
-// renew wakes the calls that wait for news of what the log holds.
-func (c *Control) renew() {
+// notifyWaiting wakes the calls that wait for news of what the log holds.
+func (c *Control) notifyWaiting() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	close(c.renewed)
-	c.renewed = make(chan struct{})
+	close(c.stateChanged)
+	c.stateChanged = make(chan struct{})
 }
 
 // newestTable returns the newest configuration laid out, or nil before the first.
 func (c *Control) newestTable() *httproute.Table {
-	held := c.machine.Held()
+	held := c.stateMachine.Held()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if held.Version == c.tableOf {
+	if held.Version == c.tableVersion {
 		return c.table
 	}
 	cfg, err := decodePacked(held.Packed, c.DecodeConfig)
-	c.tableOf = held.Version
+	c.tableVersion = held.Version
 	if err != nil {
 		// It was checked before it was accepted, so this is a fault of this build.
 		c.Log.Error(err, "accepted configuration cannot be read", "version", held.Version)
@@ -285,96 +285,96 @@
 
 // leader returns the peers' address of the leader that this daemon knows, or nothing.
 func (c *Control) leader() string {
-	s := c.node.Status()
-	if s.Role == quorum.RoleLeader {
+	status := c.node.Status()
+	if status.Role == quorum.RoleLeader {
 		return string(c.self.Name)
 	}
-	if s.Leader != "" && clock.Since(s.LastContact) < c.Settings.Times.Election.Std() {
-		return string(s.Leader)
+	if status.Leader != "" && clock.Since(status.LastContact) < c.Settings.Times.Election.Std() {
+		return string(status.Leader)
 	}
-	if known := c.directory.knownLeader(); known != string(c.self.Name) {
-		return known
+	if address := c.directory.knownLeader(); address != string(c.self.Name) {
+		return address
 	}
 	return ""
 }
 
 // controls returns the peers' addresses of all control daemons that this one knows.
 func (c *Control) controls() []string {
-	known := map[string]bool{string(c.self.Name): true}
+	addresses := map[string]bool{string(c.self.Name): true}
 	for _, m := range c.node.Status().Members {
-		known[string(m.ID.Name)] = true
+		addresses[string(m.ID.Name)] = true
 	}
 	c.mu.Lock()
-	for id := range c.strangers {
-		known[string(id.Name)] = true
+	for id := range c.joinRequests {
+		addresses[string(id.Name)] = true
 	}
 	c.mu.Unlock()
-	var list []string
-	for address := range known {
-		list = append(list, address)
+	var unique []string
+	for address := range addresses {
+		unique = append(unique, address)
 	}
-	return list
+	return unique
 }
 
 // followLoop keeps the copy of the roster up to date while another daemon leads.
 func (c *Control) followLoop(ctx context.Context) {
-	f := &follower{
-		peers: c.peers, directory: c.directory, log: c.Log,
-		describe: func(call *SyncCall) {
+	follow := &follower{
+		links: c.links, directory: c.directory, log: c.Log,
+		fillCall: func(call *SyncCall) {
 			call.From = string(c.self.Name)
 			// The log brings the configuration here.
-			call.Version = c.machine.Held().Version
-			call.Drains = c.machine.Drained().Revision
-			call.HeldSum = c.held.Digest(clock.Now())
+			call.Version = c.stateMachine.Held().Version
+			call.Drains = c.stateMachine.Drained().Revision
+			call.HeldSum = c.quarantine.Digest(clock.Now())
 		},
-		apply:  c.applySync,
-		commit: func(time.Time, *SyncReply) bool { return true },
-		sums:   c.copiedSums,
-		reread: c.reread,
+		applyReply:     c.applySync,
+		applyCommitted: func(time.Time, *SyncReply) bool { return true },
+		rosterDigests:  c.rosterDigests,
+		reloadSeeds:    c.reloadSeeds,
 	}
-	f.found, f.entries, f.astray = clock.Now(), entriesUnknown, true
+	follow.leaderSeenAt, follow.leaderEntries, follow.leaderUncertain = clock.Now(), unknownEntryCount, true
 	for ctx.Err() == nil {
 		if c.node.Status().Role == quorum.RoleLeader {
-			f.leadership, f.revision, f.astray = "", 0, true
-			pause(ctx, syncHold)
+			follow.leadership, follow.revision, follow.leaderUncertain = "", 0, true
+			sleep(ctx, minSyncHold)
 			continue
 		}
 		if leader := c.leader(); leader != "" {
-			c.directory.learn(leader, nil)
+			c.directory.update(leader, nil)
 		}
-		if f.once() {
-			f.regained()
+		if follow.syncOnce() {
+			follow.leaderFound()
 			continue
 		}
-		f.missed(ctx)
+		follow.waitForRetry(ctx)
 	}
 }
 
-func (c *Control) applySync(_ time.Time, r *SyncReply) bool {
-	c.applyQuarantine(clock.Now(), r.Held)
-	c.entriesHeard.Store(int64(r.Entries))
-	if !r.Usable {
+func (c *Control) applySync(_ time.Time, reply *SyncReply) bool {
+	c.applyQuarantine(clock.Now(), reply.Held)
+	c.leaderEntries.Store(int64(reply.Entries))
+	if !reply.Usable {
 		return true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.copied.Apply(&r.Changes)
-	c.copiedAt = clock.Now()
-	c.copiedOf = r.Leadership
+	c.rosterCopy.Apply(&reply.Changes)
+	c.copyConfirmedAt = clock.Now()
+	c.copyLeadership = reply.Leadership
 	return true
 }
 
-// copiedSums returns the digests of the copy of the roster, nil when it is empty.
-func (c *Control) copiedSums() *roster.Digests {
+// rosterDigests returns the digests of the copy of the roster, nil when it is empty.
+func (c *Control) rosterDigests() *roster.Digests {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.copied.Upstreams) == 0 {
+	if len(c.rosterCopy.Upstreams) == 0 {
 		return nil
 	}
-	return c.copied.Digests()
+	return c.rosterCopy.Digests()
 }
 
-func (c *Control) reread() {
+func (c *Control) reloadSeeds() {
 	cfg, err := c.LoadSettings()
 	if err != nil {
 		c.Log.Error(err, "settings cannot be read again")
@@ -385,6 +385,6 @@
 
 // Reload takes the parts of the settings that may change while the daemon runs.
 func (c *Control) Reload() {
-	c.reread()
-	c.Log.Info("settings read again", "seeds", c.directory.list())
+	c.reloadSeeds()
+	c.Log.Info("settings read again", "seeds", c.directory.addresses())
 }
--- a/site/directory.go
+++ b/site/directory.go
@@ -26,8 +26,8 @@
 	d.seeds = seeds
 }
 
-// learn takes what a control daemon told.
-func (d *directory) learn(leader string, controls []string) {
+// update takes what a control daemon told.
+func (d *directory) update(leader string, controls []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(controls) > 0 {
@@ -51,14 +51,14 @@
 	return d.leader
 }
 
-// ask returns the leader, or one after the other of all known control daemons.
-func (d *directory) ask() string {
+// nextAddress returns the leader, or one after the other of all known control daemons.
+func (d *directory) nextAddress() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.leader != "" {
 		return d.leader
 	}
-	all := d.all()
+	all := d.addressesLocked()
 	if len(all) == 0 {
 		return ""
 	}
@@ -66,8 +66,8 @@
 	return all[d.next%len(all)]
 }
 
-// all returns every known address once, in order; the mutex is held.
-func (d *directory) all() []string {
+// addressesLocked returns every known address once, in order; the mutex is held.
+func (d *directory) addressesLocked() []string {
 	known := map[string]bool{}
 	var list []string
 	for _, address := range append(append([]string(nil), d.seeds...), d.controls...) {
@@ -80,9 +80,9 @@
 	return list
 }
 
-// list returns every known address.
-func (d *directory) list() []string {
+// addresses returns every known address.
+func (d *directory) addresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.all()
+	return d.addressesLocked()
 }
--- a/site/drain.go
+++ b/site/drain.go
@@ -17,33 +17,33 @@
 )
 
 // Drain drains a hall, or takes it back; it returns after a majority has the order on disk, and the entries that can be reached in force.
-func (c *Control) Drain(ctx context.Context, o catalog.DrainOrder) error {
-	began := clock.Now()
-	_, err := c.order(ctx, changeTimeout, &ForwardedCall{Kind: CallDrain, From: string(c.self.Name), Drain: &o})
-	c.Log.Info("order on a hall", "hall", o.Hall, "drain", o.Drain, "leader", c.leader(), "took-ms", clock.Since(began).Milliseconds(),
+func (c *Control) Drain(ctx context.Context, order catalog.DrainOrder) error {
+	startedAt := clock.Now()
+	_, err := c.retryCall(ctx, changeTimeout, &ForwardedCall{Kind: CallDrain, From: string(c.self.Name), Drain: &order})
+	c.Log.Info("order on a hall", "hall", order.Hall, "drain", order.Drain, "leader", c.leader(), "took-ms", clock.Since(startedAt).Milliseconds(),
 		"code", int(result.CodeOf(err)), "why", result.Message(err))
 	return err
 }
 
-// drain carries an order on a hall out, as leader.
-func (c *Control) drain(ctx context.Context, r *leadership, call *ForwardedCall) error {
-	o := call.Drain
-	if o == nil || !c.knowsHall(r, o.Hall) {
+// drainHall carries an order on a hall out, as leader.
+func (c *Control) drainHall(ctx context.Context, r *leadership, call *ForwardedCall) error {
+	order := call.Drain
+	if order == nil || !c.knowsHall(r, order.Hall) {
 		return result.New(result.ChangeNotFound, "there is no such hall")
 	}
-	revision, err := c.decideDrain(ctx, r, call)
+	revision, err := c.proposeDrain(ctx, r, call)
 	if err != nil {
 		return err
 	}
-	r.drains.wait(ctx, revision)
+	r.drainRollout.waitInForce(ctx, revision)
 	return nil
 }
 
-// decideDrain writes an order to the log and returns the revision that holds with it.
-func (c *Control) decideDrain(ctx context.Context, r *leadership, call *ForwardedCall) (catalog.DrainRevision, error) {
-	began := clock.Now()
-	if !call.Drain.Drain && c.machine.Drained().Has(call.Drain.Hall) {
-		r.roster.MarkHallCold(began, call.Drain.Hall)
+// proposeDrain writes an order to the log and returns the revision that holds with it.
+func (c *Control) proposeDrain(ctx context.Context, r *leadership, call *ForwardedCall) (catalog.DrainRevision, error) {
+	startedAt := clock.Now()
+	if !call.Drain.Drain && c.stateMachine.Drained().Has(call.Drain.Hall) {
+		r.roster.MarkHallCold(startedAt, call.Drain.Hall)
 	}
 	data, err := catalog.EncodeDrain(*call.Drain)
 	if err != nil {
@@ -55,11 +55,11 @@
 		err = result.New(result.NoLeader, "the order was not carried out here")
 	}
 	c.Log.Info("order on a hall decided", "hall", call.Drain.Hall, "drain", call.Drain.Drain, "from", call.From, "index", index,
-		"revision", answer.Drained.Revision, "took-ms", clock.Since(began).Milliseconds(), "code", int(result.CodeOf(err)))
+		"revision", answer.Drained.Revision, "took-ms", clock.Since(startedAt).Milliseconds(), "code", int(result.CodeOf(err)))
 	if err != nil {
 		return 0, err
 	}
-	r.drains.accept(began, clock.Now(), answer.Drained.Revision)
+	r.drainRollout.track(startedAt, clock.Now(), answer.Drained.Revision)
 	return answer.Drained.Revision, nil
 }
 
@@ -74,19 +74,19 @@
 			return true
 		}
 	}
-	return slices.Contains(c.machine.Drained().Halls, hall)
+	return slices.Contains(c.stateMachine.Drained().Halls, hall)
 }
 
 // drainChanged wakes those who wait for news.
-func (c *Control) drainChanged(d catalog.Drained) {
-	c.renew()
-	c.Log.Info("drained halls held", "revision", d.Revision, "halls", d.Halls)
+func (c *Control) drainChanged(drained catalog.Drained) {
+	c.notifyWaiting()
+	c.Log.Info("drained halls held", "revision", drained.Revision, "halls", drained.Halls)
 }
 
 // drainedHalls returns the halls in which nothing is formed.
 func (c *Control) drainedHalls() map[ident.Hall]bool {
 	halls := map[ident.Hall]bool{}
-	for _, hall := range c.machine.Drained().Halls {
+	for _, hall := range c.stateMachine.Drained().Halls {
 		halls[hall] = true
 	}
 	return halls
@@ -94,13 +94,13 @@
 
 // OrderDrain asks the control daemons at addresses (host:port of their peers' listeners), one after the other, to drain a hall or to take it
 // back.
-func OrderDrain(ctx context.Context, dial transport.Dial, addresses []string, o catalog.DrainOrder) error {
+func OrderDrain(ctx context.Context, dial transport.Dial, addresses []string, order catalog.DrainOrder) error {
 	err := result.New(result.Usage, "no control daemon is named")
 	for _, address := range addresses {
 		client := link.NewClient(address, serviceName)
 		client.Dial = dial
 		var reply ForwardedReply
-		callErr := client.Call(ctx, changeTimeout+callTimeout, "Drain", &o, &reply)
+		callErr := client.Call(ctx, changeTimeout+callTimeout, "Drain", &order, &reply)
 		client.Close()
 		switch reply.Code {
 		case result.OK:
@@ -117,9 +117,9 @@
 	return err
 }
 
-// orderDrain takes an operator's order on a hall.
-func (c *Control) orderDrain(o *catalog.DrainOrder) ForwardedReply {
-	if err := c.Drain(context.Background(), *o); err != nil {
+// answerDrain takes an operator's order on a hall.
+func (c *Control) answerDrain(order *catalog.DrainOrder) ForwardedReply {
+	if err := c.Drain(context.Background(), *order); err != nil {
 		return ForwardedReply{Code: result.CodeOf(err), Text: result.Message(err)}
 	}
 	return ForwardedReply{}
--- a/site/entries.go
+++ b/site/entries.go
@@ -15,111 +15,111 @@
 
 // entryState is what an entry told with its newest call.
 type entryState struct {
-	at   time.Time
-	hall ident.Hall
-	seen []relay.Observation
+	calledAt time.Time
+	hall     ident.Hall
+	seen     []relay.Observation
 }
 
-// sights puts together what all entries saw of each group; the mutex is held.
-func (r *leadership) sights(now time.Time) map[ident.Group]replicaset.Observation {
-	sights := map[ident.Group]replicaset.Observation{}
+// groupObservations puts together what all entries saw of each group; the mutex is held.
+func (r *leadership) groupObservations(now time.Time) map[ident.Group]replicaset.Observation {
+	observations := map[ident.Group]replicaset.Observation{}
 	for _, g := range r.roster.Groups() {
-		sights[g.Name] = replicaset.Observation{SinceLastResponse: neverAnswered}
+		observations[g.Name] = replicaset.Observation{SinceLastResponse: noAnswerAge}
 	}
 	for name, e := range r.entries {
-		late := now.Sub(e.at)
-		if late > entryAway {
-			r.forgetEntry(name)
+		callAge := now.Sub(e.calledAt)
+		if callAge > entryTimeout {
+			r.removeEntry(name)
 			r.demand.Forget(name)
 			continue
 		}
 		for _, seen := range e.seen {
-			if sight, ok := sights[seen.Group]; ok {
-				sights[seen.Group] = merge(sight, &seen, late)
+			if observation, ok := observations[seen.Group]; ok {
+				observations[seen.Group] = mergeObservation(observation, &seen, callAge)
 			}
 		}
 	}
-	for name, sight := range sights {
+	for name, observation := range observations {
 		// A sign that any entry saw shows that the group works.
-		sight.StalledFor = min(sight.StalledFor, sight.SinceLastResponse)
-		sights[name] = sight
+		observation.StalledFor = min(observation.StalledFor, observation.SinceLastResponse)
+		observations[name] = observation
 	}
-	return sights
+	return observations
 }
 
-func merge(sight replicaset.Observation, seen *relay.Observation, late time.Duration) replicaset.Observation {
+func mergeObservation(observation replicaset.Observation, seen *relay.Observation, callAge time.Duration) replicaset.Observation {
 	if seen.Answered >= 0 {
-		sight.SinceLastResponse = min(sight.SinceLastResponse, seen.Answered+late)
+		observation.SinceLastResponse = min(observation.SinceLastResponse, seen.Answered+callAge)
 	}
 	// What an entry did not tell since may have ended, so its silence does not grow with its own.
-	sight.StalledFor = max(sight.StalledFor, seen.Silence)
-	sight.ConnectionRefused = sight.ConnectionRefused || seen.Refused
-	sight.StallConfirmed = sight.StallConfirmed || seen.Stands
+	observation.StalledFor = max(observation.StalledFor, seen.Silence)
+	observation.ConnectionRefused = observation.ConnectionRefused || seen.Refused
+	observation.StallConfirmed = observation.StallConfirmed || seen.Stands
 	if seen.Blamed != "" {
-		sight.BlamedMember = seen.Blamed
+		observation.BlamedMember = seen.Blamed
 	}
-	return sight
+	return observation
 }
 
-// note takes what an entry tells and returns how many entries there are.
-func (r *leadership) note(call *SyncCall) int {
+// applyCall takes what an entry tells and returns how many entries there are.
+func (r *leadership) applyCall(call *SyncCall) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	old := r.entries[call.From]
+	previous := r.entries[call.From]
 	if !call.Entry {
-		if old != nil {
-			r.forgetEntry(call.From)
+		if previous != nil {
+			r.removeEntry(call.From)
 		}
-		return r.sharers(clock.Now())
+		return r.entryCount(clock.Now())
 	}
-	r.forgetSeen(old)
+	r.subtractSeen(previous)
 	now := clock.Now()
-	if old == nil || old.hall != call.Hall {
+	if previous == nil || previous.hall != call.Hall {
 		r.lists.stale = true
 	}
 	r.entries[call.From] = &entryState{now, call.Hall, call.Seen}
-	r.rollout.hear(now, call.From, call.Version)
-	r.drains.hear(now, call.From, call.Drains)
-	r.paces.note(now, call.Seen)
-	r.drainSeen(call)
-	r.c.applyLimits(now, call)
-	for id, words := range call.Unread {
-		r.c.Unrecognized.AddNames(id, words)
+	r.configRollout.noteVersion(now, call.From, call.Version)
+	r.drainRollout.noteVersion(now, call.From, call.Drains)
+	r.slowdowns.addGaps(now, call.Seen)
+	r.applyLeaving(call)
+	r.control.applyLimits(now, call)
+	for id, names := range call.Unread {
+		r.control.Unrecognized.AddNames(id, names)
 	}
 	for i := range call.Seen {
 		seen := &call.Seen[i]
-		r.countApart(seen, 1)
+		r.countLocalShares(seen, 1)
 		r.totals[seen.ID] += seen.Inflight
 	}
-	r.countDemand(now, call)
-	return r.sharers(now)
+	r.addDemand(now, call)
+	return r.entryCount(now)
 }
 
-// sharers is how many entries there are, with those of the former leader that have not called yet; the mutex is held.
-func (r *leadership) sharers(now time.Time) int {
-	if r.rollout.arriving(now) {
-		return r.rollout.expected
+// entryCount is how many entries there are, with those of the former leader that have not called yet; the mutex is held.
+func (r *leadership) entryCount(now time.Time) int {
+	if r.configRollout.awaitingEntries(now) {
+		return r.configRollout.expectedEntries
 	}
 	return len(r.entries)
 }
 
-// forgetEntry drops an entry that does not call any more; the mutex is held.
-func (r *leadership) forgetEntry(name string) {
-	r.forgetSeen(r.entries[name])
+// removeEntry drops an entry that does not call any more; the mutex is held.
+func (r *leadership) removeEntry(name string) {
+	r.subtractSeen(r.entries[name])
 	delete(r.entries, name)
-	r.rollout.forget(name)
-	r.drains.forget(name)
+	r.configRollout.removeEntry(name)
+	r.drainRollout.removeEntry(name)
 	r.lists.stale = true
 }
 
-// forgetSeen takes an entry's requests out of the totals; the mutex is held.
-func (r *leadership) forgetSeen(e *entryState) {
+// subtractSeen takes an entry's requests out of the totals; the mutex is held.
+func (r *leadership) subtractSeen(e *entryState) {
 	if e == nil {
 		return
 	}
 	for i := range e.seen {
 		seen := &e.seen[i]
-		r.countApart(seen, -1)
+		r.countLocalShares(seen, -1)
 		r.totals[seen.ID] -= seen.Inflight
 		if r.totals[seen.ID] <= 0 {
 			delete(r.totals, seen.ID)
@@ -127,20 +127,20 @@
 	}
 }
 
-func (r *leadership) countDemand(now time.Time, call *SyncCall) {
-	asked := map[ident.Model]ModelDemand{}
+func (r *leadership) addDemand(now time.Time, call *SyncCall) {
+	demand := map[ident.Model]ModelDemand{}
 	for model, d := range call.Demand {
-		r.served = true
-		if w := r.work(model, d); w > 0 {
-			asked[model] = ModelDemand{w, d.Requests} // callers may name any model, rates are kept for those that there are
+		r.requestsSeen = true
+		if seconds := r.upstreamSeconds(model, d); seconds > 0 {
+			demand[model] = ModelDemand{seconds, d.Requests} // callers may name any model, rates are kept for those that there are
 		}
 	}
-	r.demand.Add(now, call.From, asked)
+	r.demand.Add(now, call.From, demand)
 }
 
-// work is the time that d takes of upstreams of the model, worked out from the engine's published figures.
-func (r *leadership) work(model ident.Model, d relay.Demand) float64 {
-	table := r.c.newestTable()
+// upstreamSeconds is the time that d takes of upstreams of the model, worked out from the engine's published figures.
+func (r *leadership) upstreamSeconds(model ident.Model, d relay.Demand) float64 {
+	table := r.control.newestTable()
 	if table == nil {
 		return 0
 	}
--- a/site/export_test.go
+++ b/site/export_test.go
@@ -28,11 +28,11 @@
 var NextMembers = nextMembers
 
 // Reports is a daemon's queue of reports for the leader.
-type Reports struct{ queue *reports }
+type Reports struct{ queue *reportForwarder }
 
 // NewReports returns a queue that makes its calls by pass.
 func NewReports(pass func(ctx context.Context, list []*roster.Report) (string, error)) Reports {
-	return Reports{newReports(pass)}
+	return Reports{newReportForwarder(pass)}
 }
 
 // Run passes reports on until ctx ends.
@@ -40,35 +40,35 @@
 
 // Take returns once the leader has the report.
 func (r Reports) Take(ctx context.Context, report *roster.Report) (string, error) {
-	return r.queue.take(ctx, report)
+	return r.queue.submit(ctx, report)
 }
 
 // Paces is what a leader knows of how fast groups and upstreams are.
-type Paces struct{ paces *paces }
+type Paces struct{ paces *slowdownTracker }
 
 // NewPaces asks upstreams by ask.
 func NewPaces(ask func(ctx context.Context, address string, id ident.Incarnation) (float64, error)) Paces {
-	return Paces{newPaces(ask, logr.Discard())}
+	return Paces{newSlowdownTracker(ask, logr.Discard())}
 }
 
 // Note takes what an entry saw.
-func (p Paces) Note(now time.Time, seen []relay.Observation) { p.paces.note(now, seen) }
+func (p Paces) Note(now time.Time, seen []relay.Observation) { p.paces.addGaps(now, seen) }
 
 // Look adds what is known to w and asks for more.
 func (p Paces) Look(w *replicaset.Snapshot, groups []roster.Group, table *httproute.Table) {
-	p.paces.look(w, groups, table)
+	p.paces.evaluate(w, groups, table)
 }
 
 // Neighbours passes news between entries.
 type Neighbours struct {
-	*neighbours
+	*peerEntries
 	conn *net.UDPConn
 }
 
 // NewNeighbours listens on a free port of the loopback.
 func NewNeighbours(hear func(n relay.EntryUpdate, from netip.AddrPort)) (Neighbours, error) {
 	conn, err := listenDatagrams("127.0.0.1:0")
-	return Neighbours{newNeighbours(hear), conn}, err
+	return Neighbours{newPeerEntries(hear), conn}, err
 }
 
 // Address is where the others send to.
@@ -76,21 +76,21 @@
 
 // Set replaces the entries of a hall.
 func (n Neighbours) Set(addresses ...string) {
-	n.set(time.Now(), n.Address(), "", []EntryList{{Hall: "hall", Entries: addresses}}, nil)
+	n.setEntries(time.Now(), n.Address(), "", []EntryList{{Hall: "hall", Entries: addresses}}, nil)
 }
 
 // Tell sends news to some entries, or to all.
-func (n Neighbours) Tell(news relay.EntryUpdate, to ...string) { n.tell(news, to) }
+func (n Neighbours) Tell(news relay.EntryUpdate, to ...string) { n.enqueue(news, to) }
 
 // Run sends and takes news until ctx ends.
 func (n Neighbours) Run(ctx context.Context) { n.run(ctx, n.conn) }
 
 // NameList returns the digest of a list.
-var NameList = nameList
+var NameList = digestList
 
 // Told returns the neighbours that are told of a prompt at a time.
 func (n Neighbours) Told(now time.Time, all []netip.AddrPort) []netip.AddrPort {
-	return n.told(now, all)
+	return n.promptTargets(now, all)
 }
 
 // Versions keeps the configurations from which a leader can send changes.
@@ -103,12 +103,12 @@
 func (v *Versions) Patch(from, to httproute.Version) []byte { return v.patch(from, to) }
 
 // Take puts what a leader answers to a call in force, and reports whether that is the newest configuration.
-func (e *Entry) Take(called time.Time, r *SyncReply) bool { return e.apply(called, r) }
+func (e *Entry) Take(called time.Time, r *SyncReply) bool { return e.applyReply(called, r) }
 
 // Call is what the entry asks the leader next.
 func (e *Entry) Call() *SyncCall {
 	call := &SyncCall{}
-	e.describe(call)
+	e.fillCall(call)
 	return call
 }
 
@@ -127,14 +127,14 @@
 func NewLeading() Leading {
 	whole := roster.New()
 	return Leading{&leadership{
-		view: roster.NewView(whole),
-		c: &Control{
+		entryView: roster.NewView(whole),
+		control: &Control{
 			Log: logr.Discard(), limits: ratelimit.NewLimitTable[ident.Incarnation](), Unrecognized: unread.New[ident.Incarnation](),
 		},
 		roster:  whole,
-		entries: map[string]*entryState{}, lists: newEntryLists(), totals: map[ident.Incarnation]int{}, apart: map[ident.Incarnation]int{},
-		paces: newPaces(nil, logr.Discard()), rollout: newRollout[httproute.Version](time.Time{}, 0),
-		drains: newRollout[catalog.DrainRevision](time.Time{}, 0),
+		entries: map[string]*entryState{}, lists: newEntryLists(), totals: map[ident.Incarnation]int{}, localShareEntries: map[ident.Incarnation]int{},
+		slowdowns: newSlowdownTracker(nil, logr.Discard()), configRollout: newRollout[httproute.Version](time.Time{}, 0),
+		drainRollout: newRollout[catalog.DrainRevision](time.Time{}, 0),
 	}}
 }
 
@@ -142,41 +142,41 @@
 func (r Leading) Roster() *roster.Roster { return r.roster }
 
 // Note takes what an entry tells.
-func (r Leading) Note(call *SyncCall) { r.note(call) }
+func (r Leading) Note(call *SyncCall) { r.applyCall(call) }
 
 // NewAsked returns a control daemon that knows nothing but what upstreams asked it for, with a leader's roster.
 func NewAsked() (*Control, Leading) {
 	r := NewLeading()
-	r.c.asked = backoff.New[ident.Incarnation](backoff.DefaultRule())
-	r.c.leadership.Store(r.leadership)
-	return r.c, r
+	r.control.backoffs = backoff.New[ident.Incarnation](backoff.DefaultRule())
+	r.control.leadership.Store(r.leadership)
+	return r.control, r
 }
 
 // Waits reports whether an upstream asked the daemon for time that is not over.
-func (c *Control) Waits(id ident.Incarnation) bool { return c.waits(id) }
+func (c *Control) Waits(id ident.Incarnation) bool { return c.backedOff(id) }
 
 // Asked returns what upstreams asked entries for.
 func (r Leading) Asked(now time.Time) map[ident.Incarnation][]BackoffState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.asked(now)
+	return r.backoffStates(now)
 }
 
 // NoteUnread notes a word of an upstream that nothing reads.
 func (e *Entry) NoteUnread(id ident.Incarnation, word string) {
 	e.relay.Unrecognized.AddNames(id, []string{word})
-	e.noteAsking(&relay.BackpressureEvent{Kind: relay.BackpressureUnrecognized, Upstream: id, HeaderName: word})
+	e.logUpstreamSignal(&relay.BackpressureEvent{Kind: relay.BackpressureUnrecognized, Upstream: id, HeaderName: word})
 }
 
 // Unread returns the words of an upstream that nothing reads.
-func (r Leading) Unread(id ident.Incarnation) []string { return r.c.Unrecognized.Of(id) }
+func (r Leading) Unread(id ident.Incarnation) []string { return r.control.Unrecognized.Of(id) }
 
 // ForgetUnread forgets those of upstreams that have ended.
-func (r Leading) ForgetUnread(now time.Time) { r.forgetUnread(now) }
+func (r Leading) ForgetUnread(now time.Time) { r.pruneUnrecognized(now) }
 
 // LimitUpdates returns the limits that entries are told of.
 func (r Leading) LimitUpdates(now time.Time) map[ident.Incarnation]LimitSummary {
-	return r.limitUpdates(now)
+	return r.limitSummaries(now)
 }
 
 // LimitStates returns the limits as operators see them.
@@ -190,7 +190,7 @@
 func (r Leading) Forget(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forgetEntry(name)
+	r.removeEntry(name)
 }
 
 // Lists returns the lists of entries that the caller has not.
@@ -200,7 +200,7 @@
 	for i := range reply.ListChanges {
 		c := &reply.ListChanges[i]
 		kept := r.lists.lists[c.Hall]
-		base := kept[slices.IndexFunc(kept, func(n namedList) bool { return n.name == c.Base })]
+		base := kept[slices.IndexFunc(kept, func(n digestedList) bool { return n.digest == c.Base })]
 		reply.Lists = append(reply.Lists, EntryList{c.Hall, c.apply(base.list)})
 	}
 	return reply.Lists
@@ -214,16 +214,16 @@
 }
 
 // Remember writes what is to outlive a restart, Recall reads it again.
-func (c *Control) Remember() error { return c.remember(&roster.Delta{}) }
+func (c *Control) Remember() error { return c.saveRoster(&roster.Delta{}) }
 
 // CloseFolder lets another life of the daemon use its folder.
 func (c *Control) CloseFolder() { c.store.Close() }
 
 // Recall reads what the last life has written.
-func (c *Control) Recall() { c.recall() }
+func (c *Control) Recall() { c.loadRoster() }
 
 // CallerBounds returns the bounds on callers that are in force.
-func (e *Entry) CallerBounds() inbound.Bounds { return e.callers.Bounds() }
+func (e *Entry) CallerBounds() inbound.Bounds { return e.callerServer.Bounds() }
 
 // KnownEntries is the entries that an entry knows of.
 type KnownEntries struct{ entries *knownEntries }
@@ -233,7 +233,7 @@
 
 // Take hears of a leader's lists.
 func (c KnownEntries) Take(now time.Time, leadership LeadershipID, changed []EntryList) bool {
-	return c.entries.take(now, leadership, changed)
+	return c.entries.apply(now, leadership, changed)
 }
 
 // All returns those that count.
@@ -258,38 +258,38 @@
 
 // Rest returns how long a confirmation waits yet.
 func (r Rollout) Rest(now time.Time, version httproute.Version) time.Duration {
-	return r.rollout.look(now, version)
+	return r.rollout.remainingWait(now, version)
 }
 
 // Accept begins to follow a version.
 func (r Rollout) Accept(offered, now time.Time, version httproute.Version) {
-	r.rollout.accept(offered, now, version)
+	r.rollout.track(offered, now, version)
 }
 
 // Hear notes the version that an entry has in force.
 func (r Rollout) Hear(now time.Time, entry string, version httproute.Version) {
-	r.rollout.hear(now, entry, version)
+	r.rollout.noteVersion(now, entry, version)
 }
 
 // Reports returns what is to be logged.
-func (r Rollout) Reports(now time.Time) []RolloutReport { return r.rollout.reports(now) }
+func (r Rollout) Reports(now time.Time) []RolloutReport { return r.rollout.newReports(now) }
 
 // LogLimiter bounds log lines.
 type LogLimiter struct{ limiter *logLimiter }
 
 // NewLogLimiter lets so many lines a second through.
-func NewLogLimiter(lines int) LogLimiter { return LogLimiter{&logLimiter{Lines: lines}} }
+func NewLogLimiter(lines int) LogLimiter { return LogLimiter{&logLimiter{linesPerSecond: lines}} }
 
 // Next counts one case.
-func (l LogLimiter) Next(now time.Time) (many int, ok bool) { return l.limiter.next(now) }
+func (l LogLimiter) Next(now time.Time) (many int, ok bool) { return l.limiter.allow(now) }
 
 // Decided returns how many configurations the daemon wrote to the log as leader.
-func (c *Control) Decided() int64 { return c.decided.Load() }
+func (c *Control) Decided() int64 { return c.proposedConfigs.Load() }
 
 // Follow returns what a daemon that has a version takes of a leader's reply.
 func Follow(version httproute.Version, r *SyncReply) (config, patch []byte) {
 	f := follower{version: version}
-	f.take(r)
+	f.recordReply(r)
 	return r.Config, r.Patch
 }
 
@@ -315,12 +315,12 @@
 		}
 	}
 	r.roster.Seed(now, upstreams, list)
-	r.view.Update(func(ident.Service) bool { return false })
+	r.entryView.Update(func(ident.Service) bool { return false })
 }
 
 // Reply is what a call for news gets of the roster, the totals and the lists.
 func (r Leading) Reply(call *SyncCall) SyncReply {
-	reply := SyncReply{Leads: true, Leader: "10.1.0.250:7140", Leadership: r.name, Usable: true, Entries: r.note(call)}
+	reply := SyncReply{Leads: true, Leader: "10.1.0.250:7140", Leadership: r.name, Usable: true, Entries: r.applyCall(call)}
 	r.fillChanges(call, &reply)
 	now := time.Now()
 	reply.Totals = r.encodedTotals(now)
@@ -330,14 +330,14 @@
 
 // Turn is when a reply of a leader with that link is sent, and whether it is at all.
 func (r Leading) Turn(now time.Time, bytes int, link float64) (time.Duration, bool) {
-	r.paced.rate = pacedPart * link
-	return r.paced.turn(now, bytes)
+	r.bulkPacer.bytesPerSecond = pacedLinkFraction * link
+	return r.bulkPacer.reserve(now, bytes)
 }
 
 // Succeeds names a leadership that begins now after a leader which had so many entries.
 func (r Leading) Succeeds(name LeadershipID, entries int) {
 	r.name = name
-	r.rollout.began, r.rollout.expected = time.Now(), entries
+	r.configRollout.startedAt, r.configRollout.expectedEntries = time.Now(), entries
 }
 
 // Unpack returns what a reply says of the roster.
@@ -352,21 +352,21 @@
 }
 
 // ListsStale lets the next reply tell of entries that have come and gone.
-func (r Leading) ListsStale() { r.lists.at = time.Time{} }
+func (r Leading) ListsStale() { r.lists.builtAt = time.Time{} }
 
 // Totals returns the requests of all entries.
 func (r Leading) Totals() map[ident.Incarnation]int { return maps.Clone(r.totals) }
 
 // LookPause is how long a leader gathers changes after a look that took so long.
-var LookPause = lookPause
+var LookPause = evaluatePause
 
 // SpreadOf is the time over which so many entries ask for a leader.
-var SpreadOf = spreadOf
+var SpreadOf = jitterFor
 
 // RenewedAtTheEnd ends the leadership of a daemon that leads, and reports whether calls that wait for news are woken by it.
 func (c *Control) RenewedAtTheEnd() bool {
 	c.mu.Lock()
-	renewed := c.renewed
+	renewed := c.stateChanged
 	c.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
--- a/site/held.go
+++ b/site/held.go
@@ -15,11 +15,11 @@
 	"github.com/dunlinquay/dunlinquay/settings"
 )
 
-// heldMost bounds the reports of one sync, 26 to 98 bytes each in CBOR with a short name of the customer.
-const heldMost = 32
+// maxSyncReports bounds the reports of one sync, 26 to 98 bytes each in CBOR with a short name of the customer.
+const maxSyncReports = 32
 
-// heldKept bounds the works that are kept on disk, the longest held first.
-const heldKept = 256
+// maxSavedReports bounds the works that are kept on disk, the longest held first.
+const maxSavedReports = 256
 
 // QuarantineState is a work that is held, as operators see it.
 type QuarantineState struct {
@@ -35,66 +35,66 @@
 // new leader and one that starts again know it.
 func (c *Control) mergeQuarantine(now time.Time, call *SyncCall, reply *SyncReply) {
 	c.applyQuarantine(now, call.Held)
-	reply.HeldSum = c.held.Digest(now)
+	reply.HeldSum = c.quarantine.Digest(now)
 	if reply.HeldSum != call.HeldSum {
-		reply.Held = c.held.ToSend(now, heldMost)
+		reply.Held = c.quarantine.ToSend(now, maxSyncReports)
 	}
 }
 
 // applyQuarantine takes what others know of works.
 func (c *Control) applyQuarantine(now time.Time, list []quarantine.Report) {
 	for i := range list {
-		c.held.Merge(now, &list[i])
+		c.quarantine.Merge(now, &list[i])
 	}
 }
 
-// heldState returns what is held now.
-func (c *Control) heldState(now time.Time) []QuarantineState {
+// quarantineStates returns what is held now.
+func (c *Control) quarantineStates(now time.Time) []QuarantineState {
 	var list []QuarantineState
-	for _, n := range c.held.Quarantined(now) {
-		list = append(list, QuarantineState{n.Customer, n.Content.String(), len(n.Ends), c.held.Remaining(now, n.Fingerprint()).Milliseconds()})
+	for _, report := range c.quarantine.Quarantined(now) {
+		list = append(list, QuarantineState{report.Customer, report.Content.String(), len(report.Ends), c.quarantine.Remaining(now, report.Fingerprint()).Milliseconds()})
 	}
 	return list
 }
 
-// sendQuarantine fills in what the leader is told of works.
-func (e *Entry) sendQuarantine(call *SyncCall) {
+// fillQuarantine fills in what the leader is told of works.
+func (e *Entry) fillQuarantine(call *SyncCall) {
 	list, now := e.relay.Quarantine, e.relay.Now()
 	call.HeldSum = list.Digest(now)
-	if call.HeldSum != e.leaderSum {
+	if call.HeldSum != e.leaderQuarantineDigest {
 		// Asked for only when it is sent: each time it is the next ones' turn.
-		call.Held = list.ToSend(now, heldMost)
+		call.Held = list.ToSend(now, maxSyncReports)
 	}
-	e.numbers.held.Update(float64(list.QuarantinedLen(now)))
+	e.metrics.quarantined.Update(float64(list.QuarantinedLen(now)))
 }
 
 // applyQuarantine takes what the leader knows of works.
-func (e *Entry) applyQuarantine(r *SyncReply) {
-	e.leaderSum = r.HeldSum
-	e.relay.ApplyQuarantineReports(r.Held, netip.AddrPort{})
+func (e *Entry) applyQuarantine(reply *SyncReply) {
+	e.leaderQuarantineDigest = reply.HeldSum
+	e.relay.ApplyQuarantineReports(reply.Held, netip.AddrPort{})
 }
 
-// noteHolding logs what became of held work.
-func (e *Entry) noteHolding(h *relay.QuarantineEvent) {
+// logQuarantineEvent logs what became of held work.
+func (e *Entry) logQuarantineEvent(event *relay.QuarantineEvent) {
 	from := "this entry"
-	if h.From.IsValid() {
-		from = h.From.String()
+	if event.From.IsValid() {
+		from = event.From.String()
 	}
-	e.Log.Info("work "+holdingOf(h), "customer", h.Customer, "content", h.Content.String(), "ends", len(h.Ends), "for-ms", h.Remaining.Milliseconds(),
-		"newest-ms", h.AgeMS, "from", from)
+	e.Log.Info("work "+quarantineAction(event), "customer", event.Customer, "content", event.Content.String(), "ends", len(event.Ends), "for-ms", event.Remaining.Milliseconds(),
+		"newest-ms", event.AgeMS, "from", from)
 }
 
-func holdingOf(h *relay.QuarantineEvent) string {
+func quarantineAction(event *relay.QuarantineEvent) string {
 	switch {
-	case h.Trying:
+	case event.Trying:
 		return "let in once more"
-	case len(h.Ends) == 0:
+	case len(event.Ends) == 0:
 		return "cleared"
 	}
 	return "held"
 }
 
-// heldRule is the rule that the settings give.
-func heldRule(q *settings.Quarantine) quarantine.Rule {
-	return quarantine.Rule{Crashes: q.Ends, InitialDuration: q.Hold.Std(), MaxRecords: q.Records}
+// quarantineRule is the rule that the settings give.
+func quarantineRule(cfg *settings.Quarantine) quarantine.Rule {
+	return quarantine.Rule{Crashes: cfg.Ends, InitialDuration: cfg.Hold.Std(), MaxRecords: cfg.Records}
 }
--- a/site/inspect.go
+++ b/site/inspect.go
@@ -19,8 +19,8 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// decisionsKept bounds the decisions that a leader remembers for operators: some minutes of a troubled day.
-const decisionsKept = 500
+// maxDecisions bounds the decisions that a leader remembers for operators: some minutes of a troubled day.
+const maxDecisions = 500
 
 // State is what the leader of a site knows and wants at one moment.
 type State struct {
@@ -103,7 +103,7 @@
 		client := link.NewClient(address, serviceName)
 		client.Dial = dial
 		var reply InspectReply
-		callErr := client.Call(ctx, passTimeout+callTimeout, "Inspect", &Empty{}, &reply)
+		callErr := client.Call(ctx, forwardTimeout+callTimeout, "Inspect", &Empty{}, &reply)
 		client.Close()
 		switch {
 		case callErr != nil:
@@ -119,7 +119,7 @@
 
 // inspect gives the state of this daemon's leadership, or that of the leader's.
 func (c *Control) inspect() InspectReply {
-	reply, err := c.call(context.Background(), passTimeout, &ForwardedCall{Kind: CallInspect})
+	reply, err := c.callLeader(context.Background(), forwardTimeout, &ForwardedCall{Kind: CallInspect})
 	if err != nil {
 		return InspectReply{Code: result.CodeOf(err), Text: result.Message(err)}
 	}
@@ -128,43 +128,43 @@
 
 // state describes the leadership; what it tells of groups is from the last look at them.
 func (r *leadership) state(now time.Time) State {
-	r.looking.Lock()
-	defer r.looking.Unlock()
-	s := State{
-		Leader: string(r.c.self.Name), Leadership: r.name, Since: r.began, Config: r.c.machine.Held().Version, Settled: r.settled(now),
-		Controls: r.c.controls(), Decisions: r.decisions.list(),
-		Held: r.c.heldState(now),
+	r.evaluating.Lock()
+	defer r.evaluating.Unlock()
+	state := State{
+		Leader: string(r.control.self.Name), Leadership: r.name, Since: r.startedAt, Config: r.control.stateMachine.Held().Version, Settled: r.settled(now),
+		Controls: r.control.controls(), Decisions: r.decisions.list(),
+		Held: r.control.quarantineStates(now),
 	}
-	drained := r.c.machine.Drained()
-	s.Drained, s.DrainRevision = drained.Halls, drained.Revision
+	drained := r.control.stateMachine.Drained()
+	state.Drained, state.DrainRevision = drained.Halls, drained.Revision
 	r.mu.Lock()
-	s.Entries = len(r.entries)
-	asked, limits := r.asked(now), r.limitStates(now)
+	state.Entries = len(r.entries)
+	backoffs, limits := r.backoffStates(now), r.limitStates(now)
 	r.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(r.formations)) {
 		for _, o := range r.formations[name].Explain() {
-			s.Models = append(s.Models, ModelState{name, o})
+			state.Models = append(state.Models, ModelState{name, o})
 		}
 	}
 	for _, g := range r.roster.Groups() {
-		s.Groups = append(s.Groups, GroupState{g.Name, g.Epoch, g.Service, g.Model, g.Phase, now.Sub(g.Since).Milliseconds(), g.Far, g.Members})
+		state.Groups = append(state.Groups, GroupState{g.Name, g.Epoch, g.Service, g.Model, g.Phase, now.Sub(g.Since).Milliseconds(), g.Far, g.Members})
 	}
 	upstreams, ages := r.roster.Upstreams(now)
 	for i := range upstreams {
 		u := &upstreams[i]
-		s.Upstreams = append(s.Upstreams, UpstreamState{
-			u.ID, u.Service, u.Address, u.Hall, u.Domain, ages[u.ID].Milliseconds(), r.place(u), asked[u.ID], limits[u.ID], r.c.Unrecognized.Of(u.ID),
+		state.Upstreams = append(state.Upstreams, UpstreamState{
+			u.ID, u.Service, u.Address, u.Hall, u.Domain, ages[u.ID].Milliseconds(), r.placement(u), backoffs[u.ID], limits[u.ID], r.control.Unrecognized.Of(u.ID),
 		})
 	}
-	return s
+	return state
 }
 
-func (r *leadership) place(u *roster.Upstream) string {
+func (r *leadership) placement(u *roster.Upstream) string {
 	if f := r.formations[u.Service]; f != nil && u.Domain != "" {
 		return f.DescribeUpstream(u.ID)
 	}
 	switch {
-	case r.c.machine.Drained().Has(u.Hall):
+	case r.control.stateMachine.Drained().Has(u.Hall):
 		return "gets nothing, its hall is drained"
 	case u.Draining:
 		return "leaves"
@@ -174,22 +174,22 @@
 	return "serves by itself"
 }
 
-// decisions keeps the newest decisions, in a ring.
-type decisions struct {
+// decisionLog keeps the newest decisions, in a ring.
+type decisionLog struct {
 	ring []GroupDecision
 	next int
 }
 
-func (d *decisions) add(g *GroupDecision) {
-	if len(d.ring) < decisionsKept {
+func (d *decisionLog) add(g *GroupDecision) {
+	if len(d.ring) < maxDecisions {
 		d.ring = append(d.ring, *g)
 		return
 	}
 	d.ring[d.next] = *g
-	d.next = (d.next + 1) % decisionsKept
+	d.next = (d.next + 1) % maxDecisions
 }
 
 // list returns the decisions, the oldest first.
-func (d *decisions) list() []GroupDecision {
+func (d *decisionLog) list() []GroupDecision {
 	return append(append([]GroupDecision(nil), d.ring[d.next:]...), d.ring[:d.next]...)
 }
--- a/site/known_entries.go
+++ b/site/known_entries.go
@@ -16,26 +16,26 @@
 // knownEntries is the entries by hall, as the leaders tell.
 type knownEntries struct {
 	leadership LeadershipID
-	// since is when the leader's first list came, former the entries of the one before until they count no more.
-	since  time.Time
-	lists  map[ident.Hall][]string
-	former map[ident.Hall][]string
+	// leaderSince is when the leader's first list came, former the entries of the one before until they count no more.
+	leaderSince time.Time
+	lists       map[ident.Hall][]string
+	formerLists map[ident.Hall][]string
 }
 
 func newKnownEntries() *knownEntries {
 	return &knownEntries{lists: map[ident.Hall][]string{}}
 }
 
-// take puts changed lists of a leader in place and reports whether the entries may be others than before.
-func (c *knownEntries) take(now time.Time, leadership LeadershipID, changed []EntryList) bool {
-	different := len(changed) > 0
+// apply puts changed lists of a leader in place and reports whether the entries may be others than before.
+func (c *knownEntries) apply(now time.Time, leadership LeadershipID, changed []EntryList) bool {
+	differs := len(changed) > 0
 	if leadership != c.leadership {
-		c.former = c.all()
-		c.leadership, c.since = leadership, now
+		c.formerLists = c.all()
+		c.leadership, c.leaderSince = leadership, now
 	}
-	if c.former != nil && now.Sub(c.since) >= entryAway {
-		c.former = nil
-		different = true
+	if c.formerLists != nil && now.Sub(c.leaderSince) >= entryTimeout {
+		c.formerLists = nil
+		differs = true
 	}
 	for _, l := range changed {
 		c.lists[l.Hall] = l.Entries
@@ -43,22 +43,22 @@
 			delete(c.lists, l.Hall)
 		}
 	}
-	return different
+	return differs
 }
 
 // all returns the entries that count.
 func (c *knownEntries) all() map[ident.Hall][]string {
 	all := map[ident.Hall][]string{}
-	told := map[string]bool{}
+	listed := map[string]bool{}
 	for hall, list := range c.lists {
 		all[hall] = slices.Clone(list)
 		for _, name := range list {
-			told[name] = true
+			listed[name] = true
 		}
 	}
-	for hall, list := range c.former {
+	for hall, list := range c.formerLists {
 		for _, name := range list {
-			if !told[name] {
+			if !listed[name] {
 				all[hall] = append(all[hall], name)
 			}
 		}
--- a/site/leadership.go
+++ b/site/leadership.go
@@ -21,135 +21,135 @@
 )
 
 const (
-	// leadInterval is how often the leader looks at its groups when nothing changes.
-	leadInterval = 50 * time.Millisecond
-	// leadPause gathers the changes of one moment, lookFactor does so for longer where a look takes long: the leader has to hear entries,
+	// evaluateInterval is how often the leader looks at its groups when nothing changes.
+	evaluateInterval = 50 * time.Millisecond
+	// minEvaluatePause gathers the changes of one moment, evaluatePauseFactor does so for longer where a look takes long: the leader has to hear entries,
 	// upstreams and voters between its looks.
-	leadPause  = 10 * time.Millisecond
-	lookFactor = 3
-	// settleReports is how many report intervals a leader without a copy waits until it believes its roster.
-	settleReports = 2
-	// silentReports and forgetReports are how many intervals without a report make an upstream silent, and forgotten.
-	silentReports = 2.3
-	forgetReports = 40
-	// copyFresh is the age up to which a follower's copy is a start for a new leader.
-	copyFresh = 10 * time.Second
-	// arrivalPause is the part of a report interval without a new upstream after which the first groups are formed,
-	// arrivalLimit how many intervals after the first upstream they are formed at the latest: upstreams that start together
+	minEvaluatePause    = 10 * time.Millisecond
+	evaluatePauseFactor = 3
+	// settleReportIntervals is how many report intervals a leader without a copy waits until it believes its roster.
+	settleReportIntervals = 2
+	// silentReportIntervals and forgetReportIntervals are how many intervals without a report make an upstream silent, and forgotten.
+	silentReportIntervals = 2.3
+	forgetReportIntervals = 40
+	// maxCopyAge is the age up to which a follower's copy is a start for a new leader.
+	maxCopyAge = 10 * time.Second
+	// quietArrivalIntervals is the part of a report interval without a new upstream after which the first groups are formed,
+	// maxArrivalIntervals how many intervals after the first upstream they are formed at the latest: upstreams that start together
 	// report for the first time within two.
-	arrivalPause = 0.35
-	arrivalLimit = 3
-	// entryAway is how long an entry that does not call still counts as one.
-	entryAway = 3 * time.Second
+	quietArrivalIntervals = 0.35
+	maxArrivalIntervals   = 3
+	// entryTimeout is how long an entry that does not call still counts as one.
+	entryTimeout = 3 * time.Second
 	// orderTimeout bounds an order; engines answer at once.
 	orderTimeout = time.Second
-	// epochBits is the room for the groups of one term below the term in an epoch.
-	epochBits = 24
-	// neverAnswered stands for the age of an answer that never came.
-	neverAnswered = time.Hour
+	// epochCounterBits is the room for the groups of one term below the term in an epoch.
+	epochCounterBits = 24
+	// noAnswerAge stands for the age of an answer that never came.
+	noAnswerAge = time.Hour
 )
 
-type orderAnswer struct {
+type orderResult struct {
 	service ident.Service
 	order   replicaset.Order
 	outcome replicaset.Outcome
 }
 
 type leadership struct {
-	c    *Control
-	name LeadershipID
-	term quorum.Term
-	// began is a time of day, for operators.
-	began  time.Time
-	roster *roster.Roster
-	// view is what entries get of the roster.
-	view *roster.View
-	// settleAt is when the roster is believed.
-	settleAt time.Time
+	control *Control
+	name    LeadershipID
+	term    quorum.Term
+	// startedAt is a time of day, for operators.
+	startedAt time.Time
+	roster    *roster.Roster
+	// entryView is what entries get of the roster.
+	entryView *roster.View
+	// settledAt is when the roster is believed.
+	settledAt time.Time
 
-	// looking is held during each look at the groups; formations and decisions belong to it.
-	looking    sync.Mutex
-	formations map[ident.Service]*replicaset.Formation
-	decisions  decisions
-	counter    uint64
-	answers    chan orderAnswer
-	early      bool
-	probes     *probes
-	paces      *paces
-	// forgotAt is when what ended upstreams said was last forgotten.
-	forgotAt time.Time
-	// known is how many upstreams there were, firstArrived and lastArrived when the first and the newest one was seen.
-	known        int
-	firstArrived time.Time
-	lastArrived  time.Time
+	// evaluating is held during each look at the groups; formations and decisions belong to it.
+	evaluating   sync.Mutex
+	formations   map[ident.Service]*replicaset.Formation
+	decisions    decisionLog
+	epochCounter uint64
+	orderResults chan orderResult
+	initialStart bool
+	prober       *prober
+	slowdowns    *slowdownTracker
+	// unrecognizedPrunedAt is when what ended upstreams said was last forgotten.
+	unrecognizedPrunedAt time.Time
+	// upstreamsSeen is how many upstreams there were, firstArrived and lastArrived when the first and the newest one was seen.
+	upstreamsSeen int
+	firstArrived  time.Time
+	lastArrived   time.Time
 
 	mu      sync.Mutex
 	entries map[string]*entryState
 	// lists are the entries by hall.
 	lists  *entryLists
 	totals map[ident.Incarnation]int
-	// encoded are the totals as they were encoded at totalsAt.
-	encoded  []byte
-	totalsAt time.Time
-	// packedView and packedAll are what is sent to who has nothing.
-	packedView packedRoster
-	packedAll  packedRoster
-	// paced gives turns to replies that carry much.
-	paced pacer
-	// apart is how many entries go by their own parts of upstreams' limits.
-	apart  map[ident.Incarnation]int
-	demand DemandRates
-	served bool
+	// totalsData are the totals as they were encoded at totalsEncodedAt.
+	totalsData      []byte
+	totalsEncodedAt time.Time
+	// packedEntryView and packedFullRoster are what is sent to who has nothing.
+	packedEntryView  packedRoster
+	packedFullRoster packedRoster
+	// bulkPacer gives turns to replies that carry much.
+	bulkPacer pacer
+	// localShareEntries is how many entries go by their own parts of upstreams' limits.
+	localShareEntries map[ident.Incarnation]int
+	demand            DemandRates
+	requestsSeen      bool
 	// undeclared are reports of upstreams whose service is not declared.
 	undeclared undeclared
-	// rollout follows accepted configurations to the entries.
-	rollout *rollout[httproute.Version]
-	// drains follows orders on halls to the entries.
-	drains *rollout[catalog.DrainRevision]
+	// configRollout follows accepted configurations to the entries.
+	configRollout *rollout[httproute.Version]
+	// drainRollout follows orders on halls to the entries.
+	drainRollout *rollout[catalog.DrainRevision]
 }
 
-// mbit is in bytes.
-const mbit = 1e6 / 8
+// bytesPerMbit is in bytes.
+const bytesPerMbit = 1e6 / 8
 
-// answersLength bounds the outcomes that wait for the leader's next look.
-const answersLength = 256
+// orderResultQueueLength bounds the outcomes that wait for the leader's next look.
+const orderResultQueueLength = 256
 
-func (c *Control) newLeadership(s *quorum.Status) *leadership {
+func (c *Control) newLeadership(status *quorum.Status) *leadership {
 	now := clock.Now()
 	r := &leadership{
-		c: c, term: s.Term, began: time.Now(), roster: roster.New(),
-		name:       LeadershipID(string(c.self.Folder) + "/" + strconv.FormatUint(uint64(s.Term), 10)),
-		formations: map[ident.Service]*replicaset.Formation{},
-		answers:    make(chan orderAnswer, answersLength),
-		entries:    map[string]*entryState{},
-		lists:      newEntryLists(),
-		totals:     map[ident.Incarnation]int{},
-		apart:      map[ident.Incarnation]int{},
-		paced:      pacer{rate: pacedPart * float64(c.Settings.LinkMbps) * mbit},
-		early:      c.Settings.FirstStart,
-		probes:     newProbes(c.Dial),
-		paces:      newPaces(c.paceAsker(), c.Log),
-		rollout:    newRollout[httproute.Version](now, int(c.entriesHeard.Load())),
-		drains:     newRollout[catalog.DrainRevision](now, int(c.entriesHeard.Load())),
+		control: c, term: status.Term, startedAt: time.Now(), roster: roster.New(),
+		name:              LeadershipID(string(c.self.Folder) + "/" + strconv.FormatUint(uint64(status.Term), 10)),
+		formations:        map[ident.Service]*replicaset.Formation{},
+		orderResults:      make(chan orderResult, orderResultQueueLength),
+		entries:           map[string]*entryState{},
+		lists:             newEntryLists(),
+		totals:            map[ident.Incarnation]int{},
+		localShareEntries: map[ident.Incarnation]int{},
+		bulkPacer:         pacer{bytesPerSecond: pacedLinkFraction * float64(c.Settings.LinkMbps) * bytesPerMbit},
+		initialStart:      c.Settings.FirstStart,
+		prober:            newProber(c.Dial),
+		slowdowns:         newSlowdownTracker(c.slowdownQuery(), c.Log),
+		configRollout:     newRollout[httproute.Version](now, int(c.leaderEntries.Load())),
+		drainRollout:      newRollout[catalog.DrainRevision](now, int(c.leaderEntries.Load())),
 	}
-	if held := c.machine.Held().Version; held > 0 {
-		r.rollout.accept(now, now, held)
+	if configVersion := c.stateMachine.Held().Version; configVersion > 0 {
+		r.configRollout.track(now, now, configVersion)
 	}
-	if drained := c.machine.Drained().Revision; drained > 0 {
-		r.drains.accept(now, now, drained)
+	if drained := c.stateMachine.Drained().Revision; drained > 0 {
+		r.drainRollout.track(now, now, drained)
 	}
-	r.view = roster.NewView(r.roster)
-	report := c.Settings.Times.Report.Std()
-	r.roster.SilentAfter = time.Duration(silentReports * float64(report))
-	r.roster.ForgetAfter = forgetReports * report
+	r.entryView = roster.NewView(r.roster)
+	reportInterval := c.Settings.Times.Report.Std()
+	r.roster.SilentAfter = time.Duration(silentReportIntervals * float64(reportInterval))
+	r.roster.ForgetAfter = forgetReportIntervals * reportInterval
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	fresh := !c.copiedAt.IsZero() && now.Sub(c.copiedAt) < copyFresh
-	if fresh || c.recalled && c.copiedAt.IsZero() {
-		r.seed(now, c.copied)
+	fresh := !c.copyConfirmedAt.IsZero() && now.Sub(c.copyConfirmedAt) < maxCopyAge
+	if fresh || c.copyFromDisk && c.copyConfirmedAt.IsZero() {
+		r.seed(now, c.rosterCopy)
 	}
 	if !fresh && !c.Settings.FirstStart {
-		r.settleAt = now.Add(settleReports * report)
+		r.settledAt = now.Add(settleReportIntervals * reportInterval)
 	}
 	return r
 }
@@ -169,7 +169,7 @@
 }
 
 func (r *leadership) settled(now time.Time) bool {
-	return !now.Before(r.settleAt)
+	return !now.Before(r.settledAt)
 }
 
 // leadLoop begins and ends leaderships and looks after the groups.
@@ -177,144 +177,144 @@
 	for ctx.Err() == nil {
 		r := c.currentLeadership()
 		if r == nil {
-			pause(ctx, leadInterval/2)
+			sleep(ctx, evaluateInterval/2)
 			continue
 		}
 		_, changed := r.roster.Changed()
-		began := clock.Now()
-		r.step()
-		r.wait(ctx, changed, lookPause(clock.Since(began)))
+		startedAt := clock.Now()
+		r.evaluate()
+		r.waitForChange(ctx, changed, evaluatePause(clock.Since(startedAt)))
 	}
 }
 
 func (c *Control) currentLeadership() *leadership {
-	s := c.node.Status()
+	status := c.node.Status()
 	r := c.leadership.Load()
-	if r != nil && (s.Role != quorum.RoleLeader || s.Term != r.term) {
-		c.Log.Info("leadership ended", "leadership", r.name, "leader", s.Leader, "term", s.Term)
+	if r != nil && (status.Role != quorum.RoleLeader || status.Term != r.term) {
+		c.Log.Info("leadership ended", "leadership", r.name, "leader", status.Leader, "term", status.Term)
 		c.leadership.Store(nil)
 		// Calls that wait here for news go to the next leader at once.
-		c.renew()
+		c.notifyWaiting()
 		r = nil
 	}
 	if r == nil && c.leads() {
-		r = c.newLeadership(&s)
-		c.Log.Info("leadership began", "leadership", r.name, "settled-in-ms", max(0, r.settleAt.Sub(clock.Now()).Milliseconds()),
-			"upstreams", len(r.roster.Since(0).Upstreams), "version", c.machine.Held().Version)
+		r = c.newLeadership(&status)
+		c.Log.Info("leadership began", "leadership", r.name, "settled-in-ms", max(0, r.settledAt.Sub(clock.Now()).Milliseconds()),
+			"upstreams", len(r.roster.Since(0).Upstreams), "version", c.stateMachine.Held().Version)
 		c.leadership.Store(r)
 	}
 	return r
 }
 
-// lookPause returns how long changes are gathered after a look that took so long.
-func lookPause(took time.Duration) time.Duration {
-	return min(leadInterval, max(leadPause, lookFactor*took))
+// evaluatePause returns how long changes are gathered after a look that took so long.
+func evaluatePause(took time.Duration) time.Duration {
+	return min(evaluateInterval, max(minEvaluatePause, evaluatePauseFactor*took))
 }
 
-// wait returns when it is time for the next look, a pause after a change at the soonest.
-func (r *leadership) wait(ctx context.Context, changed <-chan struct{}, least time.Duration) {
-	timer := time.NewTimer(leadInterval)
+// waitForChange returns when it is time for the next look, a pause after a change at the soonest.
+func (r *leadership) waitForChange(ctx context.Context, changed <-chan struct{}, minPause time.Duration) {
+	timer := time.NewTimer(evaluateInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
 	case <-changed:
-		pause(ctx, least)
-	case a := <-r.answers:
-		r.looking.Lock()
-		defer r.looking.Unlock()
-		r.answered(&a)
+		sleep(ctx, minPause)
+	case result := <-r.orderResults:
+		r.evaluating.Lock()
+		defer r.evaluating.Unlock()
+		r.applyOrderResult(&result)
 	}
 }
 
-func (r *leadership) answered(a *orderAnswer) {
-	if f := r.formations[a.service]; f != nil {
-		f.HandleOutcome(&a.order, a.outcome)
+func (r *leadership) applyOrderResult(result *orderResult) {
+	if f := r.formations[result.service]; f != nil {
+		f.HandleOutcome(&result.order, result.outcome)
 	}
-	r.c.tallies.order(a.order.Action, a.outcome)
-	r.c.Log.Info("order answered", "to", a.order.To, "action", a.order.Action, "group", a.order.Group, "epoch", a.order.Epoch, "outcome", a.outcome,
-		"known", a.order.Context)
+	r.control.metrics.order(result.order.Action, result.outcome)
+	r.control.Log.Info("order answered", "to", result.order.To, "action", result.order.Action, "group", result.order.Group, "epoch", result.order.Epoch, "outcome", result.outcome,
+		"known", result.order.Context)
 }
 
-// step looks at every service with engines; without the lease nothing is ordered.
-func (r *leadership) step() {
-	r.looking.Lock()
-	defer r.looking.Unlock()
-	for range len(r.answers) {
-		a := <-r.answers
-		r.answered(&a)
+// evaluate looks at every service with engines; without the lease nothing is ordered.
+func (r *leadership) evaluate() {
+	r.evaluating.Lock()
+	defer r.evaluating.Unlock()
+	for range len(r.orderResults) {
+		result := <-r.orderResults
+		r.applyOrderResult(&result)
 	}
 	now := clock.Now()
-	if !r.c.leads() {
+	if !r.control.leads() {
 		return
 	}
 	r.logRollouts(now)
 	r.roster.Expire(now)
-	r.forgetUnread(now)
-	table := r.c.newestTable()
+	r.pruneUnrecognized(now)
+	table := r.control.newestTable()
 	if table == nil {
 		return
 	}
-	r.takeDeclared(now, table)
-	defer r.show(table)
-	w := r.world(now)
-	r.paces.look(w, r.roster.Groups(), table)
-	r.c.tallies.count(now, r.roster.Groups(), w.Upstreams)
+	r.applyDeclared(now, table)
+	defer r.updateEntryView(table)
+	snapshot := r.clusterSnapshot(now)
+	r.slowdowns.evaluate(snapshot, r.roster.Groups(), table)
+	r.control.metrics.count(now, r.roster.Groups(), snapshot.Upstreams)
 	for i := range table.Config.Services {
 		s := &table.Config.Services[i]
 		if s.Engine == nil {
 			continue
 		}
 		f := r.formation(s.Name)
-		f.BeforeFirstRequest = r.early
-		if !r.settled(now) || r.arriving(now, len(w.Upstreams)) {
-			f.Adopt(w, s.Engine)
+		f.BeforeFirstRequest = r.initialStart
+		if !r.settled(now) || r.upstreamsArriving(now, len(snapshot.Upstreams)) {
+			f.Adopt(snapshot, s.Engine)
 			continue
 		}
-		f.Step(w, s.Engine)
+		f.Step(snapshot, s.Engine)
 	}
 }
 
 // logRollouts logs which configurations, and orders on halls, have reached all entries, and which are late at some.
 func (r *leadership) logRollouts(now time.Time) {
-	for _, report := range r.drains.reports(now) {
-		r.c.Log.Info("drained halls followed to the entries", "revision", report.Version, "entries", report.Entries,
+	for _, report := range r.drainRollout.newReports(now) {
+		r.control.Log.Info("drained halls followed to the entries", "revision", report.Version, "entries", report.Entries,
 			"after-ms", report.After.Milliseconds(), "missing", report.Missing)
 	}
-	for _, report := range r.rollout.reports(now) {
-		r.c.tallies.rollout(&report)
+	for _, report := range r.configRollout.newReports(now) {
+		r.control.metrics.rollout(&report)
 		if len(report.Missing) == 0 {
-			r.c.Log.Info("configuration in force at all entries", "version", report.Version, "entries", report.Entries, "after-ms", report.After.Milliseconds())
+			r.control.Log.Info("configuration in force at all entries", "version", report.Version, "entries", report.Entries, "after-ms", report.After.Milliseconds())
 			continue
 		}
-		r.c.Log.Info("configuration late at some entries", "version", report.Version, "entries", report.Entries, "after-ms", report.After.Milliseconds(),
+		r.control.Log.Info("configuration late at some entries", "version", report.Version, "entries", report.Entries, "after-ms", report.After.Milliseconds(),
 			"missing", report.Missing)
 	}
 }
 
-// show brings the view for entries up to date.
-func (r *leadership) show(table *httproute.Table) {
-	r.view.Update(func(name ident.Service) bool {
+// updateEntryView brings the view for entries up to date.
+func (r *leadership) updateEntryView(table *httproute.Table) {
+	r.entryView.Update(func(name ident.Service) bool {
 		s := table.Service(name)
 		return s == nil || s.Engine == nil
 	})
 }
 
-// arriving reports whether upstreams still come in for the first time at the start of a site: groups that are formed of
+// upstreamsArriving reports whether upstreams still come in for the first time at the start of a site: groups that are formed of
 // the first few would be spread over the domains badly.
-func (r *leadership) arriving(now time.Time, upstreams int) bool {
-	if !r.early {
+func (r *leadership) upstreamsArriving(now time.Time, upstreams int) bool {
+	if !r.initialStart {
 		return false
 	}
-	if r.known == 0 {
+	if r.upstreamsSeen == 0 {
 		r.firstArrived = now
 	}
-	if upstreams > r.known {
-		r.known = upstreams
+	if upstreams > r.upstreamsSeen {
+		r.upstreamsSeen = upstreams
 		r.lastArrived = now
 	}
-	report := float64(r.c.Settings.Times.Report)
-	return now.Sub(r.lastArrived) < time.Duration(arrivalPause*report) && now.Sub(r.firstArrived) < time.Duration(arrivalLimit*report)
+	reportInterval := float64(r.control.Settings.Times.Report)
+	return now.Sub(r.lastArrived) < time.Duration(quietArrivalIntervals*reportInterval) && now.Sub(r.firstArrived) < time.Duration(maxArrivalIntervals*reportInterval)
 }
 
 func (r *leadership) formation(service ident.Service) *replicaset.Formation {
@@ -327,47 +327,47 @@
 	f.Roster = r.roster
 	f.Fence = uint64(r.term)
 	f.NextEpoch = func() ident.Epoch {
-		r.counter++
-		return ident.Epoch(uint64(r.term)<<epochBits | r.counter)
+		r.epochCounter++
+		return ident.Epoch(uint64(r.term)<<epochCounterBits | r.epochCounter)
 	}
-	f.Send = func(o replicaset.Order) { r.order(service, o) }
+	f.Send = func(o replicaset.Order) { r.sendOrder(service, o) }
 	f.RecordDecision = func(g *roster.Group, decision, reason string) {
 		r.decisions.add(&GroupDecision{time.Now(), g.Name, g.Model, g.Members, decision, reason})
-		r.c.Log.Info("group "+decision, "group", g.Name, "epoch", g.Epoch, "model", g.Model, "members", g.Members, "far", g.Far, "reason", reason)
+		r.control.Log.Info("group "+decision, "group", g.Name, "epoch", g.Epoch, "model", g.Model, "members", g.Members, "far", g.Far, "reason", reason)
 	}
 	r.formations[service] = f
 	return f
 }
 
-// order gives an order in the background, under the lease that holds at that moment.
-func (r *leadership) order(service ident.Service, o replicaset.Order) {
+// sendOrder gives an order in the background, under the lease that holds at that moment.
+func (r *leadership) sendOrder(service ident.Service, order replicaset.Order) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 		defer cancel()
 		outcome := replicaset.OutcomeUnknown
 		// What it asked for binds orders too; the formation gives the order again.
-		if r.c.leads() && !r.c.waits(o.To) {
-			outcome = r.c.SendOrder(ctx, &o)
+		if r.control.leads() && !r.control.backedOff(order.To) {
+			outcome = r.control.SendOrder(ctx, &order)
 		}
 		select {
-		case r.answers <- orderAnswer{service, o, outcome}:
+		case r.orderResults <- orderResult{service, order, outcome}:
 		default:
-			r.c.Log.Info("outcome of an order dropped, the leader is behind", "to", o.To, "action", o.Action)
+			r.control.Log.Info("outcome of an order dropped, the leader is behind", "to", order.To, "action", order.Action)
 		}
 	}()
 }
 
-func (r *leadership) world(now time.Time) *replicaset.Snapshot {
+func (r *leadership) clusterSnapshot(now time.Time) *replicaset.Snapshot {
 	upstreams, ages := r.roster.Upstreams(now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.served {
-		r.early = false
+	if r.requestsSeen {
+		r.initialStart = false
 	}
-	w := &replicaset.Snapshot{
-		Now: now, Upstreams: upstreams, ReportAges: ages, Observations: r.sights(now), Demand: r.demand.At(now), DrainedHalls: r.c.drainedHalls(),
+	snapshot := &replicaset.Snapshot{
+		Now: now, Upstreams: upstreams, ReportAges: ages, Observations: r.groupObservations(now), Demand: r.demand.At(now), DrainedHalls: r.control.drainedHalls(),
 	}
-	r.probes.look(w, r.roster.Groups())
-	w.Unreachable = r.probes.dead(now, ages)
-	return w
+	r.prober.probeStalled(snapshot, r.roster.Groups())
+	snapshot.Unreachable = r.prober.unreachable(now, ages)
+	return snapshot
 }
--- a/site/limits.go
+++ b/site/limits.go
@@ -15,9 +15,9 @@
 	"github.com/dunlinquay/dunlinquay/sharing"
 )
 
-// limitTold is how old the word of an upstream may be that the leader passes on: an entry that has requests there hears it more often,
+// maxLimitAge is how old the word of an upstream may be that the leader passes on: an entry that has requests there hears it more often,
 // and the end of a limit is not told.
-const limitTold = 5 * time.Second
+const maxLimitAge = 5 * time.Second
 
 // LimitSummary is the limit of an upstream, how long ago it said so, and how many entries go by their own parts of it.
 type LimitSummary struct {
@@ -30,39 +30,39 @@
 func (c *Control) applyLimits(now time.Time, call *SyncCall) {
 	for i := range call.Seen {
 		// What an entry heard of others is not passed on: the time that it was on its way would make it look younger each time.
-		if l := call.Seen[i].Limit; l != nil && l.Own {
-			c.limits.Merge(call.Seen[i].ID, l.Rate, now.Add(-l.Said))
+		if limit := call.Seen[i].Limit; limit != nil && limit.Own {
+			c.limits.Merge(call.Seen[i].ID, limit.Rate, now.Add(-limit.Said))
 		}
 	}
 }
 
-// limitUpdates returns the limits of which the leader has heard lately, and those of which entries take their own parts; nil where there
+// limitSummaries returns the limits of which the leader has heard lately, and those of which entries take their own parts; nil where there
 // are none.
-func (r *leadership) limitUpdates(now time.Time) map[ident.Incarnation]LimitSummary {
-	words := r.c.limits
-	if words.Count() == 0 {
+func (r *leadership) limitSummaries(now time.Time) map[ident.Incarnation]LimitSummary {
+	limits := r.control.limits
+	if limits.Count() == 0 {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := map[ident.Incarnation]LimitSummary{}
-	words.Each(func(id ident.Incarnation, w ratelimit.Limit) {
-		age, apart := now.Sub(w.LastSeen), r.apart[id]
-		if w.Limited() && (age < limitTold || apart > 0) {
-			list[id] = LimitSummary{w.Rate, age, apart}
+	summaries := map[ident.Incarnation]LimitSummary{}
+	limits.Each(func(id ident.Incarnation, limit ratelimit.Limit) {
+		age, localShares := now.Sub(limit.LastSeen), r.localShareEntries[id]
+		if limit.Limited() && (age < maxLimitAge || localShares > 0) {
+			summaries[id] = LimitSummary{limit.Rate, age, localShares}
 		}
 	})
-	return list
+	return summaries
 }
 
-// countApart counts the entries that go by their own parts of limits, by what one saw; the mutex is held.
-func (r *leadership) countApart(seen *relay.Observation, n int) {
+// countLocalShares counts the entries that go by their own parts of limits, by what one saw; the mutex is held.
+func (r *leadership) countLocalShares(seen *relay.Observation, delta int) {
 	if seen.Limit == nil || !seen.Limit.Apart {
 		return
 	}
-	r.apart[seen.ID] += n
-	if r.apart[seen.ID] <= 0 {
-		delete(r.apart, seen.ID)
+	r.localShareEntries[seen.ID] += delta
+	if r.localShareEntries[seen.ID] <= 0 {
+		delete(r.localShareEntries, seen.ID)
 	}
 }
 
@@ -98,7 +98,7 @@
 	for name, e := range r.entries {
 		for i := range e.seen {
 			if seen := &e.seen[i]; seen.Limit != nil {
-				states[seen.ID] = states[seen.ID].with(name, seen.Limit, now.Sub(e.at))
+				states[seen.ID] = states[seen.ID].withEntry(name, seen.Limit, now.Sub(e.calledAt))
 			}
 		}
 	}
@@ -110,46 +110,46 @@
 		halls[e.hall] = append(halls[e.hall], name)
 	}
 	entries := sharing.New("", halls)
-	for id, l := range states {
-		l.Coordinator = entries.Owner(string(id))
-		slices.SortFunc(l.Entries, func(a, b LimitShare) int { return cmp.Compare(a.Entry, b.Entry) })
+	for id, state := range states {
+		state.Coordinator = entries.Owner(string(id))
+		slices.SortFunc(state.Entries, func(a, b LimitShare) int { return cmp.Compare(a.Entry, b.Entry) })
 	}
 	return states
 }
 
-// with adds what an entry told of a limit so long ago.
-func (l *LimitState) with(entry string, seen *relay.LimitObservation, ago time.Duration) *LimitState {
-	said, since := (seen.Said + ago).Milliseconds(), (seen.Since + ago).Milliseconds()
+// withEntry adds what an entry told of a limit so long ago.
+func (l *LimitState) withEntry(entry string, seen *relay.LimitObservation, callAge time.Duration) *LimitState {
+	saidMS, sinceMS := (seen.Said + callAge).Milliseconds(), (seen.Since + callAge).Milliseconds()
 	if l == nil {
-		l = &LimitState{Limit: seen.Rate, SinceMS: since, SaidMS: said}
+		l = &LimitState{Limit: seen.Rate, SinceMS: sinceMS, SaidMS: saidMS}
 	}
-	if said < l.SaidMS {
-		l.Limit, l.SaidMS = seen.Rate, said
+	if saidMS < l.SaidMS {
+		l.Limit, l.SaidMS = seen.Rate, saidMS
 	}
-	l.SinceMS = max(l.SinceMS, since)
+	l.SinceMS = max(l.SinceMS, sinceMS)
 	share := LimitShare{
 		Entry: entry, ToldMS: -1, Lately: seen.Lately, Granted: seen.Granted, Refused: seen.Refused, Unanswered: seen.Unanswered,
 		Apart: seen.Apart, Own: seen.Counts.Own,
 	}
 	if seen.Own {
-		share.ToldMS = said
+		share.ToldMS = saidMS
 	}
 	l.Entries = append(l.Entries, share)
 	return l
 }
 
 // applyLimits takes what the leader has heard of limits.
-func (e *Entry) applyLimits(r *SyncReply) {
-	var apart map[ident.Incarnation]int
-	for id, l := range r.Limits {
-		e.relay.ApplyLimit(id, l.Rate, l.Age)
-		if l.Apart == 0 {
+func (e *Entry) applyLimits(reply *SyncReply) {
+	var localShares map[ident.Incarnation]int
+	for id, limit := range reply.Limits {
+		e.relay.ApplyLimit(id, limit.Rate, limit.Age)
+		if limit.Apart == 0 {
 			continue
 		}
-		if apart == nil {
-			apart = map[ident.Incarnation]int{}
+		if localShares == nil {
+			localShares = map[ident.Incarnation]int{}
 		}
-		apart[id] = l.Apart
+		localShares[id] = limit.Apart
 	}
-	e.relay.Limits.SetLocalShares(apart)
+	e.relay.Limits.SetLocalShares(localShares)
 }
--- a/site/lists.go
+++ b/site/lists.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// listGather is how long the leader gathers changes for each entry that it has.
-	listGather = 200 * time.Microsecond
-	// listTogether is up to how many entries each change is sent at once.
-	listTogether = 32
-	// listsKept is how many lists of a hall a leader can send changes from.
-	listsKept = 16
+	// listGatherPerEntry is how long the leader gathers changes for each entry that it has.
+	listGatherPerEntry = 200 * time.Microsecond
+	// listGatherMinEntries is up to how many entries each change is sent at once.
+	listGatherMinEntries = 32
+	// maxListVersions is how many lists of a hall a leader can send changes from.
+	maxListVersions = 16
 )
 
-// listTime is how long a leader with so many entries gathers changes of lists; few entries cost little.
-func listTime(entries int) time.Duration {
-	if entries <= listTogether {
+// listGatherTime is how long a leader with so many entries gathers changes of lists; few entries cost little.
+func listGatherTime(entries int) time.Duration {
+	if entries <= listGatherMinEntries {
 		return 0
 	}
-	return time.Duration(entries) * listGather
+	return time.Duration(entries) * listGatherPerEntry
 }
 
 // ListChange leads from one list of the entries of a hall to the next one.
@@ -46,36 +46,36 @@
 	return next
 }
 
-// namedList is a list of entries and its digest.
-type namedList struct {
-	name ListDigest
-	list []string
+// digestedList is a list of entries and its digest.
+type digestedList struct {
+	digest ListDigest
+	list   []string
 }
 
 // entryLists are the entries of each hall in order, the newest list of a hall last.
 type entryLists struct {
-	lists map[ident.Hall][]namedList
-	// at is when they were put together, stale is set when entries have come or gone since.
-	at    time.Time
-	stale bool
+	lists map[ident.Hall][]digestedList
+	// builtAt is when they were put together, stale is set when entries have come or gone since.
+	builtAt time.Time
+	stale   bool
 	// packed are all of the newest lists in the form in which they are sent to who has none.
 	packed []byte
 	// changes are those that lead to the newest lists, as far as they were asked for.
-	changes map[listKey]*ListChange
+	changes map[changeKey]*ListChange
 }
 
-type listKey struct {
+type changeKey struct {
 	hall ident.Hall
 	base ListDigest
 }
 
 func newEntryLists() *entryLists {
-	return &entryLists{lists: map[ident.Hall][]namedList{}, changes: map[listKey]*ListChange{}}
+	return &entryLists{lists: map[ident.Hall][]digestedList{}, changes: map[changeKey]*ListChange{}}
 }
 
-// take puts the lists together again.
-func (l *entryLists) take(now time.Time, entries map[string]*entryState) {
-	l.at, l.stale, l.packed, l.changes = now, false, nil, map[listKey]*ListChange{}
+// rebuild puts the lists together again.
+func (l *entryLists) rebuild(now time.Time, entries map[string]*entryState) {
+	l.builtAt, l.stale, l.packed, l.changes = now, false, nil, map[changeKey]*ListChange{}
 	next := map[ident.Hall][]string{}
 	for name, e := range entries {
 		next[e.hall] = append(next[e.hall], name)
@@ -87,73 +87,73 @@
 	}
 	for hall, list := range next {
 		slices.Sort(list)
-		named := namedList{nameList(list), list}
+		newest := digestedList{digestList(list), list}
 		kept := l.lists[hall]
-		if n := len(kept); n > 0 && kept[n-1].name == named.name {
+		if n := len(kept); n > 0 && kept[n-1].digest == newest.digest {
 			continue
 		}
-		kept = append(kept, named)
-		l.lists[hall] = kept[max(0, len(kept)-listsKept):]
+		kept = append(kept, newest)
+		l.lists[hall] = kept[max(0, len(kept)-maxListVersions):]
 	}
 }
 
-// change returns what leads from a list of a hall to the newest one, nil where that list is not known.
-func (l *entryLists) change(hall ident.Hall, base ListDigest) *ListChange {
-	key := listKey{hall, base}
-	if c, ok := l.changes[key]; ok {
-		return c
+// changeFrom returns what leads from a list of a hall to the newest one, nil where that list is not known.
+func (l *entryLists) changeFrom(hall ident.Hall, base ListDigest) *ListChange {
+	key := changeKey{hall, base}
+	if change, ok := l.changes[key]; ok {
+		return change
 	}
 	kept := l.lists[hall]
-	i := slices.IndexFunc(kept, func(n namedList) bool { return n.name == base })
+	i := slices.IndexFunc(kept, func(n digestedList) bool { return n.digest == base })
 	if i < 0 {
 		return nil
 	}
-	c := &ListChange{Hall: hall, Base: base}
-	c.Came, c.Went = onlyIn(kept[len(kept)-1].list, kept[i].list), onlyIn(kept[i].list, kept[len(kept)-1].list)
-	l.changes[key] = c
-	return c
+	change := &ListChange{Hall: hall, Base: base}
+	change.Came, change.Went = onlyIn(kept[len(kept)-1].list, kept[i].list), onlyIn(kept[i].list, kept[len(kept)-1].list)
+	l.changes[key] = change
+	return change
 }
 
 // onlyIn returns what stands in one ordered list and not in the other.
 func onlyIn(list, other []string) []string {
-	var rest []string
+	var missing []string
 	for _, name := range list {
 		if _, found := slices.BinarySearch(other, name); !found {
-			rest = append(rest, name)
+			missing = append(missing, name)
 		}
 	}
-	return rest
+	return missing
 }
 
 // fillLists adds what the caller has not of the lists of entries.
 func (r *leadership) fillLists(now time.Time, call *SyncCall, reply *SyncReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(call.Entries) > 0 && r.rollout.arriving(now) {
+	if len(call.Entries) > 0 && r.configRollout.awaitingEntries(now) {
 		return
 	}
-	l := r.lists
-	if l.stale && now.Sub(l.at) >= listTime(len(r.entries)) {
-		l.take(now, r.entries)
+	lists := r.lists
+	if lists.stale && now.Sub(lists.builtAt) >= listGatherTime(len(r.entries)) {
+		lists.rebuild(now, r.entries)
 	}
-	if len(call.Entries) == 0 && len(r.entries) > listTogether {
+	if len(call.Entries) == 0 && len(r.entries) > listGatherMinEntries {
 		reply.PackedLists = r.packedLists()
 		return
 	}
-	for hall, kept := range l.lists {
+	for hall, kept := range lists.lists {
 		newest := kept[len(kept)-1]
 		has := call.Entries[hall]
-		if has == newest.name {
+		if has == newest.digest {
 			continue
 		}
-		if c := l.change(hall, has); c != nil {
-			reply.ListChanges = append(reply.ListChanges, *c)
+		if change := lists.changeFrom(hall, has); change != nil {
+			reply.ListChanges = append(reply.ListChanges, *change)
 			continue
 		}
 		reply.Lists = append(reply.Lists, EntryList{hall, newest.list})
 	}
 	for hall := range call.Entries {
-		if _, ok := l.lists[hall]; !ok {
+		if _, ok := lists.lists[hall]; !ok {
 			reply.Lists = append(reply.Lists, EntryList{Hall: hall})
 		}
 	}
@@ -161,19 +161,19 @@
 
 // packedLists returns all lists packed; the mutex is held.
 func (r *leadership) packedLists() []byte {
-	l := r.lists
-	if l.packed != nil {
-		return l.packed
+	lists := r.lists
+	if lists.packed != nil {
+		return lists.packed
 	}
 	var all []EntryList
-	for hall, kept := range l.lists {
+	for hall, kept := range lists.lists {
 		all = append(all, EntryList{hall, kept[len(kept)-1].list})
 	}
 	packed, err := pack(all)
 	if err != nil {
-		r.c.Log.Error(err, "lists of entries cannot be packed")
+		r.control.Log.Error(err, "lists of entries cannot be packed")
 		return nil
 	}
-	l.packed = packed
+	lists.packed = packed
 	return packed
 }
--- a/site/members.go
+++ b/site/members.go
@@ -21,18 +21,18 @@
 )
 
 const (
-	// memberInterval is how often membership is looked at.
-	memberInterval = 150 * time.Millisecond
+	// membershipInterval is how often membership is looked at.
+	membershipInterval = 150 * time.Millisecond
 	// maxVoters is the number of voters that a site grows to: it survives two losses at once.
 	maxVoters = 5
-	// replaceAfter is how long a voter must be silent until a waiting daemon takes its place; a restart takes a second.
-	replaceAfter = 2500 * time.Millisecond
-	// strangerFor is how long a daemon that asked to be taken in is remembered.
-	strangerFor = 2 * time.Second
-	// joinAfter is how long a daemon hears no leader's log before it asks to be taken in.
-	joinAfter = 700 * time.Millisecond
-	// learnerFor is how long a learner may be silent before it is dropped.
-	learnerFor = 10 * time.Second
+	// replaceVoterAfter is how long a voter must be silent until a waiting daemon takes its place; a restart takes a second.
+	replaceVoterAfter = 2500 * time.Millisecond
+	// joinRequestTTL is how long a daemon that asked to be taken in is remembered.
+	joinRequestTTL = 2 * time.Second
+	// joinAfterSilence is how long a daemon hears no leader's log before it asks to be taken in.
+	joinAfterSilence = 700 * time.Millisecond
+	// learnerTimeout is how long a learner may be silent before it is dropped.
+	learnerTimeout = 10 * time.Second
 )
 
 func (c *Control) memberLoop(ctx context.Context) {
@@ -42,25 +42,25 @@
 		return
 	}
 	for ctx.Err() == nil {
-		s := c.node.Status()
+		status := c.node.Status()
 		switch {
-		case s.Expelled:
+		case status.Expelled:
 			c.fatal(result.New(result.NotAdmitted, "this data folder lost what it had synced; empty it"))
 			return
-		case s.Role == quorum.RoleLeader:
-			c.admit(ctx, &s)
-		case c.Settings.FirstStart && !c.working(&s) && c.isFirstSeed():
-			c.form(ctx, &s)
-		case clock.Since(s.LastContact) > joinAfter || !isMember(&s, c.self):
-			c.askToJoin()
+		case status.Role == quorum.RoleLeader:
+			c.changeMembers(ctx, &status)
+		case c.Settings.FirstStart && !c.quorumWorking(&status) && c.isFirstSeed():
+			c.formQuorum(ctx, &status)
+		case clock.Since(status.LastContact) > joinAfterSilence || !isMember(&status, c.self):
+			c.requestJoin()
 		}
-		pause(ctx, memberInterval)
+		sleep(ctx, membershipInterval)
 	}
 }
 
-// working reports whether the quorum has formed as far as this daemon knows.
-func (c *Control) working(s *quorum.Status) bool {
-	return s.Formed && (s.Commit > 0 || s.Leader != "")
+// quorumWorking reports whether the quorum has formed as far as this daemon knows.
+func (c *Control) quorumWorking(status *quorum.Status) bool {
+	return status.Formed && (status.Commit > 0 || status.Leader != "")
 }
 
 // Voters returns how many members the control quorum has, as this daemon knows it.
@@ -84,8 +84,8 @@
 	return false
 }
 
-func isMember(s *quorum.Status, id quorum.MemberID) bool {
-	for _, m := range s.Members {
+func isMember(status *quorum.Status, id quorum.MemberID) bool {
+	for _, m := range status.Members {
 		if m.ID == id {
 			return true
 		}
@@ -100,42 +100,42 @@
 	return len(seeds) > 0 && seeds[0] == string(c.self.Name)
 }
 
-// form makes the seeds the first voters, once in the life of a site, when all of them answer that they were never formed.
-func (c *Control) form(ctx context.Context, s *quorum.Status) {
+// formQuorum makes the seeds the first voters, once in the life of a site, when all of them answer that they were never formed.
+func (c *Control) formQuorum(ctx context.Context, status *quorum.Status) {
 	members := []quorum.Member{{ID: c.self, Voter: true}}
 	for _, address := range c.Settings.SeedPeers() {
 		if address == string(c.self.Name) {
 			continue
 		}
-		reply, err := c.peers.hello(address)
-		if err != nil || reply.Formed && !s.Formed {
+		reply, err := c.links.hello(address)
+		if err != nil || reply.Formed && !status.Formed {
 			return
 		}
 		members = append(members, quorum.Member{ID: reply.ID, Voter: true})
 	}
-	if !s.Formed {
+	if !status.Formed {
 		c.node.Form(ctx, members)
 		c.Log.Info("control quorum formed", "members", members)
 	} else {
-		members = s.Members
+		members = status.Members
 	}
 	// A message may be lost, so the first members are told again until the log works.
 	for _, m := range members {
 		if m.ID != c.self {
-			c.peers.send([]quorum.Message{{
+			c.links.send([]quorum.Message{{
 				Kind: quorum.MessageForm, From: c.self, To: m.ID, Snapshot: &quorum.Snapshot{Members: members},
 			}})
 		}
 	}
 }
 
-// askToJoin asks the leader to take this daemon in.
-func (c *Control) askToJoin() {
+// requestJoin asks the leader to take this daemon in.
+func (c *Control) requestJoin() {
 	address := c.leader()
 	if address == "" || address == string(c.self.Name) {
 		return
 	}
-	reply, err := c.peers.join(address, &JoinCall{ID: c.self})
+	reply, err := c.links.join(address, &JoinCall{ID: c.self})
 	if err != nil || !reply.Leads {
 		c.directory.forgetLeader(address)
 	}
@@ -146,38 +146,38 @@
 }
 
 func (c *Control) join(call *JoinCall) JoinReply {
-	s := c.node.Status()
-	leads := s.Role == quorum.RoleLeader
-	if leads && !isMember(&s, call.ID) {
+	status := c.node.Status()
+	leads := status.Role == quorum.RoleLeader
+	if leads && !isMember(&status, call.ID) {
 		c.mu.Lock()
-		c.strangers[call.ID] = clock.Now()
+		c.joinRequests[call.ID] = clock.Now()
 		c.mu.Unlock()
 	}
 	return JoinReply{Leads: leads, Leader: c.leader()}
 }
 
-// admit changes the members by one step when something calls for it.
-func (c *Control) admit(ctx context.Context, s *quorum.Status) {
-	members, why := nextMembers(clock.Now(), s, c.freshStrangers(s))
+// changeMembers changes the members by one step when something calls for it.
+func (c *Control) changeMembers(ctx context.Context, status *quorum.Status) {
+	members, reason := nextMembers(clock.Now(), status, c.currentJoinRequests(status))
 	if members == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := c.node.ProposeMembers(ctx, members); err != nil {
-		c.Log.Info("control members not changed yet", "why", why, "error", result.Message(err))
+		c.Log.Info("control members not changed yet", "why", reason, "error", result.Message(err))
 		return
 	}
-	c.Log.Info("control members changed", "why", why, "members", members)
+	c.Log.Info("control members changed", "why", reason, "members", members)
 }
 
-func (c *Control) freshStrangers(s *quorum.Status) []quorum.MemberID {
+func (c *Control) currentJoinRequests(status *quorum.Status) []quorum.MemberID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var list []quorum.MemberID
-	for id, at := range c.strangers {
-		if clock.Since(at) > strangerFor || isMember(s, id) {
-			delete(c.strangers, id)
+	for id, requestedAt := range c.joinRequests {
+		if clock.Since(requestedAt) > joinRequestTTL || isMember(status, id) {
+			delete(c.joinRequests, id)
 			continue
 		}
 		list = append(list, id)
@@ -188,11 +188,11 @@
 
 // nextMembers returns the members after the next step and why, or nil when nothing is to be done. A learner gets its vote
 // from the log itself, once it has caught up.
-func nextMembers(now time.Time, s *quorum.Status, strangers []quorum.MemberID) ([]quorum.Member, string) {
-	silent := silences(now, s)
+func nextMembers(now time.Time, status *quorum.Status, joining []quorum.MemberID) ([]quorum.Member, string) {
+	silentFor := silenceByMember(now, status)
 	voters := 0
 	learners := 0
-	for _, m := range s.Members {
+	for _, m := range status.Members {
 		if m.Voter {
 			voters++
 		} else {
@@ -200,35 +200,35 @@
 		}
 	}
 	if voters > maxVoters {
-		if id, ok := longestSilent(s, silent, strangers); ok {
-			return without(s.Members, id), "a voter that is silent has been replaced"
+		if id, ok := voterToRemove(status, silentFor, joining); ok {
+			return withoutMember(status.Members, id), "a voter that is silent has been replaced"
 		}
 	}
-	for _, m := range s.Members {
-		if !m.Voter && silent[m.ID] > learnerFor {
-			return without(s.Members, m.ID), "a learner is silent"
+	for _, m := range status.Members {
+		if !m.Voter && silentFor[m.ID] > learnerTimeout {
+			return withoutMember(status.Members, m.ID), "a learner is silent"
 		}
 	}
 	if learners > 0 {
 		return nil, ""
 	}
-	for _, id := range strangers {
+	for _, id := range joining {
 		switch {
-		case replaces(s, id):
-			return with(s.Members, id), "a voter came back with an empty folder"
+		case replacesVoter(status, id):
+			return withLearner(status.Members, id), "a voter came back with an empty folder"
 		case voters < maxVoters:
-			return with(s.Members, id), "there are few voters"
-		case anySilent(s, silent):
-			return with(s.Members, id), "a voter is silent"
+			return withLearner(status.Members, id), "there are few voters"
+		case anySilentVoter(status, silentFor):
+			return withLearner(status.Members, id), "a voter is silent"
 		}
 	}
 	return nil, ""
 }
 
-// silences returns how long each follower has not answered; one that was proved to have lost its log counts as silent for long.
-func silences(now time.Time, s *quorum.Status) map[quorum.MemberID]time.Duration {
+// silenceByMember returns how long each follower has not answered; one that was proved to have lost its log counts as silent for long.
+func silenceByMember(now time.Time, status *quorum.Status) map[quorum.MemberID]time.Duration {
 	list := map[quorum.MemberID]time.Duration{}
-	for _, f := range s.Followers {
+	for _, f := range status.Followers {
 		list[f.ID] = now.Sub(f.LastAck)
 		if f.LostData {
 			list[f.ID] = time.Hour
@@ -237,9 +237,9 @@
 	return list
 }
 
-// replaces reports whether id has the address of a voter with another folder, which is then gone.
-func replaces(s *quorum.Status, id quorum.MemberID) bool {
-	for _, m := range s.Members {
+// replacesVoter reports whether id has the address of a voter with another folder, which is then gone.
+func replacesVoter(status *quorum.Status, id quorum.MemberID) bool {
+	for _, m := range status.Members {
 		if m.Voter && m.ID.Name == id.Name && m.ID.Folder != id.Folder {
 			return true
 		}
@@ -247,40 +247,40 @@
 	return false
 }
 
-func anySilent(s *quorum.Status, silent map[quorum.MemberID]time.Duration) bool {
-	for _, m := range s.Members {
-		if m.Voter && silent[m.ID] > replaceAfter {
+func anySilentVoter(status *quorum.Status, silentFor map[quorum.MemberID]time.Duration) bool {
+	for _, m := range status.Members {
+		if m.Voter && silentFor[m.ID] > replaceVoterAfter {
 			return true
 		}
 	}
 	return false
 }
 
-// longestSilent returns the voter to remove: one whose address has another member now, or else the one silent for longest.
-func longestSilent(s *quorum.Status, silent map[quorum.MemberID]time.Duration, strangers []quorum.MemberID) (quorum.MemberID, bool) {
-	var best quorum.MemberID
-	longest := replaceAfter
-	for _, m := range s.Members {
+// voterToRemove returns the voter to remove: one whose address has another member now, or else the one silent for longest.
+func voterToRemove(status *quorum.Status, silentFor map[quorum.MemberID]time.Duration, joining []quorum.MemberID) (quorum.MemberID, bool) {
+	var candidate quorum.MemberID
+	longest := replaceVoterAfter
+	for _, m := range status.Members {
 		if !m.Voter {
 			continue
 		}
-		if silent[m.ID] > memberInterval && addressTaken(s, m.ID, strangers) {
+		if silentFor[m.ID] > membershipInterval && addressTaken(status, m.ID, joining) {
 			return m.ID, true
 		}
-		if silent[m.ID] > longest {
-			best, longest = m.ID, silent[m.ID]
+		if silentFor[m.ID] > longest {
+			candidate, longest = m.ID, silentFor[m.ID]
 		}
 	}
-	return best, longest > replaceAfter
+	return candidate, longest > replaceVoterAfter
 }
 
-func addressTaken(s *quorum.Status, id quorum.MemberID, strangers []quorum.MemberID) bool {
-	for _, m := range s.Members {
+func addressTaken(status *quorum.Status, id quorum.MemberID, joining []quorum.MemberID) bool {
+	for _, m := range status.Members {
 		if m.ID.Name == id.Name && m.ID.Folder != id.Folder {
 			return true
 		}
 	}
-	for _, other := range strangers {
+	for _, other := range joining {
 		if other.Name == id.Name && other.Folder != id.Folder {
 			return true
 		}
@@ -288,11 +288,11 @@
 	return false
 }
 
-func with(members []quorum.Member, id quorum.MemberID) []quorum.Member {
+func withLearner(members []quorum.Member, id quorum.MemberID) []quorum.Member {
 	return append(append([]quorum.Member(nil), members...), quorum.Member{ID: id})
 }
 
-func without(members []quorum.Member, id quorum.MemberID) []quorum.Member {
+func withoutMember(members []quorum.Member, id quorum.MemberID) []quorum.Member {
 	var rest []quorum.Member
 	for _, m := range members {
 		if m.ID != id {
--- a/site/memory.go
+++ b/site/memory.go
@@ -20,78 +20,78 @@
 )
 
 const (
-	memoryName = "roster"
-	// memoryInterval is the least time between two writes; members of groups are lost every few seconds.
-	memoryInterval = 700 * time.Millisecond
+	rosterFileName = "roster"
+	// rosterSaveInterval is the least time between two writes; members of groups are lost every few seconds.
+	rosterSaveInterval = 700 * time.Millisecond
 )
 
-// remembered is what the file holds.
-type remembered struct {
+// savedRoster is what the file holds.
+type savedRoster struct {
 	Upstreams []roster.Upstream `cbor:"1,keyasint"`
 	Groups    []roster.Group    `cbor:"2,keyasint"`
 	// Held are the works that were held.
 	Held []quarantine.Report `cbor:"3,keyasint,omitempty"`
 }
 
-// rememberLoop writes the roster when it has changed, or works have come to be held.
-func (c *Control) rememberLoop(ctx context.Context) {
+// saveRosterLoop writes the roster when it has changed, or works have come to be held.
+func (c *Control) saveRosterLoop(ctx context.Context) {
 	var written roster.Revision
 	var leadership LeadershipID
-	var sum uint64
+	var writtenDigest uint64
 	for ctx.Err() == nil {
-		pause(ctx, memoryInterval)
-		name, d := c.newestRoster()
-		held := c.held.Digest(clock.Now())
-		if d == nil || name == leadership && d.Revision == written && held == sum {
+		sleep(ctx, rosterSaveInterval)
+		current, snapshot := c.newestRoster()
+		quarantineDigest := c.quarantine.Digest(clock.Now())
+		if snapshot == nil || current == leadership && snapshot.Revision == written && quarantineDigest == writtenDigest {
 			continue
 		}
-		if err := c.remember(d); err != nil {
+		if err := c.saveRoster(snapshot); err != nil {
 			c.Log.Error(err, "roster not written, a restart will wait for reports", "code", int(result.CodeOf(err)))
 			continue
 		}
-		leadership, written, sum = name, d.Revision, held
+		leadership, written, writtenDigest = current, snapshot.Revision, quarantineDigest
 	}
 }
 
 // newestRoster returns what this daemon leads by, or its copy.
 func (c *Control) newestRoster() (LeadershipID, *roster.Delta) {
 	if r := c.leadership.Load(); r != nil {
-		d := r.roster.Since(0)
-		return r.name, &d
+		snapshot := r.roster.Since(0)
+		return r.name, &snapshot
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.copiedAt.IsZero() {
+	if c.copyConfirmedAt.IsZero() {
 		return "", nil
 	}
-	d := c.copied.FullDelta()
-	return c.copiedOf, &d
+	snapshot := c.rosterCopy.FullDelta()
+	return c.copyLeadership, &snapshot
 }
 
-func (c *Control) remember(d *roster.Delta) error {
-	held := c.held.Quarantined(clock.Now())
-	content, err := cbor.Marshal(remembered{d.Upstreams, d.Groups, held[:min(len(held), heldKept)]})
+func (c *Control) saveRoster(snapshot *roster.Delta) error {
+	reports := c.quarantine.Quarantined(clock.Now())
+	content, err := cbor.Marshal(savedRoster{snapshot.Upstreams, snapshot.Groups, reports[:min(len(reports), maxSavedReports)]})
 	if err != nil {
 		return err
 	}
-	return c.folder.WriteFile(memoryName, content)
+	return c.folder.WriteFile(rosterFileName, content)
 }
 
-// recall reads the roster of the last life; a file that can't be read is as good as none.
-func (c *Control) recall() {
-	content, err := c.folder.ReadFile(memoryName)
+// loadRoster reads the roster of the last life; a file that can't be read is as good as none.
+func (c *Control) loadRoster() {
+	content, err := c.folder.ReadFile(rosterFileName)
 	if err != nil || content == nil {
 		return
 	}
-	var m remembered
-	if err := cbor.Unmarshal(content, &m); err != nil {
+	var saved savedRoster
+	if err := cbor.Unmarshal(content, &saved); err != nil {
 		c.Log.Error(err, "remembered roster cannot be read")
 		return
 	}
-	c.applyQuarantine(clock.Now(), m.Held)
+	c.applyQuarantine(clock.Now(), saved.Held)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.copied.Apply(&roster.Delta{Full: true, Upstreams: m.Upstreams, Groups: m.Groups})
-	c.recalled = true
-	c.Log.Info("roster of the last life read", "upstreams", len(m.Upstreams), "groups", len(m.Groups), "held", len(m.Held))
+	c.rosterCopy.Apply(&roster.Delta{Full: true, Upstreams: saved.Upstreams, Groups: saved.Groups})
+	c.copyFromDisk = true
+	c.Log.Info("roster of the last life read", "upstreams", len(saved.Upstreams), "groups", len(saved.Groups), "held", len(saved.Held))
 }
--- a/site/messages.go
+++ b/site/messages.go
@@ -155,23 +155,23 @@
 }
 
 const (
-	// syncHold is how long the leader keeps a call for news, as often entries tell their load; syncHoldEach is the same for
-	// each entry where there are many, syncHoldMost bounds it: calls of hundreds of entries would otherwise fill the
+	// minSyncHold is how long the leader keeps a call for news, as often entries tell their load; syncHoldPerEntry is the same for
+	// each entry where there are many, maxSyncHold bounds it: calls of hundreds of entries would otherwise fill the
 	// leader's link.
-	syncHold     = 100 * time.Millisecond
-	syncHoldEach = 1500 * time.Microsecond
-	syncHoldMost = 500 * time.Millisecond
-	// syncGather is how long news are gathered for each entry, syncGatherMost bounds it.
-	syncGather     = 300 * time.Microsecond
-	syncGatherMost = 150 * time.Millisecond
+	minSyncHold      = 100 * time.Millisecond
+	syncHoldPerEntry = 1500 * time.Microsecond
+	maxSyncHold      = 500 * time.Millisecond
+	// syncGatherPerEntry is how long news are gathered for each entry, maxSyncGather bounds it.
+	syncGatherPerEntry = 300 * time.Microsecond
+	maxSyncGather      = 150 * time.Millisecond
 )
 
 // holdTime is how long a leader with so many entries keeps a call for news.
 func holdTime(entries int) time.Duration {
-	return min(syncHoldMost, max(syncHold, time.Duration(entries)*syncHoldEach))
+	return min(maxSyncHold, max(minSyncHold, time.Duration(entries)*syncHoldPerEntry))
 }
 
 // gatherTime is how long it gathers news before it answers.
 func gatherTime(entries int) time.Duration {
-	return min(syncGatherMost, time.Duration(entries)*syncGather)
+	return min(maxSyncGather, time.Duration(entries)*syncGatherPerEntry)
 }
--- a/site/neighbours.go
+++ b/site/neighbours.go
@@ -26,20 +26,20 @@
 )
 
 const (
-	// newsWaiting bounds the news that wait to be sent; what comes beyond is dropped, as a network may.
-	newsWaiting = 64
-	// maxNews bounds a datagram; one has about 30 bytes.
-	maxNews = 256
-	// promptNews is how many datagrams a second tell of prompts at most. Where there are more prompts and neighbours each
+	// updateQueueLength bounds the news that wait to be sent; what comes beyond is dropped, as a network may.
+	updateQueueLength = 64
+	// maxDatagramBytes bounds a datagram; one has about 30 bytes.
+	maxDatagramBytes = 256
+	// promptDatagramsPerSecond is how many datagrams a second tell of prompts at most. Where there are more prompts and neighbours each
 	// prompt is told to some of them, by turns; those that are not told then take a pass that reads it for one that stands still.
 	// Callers spread unevenly over entries, so it leaves room for a busy one.
-	promptNews = 1800.0
-	// promptNewsSaved is how many datagrams may be saved up for a moment with many prompts, as a time.
-	promptNewsSaved = 500 * time.Millisecond
+	promptDatagramsPerSecond = 1800.0
+	// promptDatagramBurst is how many datagrams may be saved up for a moment with many prompts, as a time.
+	promptDatagramBurst = 500 * time.Millisecond
 )
 
-// nameList returns the digest of a list.
-func nameList(list []string) ListDigest {
+// digestList returns the digest of a list.
+func digestList(list []string) ListDigest {
 	if len(list) == 0 {
 		return 0
 	}
@@ -51,10 +51,10 @@
 	return ListDigest(h.Sum64())
 }
 
-// toldNews are news and those who are told, nobody for all.
-type toldNews struct {
-	news relay.EntryUpdate
-	to   []string
+// queuedUpdate are news and those who are told, nobody for all.
+type queuedUpdate struct {
+	update relay.EntryUpdate
+	to     []string
 }
 
 // addresses are where the other entries listen: all of them in order, and by name.
@@ -63,70 +63,70 @@
 	byName map[string]netip.AddrPort
 }
 
-// neighbours sends news to the other entries and takes theirs. Fields are set before run.
-type neighbours struct {
-	// hear takes what another entry sent.
-	hear func(n relay.EntryUpdate, from netip.AddrPort)
-	log  logr.Logger
+// peerEntries sends news to the other entries and takes theirs. Fields are set before run.
+type peerEntries struct {
+	// receive takes what another entry sent.
+	receive func(n relay.EntryUpdate, from netip.AddrPort)
+	log     logr.Logger
 
-	waiting chan toldNews
-	all     atomic.Pointer[addresses]
+	queue     chan queuedUpdate
+	addresses atomic.Pointer[addresses]
 	// knownEntries is the entries, names the names of the leader's lists of them, and known how many entries count; all belong to the goroutine
 	// that follows the leader.
-	entries *knownEntries
-	names   map[ident.Hall]ListDigest
-	known   int
-	// allowed is how many datagrams may tell of prompts now, since when that was counted, next whose turn it is.
-	allowed float64
-	counted time.Time
-	next    int
+	known      *knownEntries
+	digests    map[ident.Hall]ListDigest
+	entryCount int
+	// promptBudget is how many datagrams may tell of prompts now, since when that was counted, next whose turn it is.
+	promptBudget float64
+	budgetAt     time.Time
+	nextPeer     int
 }
 
-func newNeighbours(hear func(n relay.EntryUpdate, from netip.AddrPort)) *neighbours {
-	return &neighbours{hear: hear, log: logr.Discard(), waiting: make(chan toldNews, newsWaiting), entries: newKnownEntries(), names: map[ident.Hall]ListDigest{}}
+func newPeerEntries(receive func(n relay.EntryUpdate, from netip.AddrPort)) *peerEntries {
+	return &peerEntries{receive: receive, log: logr.Discard(), queue: make(chan queuedUpdate, updateQueueLength), known: newKnownEntries(), digests: map[ident.Hall]ListDigest{}}
 }
 
-// tell sends n to those in a list, or to all entries without one, in the background.
-func (b *neighbours) tell(n relay.EntryUpdate, to []string) {
-	if b.all.Load() == nil {
+// enqueue sends n to those in a list, or to all entries without one, in the background.
+func (b *peerEntries) enqueue(update relay.EntryUpdate, to []string) {
+	if b.addresses.Load() == nil {
 		return
 	}
 	select {
-	case b.waiting <- toldNews{n, to}:
+	case b.queue <- queuedUpdate{update, to}:
 	default:
 	}
 }
 
-// set takes what a leader says of the entries, and returns them as the one called self sees them, nil where they are the same as before.
-func (b *neighbours) set(now time.Time, self string, leadership LeadershipID, changed []EntryList, changes []ListChange) *sharing.Entries {
+// setEntries takes what a leader says of the entries, and returns them as the one called self sees them, nil where they are the same as before.
+func (b *peerEntries) setEntries(now time.Time, self string, leadership LeadershipID, changed []EntryList, changes []ListChange) *sharing.Entries {
 	for i := range changes {
 		// One that leads from another list than this entry has is left out; the next call gets the list itself.
-		if c := &changes[i]; b.names[c.Hall] == c.Base {
-			changed = append(changed, EntryList{c.Hall, c.apply(b.entries.lists[c.Hall])})
+		if change := &changes[i]; b.digests[change.Hall] == change.Base {
+			changed = append(changed, EntryList{change.Hall, change.apply(b.known.lists[change.Hall])})
 		}
 	}
-	for _, l := range changed {
-		b.names[l.Hall] = nameList(l.Entries)
-		if len(l.Entries) == 0 {
-			delete(b.names, l.Hall)
+	for _, list := range changed {
+		b.digests[list.Hall] = digestList(list.Entries)
+		if len(list.Entries) == 0 {
+			delete(b.digests, list.Hall)
 		}
 	}
-	if !b.entries.take(now, leadership, changed) {
+	if !b.known.apply(now, leadership, changed) {
 		return nil
 	}
-	entries := sharing.New(self, b.entries.all())
-	b.known = entries.Total()
+	entries := sharing.New(self, b.known.all())
+	b.entryCount = entries.Total()
 	all := &addresses{byName: map[string]netip.AddrPort{}}
 	for _, name := range entries.Others() {
-		a, err := netip.ParseAddrPort(name)
+		address, err := netip.ParseAddrPort(name)
 		if err != nil {
 			b.log.Info("neighbour passed over, its address is not an IP address and port", "address", name)
 			continue
 		}
-		all.list = append(all.list, a)
-		all.byName[name] = a
+		all.list = append(all.list, address)
+		all.byName[name] = address
 	}
-	b.all.Store(all)
+	b.addresses.Store(all)
 	return entries
 }
 
@@ -144,45 +144,45 @@
 }
 
 // run sends and takes news until ctx ends, and closes conn.
-func (b *neighbours) run(ctx context.Context, conn *net.UDPConn) {
+func (b *peerEntries) run(ctx context.Context, conn *net.UDPConn) {
 	var wg sync.WaitGroup
-	wg.Go(func() { b.read(ctx, conn) })
-	b.send(ctx, conn)
+	wg.Go(func() { b.readLoop(ctx, conn) })
+	b.sendLoop(ctx, conn)
 	// Nothing is lost by a socket that does not close in order.
 	_ = conn.Close()
 	wg.Wait()
 }
 
-func (b *neighbours) send(ctx context.Context, conn *net.UDPConn) {
+func (b *peerEntries) sendLoop(ctx context.Context, conn *net.UDPConn) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-b.waiting:
-			b.sendToAll(conn, n)
+		case queued := <-b.queue:
+			b.sendUpdate(conn, queued)
 		}
 	}
 }
 
-func (b *neighbours) sendToAll(conn *net.UDPConn, n toldNews) {
-	data, err := cbor.Marshal(n.news)
+func (b *peerEntries) sendUpdate(conn *net.UDPConn, queued queuedUpdate) {
+	data, err := cbor.Marshal(queued.update)
 	if err != nil {
-		b.log.Error(err, "news cannot be encoded", "head", n.news.Head)
+		b.log.Error(err, "news cannot be encoded", "head", queued.update.Head)
 		return
 	}
-	to := b.all.Load().of(n.to)
-	if n.news.IsPrompt() {
+	targets := b.addresses.Load().named(queued.to)
+	if queued.update.IsPrompt() {
 		// What is said of whether a group works is little, and all of it counts.
-		to = b.told(clock.Now(), to)
+		targets = b.promptTargets(clock.Now(), targets)
 	}
-	for _, to := range to {
+	for _, target := range targets {
 		// A neighbour that can't be reached is one that needs no news; the leader's next list leaves it out.
-		_, _ = conn.WriteToUDPAddrPort(data, to)
+		_, _ = conn.WriteToUDPAddrPort(data, target)
 	}
 }
 
-// of returns the addresses of those in a list, all without one.
-func (a *addresses) of(names []string) []netip.AddrPort {
+// named returns the addresses of those in a list, all without one.
+func (a *addresses) named(names []string) []netip.AddrPort {
 	if names == nil {
 		return a.list
 	}
@@ -195,23 +195,23 @@
 	return list
 }
 
-// told returns the neighbours that are told of a prompt.
-func (b *neighbours) told(now time.Time, all []netip.AddrPort) []netip.AddrPort {
-	saved := min(now.Sub(b.counted), promptNewsSaved)
-	b.counted = now
-	b.allowed = min(b.allowed+promptNews*saved.Seconds(), promptNews*promptNewsSaved.Seconds())
-	count := min(len(all), int(b.allowed))
-	b.allowed -= float64(count)
+// promptTargets returns the neighbours that are told of a prompt.
+func (b *peerEntries) promptTargets(now time.Time, all []netip.AddrPort) []netip.AddrPort {
+	elapsed := min(now.Sub(b.budgetAt), promptDatagramBurst)
+	b.budgetAt = now
+	b.promptBudget = min(b.promptBudget+promptDatagramsPerSecond*elapsed.Seconds(), promptDatagramsPerSecond*promptDatagramBurst.Seconds())
+	count := min(len(all), int(b.promptBudget))
+	b.promptBudget -= float64(count)
 	var list []netip.AddrPort
 	for range count {
-		list = append(list, all[b.next%len(all)])
-		b.next++
+		list = append(list, all[b.nextPeer%len(all)])
+		b.nextPeer++
 	}
 	return list
 }
 
-func (b *neighbours) read(ctx context.Context, conn *net.UDPConn) {
-	buf := make([]byte, maxNews)
+func (b *peerEntries) readLoop(ctx context.Context, conn *net.UDPConn) {
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -219,14 +219,14 @@
 		}
 		if err != nil {
 			b.log.Info("datagrams of neighbours cannot be read", "error", err.Error())
-			pause(ctx, askPause)
+			sleep(ctx, followRetryPause)
 			continue
 		}
-		var news relay.EntryUpdate
-		if err := cbor.Unmarshal(buf[:n], &news); err != nil {
+		var update relay.EntryUpdate
+		if err := cbor.Unmarshal(buf[:n], &update); err != nil {
 			b.log.Info("a datagram is no news", "from", from.String(), "error", err.Error())
 			continue
 		}
-		b.hear(news, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+		b.receive(update, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 	}
 }
--- a/site/numbers.go
+++ b/site/numbers.go
@@ -16,11 +16,11 @@
 // maxSeries bounds the pairs of customer and class that have metrics of their own; the rest is counted together.
 const maxSeries = 512
 
-// maxTrySeries bounds the ways in which tries end that are counted: there are about ten, and texts of errors beside them.
-const maxTrySeries = 32
+// maxAttemptSeries bounds the ways in which tries end that are counted: there are about ten, and texts of errors beside them.
+const maxAttemptSeries = 32
 
-// tryKey is one way in which tries end.
-type tryKey struct {
+// attemptKey is one way in which tries end.
+type attemptKey struct {
 	result string
 	cut    relay.ConnFailure
 }
@@ -41,16 +41,16 @@
 	codes map[result.Code]tally.Counter
 }
 
-// numbers counts requests by customer and class.
-type numbers struct {
+// entryMetrics counts requests by customer and class.
+type entryMetrics struct {
 	scope tally.Scope
 
-	mu     sync.Mutex
-	series map[seriesKey]*series
-	models map[ident.Model]*words
-	tries  map[tryKey]tally.Counter
-	// held is how many works are held.
-	held tally.Gauge
+	mu          sync.Mutex
+	series      map[seriesKey]*series
+	firstEvents map[ident.Model]*firstEventMetrics
+	attempts    map[attemptKey]tally.Counter
+	// quarantined is how many works are held.
+	quarantined tally.Gauge
 	// backedOff is how many upstreams want nothing from this entry.
 	backedOff tally.Gauge
 	// limited is how many upstreams have named a limit, permits count the requests that were meant for them.
@@ -58,17 +58,17 @@
 	permits map[ratelimit.Outcome]tally.Counter
 }
 
-// words are the first words of one model: when they were expected, when they came, and how far apart the two were.
-type words struct {
-	expected tally.Histogram
-	seen     tally.Histogram
-	off      tally.Histogram
+// firstEventMetrics are the first words of one model: when they were expected, when they came, and how far apart the two were.
+type firstEventMetrics struct {
+	expected  tally.Histogram
+	actual    tally.Histogram
+	deviation tally.Histogram
 }
 
-func newNumbers(scope tally.Scope) *numbers {
-	return &numbers{
-		scope: scope, series: map[seriesKey]*series{}, models: map[ident.Model]*words{}, tries: map[tryKey]tally.Counter{},
-		held: scope.Gauge("held_works"), backedOff: scope.Gauge("backed_off_upstreams"),
+func newEntryMetrics(scope tally.Scope) *entryMetrics {
+	return &entryMetrics{
+		scope: scope, series: map[seriesKey]*series{}, firstEvents: map[ident.Model]*firstEventMetrics{}, attempts: map[attemptKey]tally.Counter{},
+		quarantined: scope.Gauge("held_works"), backedOff: scope.Gauge("backed_off_upstreams"),
 		limited: scope.Gauge("limited_upstreams"), permits: permitCounters(scope),
 	}
 }
@@ -82,61 +82,61 @@
 	return counters
 }
 
-func (n *numbers) observe(r *relay.Record) {
+func (n *entryMetrics) observe(r *relay.Record) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	s := n.of(seriesKey{r.Customer, r.Route})
-	c := s.codes[r.Code]
-	if c == nil {
-		c = s.scope.Tagged(map[string]string{"code": strconv.Itoa(int(r.Code)), "result": result.Lookup(r.Code).Name}).Counter("requests")
-		s.codes[r.Code] = c
+	metrics := n.seriesOf(seriesKey{r.Customer, r.Route})
+	counter := metrics.codes[r.Code]
+	if counter == nil {
+		counter = metrics.scope.Tagged(map[string]string{"code": strconv.Itoa(int(r.Code)), "result": result.Lookup(r.Code).Name}).Counter("requests")
+		metrics.codes[r.Code] = counter
 	}
-	c.Inc(1)
+	counter.Inc(1)
 	if r.FirstEvent > 0 {
-		s.first.RecordDuration(r.FirstEvent)
+		metrics.first.RecordDuration(r.FirstEvent)
 	}
-	s.total.RecordDuration(r.Total)
+	metrics.total.RecordDuration(r.Total)
 	for i := range r.Attempts {
-		n.countTry(&r.Attempts[i])
+		n.countAttempt(&r.Attempts[i])
 	}
 	// Only models that the configuration declares have an expectation, so callers can't make up series.
 	if r.ExpectedFirstEvent > 0 && r.FirstEvent > 0 && len(r.Attempts) == 1 {
-		w := n.words(r.Model)
-		w.expected.RecordDuration(r.ExpectedFirstEvent)
-		w.seen.RecordDuration(r.FirstEvent)
-		w.off.RecordDuration((r.FirstEvent - r.ExpectedFirstEvent).Abs())
+		event := n.firstEvent(r.Model)
+		event.expected.RecordDuration(r.ExpectedFirstEvent)
+		event.actual.RecordDuration(r.FirstEvent)
+		event.deviation.RecordDuration((r.FirstEvent - r.ExpectedFirstEvent).Abs())
 	}
 }
 
-// countTry counts how a try ended, and in which way its connection did where it has no whole answer; the mutex is held.
-func (n *numbers) countTry(t *relay.Attempt) {
-	key := tryKey{t.Result, t.ConnFailure}
-	c := n.tries[key]
-	if c == nil {
-		if len(n.tries) >= maxTrySeries {
+// countAttempt counts how a try ended, and in which way its connection did where it has no whole answer; the mutex is held.
+func (n *entryMetrics) countAttempt(attempt *relay.Attempt) {
+	key := attemptKey{attempt.Result, attempt.ConnFailure}
+	counter := n.attempts[key]
+	if counter == nil {
+		if len(n.attempts) >= maxAttemptSeries {
 			return
 		}
-		c = n.scope.Tagged(map[string]string{"result": t.Result, "cut": string(t.ConnFailure)}).Counter("tries")
-		n.tries[key] = c
+		counter = n.scope.Tagged(map[string]string{"result": attempt.Result, "cut": string(attempt.ConnFailure)}).Counter("tries")
+		n.attempts[key] = counter
 	}
-	c.Inc(1)
+	counter.Inc(1)
 }
 
-func (n *numbers) words(model ident.Model) *words {
-	w := n.models[model]
-	if w == nil {
+func (n *entryMetrics) firstEvent(model ident.Model) *firstEventMetrics {
+	event := n.firstEvents[model]
+	if event == nil {
 		scope := n.scope.Tagged(map[string]string{"model": string(model)})
-		w = &words{
-			expected: scope.Histogram("first_word_expected", meter.Durations()),
-			seen:     scope.Histogram("first_word_seen", meter.Durations()),
-			off:      scope.Histogram("first_word_off", meter.Durations()),
+		event = &firstEventMetrics{
+			expected:  scope.Histogram("first_word_expected", meter.Durations()),
+			actual:    scope.Histogram("first_word_seen", meter.Durations()),
+			deviation: scope.Histogram("first_word_off", meter.Durations()),
 		}
-		n.models[model] = w
+		n.firstEvents[model] = event
 	}
-	return w
+	return event
 }
 
-func (n *numbers) of(key seriesKey) *series {
+func (n *entryMetrics) seriesOf(key seriesKey) *series {
 	if s := n.series[key]; s != nil {
 		return s
 	}
@@ -159,7 +159,7 @@
 
 // observe counts a finished request and writes its line.
 func (e *Entry) observe(r *relay.Record) {
-	e.numbers.observe(r)
+	e.metrics.observe(r)
 	e.RequestLog.Info("request", "id", r.ID, "route", r.Route, "customer", r.Customer, "model", r.Model, "content", r.Content.String(),
 		"code", int(r.Code), "status", r.Status, "text", r.ErrorText, "version", r.Version, "revision", r.Revision,
 		"confirmed-age-ms", r.ConfirmedAge.Milliseconds(), "tries", r.Attempts, "prompt", int(r.Prompt), "events", r.Events,
--- a/site/pacer.go
+++ b/site/pacer.go
@@ -6,38 +6,38 @@
 )
 
 const (
-	// pacedPart is the part of the link that whole rosters and configurations may take: the heartbeats of the log have to pass between them.
-	pacedPart = 0.5
-	// pacedBurst is how much may go at once, as a time.
-	pacedBurst = 50 * time.Millisecond
-	// pacedMost is the longest turn that is waited for; whoever would wait longer asks again.
-	pacedMost = 500 * time.Millisecond
+	// pacedLinkFraction is the part of the link that whole rosters and configurations may take: the heartbeats of the log have to pass between them.
+	pacedLinkFraction = 0.5
+	// pacerBurst is how much may go at once, as a time.
+	pacerBurst = 50 * time.Millisecond
+	// maxPacerWait is the longest turn that is waited for; whoever would wait longer asks again.
+	maxPacerWait = 500 * time.Millisecond
 )
 
 // pacer gives turns to what is sent at a rate.
 type pacer struct {
-	// rate is in bytes a second.
-	rate float64
+	// bytesPerSecond is in bytes a second.
+	bytesPerSecond float64
 
 	mu sync.Mutex
-	// free is when all that had a turn has been sent.
-	free time.Time
+	// freeAt is when all that had a turn has been sent.
+	freeAt time.Time
 }
 
-// turn returns how long so many bytes wait until they are sent, and false when that is too long.
-func (p *pacer) turn(now time.Time, bytes int) (time.Duration, bool) {
+// reserve returns how long so many bytes wait until they are sent, and false when that is too long.
+func (p *pacer) reserve(now time.Time, bytes int) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.rate <= 0 {
+	if p.bytesPerSecond <= 0 {
 		return 0, true
 	}
-	if least := now.Add(-pacedBurst); p.free.Before(least) {
-		p.free = least
+	if earliest := now.Add(-pacerBurst); p.freeAt.Before(earliest) {
+		p.freeAt = earliest
 	}
-	wait := p.free.Sub(now)
-	if wait > pacedMost {
+	wait := p.freeAt.Sub(now)
+	if wait > maxPacerWait {
 		return 0, false
 	}
-	p.free = p.free.Add(time.Duration(float64(bytes) / p.rate * float64(time.Second)))
+	p.freeAt = p.freeAt.Add(time.Duration(float64(bytes) / p.bytesPerSecond * float64(time.Second)))
 	return max(0, wait), true
 }
--- a/site/paces.go
+++ b/site/paces.go
@@ -22,145 +22,145 @@
 )
 
 const (
-	// pauseHalf is the time after which a pause between events counts half.
-	pauseHalf = 700 * time.Millisecond
-	// pausesNeeded is the number of events from which on their pauses say something of a group.
-	pausesNeeded = 6.0
-	// paceAgain is when an upstream that is slow is asked again, paceCalm when one that is not is, paceStill when one is whose
-	// group stands still for longer than standsFor: what it said may be as old as its last report.
-	paceAgain = time.Second
-	paceCalm  = 3 * time.Second
-	paceStill = 400 * time.Millisecond
-	standsFor = 500 * time.Millisecond
-	// paceFor is how long an answer counts.
-	paceFor = 2500 * time.Millisecond
-	// paceTimeout bounds a question; engines answer at once.
-	paceTimeout = 500 * time.Millisecond
+	// gapHalfLife is the time after which a pause between events counts half.
+	gapHalfLife = 700 * time.Millisecond
+	// minGapEvents is the number of events from which on their pauses say something of a group.
+	minGapEvents = 6.0
+	// slowQueryInterval is when an upstream that is slow is asked again, normalQueryInterval when one that is not is, stalledQueryInterval when one is whose
+	// group stands still for longer than stalledAfter: what it said may be as old as its last report.
+	slowQueryInterval    = time.Second
+	normalQueryInterval  = 3 * time.Second
+	stalledQueryInterval = 400 * time.Millisecond
+	stalledAfter         = 500 * time.Millisecond
+	// slowdownTTL is how long an answer counts.
+	slowdownTTL = 2500 * time.Millisecond
+	// slowdownQueryTimeout bounds a question; engines answer at once.
+	slowdownQueryTimeout = 500 * time.Millisecond
 )
 
-type paceAnswer struct {
-	asked time.Time
-	told  time.Time
-	pace  float64
+type slowdownAnswer struct {
+	askedAt    time.Time
+	answeredAt time.Time
+	slowdown   float64
 }
 
-// pauseSum is a fading sum of events and the time between them.
-type pauseSum struct {
-	events float64
-	pauses float64
-	last   time.Time
+// gapSum is a fading sum of events and the time between them.
+type gapSum struct {
+	events     float64
+	gapSeconds float64
+	decayedAt  time.Time
 }
 
-func (s *pauseSum) fade(now time.Time) {
-	part := math.Exp2(-float64(now.Sub(s.last)) / float64(pauseHalf))
-	s.events *= part
-	s.pauses *= part
-	s.last = now
+func (s *gapSum) decay(now time.Time) {
+	factor := math.Exp2(-float64(now.Sub(s.decayedAt)) / float64(gapHalfLife))
+	s.events *= factor
+	s.gapSeconds *= factor
+	s.decayedAt = now
 }
 
-// paces is what a leader knows of how fast groups and upstreams are.
-type paces struct {
-	ask func(ctx context.Context, address string, id ident.Incarnation) (float64, error)
-	log logr.Logger
+// slowdownTracker is what a leader knows of how fast groups and upstreams are.
+type slowdownTracker struct {
+	query func(ctx context.Context, address string, id ident.Incarnation) (float64, error)
+	log   logr.Logger
 
 	mu      sync.Mutex
-	groups  map[ident.Group]*pauseSum
-	answers map[ident.Incarnation]paceAnswer
+	gaps    map[ident.Group]*gapSum
+	answers map[ident.Incarnation]slowdownAnswer
 }
 
-func newPaces(ask func(ctx context.Context, address string, id ident.Incarnation) (float64, error), log logr.Logger) *paces {
-	return &paces{ask: ask, log: log, groups: map[ident.Group]*pauseSum{}, answers: map[ident.Incarnation]paceAnswer{}}
+func newSlowdownTracker(query func(ctx context.Context, address string, id ident.Incarnation) (float64, error), log logr.Logger) *slowdownTracker {
+	return &slowdownTracker{query: query, log: log, gaps: map[ident.Group]*gapSum{}, answers: map[ident.Incarnation]slowdownAnswer{}}
 }
 
-// note takes the pauses that an entry saw.
-func (p *paces) note(now time.Time, seen []relay.Observation) {
+// addGaps takes the pauses that an entry saw.
+func (p *slowdownTracker) addGaps(now time.Time, seen []relay.Observation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range seen {
-		one := &seen[i]
-		if one.Events == 0 || one.Group == "" {
+		observed := &seen[i]
+		if observed.Events == 0 || observed.Group == "" {
 			continue
 		}
-		s := p.groups[one.Group]
-		if s == nil {
-			s = &pauseSum{last: now}
-			p.groups[one.Group] = s
+		sum := p.gaps[observed.Group]
+		if sum == nil {
+			sum = &gapSum{decayedAt: now}
+			p.gaps[observed.Group] = sum
 		}
-		s.fade(now)
-		s.events += float64(one.Events)
-		s.pauses += one.Pauses.Seconds()
+		sum.decay(now)
+		sum.events += float64(observed.Events)
+		sum.gapSeconds += observed.Pauses.Seconds()
 	}
 }
 
-// look adds what is known to the world and asks the members of groups that seem slow.
-func (p *paces) look(w *replicaset.Snapshot, groups []roster.Group, table *httproute.Table) {
-	if p.ask == nil {
+// evaluate adds what is known to the world and asks the members of groups that seem slow.
+func (p *slowdownTracker) evaluate(snapshot *replicaset.Snapshot, groups []roster.Group, table *httproute.Table) {
+	if p.query == nil {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	upstreams := map[ident.Incarnation]*roster.Upstream{}
-	for i := range w.Upstreams {
-		upstreams[w.Upstreams[i].ID] = &w.Upstreams[i]
+	for i := range snapshot.Upstreams {
+		upstreams[snapshot.Upstreams[i].ID] = &snapshot.Upstreams[i]
 	}
-	p.forget(groups, upstreams)
+	p.prune(groups, upstreams)
 	for i := range groups {
 		g := &groups[i]
-		sight := w.Observations[g.Name]
-		sight.EventGap = p.pause(w.Now, g.Name)
-		w.Observations[g.Name] = sight
-		stands := sight.StallConfirmed || sight.StalledFor >= standsFor
-		if g.Phase == roster.PhaseOpen && (stands || sight.StalledFor >= probeAfter || seemsSlow(table, g, sight.EventGap)) {
-			again := paceCalm
-			if stands {
-				again = paceStill
+		observation := snapshot.Observations[g.Name]
+		observation.EventGap = p.meanGap(snapshot.Now, g.Name)
+		snapshot.Observations[g.Name] = observation
+		stalled := observation.StallConfirmed || observation.StalledFor >= stalledAfter
+		if g.Phase == roster.PhaseOpen && (stalled || observation.StalledFor >= probeAfter || seemsSlow(table, g, observation.EventGap)) {
+			interval := normalQueryInterval
+			if stalled {
+				interval = stalledQueryInterval
 			}
 			for _, id := range g.Members {
-				p.question(w.Now, upstreams[id], again)
+				p.queryUpstream(snapshot.Now, upstreams[id], interval)
 			}
 		}
 	}
-	w.Slowdowns = map[ident.Incarnation]float64{}
-	for id, a := range p.answers {
-		if a.pace < replicaset.SlowdownLimit || w.Now.Sub(a.told) > paceFor {
+	snapshot.Slowdowns = map[ident.Incarnation]float64{}
+	for id, answer := range p.answers {
+		if answer.slowdown < replicaset.SlowdownLimit || snapshot.Now.Sub(answer.answeredAt) > slowdownTTL {
 			continue
 		}
-		w.Slowdowns[id] = a.pace
-		p.question(w.Now, upstreams[id], paceAgain)
+		snapshot.Slowdowns[id] = answer.slowdown
+		p.queryUpstream(snapshot.Now, upstreams[id], slowQueryInterval)
 	}
 }
 
 // seemsSlow reports whether streams of g pause for longer than at a full group.
-func seemsSlow(table *httproute.Table, g *roster.Group, pause time.Duration) bool {
+func seemsSlow(table *httproute.Table, g *roster.Group, gap time.Duration) bool {
 	s := table.Service(g.Service)
-	if s == nil || s.Engine == nil || pause == 0 {
+	if s == nil || s.Engine == nil || gap == 0 {
 		return false
 	}
 	m, ok := s.Engine.Model(g.Model)
-	return ok && pause > s.Engine.FullPause(m, g.Far)
+	return ok && gap > s.Engine.FullPause(m, g.Far)
 }
 
-func (p *paces) pause(now time.Time, name ident.Group) time.Duration {
-	s := p.groups[name]
-	if s == nil {
+func (p *slowdownTracker) meanGap(now time.Time, name ident.Group) time.Duration {
+	sum := p.gaps[name]
+	if sum == nil {
 		return 0
 	}
-	s.fade(now)
-	if s.events < pausesNeeded {
+	sum.decay(now)
+	if sum.events < minGapEvents {
 		return 0
 	}
-	return time.Duration(s.pauses / s.events * float64(time.Second))
+	return time.Duration(sum.gapSeconds / sum.events * float64(time.Second))
 }
 
-// forget drops groups and upstreams that have ended.
-func (p *paces) forget(groups []roster.Group, upstreams map[ident.Incarnation]*roster.Upstream) {
-	there := map[ident.Group]bool{}
+// prune drops groups and upstreams that have ended.
+func (p *slowdownTracker) prune(groups []roster.Group, upstreams map[ident.Incarnation]*roster.Upstream) {
+	existing := map[ident.Group]bool{}
 	for i := range groups {
-		there[groups[i].Name] = true
+		existing[groups[i].Name] = true
 	}
-	for name := range p.groups {
-		if !there[name] {
-			delete(p.groups, name)
+	for name := range p.gaps {
+		if !existing[name] {
+			delete(p.gaps, name)
 		}
 	}
 	for id := range p.answers {
@@ -170,37 +170,37 @@
 	}
 }
 
-// question asks an upstream for its pace unless that was done less than again ago.
-func (p *paces) question(now time.Time, u *roster.Upstream, again time.Duration) {
+// queryUpstream asks an upstream for its pace unless that was done less than again ago.
+func (p *slowdownTracker) queryUpstream(now time.Time, u *roster.Upstream, interval time.Duration) {
 	if u == nil {
 		return
 	}
-	a := p.answers[u.ID]
-	if now.Sub(a.asked) < again {
+	answer := p.answers[u.ID]
+	if now.Sub(answer.askedAt) < interval {
 		return
 	}
-	a.asked = now
-	p.answers[u.ID] = a
+	answer.askedAt = now
+	p.answers[u.ID] = answer
 	id, address := u.ID, u.Address
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), paceTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), slowdownQueryTimeout)
 		defer cancel()
-		pace, err := p.ask(ctx, address, id)
+		slowdown, err := p.query(ctx, address, id)
 		if err != nil {
 			p.log.Info("pace of an upstream not known", "upstream", id, "error", err.Error())
 			return
 		}
-		p.answered(id, pace)
+		p.applyAnswer(id, slowdown)
 	}()
 }
 
-func (p *paces) answered(id ident.Incarnation, pace float64) {
+func (p *slowdownTracker) applyAnswer(id ident.Incarnation, slowdown float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	a := p.answers[id]
-	if (pace >= replicaset.SlowdownLimit) != (a.pace >= replicaset.SlowdownLimit) {
-		p.log.Info("pace of an upstream changed", "upstream", id, "from", a.pace, "to", pace)
+	answer := p.answers[id]
+	if (slowdown >= replicaset.SlowdownLimit) != (answer.slowdown >= replicaset.SlowdownLimit) {
+		p.log.Info("pace of an upstream changed", "upstream", id, "from", answer.slowdown, "to", slowdown)
 	}
-	a.told, a.pace = clock.Now(), pace
-	p.answers[id] = a
+	answer.answeredAt, answer.slowdown = clock.Now(), slowdown
+	p.answers[id] = answer
 }
--- a/site/packed.go
+++ b/site/packed.go
@@ -18,37 +18,37 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// packedFor is how long a packed roster is sent on although it has changed since: who got it is told of that with its next call.
-const packedFor = 200 * time.Millisecond
+// packedRosterTTL is how long a packed roster is sent on although it has changed since: who got it is told of that with its next call.
+const packedRosterTTL = 200 * time.Millisecond
 
-// unpackedMost bounds a roster after it is unpacked, in bytes.
-const unpackedMost = 64 << 20
+// maxUnpackedBytes bounds a roster after it is unpacked, in bytes.
+const maxUnpackedBytes = 64 << 20
 
 // packedRoster is a whole roster in the form in which it is sent.
 type packedRoster struct {
 	mu       sync.Mutex
 	revision roster.Revision
-	at       time.Time
+	packedAt time.Time
 	data     []byte
 }
 
-// of returns the packed roster, which is packed again some time after it has changed.
-func (p *packedRoster) of(now time.Time, r *roster.Roster) ([]byte, error) {
+// get returns the packed roster, which is packed again some time after it has changed.
+func (p *packedRoster) get(now time.Time, r *roster.Roster) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if revision, _ := r.Changed(); p.data != nil && (revision == p.revision || now.Sub(p.at) < packedFor) {
+	if revision, _ := r.Changed(); p.data != nil && (revision == p.revision || now.Sub(p.packedAt) < packedRosterTTL) {
 		return p.data, nil
 	}
-	d := r.Since(0)
-	for i := range d.Groups {
+	snapshot := r.Since(0)
+	for i := range snapshot.Groups {
 		// The leader's own time.
-		d.Groups[i].Since = time.Time{}
+		snapshot.Groups[i].Since = time.Time{}
 	}
-	data, err := pack(&d)
+	data, err := pack(&snapshot)
 	if err != nil {
 		return nil, err
 	}
-	p.data, p.revision, p.at = data, d.Revision, now
+	p.data, p.revision, p.packedAt = data, snapshot.Revision, now
 	return data, nil
 }
 
@@ -75,7 +75,7 @@
 	if err != nil {
 		return result.Wrap(err, result.PeerRefused, "what the leader sent cannot be unpacked")
 	}
-	plain, err := io.ReadAll(io.LimitReader(r, unpackedMost))
+	plain, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes))
 	if err != nil {
 		return result.Wrap(err, result.PeerRefused, "what the leader sent cannot be unpacked")
 	}
@@ -87,24 +87,24 @@
 
 // fillChanges adds what the caller has not of the roster.
 func (r *leadership) fillChanges(call *SyncCall, reply *SyncReply) {
-	shown, packed := r.roster, &r.packedAll
+	visible, packed := r.roster, &r.packedFullRoster
 	if call.Entry {
-		shown, packed = r.view.Roster, &r.packedView
+		visible, packed = r.entryView.Roster, &r.packedEntryView
 	}
 	switch {
 	case call.Leadership == r.name:
-		reply.Changes = shown.Since(call.Revision)
+		reply.Changes = visible.Since(call.Revision)
 	case call.Sums != nil:
-		reply.Changes = shown.Diff(call.Sums)
+		reply.Changes = visible.Diff(call.Sums)
 	default:
 		reply.Changes = roster.Delta{Full: true}
 	}
 	if !reply.Changes.Full {
 		return
 	}
-	data, err := packed.of(clock.Now(), shown)
+	data, err := packed.get(clock.Now(), visible)
 	if err != nil {
-		r.c.Log.Error(err, "roster cannot be packed")
+		r.control.Log.Error(err, "roster cannot be packed")
 		reply.Usable = false
 		return
 	}
--- a/site/peers.go
+++ b/site/peers.go
@@ -17,9 +17,9 @@
 	// deliverTimeout bounds the delivery of log messages; a peer that is cut off silently must not hold newer ones for long.
 	deliverTimeout = 800 * time.Millisecond
 	// callTimeout bounds a call that the receiver answers at once.
-	callTimeout = 600 * time.Millisecond
-	queueLength = 256
-	maxDeliver  = 64
+	callTimeout        = 600 * time.Millisecond
+	deliverQueueLength = 256
+	maxDeliverMessages = 64
 )
 
 // Handlers are what a daemon does with the calls of others; a nil one refuses.
@@ -85,32 +85,32 @@
 	return link.NewServer(ln, serviceName, &Service{handlers})
 }
 
-// peerLink is the connection to one control daemon and the log messages that wait for it.
-type peerLink struct {
+// controlLink is the connection to one control daemon and the log messages that wait for it.
+type controlLink struct {
 	*link.Client
 	queue chan quorum.Message
 }
 
-// peers keeps a link to each control daemon that is called.
-type peers struct {
+// controlLinks keeps a link to each control daemon that is called.
+type controlLinks struct {
 	ctx  context.Context
 	dial transport.Dial
 
 	mu    sync.Mutex
-	links map[string]*peerLink
+	links map[string]*controlLink
 	wg    sync.WaitGroup
 }
 
-func newPeers(ctx context.Context, dial transport.Dial) *peers {
-	return &peers{ctx: ctx, dial: dial, links: map[string]*peerLink{}}
+func newControlLinks(ctx context.Context, dial transport.Dial) *controlLinks {
+	return &controlLinks{ctx: ctx, dial: dial, links: map[string]*controlLink{}}
 }
 
-func (p *peers) to(address string) *peerLink {
+func (p *controlLinks) linkTo(address string) *controlLink {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.links[address]
 	if l == nil {
-		l = &peerLink{Client: link.NewClient(address, serviceName), queue: make(chan quorum.Message, queueLength)}
+		l = &controlLink{Client: link.NewClient(address, serviceName), queue: make(chan quorum.Message, deliverQueueLength)}
 		l.Dial = p.dial
 		p.links[address] = l
 		p.wg.Go(func() { l.deliver(p.ctx) })
@@ -119,33 +119,33 @@
 }
 
 // send queues log messages; when a queue is full they are dropped, as a network may.
-func (p *peers) send(messages []quorum.Message) {
+func (p *controlLinks) send(messages []quorum.Message) {
 	for i := range messages {
 		select {
-		case p.to(string(messages[i].To.Name)).queue <- messages[i]:
+		case p.linkTo(string(messages[i].To.Name)).queue <- messages[i]:
 		default:
 		}
 	}
 }
 
 // deliver has one call on its way at a time, which keeps messages in order and gathers those that come meanwhile.
-func (l *peerLink) deliver(ctx context.Context) {
+func (l *controlLink) deliver(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			l.Close()
 			return
 		case m := <-l.queue:
-			call := &DeliverCall{Messages: l.gather(m)}
+			call := &DeliverCall{Messages: l.batch(m)}
 			// The protocol of the log sends again what is lost.
 			_ = l.Call(ctx, deliverTimeout, "Deliver", call, &Empty{})
 		}
 	}
 }
 
-func (l *peerLink) gather(first quorum.Message) []quorum.Message {
+func (l *controlLink) batch(first quorum.Message) []quorum.Message {
 	messages := []quorum.Message{first}
-	for len(messages) < maxDeliver {
+	for len(messages) < maxDeliverMessages {
 		select {
 		case m := <-l.queue:
 			messages = append(messages, m)
@@ -156,37 +156,37 @@
 	return messages
 }
 
-func (p *peers) hello(address string) (HelloReply, error) {
+func (p *controlLinks) hello(address string) (HelloReply, error) {
 	var reply HelloReply
-	err := p.to(address).Call(p.ctx, callTimeout, "Hello", &Empty{}, &reply)
+	err := p.linkTo(address).Call(p.ctx, callTimeout, "Hello", &Empty{}, &reply)
 	return reply, err
 }
 
-func (p *peers) join(address string, call *JoinCall) (JoinReply, error) {
+func (p *controlLinks) join(address string, call *JoinCall) (JoinReply, error) {
 	var reply JoinReply
-	err := p.to(address).Call(p.ctx, callTimeout, "Join", call, &reply)
+	err := p.linkTo(address).Call(p.ctx, callTimeout, "Join", call, &reply)
 	return reply, err
 }
 
 // sync asks for news; entries is how many entries the leader has, which decides how long it keeps a call.
-func (p *peers) sync(address string, entries int, call *SyncCall) (SyncReply, error) {
+func (p *controlLinks) sync(address string, entries int, call *SyncCall) (SyncReply, error) {
 	var reply SyncReply
-	err := p.to(address).Call(p.ctx, holdTime(entries)+gatherTime(entries)+callTimeout, "Sync", call, &reply)
+	err := p.linkTo(address).Call(p.ctx, holdTime(entries)+gatherTime(entries)+callTimeout, "Sync", call, &reply)
 	return reply, err
 }
 
-func (p *peers) pass(ctx context.Context, address string, timeout time.Duration, call *ForwardedCall) (ForwardedReply, error) {
+func (p *controlLinks) forward(ctx context.Context, address string, timeout time.Duration, call *ForwardedCall) (ForwardedReply, error) {
 	var reply ForwardedReply
-	err := p.to(address).Call(ctx, timeout, "Pass", call, &reply)
+	err := p.linkTo(address).Call(ctx, timeout, "Pass", call, &reply)
 	return reply, err
 }
 
-func (p *peers) wait() {
+func (p *controlLinks) wait() {
 	p.wg.Wait()
 }
 
-// dropUnheard closes the connections over which nothing has come since a time.
-func (p *peers) dropUnheard(since time.Time) {
+// dropSilentSince closes the connections over which nothing has come since a time.
+func (p *controlLinks) dropSilentSince(since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.links {
--- a/site/reports.go
+++ b/site/reports.go
@@ -13,68 +13,68 @@
 )
 
 const (
-	// reportsGathered bounds the reports of one call, reportsWaiting those that wait for the next.
-	reportsGathered = 256
-	reportsWaiting  = 2048
-	// sentOnMost is the number of upstreams up to which they are told to report to the leader itself.
-	sentOnMost = 600
+	// maxBatchReports bounds the reports of one call, reportQueueLength those that wait for the next.
+	maxBatchReports   = 256
+	reportQueueLength = 2048
+	// maxDirectReporters is the number of upstreams up to which they are told to report to the leader itself.
+	maxDirectReporters = 600
 )
 
-// passedReport is a report that waits for the leader's confirmation.
-type passedReport struct {
+// queuedReport is a report that waits for the leader's confirmation.
+type queuedReport struct {
 	report *roster.Report
-	done   chan passedOn
+	done   chan forwardResult
 }
 
-type passedOn struct {
+type forwardResult struct {
 	address string
 	err     error
 }
 
-// reports passes the reports that a daemon takes on to the leader.
-type reports struct {
-	waiting chan passedReport
-	// pass makes the call; it returns the address for later reports.
-	pass func(ctx context.Context, list []*roster.Report) (string, error)
+// reportForwarder passes the reports that a daemon takes on to the leader.
+type reportForwarder struct {
+	queue chan queuedReport
+	// forward makes the call; it returns the address for later reports.
+	forward func(ctx context.Context, list []*roster.Report) (string, error)
 }
 
-func newReports(pass func(ctx context.Context, list []*roster.Report) (string, error)) *reports {
-	return &reports{waiting: make(chan passedReport, reportsWaiting), pass: pass}
+func newReportForwarder(forward func(ctx context.Context, list []*roster.Report) (string, error)) *reportForwarder {
+	return &reportForwarder{queue: make(chan queuedReport, reportQueueLength), forward: forward}
 }
 
-// take returns once the leader has the report.
-func (q *reports) take(ctx context.Context, r *roster.Report) (string, error) {
-	p := passedReport{r, make(chan passedOn, 1)}
+// submit returns once the leader has the report.
+func (q *reportForwarder) submit(ctx context.Context, r *roster.Report) (string, error) {
+	queued := queuedReport{r, make(chan forwardResult, 1)}
 	select {
-	case q.waiting <- p:
+	case q.queue <- queued:
 	default:
 		return "", result.New(result.Overloaded, "too many reports wait for the leader")
 	}
 	select {
-	case on := <-p.done:
-		return on.address, on.err
+	case forwarded := <-queued.done:
+		return forwarded.address, forwarded.err
 	case <-ctx.Done():
 		return "", result.Wrap(ctx.Err(), result.DaemonUnreached, "the leader did not take the report in time")
 	}
 }
 
-func (q *reports) run(ctx context.Context) {
+func (q *reportForwarder) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-q.waiting:
-			q.passOn(ctx, q.gather(first))
+		case first := <-q.queue:
+			q.forwardBatch(ctx, q.batch(first))
 		}
 	}
 }
 
-func (q *reports) gather(first passedReport) []passedReport {
-	list := []passedReport{first}
-	for len(list) < reportsGathered {
+func (q *reportForwarder) batch(first queuedReport) []queuedReport {
+	list := []queuedReport{first}
+	for len(list) < maxBatchReports {
 		select {
-		case p := <-q.waiting:
-			list = append(list, p)
+		case queued := <-q.queue:
+			list = append(list, queued)
 		default:
 			return list
 		}
@@ -82,13 +82,13 @@
 	return list
 }
 
-func (q *reports) passOn(ctx context.Context, list []passedReport) {
-	var all []*roster.Report
-	for _, p := range list {
-		all = append(all, p.report)
+func (q *reportForwarder) forwardBatch(ctx context.Context, list []queuedReport) {
+	var reports []*roster.Report
+	for _, queued := range list {
+		reports = append(reports, queued.report)
 	}
-	address, err := q.pass(ctx, all)
-	for _, p := range list {
-		p.done <- passedOn{address, err}
+	address, err := q.forward(ctx, reports)
+	for _, queued := range list {
+		queued.done <- forwardResult{address, err}
 	}
 }
--- a/site/totals.go
+++ b/site/totals.go
@@ -14,48 +14,48 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// totalsFor is how long encoded totals are sent on.
-const totalsFor = 20 * time.Millisecond
+// totalsTTL is how long encoded totals are sent on.
+const totalsTTL = 20 * time.Millisecond
 
 // shortID is a part of the digest of an upstream's id. Two upstreams with the same one count as one, which only rates them worse.
 type shortID uint32
 
-func shortOf(id ident.Incarnation) shortID {
+func shortIDOf(id ident.Incarnation) shortID {
 	return shortID(xxhash.Sum64String(string(id)))
 }
 
 // shortIDs returns upstreams by their short ids.
 func shortIDs(list []ident.Incarnation) map[shortID]ident.Incarnation {
-	known := make(map[shortID]ident.Incarnation, len(list))
+	upstreams := make(map[shortID]ident.Incarnation, len(list))
 	for _, id := range list {
-		known[shortOf(id)] = id
+		upstreams[shortIDOf(id)] = id
 	}
-	return known
+	return upstreams
 }
 
 // encodeTotals encodes the requests at upstreams.
 func encodeTotals(totals map[ident.Incarnation]int) []byte {
 	var b []byte
 	for id, n := range totals {
-		b = binary.LittleEndian.AppendUint32(b, uint32(shortOf(id)))
+		b = binary.LittleEndian.AppendUint32(b, uint32(shortIDOf(id)))
 		b = binary.AppendUvarint(b, uint64(max(0, n)))
 	}
 	return b
 }
 
 // decodeTotals returns the requests at the upstreams that are known, less those of the caller's own; what can't be read is left out.
-func decodeTotals(b []byte, known map[shortID]ident.Incarnation, own map[ident.Incarnation]int) map[ident.Incarnation]int {
+func decodeTotals(b []byte, upstreams map[shortID]ident.Incarnation, own map[ident.Incarnation]int) map[ident.Incarnation]int {
 	const width = 4
 	others := map[ident.Incarnation]int{}
 	for len(b) > width {
-		id, ok := known[shortID(binary.LittleEndian.Uint32(b))]
+		id, ok := upstreams[shortID(binary.LittleEndian.Uint32(b))]
 		n, read := binary.Uvarint(b[width:])
 		if read <= 0 {
 			return others
 		}
 		b = b[width+read:]
-		if rest := int(n) - own[id]; ok && rest > 0 {
-			others[id] = rest
+		if byOthers := int(n) - own[id]; ok && byOthers > 0 {
+			others[id] = byOthers
 		}
 	}
 	return others
@@ -65,8 +65,8 @@
 func (r *leadership) encodedTotals(now time.Time) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.totalsAt.IsZero() || now.Sub(r.totalsAt) >= totalsFor {
-		r.encoded, r.totalsAt = encodeTotals(r.totals), now
+	if r.totalsEncodedAt.IsZero() || now.Sub(r.totalsEncodedAt) >= totalsTTL {
+		r.totalsData, r.totalsEncodedAt = encodeTotals(r.totals), now
 	}
-	return r.encoded
+	return r.totalsData
 }
--- a/site/undeclared.go
+++ b/site/undeclared.go
@@ -8,8 +8,8 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// undeclaredMost bounds the upstreams of services that are not declared of which the newest report is kept.
-const undeclaredMost = 4096
+// maxUndeclared bounds the upstreams of services that are not declared of which the newest report is kept.
+const maxUndeclared = 4096
 
 // undeclared keeps the newest reports of upstreams whose service is not declared: they name nothing to use until a configuration
 // declares it.
@@ -20,17 +20,17 @@
 
 type undeclaredReport struct {
 	*roster.Report
-	at time.Time
+	receivedAt time.Time
 }
 
 // add keeps a report in place of an older one; the mutex of the leadership is held.
 func (u *undeclared) add(now time.Time, r *roster.Report) {
-	old, ok := u.reports[r.ID]
-	if ok && r.Sequence <= old.Sequence {
+	previous, ok := u.reports[r.ID]
+	if ok && r.Sequence <= previous.Sequence {
 		return
 	}
 	for other := range u.reports {
-		if ok || len(u.reports) < undeclaredMost {
+		if ok || len(u.reports) < maxUndeclared {
 			break
 		}
 		delete(u.reports, other)
@@ -41,8 +41,8 @@
 	u.reports[r.ID] = undeclaredReport{r, now}
 }
 
-// declared returns the reports of services that a newer configuration declares and forgets these, and all that are too old.
-func (u *undeclared) declared(now time.Time, table *httproute.Table, oldest time.Duration) []undeclaredReport {
+// takeDeclared returns the reports of services that a newer configuration declares and forgets these, and all that are too old.
+func (u *undeclared) takeDeclared(now time.Time, table *httproute.Table, maxAge time.Duration) []undeclaredReport {
 	if u.version == table.Config.Version {
 		return nil
 	}
@@ -50,22 +50,22 @@
 	var list []undeclaredReport
 	for id, r := range u.reports {
 		known := table.Service(r.Service) != nil
-		if known && now.Sub(r.at) < oldest {
+		if known && now.Sub(r.receivedAt) < maxAge {
 			list = append(list, r)
 		}
-		if known || now.Sub(r.at) >= oldest {
+		if known || now.Sub(r.receivedAt) >= maxAge {
 			delete(u.reports, id)
 		}
 	}
 	return list
 }
 
-// takeDeclared takes the reports of upstreams whose service has just been declared.
-func (r *leadership) takeDeclared(now time.Time, table *httproute.Table) {
+// applyDeclared takes the reports of upstreams whose service has just been declared.
+func (r *leadership) applyDeclared(now time.Time, table *httproute.Table) {
 	r.mu.Lock()
-	list := r.undeclared.declared(now, table, r.roster.SilentAfter)
+	list := r.undeclared.takeDeclared(now, table, r.roster.SilentAfter)
 	r.mu.Unlock()
 	for _, report := range list {
-		r.roster.ApplyReport(report.at, report.Report)
+		r.roster.ApplyReport(report.receivedAt, report.Report)
 	}
 }
--- a/site/unread.go
+++ b/site/unread.go
@@ -12,94 +12,94 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// unreadMost bounds the upstreams of which one call tells such words.
-const unreadMost = 64
+// maxUnrecognizedUpstreams bounds the upstreams of which one call tells such words.
+const maxUnrecognizedUpstreams = 64
 
-// unreadNews are the words that the leader has not been told of yet.
-type unreadNews struct {
-	mu    sync.Mutex
-	fresh map[ident.Incarnation][]string
-	// sent are those of the call that is out, leadership is the leader that knows all others.
-	sent       map[ident.Incarnation][]string
+// unrecognizedQueue are the words that the leader has not been told of yet.
+type unrecognizedQueue struct {
+	mu      sync.Mutex
+	pending map[ident.Incarnation][]string
+	// inCall are those of the call that is out, leadership is the leader that knows all others.
+	inCall     map[ident.Incarnation][]string
 	leadership LeadershipID
 }
 
 // add notes a word for the leader.
-func (n *unreadNews) add(id ident.Incarnation, word string) {
+func (n *unrecognizedQueue) add(id ident.Incarnation, name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.fresh == nil {
-		n.fresh = map[ident.Incarnation][]string{}
+	if n.pending == nil {
+		n.pending = map[ident.Incarnation][]string{}
 	}
-	n.fresh[id] = append(n.fresh[id], word)
+	n.pending[id] = append(n.pending[id], name)
 }
 
-// toTell returns what the leader is told with the next call, nil when there is nothing.
-func (n *unreadNews) toTell() map[ident.Incarnation][]string {
+// takeForCall returns what the leader is told with the next call, nil when there is nothing.
+func (n *unrecognizedQueue) takeForCall() map[ident.Incarnation][]string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.sent = nil
-	for id, words := range n.fresh {
-		if n.sent == nil {
-			n.sent = map[ident.Incarnation][]string{}
+	n.inCall = nil
+	for id, names := range n.pending {
+		if n.inCall == nil {
+			n.inCall = map[ident.Incarnation][]string{}
 		}
-		if len(n.sent) == unreadMost {
+		if len(n.inCall) == maxUnrecognizedUpstreams {
 			break
 		}
-		n.sent[id] = words
+		n.inCall[id] = names
 	}
-	return n.sent
+	return n.inCall
 }
 
-// told notes that a leader has taken the call, and reports whether it is another one, which has to be told all.
-func (n *unreadNews) told(leadership LeadershipID) bool {
+// acknowledge notes that a leader has taken the call, and reports whether it is another one, which has to be told all.
+func (n *unrecognizedQueue) acknowledge(leadership LeadershipID) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for id := range n.sent {
-		n.fresh[id] = n.fresh[id][len(n.sent[id]):]
-		if len(n.fresh[id]) == 0 {
-			delete(n.fresh, id)
+	for id := range n.inCall {
+		n.pending[id] = n.pending[id][len(n.inCall[id]):]
+		if len(n.pending[id]) == 0 {
+			delete(n.pending, id)
 		}
 	}
-	n.sent = nil
-	another := n.leadership != leadership
+	n.inCall = nil
+	newLeader := n.leadership != leadership
 	n.leadership = leadership
-	return another
+	return newLeader
 }
 
-// tellAllUnread lets the next calls tell a new leader of all words.
-func (e *Entry) tellAllUnread() {
-	e.relay.Unrecognized.Each(func(id ident.Incarnation, words []string) {
-		e.unread.mu.Lock()
-		defer e.unread.mu.Unlock()
-		if e.unread.fresh == nil {
-			e.unread.fresh = map[ident.Incarnation][]string{}
+// resendUnrecognized lets the next calls tell a new leader of all words.
+func (e *Entry) resendUnrecognized() {
+	e.relay.Unrecognized.Each(func(id ident.Incarnation, names []string) {
+		e.unrecognized.mu.Lock()
+		defer e.unrecognized.mu.Unlock()
+		if e.unrecognized.pending == nil {
+			e.unrecognized.pending = map[ident.Incarnation][]string{}
 		}
-		e.unread.fresh[id] = words
+		e.unrecognized.pending[id] = names
 	})
 }
 
-// forgetEvery is how often what ended upstreams said is forgotten.
-const forgetEvery = 10 * time.Second
+// unrecognizedPruneInterval is how often what ended upstreams said is forgotten.
+const unrecognizedPruneInterval = 10 * time.Second
 
-// forgetUnread forgets what upstreams said that have ended.
-func (r *leadership) forgetUnread(now time.Time) {
-	if now.Sub(r.forgotAt) < forgetEvery {
+// pruneUnrecognized forgets what upstreams said that have ended.
+func (r *leadership) pruneUnrecognized(now time.Time) {
+	if now.Sub(r.unrecognizedPrunedAt) < unrecognizedPruneInterval {
 		return
 	}
-	r.forgotAt = now
+	r.unrecognizedPrunedAt = now
 	upstreams, _ := r.roster.Upstreams(now)
-	there := make(map[ident.Incarnation]bool, len(upstreams))
+	existing := make(map[ident.Incarnation]bool, len(upstreams))
 	for i := range upstreams {
-		there[upstreams[i].ID] = true
+		existing[upstreams[i].ID] = true
 	}
-	r.c.Unrecognized.Retain(func(id ident.Incarnation) bool { return there[id] })
+	r.control.Unrecognized.Retain(func(id ident.Incarnation) bool { return existing[id] })
 }
 
-// heardUnread notes what an engine says with its answer to an order or a question that nothing reads.
-func (c *Control) heardUnread(id ident.Incarnation, h http.Header) {
-	for _, word := range c.Unrecognized.AddHeaders(id, h) {
-		c.Log.Info("upstream says what nothing reads", "upstream", id, "word", word)
+// noteUnrecognizedHeaders notes what an engine says with its answer to an order or a question that nothing reads.
+func (c *Control) noteUnrecognizedHeaders(id ident.Incarnation, headers http.Header) {
+	for _, name := range c.Unrecognized.AddHeaders(id, headers) {
+		c.Log.Info("upstream says what nothing reads", "upstream", id, "word", name)
 	}
 }
 
--- a/site/versions.go
+++ b/site/versions.go
@@ -8,24 +8,24 @@
 	"github.com/dunlinquay/dunlinquay/httproute"
 )
 
-// versionsKept is how many configurations a leader can send changes from: daemons that are called every half second at most are a
+// maxPatchVersions is how many configurations a leader can send changes from: daemons that are called every half second at most are a
 // few behind while an operator makes several changes a second.
-const versionsKept = 8
+const maxPatchVersions = 8
 
 // versions keeps the newest configurations and the patches that lead from each of them to the newest.
 type versions struct {
-	mu      sync.Mutex
-	list    []catalog.Document
-	patches map[httproute.Version][]byte
+	mu        sync.Mutex
+	documents []catalog.Document
+	patches   map[httproute.Version][]byte
 }
 
 // add takes the configuration that counts from now on.
 func (v *versions) add(d catalog.Document) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.list = slices.DeleteFunc(v.list, func(old catalog.Document) bool { return old.Version >= d.Version })
-	v.list = append(v.list, d)
-	v.list = v.list[max(0, len(v.list)-versionsKept):]
+	v.documents = slices.DeleteFunc(v.documents, func(old catalog.Document) bool { return old.Version >= d.Version })
+	v.documents = append(v.documents, d)
+	v.documents = v.documents[max(0, len(v.documents)-maxPatchVersions):]
 	v.patches = map[httproute.Version][]byte{}
 }
 
@@ -34,17 +34,17 @@
 func (v *versions) patch(from, to httproute.Version) []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if len(v.list) == 0 || v.list[len(v.list)-1].Version != to {
+	if len(v.documents) == 0 || v.documents[len(v.documents)-1].Version != to {
 		return nil
 	}
 	if patch, ok := v.patches[from]; ok {
 		return patch
 	}
-	i := slices.IndexFunc(v.list, func(d catalog.Document) bool { return d.Version == from })
+	i := slices.IndexFunc(v.documents, func(d catalog.Document) bool { return d.Version == from })
 	if i < 0 {
 		return nil
 	}
-	patch := makePatch(v.list[i].Packed, v.list[len(v.list)-1].Packed)
+	patch := makePatch(v.documents[i].Packed, v.documents[len(v.documents)-1].Packed)
 	v.patches[from] = patch
 	return patch
 }
