--- a/site/change_test.go
+++ b/site/change_test.go
@@ -16,109 +16,109 @@
 
 // A new leader that tells every entry all that there is loses its lease meanwhile, and so does the next one.
 
-// changeCase is a site by its entries; it has a group for four of them, and three upstreams for each.
-type changeCase struct{ entries int }
+// siteSize is a site by its entries; it has a group for four of them, and three upstreams for each.
+type siteSize struct{ entries int }
 
-func (c changeCase) groups() int { return c.entries / 4 }
+func (c siteSize) groups() int { return c.entries / 4 }
 
-// caller is an entry as a leader sees it.
-type caller struct {
-	call   site.SyncCall
-	copied *roster.Copy
+// testEntry is an entry as a leader sees it.
+type testEntry struct {
+	call       site.SyncCall
+	rosterCopy *roster.Copy
 }
 
-// callers returns the entries of a site that have what a former leader told them.
-func (c changeCase) callers(t testing.TB, former site.Leading) []*caller {
+// entriesOf returns the entries of a site that have what a former leader told them.
+func (c siteSize) entriesOf(t testing.TB, leader site.Leadership) []*testEntry {
 	t.Helper()
-	var list []*caller
+	var all []*testEntry
 	for i := range c.entries {
 		call := site.SyncCall{
 			From: fmt.Sprintf("10.1.%d.%d:7140", i/200, i%200), Hall: ident.Hall(fmt.Sprintf("hall-%d", i%5)), Entry: true,
 			Entries: map[ident.Hall]site.ListDigest{},
 		}
-		former.Note(&call)
-		list = append(list, &caller{call, roster.NewCopy()})
+		leader.ApplyCall(&call)
+		all = append(all, &testEntry{call, roster.NewCopy()})
 	}
-	for _, e := range list {
-		reply := former.Reply(&e.call)
-		e.take(t, &reply)
+	for _, e := range all {
+		reply := leader.Reply(&e.call)
+		e.applyReply(t, &reply)
 	}
-	return list
+	return all
 }
 
-func (e *caller) take(t testing.TB, r *site.SyncReply) {
+func (e *testEntry) applyReply(t testing.TB, reply *site.SyncReply) {
 	t.Helper()
-	d, err := r.Unpack()
+	changes, err := reply.Unpack()
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.copied.Apply(d)
-	for _, l := range r.Lists {
-		e.call.Entries[l.Hall] = site.NameList(l.Entries)
+	e.rosterCopy.Apply(changes)
+	for _, l := range reply.Lists {
+		e.call.Entries[l.Hall] = site.DigestList(l.Entries)
 	}
-	e.call.Leadership, e.call.Revision = r.Leadership, d.Revision
+	e.call.Leadership, e.call.Revision = reply.Leadership, changes.Revision
 }
 
-// wire counts the bytes of replies on a connection that has carried others.
-type wire struct {
-	out bytes.Buffer
-	enc *gob.Encoder
+// wireSize counts the bytes of replies on a connection that has carried others.
+type wireSize struct {
+	buffer bytes.Buffer
+	enc    *gob.Encoder
 }
 
-func newWire(t testing.TB) *wire {
+func newWireSize(t testing.TB) *wireSize {
 	t.Helper()
-	w := &wire{}
-	w.enc = gob.NewEncoder(&w.out)
-	w.sizeOf(t, &site.SyncReply{})
+	w := &wireSize{}
+	w.enc = gob.NewEncoder(&w.buffer)
+	w.bytesOf(t, &site.SyncReply{})
 	return w
 }
 
-func (w *wire) sizeOf(t testing.TB, r *site.SyncReply) int {
+func (w *wireSize) bytesOf(t testing.TB, r *site.SyncReply) int {
 	t.Helper()
-	w.out.Reset()
+	w.buffer.Reset()
 	if err := w.enc.Encode(r); err != nil {
 		t.Fatal(err)
 	}
-	return w.out.Len()
+	return w.buffer.Len()
 }
 
 // leader returns a leader of the site.
-func (c changeCase) leader(name site.LeadershipID) site.Leading {
-	r := site.NewLeading()
-	r.Succeeds(name, c.entries)
+func (c siteSize) leader(name site.LeadershipID) site.Leadership {
+	r := site.NewLeadership()
+	r.Succeed(name, c.entries)
 	r.SeedGroups(time.Now(), c.groups(), 3*c.entries-c.groups())
 	return r
 }
 
 const (
-	// leaderLink is what a leader can send in a second, in bytes, leaderLease how long it may take for all entries: then it must have heard
+	// leaderBytesPerSecond is what a leader can send in a second, in bytes, leaseSeconds how long it may take for all entries: then it must have heard
 	// its voters again.
-	leaderLink  = 420e6 / 8
-	leaderLease = 0.2
+	leaderBytesPerSecond = 420e6 / 8
+	leaseSeconds         = 0.2
 )
 
 // What a new leader sends all entries that ask it at the same moment, as they had it of its predecessor, is sent within a lease.
-func TestANewLeaderTellsAllWithinItsLease(t *testing.T) {
+func TestNewLeaderRepliesFitItsLease(t *testing.T) {
 	for _, entries := range []int{100, 300, 1000} {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
-			c := changeCase{entries}
-			callers := c.callers(t, c.leader("former"))
+			c := siteSize{entries}
+			callers := c.entriesOf(t, c.leader("former"))
 			next := c.leader("next")
-			w := newWire(t)
-			total, most := 0, 0
+			wireSize := newWireSize(t)
+			total, largest := 0, 0
 			for _, e := range callers {
-				e.call.Sums = e.copied.Digests()
+				e.call.Sums = e.rosterCopy.Digests()
 				reply := next.Reply(&e.call)
-				n := w.sizeOf(t, &reply)
-				total, most = total+n, max(most, n)
-				e.take(t, &reply)
+				n := wireSize.bytesOf(t, &reply)
+				total, largest = total+n, max(largest, n)
+				e.applyReply(t, &reply)
 			}
-			t.Logf("%d bytes to %d entries, %d at most", total, entries, most)
-			if bound := leaderLink * leaderLease; float64(total) > bound {
+			t.Logf("%d bytes to %d entries, %d at most", total, entries, largest)
+			if bound := leaderBytesPerSecond * leaseSeconds; float64(total) > bound {
 				t.Errorf("%d bytes to %d entries, %.0f can be sent within a lease", total, entries, bound)
 			}
 			for _, e := range callers {
-				if *callers[0].copied.Digests() != *e.copied.Digests() {
+				if *callers[0].rosterCopy.Digests() != *e.rosterCopy.Digests() {
 					t.Fatal("two entries have other upstreams")
 				}
 			}
@@ -127,66 +127,66 @@
 }
 
 // Entries that have started with nothing, at the same moment, get what they need in turns that leave half of the leader's link to all else.
-func TestWhatManyGetWholeIsPaced(t *testing.T) {
+func TestWholeRostersArePaced(t *testing.T) {
 	for _, entries := range []int{1000, 2000} {
-		c := changeCase{entries}
+		c := siteSize{entries}
 		next := c.leader("next")
 		now := time.Unix(0, 0)
-		w, sent := newWire(t), map[int]int{}
-		waiting := 0
+		w, sent := newWireSize(t), map[int]int{}
+		deferred := 0
 		for i := range entries / 3 {
 			call := site.SyncCall{From: fmt.Sprint(i), Hall: "hall-0", Entry: true}
 			reply := next.Reply(&call)
-			wait, ok := next.Turn(now, w.sizeOf(t, &reply), leaderLink)
-			if !ok {
-				waiting++
+			wait, accepted := next.Reserve(now, w.bytesOf(t, &reply), leaderBytesPerSecond)
+			if !accepted {
+				deferred++
 				continue
 			}
-			sent[int(wait/(100*time.Millisecond))] += w.sizeOf(t, &reply)
+			sent[int(wait/(100*time.Millisecond))] += w.bytesOf(t, &reply)
 		}
 		for tenth, n := range sent {
-			if tenth > 0 && float64(n) > 0.55*leaderLink/10 {
+			if tenth > 0 && float64(n) > 0.55*leaderBytesPerSecond/10 {
 				t.Errorf("%d bytes in a tenth of a second of %d entries", n, entries)
 			}
 		}
-		t.Logf("%d entries: %v bytes by tenths of a second, %d ask again", entries, sent, waiting)
+		t.Logf("%d entries: %v bytes by tenths of a second, %d ask again", entries, sent, deferred)
 	}
 }
 
 // An entry that comes or goes costs the others what changed.
-func TestAnEntryThatComesCostsLittle(t *testing.T) {
-	c := changeCase{1000}
+func TestNewEntryCostsFewBytes(t *testing.T) {
+	c := siteSize{1000}
 	r := c.leader("one")
-	callers := c.callers(t, r)
-	came := site.SyncCall{From: "10.9.9.9:7140", Hall: "hall-0", Entry: true, Entries: map[ident.Hall]site.ListDigest{}}
-	r.Note(&came)
-	r.ListsStale()
-	w, total := newWire(t), 0
+	callers := c.entriesOf(t, r)
+	added := site.SyncCall{From: "10.9.9.9:7140", Hall: "hall-0", Entry: true, Entries: map[ident.Hall]site.ListDigest{}}
+	r.ApplyCall(&added)
+	r.RebuildLists()
+	w, total := newWireSize(t), 0
 	for _, e := range callers {
 		reply := r.Reply(&e.call)
-		total += w.sizeOf(t, &reply)
+		total += w.bytesOf(t, &reply)
 		if len(reply.Lists) > 0 || len(reply.ListChanges) != 1 {
 			t.Fatalf("%d lists and %d changes", len(reply.Lists), len(reply.ListChanges))
 		}
 	}
 	t.Logf("%d bytes to each of %d entries", total/c.entries, c.entries)
-	if most := 2500; total/c.entries > most {
-		t.Errorf("%d bytes to each entry, want %d at most", total/c.entries, most)
+	if bound := 2500; total/c.entries > bound {
+		t.Errorf("%d bytes to each entry, want %d at most", total/c.entries, bound)
 	}
 }
 
 // Each entry knows what all others have at each upstream, without what it told of itself.
-func TestTotalsAreToldOnceForAll(t *testing.T) {
-	r := changeCase{40}.leader("one")
+func TestTotalsOmitOwnRequests(t *testing.T) {
+	r := siteSize{40}.leader("one")
 	call := site.SyncCall{From: "a", Entry: true, Entries: map[ident.Hall]site.ListDigest{}}
 	reply := r.Reply(&call)
-	d, err := reply.Unpack()
+	changes, err := reply.Unpack()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var known []ident.Incarnation
-	for i := range d.Upstreams {
-		known = append(known, d.Upstreams[i].ID)
+	for i := range changes.Upstreams {
+		known = append(known, changes.Upstreams[i].ID)
 	}
 	own := map[ident.Incarnation]int{}
 	want := r.Totals()
@@ -208,15 +208,15 @@
 // BenchmarkLeaderChange is what a new leader does for one entry that has what its predecessor told, and for one that has nothing.
 func BenchmarkLeaderChange(b *testing.B) {
 	for _, entries := range []int{100, 300, 1000, 2000} {
-		c := changeCase{entries}
+		c := siteSize{entries}
 		former := c.leader("former")
-		callers := c.callers(b, former)
+		callers := c.entriesOf(b, former)
 		next := c.leader("next")
-		known := callers[0].call
-		known.Sums = callers[0].copied.Digests()
-		fresh := callers[1].call
-		fresh.Leadership, fresh.Entries = "", nil
-		for name, call := range map[string]*site.SyncCall{"knows": &known, "starts": &fresh} {
+		withCopy := callers[0].call
+		withCopy.Sums = callers[0].rosterCopy.Digests()
+		withoutCopy := callers[1].call
+		withoutCopy.Leadership, withoutCopy.Entries = "", nil
+		for name, call := range map[string]*site.SyncCall{"knows": &withCopy, "starts": &withoutCopy} {
 			b.Run(fmt.Sprintf("%s-%d", name, entries), func(b *testing.B) {
 				b.ReportAllocs()
 				var out bytes.Buffer
@@ -235,18 +235,18 @@
 }
 
 // While much changes a roster is not packed for each entry that starts; what has changed since comes with the entry's next call.
-func TestAChangeAfterPackingIsTold(t *testing.T) {
-	c := changeCase{100}
+func TestChangeAfterPackingIsSent(t *testing.T) {
+	c := siteSize{100}
 	r := c.leader("one")
 	call := site.SyncCall{From: "a", Entry: true}
 	first := r.Reply(&call)
 	r.SeedGroups(time.Now(), c.groups()+1, 0)
-	e := &caller{call, roster.NewCopy()}
+	e := &testEntry{call, roster.NewCopy()}
 	e.call.Entries = map[ident.Hall]site.ListDigest{}
-	e.take(t, &first)
+	e.applyReply(t, &first)
 	second := r.Reply(&e.call)
-	e.take(t, &second)
-	if n := len(e.copied.Groups); n != c.groups()+1 {
+	e.applyReply(t, &second)
+	if n := len(e.rosterCopy.Groups); n != c.groups()+1 {
 		t.Errorf("%d groups are known, want %d", n, c.groups()+1)
 	}
 }
--- a/site/drain_test.go
+++ b/site/drain_test.go
@@ -18,14 +18,14 @@
 )
 
 // drain gives an order on a hall through a control daemon.
-func (d *daemons) drain(host string, hall ident.Hall, on bool) error {
-	return d.running[host].control.Drain(context.Background(), catalog.DrainOrder{Hall: hall, Drain: on})
+func (d *daemons) drain(host string, hall ident.Hall, drain bool) error {
+	return d.running[host].control.Drain(context.Background(), catalog.DrainOrder{Hall: hall, Drain: drain})
 }
 
-// calls waits until so many entries call the leader: only those that do are waited for by a confirmation.
-func (d *daemons) calls(hosts []string, n int) {
+// entriesCall waits until so many entries call the leader: only those that do are waited for by a confirmation.
+func (d *daemons) entriesCall(hosts []string, n int) {
 	d.t.Helper()
-	d.until(fmt.Sprintf("%d entries call", n), func() bool {
+	d.waitUntil(fmt.Sprintf("%d entries call", n), func() bool {
 		s, err := site.Inspect(context.Background(), transport.TCP(), d.peers(hosts...))
 		return err == nil && s.Entries == n
 	})
@@ -37,14 +37,14 @@
 	d := newDaemons(t)
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
 	for _, host := range hosts {
-		d.control(host, true)
+		d.startControl(host, true)
 	}
-	d.replace(hosts[0], 1)
-	d.voters(hosts[0], 3)
-	d.entry("127.0.2.1")
-	d.until("the entry has the configuration", func() bool { return d.routed("127.0.2.1", 1) })
-	d.calls(hosts, 1)
-	drained := func(halls ...ident.Hall) {
+	d.waitUntilReplaced(hosts[0], 1)
+	d.waitForVoters(hosts[0], 3)
+	d.startEntry("127.0.2.1")
+	d.waitUntil("the entry has the configuration", func() bool { return d.routed("127.0.2.1", 1) })
+	d.entriesCall(hosts, 1)
+	expectDrained := func(halls ...ident.Hall) {
 		t.Helper()
 		if diff := cmp.Diff(halls, d.running["127.0.2.1"].entry.Drained()); diff != "" {
 			t.Errorf("drained halls at the entry (-want +got):\n%s", diff)
@@ -52,16 +52,16 @@
 	}
 	for i, host := range hosts {
 		hall := ident.Hall(fmt.Sprintf("hall-%d", i))
-		d.until("the order is taken", func() bool { return d.drain(host, hall, true) == nil })
+		d.waitUntil("the order is taken", func() bool { return d.drain(host, hall, true) == nil })
 	}
-	drained("hall-0", "hall-1", "hall-2")
+	expectDrained("hall-0", "hall-1", "hall-2")
 	if err := d.drain(hosts[1], "hall-1", true); err != nil {
 		t.Errorf("the same order again: %v", err)
 	}
 	if err := d.drain(hosts[2], "hall-1", false); err != nil {
 		t.Errorf("taken back: %v", err)
 	}
-	drained("hall-0", "hall-2")
+	expectDrained("hall-0", "hall-2")
 	if err := d.drain(hosts[0], "nowhere", true); result.CodeOf(err) != result.ChangeNotFound {
 		t.Errorf("an unknown hall: %v", err)
 	}
@@ -69,56 +69,56 @@
 	t.Log("all daemons are lost at once")
 	var wg sync.WaitGroup
 	for _, r := range d.running {
-		wg.Go(func() { r.end(); <-r.done })
+		wg.Go(func() { r.stop(); <-r.done })
 	}
 	wg.Wait()
 	for _, host := range hosts {
-		d.control(host, false)
+		d.startControl(host, false)
 	}
-	d.entry("127.0.2.1")
-	d.until("the entry has the configuration", func() bool { return d.routed("127.0.2.1", 1) })
-	drained("hall-0", "hall-2")
-	d.calls(hosts, 1)
-	d.until("the leader tells of it", func() bool {
+	d.startEntry("127.0.2.1")
+	d.waitUntil("the entry has the configuration", func() bool { return d.routed("127.0.2.1", 1) })
+	expectDrained("hall-0", "hall-2")
+	d.entriesCall(hosts, 1)
+	d.waitUntil("the leader tells of it", func() bool {
 		s, err := site.Inspect(context.Background(), transport.TCP(), d.peers(hosts...))
 		return err == nil && slices.Equal(s.Drained, []ident.Hall{"hall-0", "hall-2"})
 	})
 	if err := site.OrderDrain(context.Background(), transport.TCP(), d.peers(hosts...), catalog.DrainOrder{Hall: "hall-0"}); err != nil {
 		t.Errorf("an operator's order: %v", err)
 	}
-	drained("hall-2")
+	expectDrained("hall-2")
 }
 
 // An order on a hall that reaches a follower while its leader has lost power goes to the next leader.
-func TestOrderOnAHallIsNotHeldByALostLeader(t *testing.T) {
+func TestDrainOrderPassesLostLeader(t *testing.T) {
 	d := newDaemons(t)
-	p := &power{off: map[string]bool{}}
+	faults := &connFaults{off: map[string]bool{}}
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
 	for _, host := range hosts {
-		d.dial = p.dial(host)
-		d.control(host, true)
+		d.dial = faults.dial(host)
+		d.startControl(host, true)
 	}
-	d.replace(hosts[0], 1)
-	d.voters(hosts[0], 3)
-	var s *site.State
-	d.until("the leader is known", func() bool {
+	d.waitUntilReplaced(hosts[0], 1)
+	d.waitForVoters(hosts[0], 3)
+	var state *site.State
+	d.waitUntil("the leader is known", func() bool {
 		var err error
-		s, err = site.Inspect(context.Background(), transport.TCP(), d.peers(hosts...))
-		return err == nil && s.Leader != ""
+		state, err = site.Inspect(context.Background(), transport.TCP(), d.peers(hosts...))
+		return err == nil && state.Leader != ""
 	})
 	for i, address := range d.peers(hosts...) {
-		if address == s.Leader {
-			p.lose(hosts[i])
+		if address == state.Leader {
+			faults.powerOff(hosts[i])
 			hosts = slices.Delete(hosts, i, i+1)
 			break
 		}
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	if err := d.drain(hosts[0], "hall-1", true); err != nil {
 		t.Error(err)
 	}
-	t.Logf("the order took %v", time.Since(began))
-	if took := time.Since(began); took > 2*time.Second {
+	t.Logf("the order took %v", time.Since(startedAt))
+	if took := time.Since(startedAt); took > 2*time.Second {
 		t.Errorf("the order took %v after the leader was lost", took)
 	}
 }
--- a/site/export_test.go
+++ b/site/export_test.go
@@ -27,69 +27,71 @@
 // NextMembers lets the external tests drive membership without daemons.
 var NextMembers = nextMembers
 
-// Reports is a daemon's queue of reports for the leader.
-type Reports struct{ queue *reportForwarder }
+// ReportForwarder is a daemon's queue of reports for the leader.
+type ReportForwarder struct{ forwarder *reportForwarder }
 
-// NewReports returns a queue that makes its calls by pass.
-func NewReports(pass func(ctx context.Context, list []*roster.Report) (string, error)) Reports {
-	return Reports{newReportForwarder(pass)}
+// NewReportForwarder returns a queue that makes its calls by pass.
+func NewReportForwarder(forward func(ctx context.Context, list []*roster.Report) (string, error)) ReportForwarder {
+	return ReportForwarder{newReportForwarder(forward)}
 }
 
 // Run passes reports on until ctx ends.
-func (r Reports) Run(ctx context.Context) { r.queue.run(ctx) }
+func (r ReportForwarder) Run(ctx context.Context) { r.forwarder.run(ctx) }
 
-// Take returns once the leader has the report.
-func (r Reports) Take(ctx context.Context, report *roster.Report) (string, error) {
-	return r.queue.submit(ctx, report)
+// Submit returns once the leader has the report.
+func (r ReportForwarder) Submit(ctx context.Context, report *roster.Report) (string, error) {
+	return r.forwarder.submit(ctx, report)
 }
 
-// Paces is what a leader knows of how fast groups and upstreams are.
-type Paces struct{ paces *slowdownTracker }
+// SlowdownTracker is what a leader knows of how fast groups and upstreams are.
+type SlowdownTracker struct{ tracker *slowdownTracker }
 
-// NewPaces asks upstreams by ask.
-func NewPaces(ask func(ctx context.Context, address string, id ident.Incarnation) (float64, error)) Paces {
-	return Paces{newSlowdownTracker(ask, logr.Discard())}
+// NewSlowdownTracker asks upstreams by ask.
+func NewSlowdownTracker(query func(ctx context.Context, address string, id ident.Incarnation) (float64, error)) SlowdownTracker {
+	return SlowdownTracker{newSlowdownTracker(query, logr.Discard())}
 }
 
-// Note takes what an entry saw.
-func (p Paces) Note(now time.Time, seen []relay.Observation) { p.paces.addGaps(now, seen) }
+// AddGaps takes what an entry saw.
+func (p SlowdownTracker) AddGaps(now time.Time, seen []relay.Observation) {
+	p.tracker.addGaps(now, seen)
+}
 
-// Look adds what is known to w and asks for more.
-func (p Paces) Look(w *replicaset.Snapshot, groups []roster.Group, table *httproute.Table) {
-	p.paces.evaluate(w, groups, table)
+// Evaluate adds what is known to w and asks for more.
+func (p SlowdownTracker) Evaluate(snapshot *replicaset.Snapshot, groups []roster.Group, table *httproute.Table) {
+	p.tracker.evaluate(snapshot, groups, table)
 }
 
-// Neighbours passes news between entries.
-type Neighbours struct {
+// PeerEntries passes news between entries.
+type PeerEntries struct {
 	*peerEntries
 	conn *net.UDPConn
 }
 
-// NewNeighbours listens on a free port of the loopback.
-func NewNeighbours(hear func(n relay.EntryUpdate, from netip.AddrPort)) (Neighbours, error) {
+// NewPeerEntries listens on a free port of the loopback.
+func NewPeerEntries(receive func(n relay.EntryUpdate, from netip.AddrPort)) (PeerEntries, error) {
 	conn, err := listenDatagrams("127.0.0.1:0")
-	return Neighbours{newPeerEntries(hear), conn}, err
+	return PeerEntries{newPeerEntries(receive), conn}, err
 }
 
 // Address is where the others send to.
-func (n Neighbours) Address() string { return n.conn.LocalAddr().String() }
+func (n PeerEntries) Address() string { return n.conn.LocalAddr().String() }
 
-// Set replaces the entries of a hall.
-func (n Neighbours) Set(addresses ...string) {
+// SetEntries replaces the entries of a hall.
+func (n PeerEntries) SetEntries(addresses ...string) {
 	n.setEntries(time.Now(), n.Address(), "", []EntryList{{Hall: "hall", Entries: addresses}}, nil)
 }
 
-// Tell sends news to some entries, or to all.
-func (n Neighbours) Tell(news relay.EntryUpdate, to ...string) { n.enqueue(news, to) }
+// Enqueue sends news to some entries, or to all.
+func (n PeerEntries) Enqueue(update relay.EntryUpdate, to ...string) { n.enqueue(update, to) }
 
 // Run sends and takes news until ctx ends.
-func (n Neighbours) Run(ctx context.Context) { n.run(ctx, n.conn) }
+func (n PeerEntries) Run(ctx context.Context) { n.run(ctx, n.conn) }
 
-// NameList returns the digest of a list.
-var NameList = digestList
+// DigestList returns the digest of a list.
+var DigestList = digestList
 
-// Told returns the neighbours that are told of a prompt at a time.
-func (n Neighbours) Told(now time.Time, all []netip.AddrPort) []netip.AddrPort {
+// PromptTargets returns the neighbours that are told of a prompt at a time.
+func (n PeerEntries) PromptTargets(now time.Time, all []netip.AddrPort) []netip.AddrPort {
 	return n.promptTargets(now, all)
 }
 
@@ -102,11 +104,13 @@
 // Patch returns what makes the configuration of one version of an earlier one.
 func (v *Versions) Patch(from, to httproute.Version) []byte { return v.patch(from, to) }
 
-// Take puts what a leader answers to a call in force, and reports whether that is the newest configuration.
-func (e *Entry) Take(called time.Time, r *SyncReply) bool { return e.applyReply(called, r) }
+// ApplyReply puts what a leader answers to a call in force, and reports whether that is the newest configuration.
+func (e *Entry) ApplyReply(sentAt time.Time, reply *SyncReply) bool {
+	return e.applyReply(sentAt, reply)
+}
 
-// Call is what the entry asks the leader next.
-func (e *Entry) Call() *SyncCall {
+// NextCall is what the entry asks the leader next.
+func (e *Entry) NextCall() *SyncCall {
 	call := &SyncCall{}
 	e.fillCall(call)
 	return call
@@ -120,18 +124,18 @@
 	return e.relay.Version(), e.relay.ConfirmedAge()
 }
 
-// Leading is what a leader knows of entries.
-type Leading struct{ *leadership }
+// Leadership is what a leader knows of entries.
+type Leadership struct{ *leadership }
 
-// NewLeading returns a leadership that has heard of nobody.
-func NewLeading() Leading {
-	whole := roster.New()
-	return Leading{&leadership{
-		entryView: roster.NewView(whole),
+// NewLeadership returns a leadership that has heard of nobody.
+func NewLeadership() Leadership {
+	full := roster.New()
+	return Leadership{&leadership{
+		entryView: roster.NewView(full),
 		control: &Control{
 			Log: logr.Discard(), limits: ratelimit.NewLimitTable[ident.Incarnation](), Unrecognized: unread.New[ident.Incarnation](),
 		},
-		roster:  whole,
+		roster:  full,
 		entries: map[string]*entryState{}, lists: newEntryLists(), totals: map[ident.Incarnation]int{}, localShareEntries: map[ident.Incarnation]int{},
 		slowdowns: newSlowdownTracker(nil, logr.Discard()), configRollout: newRollout[httproute.Version](time.Time{}, 0),
 		drainRollout: newRollout[catalog.DrainRevision](time.Time{}, 0),
@@ -139,69 +143,69 @@
 }
 
 // Roster returns what the leader knows of upstreams.
-func (r Leading) Roster() *roster.Roster { return r.roster }
+func (r Leadership) Roster() *roster.Roster { return r.roster }
 
-// Note takes what an entry tells.
-func (r Leading) Note(call *SyncCall) { r.applyCall(call) }
+// ApplyCall takes what an entry tells.
+func (r Leadership) ApplyCall(call *SyncCall) { r.applyCall(call) }
 
-// NewAsked returns a control daemon that knows nothing but what upstreams asked it for, with a leader's roster.
-func NewAsked() (*Control, Leading) {
-	r := NewLeading()
+// NewControlWithBackoffs returns a control daemon that knows nothing but what upstreams asked it for, with a leader's roster.
+func NewControlWithBackoffs() (*Control, Leadership) {
+	r := NewLeadership()
 	r.control.backoffs = backoff.New[ident.Incarnation](backoff.DefaultRule())
 	r.control.leadership.Store(r.leadership)
 	return r.control, r
 }
 
-// Waits reports whether an upstream asked the daemon for time that is not over.
-func (c *Control) Waits(id ident.Incarnation) bool { return c.backedOff(id) }
+// BackedOff reports whether an upstream asked the daemon for time that is not over.
+func (c *Control) BackedOff(id ident.Incarnation) bool { return c.backedOff(id) }
 
-// Asked returns what upstreams asked entries for.
-func (r Leading) Asked(now time.Time) map[ident.Incarnation][]BackoffState {
+// BackoffStates returns what upstreams asked entries for.
+func (r Leadership) BackoffStates(now time.Time) map[ident.Incarnation][]BackoffState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.backoffStates(now)
 }
 
-// NoteUnread notes a word of an upstream that nothing reads.
-func (e *Entry) NoteUnread(id ident.Incarnation, word string) {
-	e.relay.Unrecognized.AddNames(id, []string{word})
-	e.logUpstreamSignal(&relay.BackpressureEvent{Kind: relay.BackpressureUnrecognized, Upstream: id, HeaderName: word})
+// NoteUnrecognized notes a word of an upstream that nothing reads.
+func (e *Entry) NoteUnrecognized(id ident.Incarnation, name string) {
+	e.relay.Unrecognized.AddNames(id, []string{name})
+	e.logUpstreamSignal(&relay.BackpressureEvent{Kind: relay.BackpressureUnrecognized, Upstream: id, HeaderName: name})
 }
 
-// Unread returns the words of an upstream that nothing reads.
-func (r Leading) Unread(id ident.Incarnation) []string { return r.control.Unrecognized.Of(id) }
+// Unrecognized returns the words of an upstream that nothing reads.
+func (r Leadership) Unrecognized(id ident.Incarnation) []string { return r.control.Unrecognized.Of(id) }
 
-// ForgetUnread forgets those of upstreams that have ended.
-func (r Leading) ForgetUnread(now time.Time) { r.pruneUnrecognized(now) }
+// PruneUnrecognized forgets those of upstreams that have ended.
+func (r Leadership) PruneUnrecognized(now time.Time) { r.pruneUnrecognized(now) }
 
-// LimitUpdates returns the limits that entries are told of.
-func (r Leading) LimitUpdates(now time.Time) map[ident.Incarnation]LimitSummary {
+// LimitSummaries returns the limits that entries are told of.
+func (r Leadership) LimitSummaries(now time.Time) map[ident.Incarnation]LimitSummary {
 	return r.limitSummaries(now)
 }
 
 // LimitStates returns the limits as operators see them.
-func (r Leading) LimitStates(now time.Time) map[ident.Incarnation]*LimitState {
+func (r Leadership) LimitStates(now time.Time) map[ident.Incarnation]*LimitState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.limitStates(now)
 }
 
-// Forget drops an entry.
-func (r Leading) Forget(name string) {
+// RemoveEntry drops an entry.
+func (r Leadership) RemoveEntry(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.removeEntry(name)
 }
 
-// Lists returns the lists of entries that the caller has not.
-func (r Leading) Lists(call *SyncCall) []EntryList {
+// ListsFor returns the lists of entries that the caller has not.
+func (r Leadership) ListsFor(call *SyncCall) []EntryList {
 	var reply SyncReply
 	r.fillLists(time.Now(), call, &reply)
 	for i := range reply.ListChanges {
-		c := &reply.ListChanges[i]
-		kept := r.lists.lists[c.Hall]
-		base := kept[slices.IndexFunc(kept, func(n digestedList) bool { return n.digest == c.Base })]
-		reply.Lists = append(reply.Lists, EntryList{c.Hall, c.apply(base.list)})
+		change := &reply.ListChanges[i]
+		kept := r.lists.lists[change.Hall]
+		base := kept[slices.IndexFunc(kept, func(n digestedList) bool { return n.digest == change.Base })]
+		reply.Lists = append(reply.Lists, EntryList{change.Hall, change.apply(base.list)})
 	}
 	return reply.Lists
 }
@@ -213,14 +217,14 @@
 	return reply
 }
 
-// Remember writes what is to outlive a restart, Recall reads it again.
-func (c *Control) Remember() error { return c.saveRoster(&roster.Delta{}) }
+// SaveRoster writes what is to outlive a restart, Recall reads it again.
+func (c *Control) SaveRoster() error { return c.saveRoster(&roster.Delta{}) }
 
 // CloseFolder lets another life of the daemon use its folder.
 func (c *Control) CloseFolder() { c.store.Close() }
 
-// Recall reads what the last life has written.
-func (c *Control) Recall() { c.loadRoster() }
+// LoadRoster reads what the last life has written.
+func (c *Control) LoadRoster() { c.loadRoster() }
 
 // CallerBounds returns the bounds on callers that are in force.
 func (e *Entry) CallerBounds() inbound.Bounds { return e.callerServer.Bounds() }
@@ -231,16 +235,16 @@
 // NewKnownEntries returns one that knows nobody.
 func NewKnownEntries() KnownEntries { return KnownEntries{newKnownEntries()} }
 
-// Take hears of a leader's lists.
-func (c KnownEntries) Take(now time.Time, leadership LeadershipID, changed []EntryList) bool {
+// Apply hears of a leader's lists.
+func (c KnownEntries) Apply(now time.Time, leadership LeadershipID, changed []EntryList) bool {
 	return c.entries.apply(now, leadership, changed)
 }
 
 // All returns those that count.
 func (c KnownEntries) All() map[ident.Hall][]string { return c.entries.all() }
 
-// Sharers returns how many entries share the retries.
-func (e *Entry) Sharers() int { return e.relay.Budget.Entries() }
+// RetrySharers returns how many entries share the retries.
+func (e *Entry) RetrySharers() int { return e.relay.Budget.Entries() }
 
 // Rollout follows configurations to the entries.
 type Rollout struct{ rollout *rollout[httproute.Version] }
@@ -251,28 +255,28 @@
 // NewRollout returns one that follows nothing.
 func NewRollout() Rollout { return Rollout{newRollout[httproute.Version](time.Time{}, 0)} }
 
-// NewRolloutAfter returns that of a leader which begins at a moment after one that had so many entries.
-func NewRolloutAfter(began time.Time, expected int) Rollout {
-	return Rollout{newRollout[httproute.Version](began, expected)}
+// NewRolloutOfSuccessor returns that of a leader which begins at a moment after one that had so many entries.
+func NewRolloutOfSuccessor(startedAt time.Time, expected int) Rollout {
+	return Rollout{newRollout[httproute.Version](startedAt, expected)}
 }
 
-// Rest returns how long a confirmation waits yet.
-func (r Rollout) Rest(now time.Time, version httproute.Version) time.Duration {
+// RemainingWait returns how long a confirmation waits yet.
+func (r Rollout) RemainingWait(now time.Time, version httproute.Version) time.Duration {
 	return r.rollout.remainingWait(now, version)
 }
 
-// Accept begins to follow a version.
-func (r Rollout) Accept(offered, now time.Time, version httproute.Version) {
+// Track begins to follow a version.
+func (r Rollout) Track(offered, now time.Time, version httproute.Version) {
 	r.rollout.track(offered, now, version)
 }
 
-// Hear notes the version that an entry has in force.
-func (r Rollout) Hear(now time.Time, entry string, version httproute.Version) {
+// NoteVersion notes the version that an entry has in force.
+func (r Rollout) NoteVersion(now time.Time, entry string, version httproute.Version) {
 	r.rollout.noteVersion(now, entry, version)
 }
 
-// Reports returns what is to be logged.
-func (r Rollout) Reports(now time.Time) []RolloutReport { return r.rollout.newReports(now) }
+// NewReports returns what is to be logged.
+func (r Rollout) NewReports(now time.Time) []RolloutReport { return r.rollout.newReports(now) }
 
 // LogLimiter bounds log lines.
 type LogLimiter struct{ limiter *logLimiter }
@@ -280,26 +284,26 @@
 // NewLogLimiter lets so many lines a second through.
 func NewLogLimiter(lines int) LogLimiter { return LogLimiter{&logLimiter{linesPerSecond: lines}} }
 
-// Next counts one case.
-func (l LogLimiter) Next(now time.Time) (many int, ok bool) { return l.limiter.allow(now) }
+// Allow counts one case.
+func (l LogLimiter) Allow(now time.Time) (occurrences int, ok bool) { return l.limiter.allow(now) }
 
-// Decided returns how many configurations the daemon wrote to the log as leader.
-func (c *Control) Decided() int64 { return c.proposedConfigs.Load() }
+// ProposedConfigs returns how many configurations the daemon wrote to the log as leader.
+func (c *Control) ProposedConfigs() int64 { return c.proposedConfigs.Load() }
 
-// Follow returns what a daemon that has a version takes of a leader's reply.
-func Follow(version httproute.Version, r *SyncReply) (config, patch []byte) {
-	f := follower{version: version}
-	f.recordReply(r)
-	return r.Config, r.Patch
+// AcceptedConfig returns what a daemon that has a version takes of a leader's reply.
+func AcceptedConfig(version httproute.Version, reply *SyncReply) (config, patch []byte) {
+	follow := follower{version: version}
+	follow.recordReply(reply)
+	return reply.Config, reply.Patch
 }
 
 // Drained returns the drained halls that are in force.
 func (e *Entry) Drained() []ident.Hall { return e.relay.Drained() }
 
 // SeedGroups gives the leader so many open groups, each with a head, and so many upstreams beside them.
-func (r Leading) SeedGroups(now time.Time, groups, others int) {
+func (r Leadership) SeedGroups(now time.Time, groups, others int) {
 	var upstreams []roster.Upstream
-	var list []roster.Group
+	var seeded []roster.Group
 	for i := range groups + others {
 		id := ident.Incarnation(fmt.Sprintf("i-%08x@mo69%04d", i*2654435761, i))
 		upstreams = append(upstreams, roster.Upstream{
@@ -307,19 +311,19 @@
 			Loaded: []ident.Model{"a-model"}, Staged: []ident.Model{"b-model"}, Last: "a-model",
 		})
 		if i < groups {
-			list = append(list, roster.Group{
+			seeded = append(seeded, roster.Group{
 				Name: ident.Group(fmt.Sprintf("g%05x", i)), Epoch: ident.Epoch(i + 1), Service: "model-service", Model: "a-model", Phase: roster.PhaseOpen,
 				Members: []ident.Incarnation{id},
 			})
 			r.totals[id] = 1 + i%20
 		}
 	}
-	r.roster.Seed(now, upstreams, list)
+	r.roster.Seed(now, upstreams, seeded)
 	r.entryView.Update(func(ident.Service) bool { return false })
 }
 
 // Reply is what a call for news gets of the roster, the totals and the lists.
-func (r Leading) Reply(call *SyncCall) SyncReply {
+func (r Leadership) Reply(call *SyncCall) SyncReply {
 	reply := SyncReply{Leads: true, Leader: "10.1.0.250:7140", Leadership: r.name, Usable: true, Entries: r.applyCall(call)}
 	r.fillChanges(call, &reply)
 	now := time.Now()
@@ -328,16 +332,16 @@
 	return reply
 }
 
-// Turn is when a reply of a leader with that link is sent, and whether it is at all.
-func (r Leading) Turn(now time.Time, bytes int, link float64) (time.Duration, bool) {
-	r.bulkPacer.bytesPerSecond = pacedLinkFraction * link
-	return r.bulkPacer.reserve(now, bytes)
+// Reserve is when a reply of a leader with that link is sent, and whether it is at all.
+func (r Leadership) Reserve(now time.Time, size int, bytesPerSecond float64) (time.Duration, bool) {
+	r.bulkPacer.bytesPerSecond = pacedLinkFraction * bytesPerSecond
+	return r.bulkPacer.reserve(now, size)
 }
 
-// Succeeds names a leadership that begins now after a leader which had so many entries.
-func (r Leading) Succeeds(name LeadershipID, entries int) {
+// Succeed names a leadership that begins now after a leader which had so many entries.
+func (r Leadership) Succeed(name LeadershipID, expectedEntries int) {
 	r.name = name
-	r.configRollout.startedAt, r.configRollout.expectedEntries = time.Now(), entries
+	r.configRollout.startedAt, r.configRollout.expectedEntries = time.Now(), expectedEntries
 }
 
 // Unpack returns what a reply says of the roster.
@@ -351,28 +355,28 @@
 	return decodeTotals(b, shortIDs(upstreams), own)
 }
 
-// ListsStale lets the next reply tell of entries that have come and gone.
-func (r Leading) ListsStale() { r.lists.builtAt = time.Time{} }
+// RebuildLists lets the next reply tell of entries that have come and gone.
+func (r Leadership) RebuildLists() { r.lists.builtAt = time.Time{} }
 
 // Totals returns the requests of all entries.
-func (r Leading) Totals() map[ident.Incarnation]int { return maps.Clone(r.totals) }
+func (r Leadership) Totals() map[ident.Incarnation]int { return maps.Clone(r.totals) }
 
-// LookPause is how long a leader gathers changes after a look that took so long.
-var LookPause = evaluatePause
+// EvaluatePause is how long a leader gathers changes after a look that took so long.
+var EvaluatePause = evaluatePause
 
-// SpreadOf is the time over which so many entries ask for a leader.
-var SpreadOf = jitterFor
+// JitterFor is the time over which so many entries ask for a leader.
+var JitterFor = jitterFor
 
-// RenewedAtTheEnd ends the leadership of a daemon that leads, and reports whether calls that wait for news are woken by it.
-func (c *Control) RenewedAtTheEnd() bool {
+// WaitersWokenAtLeadershipEnd ends the leadership of a daemon that leads, and reports whether calls that wait for news are woken by it.
+func (c *Control) WaitersWokenAtLeadershipEnd() bool {
 	c.mu.Lock()
-	renewed := c.stateChanged
+	stateChanged := c.stateChanged
 	c.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	c.node.TransferLeadership(ctx)
 	select {
-	case <-renewed:
+	case <-stateChanged:
 		return true
 	case <-ctx.Done():
 		return false
--- a/site/held_test.go
+++ b/site/held_test.go
@@ -16,16 +16,16 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// syncer is what one entry knows of works, and its way to the leader.
-type syncer struct {
+// quarantineSyncer is what one entry knows of works, and its way to the leader.
+type quarantineSyncer struct {
 	list      *quarantine.List
 	leaderSum uint64
 	// sent and got count the reports that went to the leader and came from it.
-	sent, got int
+	sent, received int
 }
 
-// newFolder returns a control daemon that does not run, with its data folder.
-func newFolder(t *testing.T, dir string) *site.Control {
+// newStoppedControl returns a control daemon that does not run, with its data folder.
+func newStoppedControl(t *testing.T, dir string) *site.Control {
 	t.Helper()
 	cfg := settings.DefaultSite()
 	cfg.Listen.Host, cfg.PeerPort, cfg.DataFolder = "127.0.0.1", 7000, dir
@@ -37,7 +37,7 @@
 	return c
 }
 
-func (s *syncer) sync(now time.Time, c *site.Control) {
+func (s *quarantineSyncer) sync(now time.Time, c *site.Control) {
 	call := &site.SyncCall{Entry: true, HeldSum: s.list.Digest(now)}
 	if call.HeldSum != s.leaderSum {
 		call.Held = s.list.ToSend(now, 32)
@@ -48,18 +48,18 @@
 		s.list.Merge(now, &reply.Held[i])
 	}
 	s.sent += len(call.Held)
-	s.got += len(reply.Held)
+	s.received += len(reply.Held)
 }
 
 // Where no datagram reaches another entry, three that each saw one upstream end hold the work once each has synced twice with the
 // leader, one that starts later too; while all know the same, nothing is sent.
-func TestHeldWorkGoesThroughTheLeader(t *testing.T) {
+func TestQuarantineSpreadsThroughLeader(t *testing.T) {
 	now := time.Now()
-	leader := newFolder(t, t.TempDir())
+	leader := newStoppedControl(t, t.TempDir())
 	work := quarantine.Fingerprint{Customer: "office", Content: 7}
-	var entries []*syncer
+	var entries []*quarantineSyncer
 	for n := range 4 {
-		s := &syncer{list: &quarantine.List{Rule: quarantine.DefaultRule()}}
+		s := &quarantineSyncer{list: &quarantine.List{Rule: quarantine.DefaultRule()}}
 		entries = append(entries, s)
 		if n < 3 {
 			s.list.Crashed(now, work, quarantine.CrashIDOf(ident.Incarnation(rune('a'+n))))
@@ -75,7 +75,7 @@
 		if s.list.Remaining(now, work) == 0 {
 			t.Errorf("entry %d does not hold the work, it knows of %d ends", n, s.list.Crashes(work))
 		}
-		s.sent, s.got = 0, 0
+		s.sent, s.received = 0, 0
 	}
 	for range 10 {
 		now = now.Add(500 * time.Millisecond)
@@ -84,17 +84,17 @@
 		}
 	}
 	for n, s := range entries {
-		if s.sent+s.got > 0 {
-			t.Errorf("entry %d told %d and was told %d reports although all know the same", n, s.sent, s.got)
+		if s.sent+s.received > 0 {
+			t.Errorf("entry %d told %d and was told %d reports although all know the same", n, s.sent, s.received)
 		}
 	}
 }
 
 // A report fits into a datagram, also with the longest name and all ends.
-func TestReportsFitDatagrams(t *testing.T) {
-	a, _ := startNeighbours(t)
-	b, heardByB := startNeighbours(t)
-	a.Set(b.Address())
+func TestQuarantineReportFitsDatagram(t *testing.T) {
+	a, _ := startPeerEntries(t)
+	b, receivedByB := startPeerEntries(t)
+	a.SetEntries(b.Address())
 	report := quarantine.Report{
 		Customer: ident.Customer(strings.Repeat("n", ident.MaxNameLength)), Content: 1<<64 - 1, Cleared: 1<<32 - 1, AgeMS: 3_600_000, Trying: true,
 	}
@@ -102,30 +102,30 @@
 		report.Ends = append(report.Ends, ^quarantine.CrashID(n))
 	}
 	want := relay.EntryUpdate{QuarantineReport: &report}
-	a.Tell(want)
-	if diff := cmp.Diff(want, <-heardByB); diff != "" {
+	a.Enqueue(want)
+	if diff := cmp.Diff(want, <-receivedByB); diff != "" {
 		t.Errorf("heard (-want +got):\n%s", diff)
 	}
 }
 
 // What is held outlives a restart of all daemons at once: a control daemon reads it from its folder, and tells it with the first sync.
-func TestHeldWorkOutlivesARestart(t *testing.T) {
+func TestQuarantineSurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
-	first := newFolder(t, dir)
+	first := newStoppedControl(t, dir)
 	now := time.Now()
-	entry := &syncer{list: &quarantine.List{Rule: quarantine.DefaultRule()}}
+	entry := &quarantineSyncer{list: &quarantine.List{Rule: quarantine.DefaultRule()}}
 	work := quarantine.Fingerprint{Customer: "office", Content: 7}
 	for n := range 3 {
 		entry.list.Crashed(now, work, quarantine.CrashIDOf(ident.Incarnation(rune('a'+n))))
 	}
 	entry.sync(now, first)
-	if err := first.Remember(); err != nil {
+	if err := first.SaveRoster(); err != nil {
 		t.Fatal(err)
 	}
 	first.CloseFolder()
-	second := newFolder(t, dir)
-	second.Recall()
-	fresh := &syncer{list: &quarantine.List{Rule: quarantine.DefaultRule()}}
+	second := newStoppedControl(t, dir)
+	second.LoadRoster()
+	fresh := &quarantineSyncer{list: &quarantine.List{Rule: quarantine.DefaultRule()}}
 	fresh.sync(time.Now(), second)
 	if fresh.list.Remaining(time.Now(), work) == 0 {
 		t.Error("an entry that starts with all others does not hold what was held before")
@@ -133,24 +133,24 @@
 }
 
 // A sync that tells the leader nothing of works takes nobody's turn: all that are to be told to other entries still are, four by four.
-func TestSyncsTakeNoTurns(t *testing.T) {
+func TestSyncDoesNotRotateReports(t *testing.T) {
 	cfg := settings.DefaultSite()
 	e := site.NewEntry(&cfg, relay.HeaderNames{}, transport.TCP())
 	list, now := e.Quarantine(), clock.Now()
 	for n := range 36 {
 		list.Crashed(now, quarantine.Fingerprint{Content: ident.Content(n)}, 1)
 	}
-	e.Take(now, &site.SyncReply{HeldSum: list.Digest(now)})
-	told := map[ident.Content]bool{}
+	e.ApplyReply(now, &site.SyncReply{HeldSum: list.Digest(now)})
+	sent := map[ident.Content]bool{}
 	for range 9 {
-		if call := e.Call(); len(call.Held) > 0 {
+		if call := e.NextCall(); len(call.Held) > 0 {
 			t.Errorf("%d reports in a call although the leader knows all", len(call.Held))
 		}
 		for _, r := range list.ToSend(now, 4) {
-			told[r.Content] = true
+			sent[r.Content] = true
 		}
 	}
-	if len(told) != 36 {
-		t.Errorf("%d of 36 works were told in nine turns of four", len(told))
+	if len(sent) != 36 {
+		t.Errorf("%d of 36 works were told in nine turns of four", len(sent))
 	}
 }
--- a/site/known_entries_test.go
+++ b/site/known_entries_test.go
@@ -15,7 +15,7 @@
 
 // A new leader knows only the entries that have called it; the others count on until it would have dropped them. What a leader that is no
 // longer new says counts at once.
-func TestEntriesCountOnAfterAChangeOfLeaders(t *testing.T) {
+func TestEntriesOfFormerLeaderStillCount(t *testing.T) {
 	type lists = map[ident.Hall][]string
 	c := site.NewKnownEntries()
 	start := time.Now()
@@ -38,7 +38,7 @@
 		{"still", 25 * time.Second, "c/3", nil, lists{"one": {"x3", "x4"}, "two": {"x1", "y1"}}, false},
 		{"those that have not called it are gone", 25500 * time.Millisecond, "c/3", nil, lists{"one": {"x4"}}, true},
 	} {
-		if got := c.Take(start.Add(step.at), step.leadership, step.changed); got != step.different {
+		if got := c.Apply(start.Add(step.at), step.leadership, step.changed); got != step.different {
 			t.Errorf("%s: entries may be others: %v, want %v", step.name, got, step.different)
 		}
 		if diff := cmp.Diff(step.want, c.All()); diff != "" {
@@ -48,18 +48,18 @@
 }
 
 // The retries of all entries are bounded together: an entry does not take a new leader's short list for all there are.
-func TestBudgetsAfterAChangeOfLeaders(t *testing.T) {
+func TestRetryBudgetAfterLeaderChange(t *testing.T) {
 	cfg := settings.DefaultSite()
 	e := site.NewEntry(&cfg, relay.HeaderNames{}, transport.TCP())
 	names := []string{"10.0.0.1:7400", "10.0.0.2:7400", "10.0.0.3:7400", "10.0.0.4:7400"}
-	e.Take(time.Now(), &site.SyncReply{Leadership: "a/1", Entries: 4, Lists: []site.EntryList{{"one", names}}})
-	e.Take(time.Now(), &site.SyncReply{Leadership: "b/2", Entries: 1, Lists: []site.EntryList{{"one", names[:1]}}})
-	if got := e.Sharers(); got != 4 {
+	e.ApplyReply(time.Now(), &site.SyncReply{Leadership: "a/1", Entries: 4, Lists: []site.EntryList{{"one", names}}})
+	e.ApplyReply(time.Now(), &site.SyncReply{Leadership: "b/2", Entries: 1, Lists: []site.EntryList{{"one", names[:1]}}})
+	if got := e.RetrySharers(); got != 4 {
 		t.Errorf("%d entries share the retries, want 4", got)
 	}
 	// A call that brings no list does not change that.
-	e.Take(time.Now(), &site.SyncReply{Leadership: "b/2", Entries: 2})
-	if got := e.Sharers(); got != 4 {
+	e.ApplyReply(time.Now(), &site.SyncReply{Leadership: "b/2", Entries: 2})
+	if got := e.RetrySharers(); got != 4 {
 		t.Errorf("%d entries share the retries after another call, want 4", got)
 	}
 }
--- a/site/limits_test.go
+++ b/site/limits_test.go
@@ -20,36 +20,36 @@
 }
 
 // The leader passes on what upstreams told entries of their limits, not what entries told each other, and how many go by their own parts.
-func TestLimitsAreToldByTheLeader(t *testing.T) {
-	r := site.NewLeading()
-	r.Note(&site.SyncCall{From: "a", Entry: true, Seen: []relay.Observation{
+func TestLeaderSendsLimits(t *testing.T) {
+	r := site.NewLeadership()
+	r.ApplyCall(&site.SyncCall{From: "a", Entry: true, Seen: []relay.Observation{
 		limitSeen("u", relay.LimitObservation{Rate: 3, Own: true, Said: 300 * time.Millisecond, Apart: true}), limitSeen("v", relay.LimitObservation{Rate: 9}),
 	}})
-	r.Note(&site.SyncCall{From: "b", Entry: true, Seen: []relay.Observation{
+	r.ApplyCall(&site.SyncCall{From: "b", Entry: true, Seen: []relay.Observation{
 		limitSeen("u", relay.LimitObservation{Rate: 2, Own: true, Said: 100 * time.Millisecond, Apart: true}),
 	}})
-	got := r.LimitUpdates(clock.Now())
+	got := r.LimitSummaries(clock.Now())
 	if l := got["u"]; len(got) != 1 || l.Rate != 2 || l.Apart != 2 || l.Age < 100*time.Millisecond || l.Age > 10*time.Second {
 		t.Errorf("told %+v, want u with 2 a second and two that go by their own parts", got)
 	}
-	r.Note(&site.SyncCall{From: "b", Entry: true})
-	if got := r.LimitUpdates(clock.Now().Add(time.Minute)); got["u"].Apart != 1 {
+	r.ApplyCall(&site.SyncCall{From: "b", Entry: true})
+	if got := r.LimitSummaries(clock.Now().Add(time.Minute)); got["u"].Apart != 1 {
 		t.Errorf("told %+v a minute later, want u, since one still goes by its own part", got)
 	}
-	r.Note(&site.SyncCall{From: "a", Entry: true})
-	if got := r.LimitUpdates(clock.Now().Add(time.Minute)); len(got) != 0 {
+	r.ApplyCall(&site.SyncCall{From: "a", Entry: true})
+	if got := r.LimitSummaries(clock.Now().Add(time.Minute)); len(got) != 0 {
 		t.Errorf("told %+v once nobody has heard of it for long", got)
 	}
 }
 
 // Operators see a limit, since when and by whose word it holds, who coordinates it, and what each entry gets.
-func TestLimitsAreShown(t *testing.T) {
-	r := site.NewLeading()
+func TestLimitStates(t *testing.T) {
+	r := site.NewLeadership()
 	counts := ratelimit.Counts{Granted: 7, Refused: 5, Own: 1, Unanswered: 2, Lately: 3}
-	r.Note(&site.SyncCall{From: "b", Entry: true, Seen: []relay.Observation{
+	r.ApplyCall(&site.SyncCall{From: "b", Entry: true, Seen: []relay.Observation{
 		limitSeen("u", relay.LimitObservation{Rate: 3, Own: true, Said: time.Hour, Since: 9 * time.Hour, Counts: counts, Apart: true}),
 	}})
-	r.Note(&site.SyncCall{From: "a", Entry: true, Seen: []relay.Observation{limitSeen("u", relay.LimitObservation{Rate: 2, Said: time.Minute, Since: time.Minute})}})
+	r.ApplyCall(&site.SyncCall{From: "a", Entry: true, Seen: []relay.Observation{limitSeen("u", relay.LimitObservation{Rate: 2, Said: time.Minute, Since: time.Minute})}})
 	got := r.LimitStates(clock.Now())["u"]
 	if got == nil {
 		t.Fatal("not shown")
@@ -69,38 +69,38 @@
 }
 
 // Questions and answers on limits pass between entries as datagrams.
-func TestLimitsPassBetweenEntries(t *testing.T) {
+func TestLimitMessagesBetweenEntries(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	type message struct {
-		news relay.EntryUpdate
-		from netip.AddrPort
+		update relay.EntryUpdate
+		from   netip.AddrPort
 	}
-	heard := make(chan message, 1)
-	hearer, err := site.NewNeighbours(func(n relay.EntryUpdate, from netip.AddrPort) { heard <- message{n, from} })
+	received := make(chan message, 1)
+	receiver, err := site.NewPeerEntries(func(n relay.EntryUpdate, from netip.AddrPort) { received <- message{n, from} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	teller, err := site.NewNeighbours(func(relay.EntryUpdate, netip.AddrPort) {})
+	sender, err := site.NewPeerEntries(func(relay.EntryUpdate, netip.AddrPort) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	teller.Set(hearer.Address(), teller.Address())
-	go hearer.Run(ctx)
-	go teller.Run(ctx)
+	sender.SetEntries(receiver.Address(), sender.Address())
+	go receiver.Run(ctx)
+	go sender.Run(ctx)
 	for _, want := range []relay.EntryUpdate{
 		{PermitRequest: &ratelimit.PermitRequest[ident.Incarnation]{ID: 1 << 63, Key: "u@1767000000000", Rate: 3.6, Age: time.Second, Patience: time.Second}},
 		{PermitReply: &ratelimit.PermitReply[ident.Incarnation]{ID: 1 << 63, Key: "u@1767000000000", Rate: 3.6, Age: time.Hour, Grant: ratelimit.Grant{OK: true, After: time.Minute, Sharers: 300}}},
 		{Head: "u@1767000000000", Limit: &relay.LimitUpdate{Rate: 0.5, AgeMS: 12}},
 	} {
-		teller.Tell(want, hearer.Address())
+		sender.Enqueue(want, receiver.Address())
 		select {
-		case got := <-heard:
-			if diff := cmp.Diff(want, got.news); diff != "" {
+		case got := <-received:
+			if diff := cmp.Diff(want, got.update); diff != "" {
 				t.Errorf("heard (-want +got):\n%s", diff)
 			}
-			if from := got.from.String(); from != teller.Address() {
-				t.Errorf("from %s, want %s, by which it is answered", from, teller.Address())
+			if from := got.from.String(); from != sender.Address() {
+				t.Errorf("from %s, want %s, by which it is answered", from, sender.Address())
 			}
 		case <-time.After(10 * time.Second):
 			t.Fatal("nothing is heard")
--- a/site/members_test.go
+++ b/site/members_test.go
@@ -22,35 +22,35 @@
 	s := &quorum.Status{ID: id("a", "1"), Role: quorum.RoleLeader}
 	for _, m := range members {
 		member := quorum.Member{ID: id(m[:1], m[1:2]), Voter: true}
-		f := quorum.Follower{ID: member.ID, LastAck: now}
+		follower := quorum.Follower{ID: member.ID, LastAck: now}
 		for _, mark := range m[2:] {
 			switch mark {
 			case '-':
-				f.LastAck = now.Add(-time.Minute)
+				follower.LastAck = now.Add(-time.Minute)
 			case '~':
-				f.LastAck = now.Add(-time.Second)
+				follower.LastAck = now.Add(-time.Second)
 			case '?':
 				member.Voter = false
 			case '!':
-				f.LostData = true
+				follower.LostData = true
 			}
 		}
 		s.Members = append(s.Members, member)
 		if member.ID != s.ID {
-			s.Followers = append(s.Followers, f)
+			s.Followers = append(s.Followers, follower)
 		}
 	}
 	return s
 }
 
-func text(members []quorum.Member) []string {
+func textOf(members []quorum.Member) []string {
 	var list []string
 	for _, m := range members {
-		one := string(m.ID.Name) + string(m.ID.Folder)
+		member := string(m.ID.Name) + string(m.ID.Folder)
 		if !m.Voter {
-			one += "?"
+			member += "?"
 		}
-		list = append(list, one)
+		list = append(list, member)
 	}
 	return list
 }
@@ -81,12 +81,12 @@
 		{"a silent learner", []string{"a1", "b1", "c1", "d1?-"}, nil, []string{"a1", "b1", "c1"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var strangers []quorum.MemberID
+			var joining []quorum.MemberID
 			for _, s := range c.strangers {
-				strangers = append(strangers, id(s[:1], s[1:2]))
+				joining = append(joining, id(s[:1], s[1:2]))
 			}
-			got, _ := site.NextMembers(now, status(now, c.members...), strangers)
-			if diff := cmp.Diff(c.want, text(got)); diff != "" {
+			got, _ := site.NextMembers(now, status(now, c.members...), joining)
+			if diff := cmp.Diff(c.want, textOf(got)); diff != "" {
 				t.Errorf("members (-want +got):\n%s", diff)
 			}
 		})
@@ -101,7 +101,7 @@
 	marks := []string{"", "", "~", "-", "!"}
 	for range 20000 {
 		n := 3 + random.IntN(4)
-		var members, strangers []string
+		var members, joining []string
 		for i := range n {
 			m := fmt.Sprintf("%c%d", 'a'+i, 1)
 			if i > 0 {
@@ -110,19 +110,19 @@
 			members = append(members, m)
 		}
 		for range random.IntN(3) {
-			strangers = append(strangers, fmt.Sprintf("%c%d", 'b'+random.IntN(8), 2+random.IntN(2)))
+			joining = append(joining, fmt.Sprintf("%c%d", 'b'+random.IntN(8), 2+random.IntN(2)))
 		}
 		var ids []quorum.MemberID
-		for _, s := range strangers {
+		for _, s := range joining {
 			ids = append(ids, id(s[:1], s[1:]))
 		}
 		s := status(now, members...)
-		got, why := site.NextMembers(now, s, ids)
+		got, reason := site.NextMembers(now, s, ids)
 		if got == nil {
 			continue
 		}
 		if before, after := voters(s.Members), voters(got); after < before && before <= 5 || after < before-1 || after > before {
-			t.Fatalf("%v with %v waiting becomes %v: %s", members, strangers, text(got), why)
+			t.Fatalf("%v with %v waiting becomes %v: %s", members, joining, textOf(got), reason)
 		}
 		if len(got) > 0 && got[0].ID != s.ID {
 			t.Fatalf("%v: the leader removes itself", members)
--- a/site/neighbours_test.go
+++ b/site/neighbours_test.go
@@ -17,28 +17,28 @@
 	"github.com/dunlinquay/dunlinquay/site"
 )
 
-func startNeighbours(t *testing.T) (site.Neighbours, chan relay.EntryUpdate) {
+func startPeerEntries(t *testing.T) (site.PeerEntries, chan relay.EntryUpdate) {
 	t.Helper()
-	heard := make(chan relay.EntryUpdate, 8)
-	n, err := site.NewNeighbours(func(s relay.EntryUpdate, _ netip.AddrPort) { heard <- s })
+	received := make(chan relay.EntryUpdate, 8)
+	entries, err := site.NewPeerEntries(func(update relay.EntryUpdate, _ netip.AddrPort) { received <- update })
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
-	wg.Go(func() { n.Run(ctx) })
+	wg.Go(func() { entries.Run(ctx) })
 	t.Cleanup(func() {
 		cancel()
 		wg.Wait()
 	})
-	return n, heard
+	return entries, received
 }
 
 // News reach every neighbour that can be reached, and what is no news is passed over.
-func TestNeighbours(t *testing.T) {
-	a, heardByA := startNeighbours(t)
-	b, heardByB := startNeighbours(t)
-	c, heardByC := startNeighbours(t)
+func TestUpdatesReachAllEntries(t *testing.T) {
+	a, receivedByA := startPeerEntries(t)
+	b, receivedByB := startPeerEntries(t)
+	c, receivedByC := startPeerEntries(t)
 	conn, err := net.Dial("udp4", b.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -47,40 +47,40 @@
 	if _, err := conn.Write([]byte("no news")); err != nil {
 		t.Fatal(err)
 	}
-	a.Tell(relay.EntryUpdate{Head: "lost", PromptTokens: 1}) // there are no neighbours yet
-	a.Set(b.Address(), "no address", "127.0.0.1:1", c.Address())
-	c.Set(a.Address())
-	a.Tell(relay.EntryUpdate{Head: "h", PromptTokens: 700})
-	c.Tell(relay.EntryUpdate{Head: "g", PromptTokens: 20})
-	got := []relay.EntryUpdate{<-heardByA, <-heardByB, <-heardByC}
+	a.Enqueue(relay.EntryUpdate{Head: "lost", PromptTokens: 1}) // there are no neighbours yet
+	a.SetEntries(b.Address(), "no address", "127.0.0.1:1", c.Address())
+	c.SetEntries(a.Address())
+	a.Enqueue(relay.EntryUpdate{Head: "h", PromptTokens: 700})
+	c.Enqueue(relay.EntryUpdate{Head: "g", PromptTokens: 20})
+	got := []relay.EntryUpdate{<-receivedByA, <-receivedByB, <-receivedByC}
 	want := []relay.EntryUpdate{{Head: "g", PromptTokens: 20}, {Head: "h", PromptTokens: 700}, {Head: "h", PromptTokens: 700}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("heard (-want +got):\n%s", diff)
 	}
 }
 
-func TestNamesOfLists(t *testing.T) {
-	if got := site.NameList(nil); got != 0 {
+func TestListDigests(t *testing.T) {
+	if got := site.DigestList(nil); got != 0 {
 		t.Errorf("no list has the name %v", got)
 	}
-	if site.NameList([]string{"ab", "c"}) == site.NameList([]string{"a", "bc"}) {
+	if site.DigestList([]string{"ab", "c"}) == site.DigestList([]string{"a", "bc"}) {
 		t.Error("different lists have the same name")
 	}
 }
 
 // At a large site each prompt is told to some neighbours, by turns, so that news cost no more than a bounded rate.
-func TestNewsAreBounded(t *testing.T) {
-	n, _ := startNeighbours(t)
+func TestPromptDatagramsAreBounded(t *testing.T) {
+	n, _ := startPeerEntries(t)
 	var all []netip.AddrPort
 	for i := range 90 {
 		all = append(all, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7000))
 	}
-	began := time.Now()
+	start := time.Now()
 	times := map[netip.AddrPort]int{}
 	total := 0
 	// Ten seconds with 100 prompts each.
 	for i := range 1000 {
-		for _, to := range n.Told(began.Add(time.Duration(i)*10*time.Millisecond), all) {
+		for _, to := range n.PromptTargets(start.Add(time.Duration(i)*10*time.Millisecond), all) {
 			times[to]++
 			total++
 		}
@@ -96,14 +96,14 @@
 }
 
 // News for some reach these and no others.
-func TestNewsForSome(t *testing.T) {
-	a, _ := startNeighbours(t)
-	b, heardByB := startNeighbours(t)
-	c, heardByC := startNeighbours(t)
-	a.Set(a.Address(), b.Address(), c.Address())
-	a.Tell(relay.EntryUpdate{Head: "first", PromptTokens: 1}, c.Address(), "10.9.9.9:1")
-	a.Tell(relay.EntryUpdate{Head: "second", PromptTokens: 2})
-	got := []relay.EntryUpdate{<-heardByB, <-heardByC, <-heardByC}
+func TestUpdateToNamedEntries(t *testing.T) {
+	a, _ := startPeerEntries(t)
+	b, receivedByB := startPeerEntries(t)
+	c, receivedByC := startPeerEntries(t)
+	a.SetEntries(a.Address(), b.Address(), c.Address())
+	a.Enqueue(relay.EntryUpdate{Head: "first", PromptTokens: 1}, c.Address(), "10.9.9.9:1")
+	a.Enqueue(relay.EntryUpdate{Head: "second", PromptTokens: 2})
+	got := []relay.EntryUpdate{<-receivedByB, <-receivedByC, <-receivedByC}
 	want := []relay.EntryUpdate{{Head: "second", PromptTokens: 2}, {Head: "first", PromptTokens: 1}, {Head: "second", PromptTokens: 2}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("heard (-want +got):\n%s", diff)
@@ -112,32 +112,32 @@
 
 // The leader tells an entry of the halls whose entries have changed since it was told, and of no others.
 func TestListsOfEntries(t *testing.T) {
-	r := site.NewLeading()
+	r := site.NewLeadership()
 	call := func(from string, hall ident.Hall) *site.SyncCall {
 		return &site.SyncCall{From: from, Hall: hall, Entry: true, Entries: map[ident.Hall]site.ListDigest{}}
 	}
 	for _, c := range []*site.SyncCall{call("b", "one"), call("a", "one"), call("c", "two"), call("a", "one")} {
-		r.Note(c)
+		r.ApplyCall(c)
 	}
-	asked := call("a", "one")
+	nextCall := call("a", "one")
 	var got []site.EntryList
-	ask := func() []site.EntryList {
-		got = r.Lists(asked)
+	fetch := func() []site.EntryList {
+		got = r.ListsFor(nextCall)
 		for _, l := range got {
-			asked.Entries[l.Hall] = site.NameList(l.Entries)
+			nextCall.Entries[l.Hall] = site.DigestList(l.Entries)
 		}
 		slices.SortFunc(got, func(a, b site.EntryList) int { return strings.Compare(string(a.Hall), string(b.Hall)) })
 		return got
 	}
-	if diff := cmp.Diff([]site.EntryList{{Hall: "one", Entries: []string{"a", "b"}}, {Hall: "two", Entries: []string{"c"}}}, ask()); diff != "" {
+	if diff := cmp.Diff([]site.EntryList{{Hall: "one", Entries: []string{"a", "b"}}, {Hall: "two", Entries: []string{"c"}}}, fetch()); diff != "" {
 		t.Errorf("first lists (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff([]site.EntryList(nil), ask()); diff != "" {
+	if diff := cmp.Diff([]site.EntryList(nil), fetch()); diff != "" {
 		t.Errorf("when nothing has changed (-want +got):\n%s", diff)
 	}
-	r.Note(call("d", "one"))
-	r.Forget("c")
-	if diff := cmp.Diff([]site.EntryList{{Hall: "one", Entries: []string{"a", "b", "d"}}, {Hall: "two"}}, ask()); diff != "" {
+	r.ApplyCall(call("d", "one"))
+	r.RemoveEntry("c")
+	if diff := cmp.Diff([]site.EntryList{{Hall: "one", Entries: []string{"a", "b", "d"}}, {Hall: "two"}}, fetch()); diff != "" {
 		t.Errorf("after one has come and one has gone (-want +got):\n%s", diff)
 	}
 }
--- a/site/rate_test.go
+++ b/site/rate_test.go
@@ -11,16 +11,16 @@
 	"github.com/dunlinquay/dunlinquay/site"
 )
 
-// asked is work of so many seconds for each model, of two requests each.
-func asked(work map[ident.Model]float64) map[ident.Model]site.ModelDemand {
-	list := map[ident.Model]site.ModelDemand{}
+// demandOf is work of so many seconds for each model, of two requests each.
+func demandOf(work map[ident.Model]float64) map[ident.Model]site.ModelDemand {
+	demand := map[ident.Model]site.ModelDemand{}
 	for model, w := range work {
-		list[model] = site.ModelDemand{UpstreamSeconds: w, Requests: 2}
+		demand[model] = site.ModelDemand{UpstreamSeconds: w, Requests: 2}
 	}
-	return list
+	return demand
 }
 
-func about(got, want float64) bool {
+func isAbout(got, want float64) bool {
 	return math.Abs(got-want) < 0.15*want
 }
 
@@ -41,12 +41,12 @@
 		if i%5 == 4 {
 			work["now and then"] = 2.5
 		}
-		r.Add(now, "e", asked(work))
+		r.Add(now, "e", demandOf(work))
 		got := r.At(now)
 		if i < 15 && got != nil {
 			t.Fatalf("%v on: rates of %v are known already", now.Sub(start), got)
 		}
-		if i >= 15 && (!about(got["often"], 5) || got["now and then"] < 3 || got["now and then"] > 7) {
+		if i >= 15 && (!isAbout(got["often"], 5) || got["now and then"] < 3 || got["now and then"] > 7) {
 			t.Fatalf("%v on: rates of %v, want about 5 each", now.Sub(start), got)
 		}
 	}
@@ -56,7 +56,7 @@
 }
 
 // After a change of leaders entries come one after the other; their rates are known once all are there, and are right then.
-func TestRatesOfEntriesThatComeInTurn(t *testing.T) {
+func TestRatesWithStaggeredEntries(t *testing.T) {
 	start := time.Unix(1000, 0)
 	r := &site.DemandRates{}
 	known := time.Duration(0)
@@ -69,7 +69,7 @@
 				if since == at {
 					work = 5
 				}
-				r.Add(start.Add(since), fmt.Sprint(e), asked(map[ident.Model]float64{"m": work}))
+				r.Add(start.Add(since), fmt.Sprint(e), demandOf(map[ident.Model]float64{"m": work}))
 			}
 		}
 		got := r.At(start.Add(since))
@@ -79,7 +79,7 @@
 			known = since
 			fallthrough
 		default:
-			if !about(got["m"], 100) {
+			if !isAbout(got["m"], 100) {
 				t.Fatalf("%v on: %v, want about 100", since, got)
 			}
 		}
@@ -90,18 +90,18 @@
 	for e := range 10 {
 		r.Forget(fmt.Sprint(e))
 	}
-	if got := r.At(start.Add(10 * time.Second))["m"]; !about(got, 50) {
+	if got := r.At(start.Add(10 * time.Second))["m"]; !isAbout(got, 50) {
 		t.Errorf("%v when half of the entries have ended, want about 50", got)
 	}
 }
 
 // Where entries restart all the time rates are known all the same.
-func TestRatesWhereEntriesRestart(t *testing.T) {
+func TestRatesWithRestartingEntries(t *testing.T) {
 	start := time.Unix(1000, 0)
 	r := &site.DemandRates{}
 	for i := range 60 {
 		now := start.Add(time.Duration(i) * 100 * time.Millisecond)
-		r.Add(now, "steady", asked(map[ident.Model]float64{"m": 0.5}))
+		r.Add(now, "steady", demandOf(map[ident.Model]float64{"m": 0.5}))
 		r.Add(now, fmt.Sprint(i/5), nil)
 		if got := r.At(now); (got == nil) != (i < 50) {
 			t.Fatalf("%v on: %v", now.Sub(start), got)
@@ -111,7 +111,7 @@
 
 // A class that comes at 1.6 times is seen within two seconds where hundreds of requests come in each; chance where few come moves
 // nothing, however their sizes differ.
-func TestRatesFollowABurst(t *testing.T) {
+func TestRatesFollowBurst(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		requests float64
@@ -125,19 +125,19 @@
 			random := rand.New(rand.NewPCG(1, 1))
 			start := time.Unix(1000, 0)
 			r := &site.DemandRates{}
-			usual := 1.4 // the mean of the sizes below
+			meanSeconds := 1.4 // the mean of the sizes below
 			for i := range 400 {
 				now := start.Add(time.Duration(i) * 100 * time.Millisecond)
-				times := 1.0
+				factor := 1.0
 				if i >= 200 {
-					times = 1.6
+					factor = 1.6
 				}
-				a := site.ModelDemand{}
-				for a.Requests = 0; float64(a.Requests) < times*c.requests/10; a.Requests++ {
-					a.UpstreamSeconds += []float64{0.2, 0.4, 0.8, 1.6, 4}[random.IntN(5)]
+				demand := site.ModelDemand{}
+				for demand.Requests = 0; float64(demand.Requests) < factor*c.requests/10; demand.Requests++ {
+					demand.UpstreamSeconds += []float64{0.2, 0.4, 0.8, 1.6, 4}[random.IntN(5)]
 				}
-				r.Add(now, "e", map[ident.Model]site.ModelDemand{"m": a})
-				got := r.At(now)["m"] / (usual * c.requests)
+				r.Add(now, "e", map[ident.Model]site.ModelDemand{"m": demand})
+				got := r.At(now)["m"] / (meanSeconds * c.requests)
 				if i >= 60 && i < 200 && math.Abs(got-1) > 0.25 {
 					t.Fatalf("%.2f of the usual rate after %v", got, now.Sub(start))
 				}
@@ -150,20 +150,20 @@
 }
 
 // A look that takes long leaves the leader time for everything else before the next one.
-func TestLookPause(t *testing.T) {
+func TestEvaluatePause(t *testing.T) {
 	for took, want := range map[time.Duration]time.Duration{
 		0: 10 * time.Millisecond, time.Millisecond: 10 * time.Millisecond, 8 * time.Millisecond: 24 * time.Millisecond, time.Second: 50 * time.Millisecond,
 	} {
-		if got := site.LookPause(took); got != want {
+		if got := site.EvaluatePause(took); got != want {
 			t.Errorf("%v after a look of %v, want %v", got, took, want)
 		}
 	}
 }
 
 // Entries that lose their leader at the same moment ask for the next one over a time in which it can answer them, and hear its voters.
-func TestEntriesSpreadTheirQuestions(t *testing.T) {
+func TestRetryJitter(t *testing.T) {
 	for entries, want := range map[int]time.Duration{0: 0, 8: 0, 31: 0, 89: 44500 * time.Microsecond, 984: 492 * time.Millisecond, 2000: time.Second} {
-		if got := site.SpreadOf(entries); got != want {
+		if got := site.JitterFor(entries); got != want {
 			t.Errorf("%d entries ask over %v, want %v", entries, got, want)
 		}
 	}
--- a/site/reports_test.go
+++ b/site/reports_test.go
@@ -15,7 +15,7 @@
 )
 
 // Reports that come while a call is on its way go together in the next one; each is acknowledged only when the leader has it.
-func TestReportsArePassedOnTogether(t *testing.T) {
+func TestReportsAreForwardedInBatches(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		err  error
@@ -29,10 +29,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, end := context.WithCancel(t.Context())
-				calls, passed := 0, 0
-				q := site.NewReports(func(ctx context.Context, list []*roster.Report) (string, error) {
+				calls, forwarded := 0, 0
+				q := site.NewReportForwarder(func(ctx context.Context, list []*roster.Report) (string, error) {
 					calls++
-					passed += len(list)
+					forwarded += len(list)
 					timer := time.NewTimer(c.took)
 					defer timer.Stop()
 					select {
@@ -49,7 +49,7 @@
 						ctx, cancel := context.WithTimeout(ctx, time.Second)
 						defer cancel()
 						r := &roster.Report{Upstream: roster.Upstream{ID: ident.Incarnation(strconv.Itoa(i))}}
-						address, err := q.Take(ctx, r)
+						address, err := q.Submit(ctx, r)
 						if got := result.CodeOf(err); got != c.code {
 							t.Errorf("code %d, want %d", got, c.code)
 						}
@@ -59,8 +59,8 @@
 					})
 				}
 				wg.Wait()
-				if c.took < time.Second && (passed != reports || calls > 3) {
-					t.Errorf("%d reports in %d calls, want %d in 3 at most", passed, calls, reports)
+				if c.took < time.Second && (forwarded != reports || calls > 3) {
+					t.Errorf("%d reports in %d calls, want %d in 3 at most", forwarded, calls, reports)
 				}
 				end()
 				synctest.Wait()
--- a/site/rollout_test.go
+++ b/site/rollout_test.go
@@ -11,7 +11,7 @@
 )
 
 // A leader reports a configuration once it is in force at all entries that call, and once when some are late.
-func TestRollouts(t *testing.T) {
+func TestRolloutReports(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	type report = site.RolloutReport
@@ -21,29 +21,29 @@
 		want []report
 	}{
 		{"no entries", func(r site.Rollout) []report {
-			r.Accept(at(0), at(0), 7)
-			return r.Reports(at(10))
+			r.Track(at(0), at(0), 7)
+			return r.NewReports(at(10))
 		}, []report{{Version: 7, After: 10 * time.Millisecond}}},
 		{"one entry after the other", func(r site.Rollout) []report {
-			r.Hear(at(0), "a", 6)
-			r.Hear(at(0), "b", 6)
-			r.Accept(at(10), at(10), 7)
-			r.Hear(at(100), "a", 7)
-			list := r.Reports(at(150))
-			r.Hear(at(200), "b", 8)
-			return append(list, append(r.Reports(at(210)), r.Reports(at(220))...)...)
+			r.NoteVersion(at(0), "a", 6)
+			r.NoteVersion(at(0), "b", 6)
+			r.Track(at(10), at(10), 7)
+			r.NoteVersion(at(100), "a", 7)
+			list := r.NewReports(at(150))
+			r.NoteVersion(at(200), "b", 8)
+			return append(list, append(r.NewReports(at(210)), r.NewReports(at(220))...)...)
 		}, []report{{Version: 7, After: 200 * time.Millisecond, Entries: 2}}},
 		{"one is late and then has it", func(r site.Rollout) []report {
 			var list []report
-			r.Hear(at(0), "a", 7)
-			r.Accept(at(0), at(0), 7)
+			r.NoteVersion(at(0), "a", 7)
+			r.Track(at(0), at(0), 7)
 			for ms := 0; ms <= 1500; ms += 100 {
 				version := httproute.Version(6)
 				if ms == 1500 {
 					version = 7
 				}
-				r.Hear(at(ms), "b", version)
-				list = append(list, r.Reports(at(ms))...)
+				r.NoteVersion(at(ms), "b", version)
+				list = append(list, r.NewReports(at(ms))...)
 			}
 			return list
 		}, []report{
@@ -51,10 +51,10 @@
 			{Version: 7, After: 1500 * time.Millisecond, Entries: 2},
 		}},
 		{"one that does not call any more does not count", func(r site.Rollout) []report {
-			r.Hear(at(0), "a", 6)
-			r.Accept(at(100), at(100), 7)
-			list := r.Reports(at(900))
-			return append(list, r.Reports(at(1000))...)
+			r.NoteVersion(at(0), "a", 6)
+			r.Track(at(100), at(100), 7)
+			list := r.NewReports(at(900))
+			return append(list, r.NewReports(at(1000))...)
 		}, []report{{Version: 7, After: 900 * time.Millisecond, Entries: 1}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -75,7 +75,7 @@
 	}
 	var got []line
 	for _, ms := range []int{0, 1, 2, 3, 1000, 1001, 1002} {
-		many, ok := l.Next(start.Add(time.Duration(ms) * time.Millisecond))
+		many, ok := l.Allow(start.Add(time.Duration(ms) * time.Millisecond))
 		got = append(got, line{many, ok})
 	}
 	want := []line{{1, true}, {1, true}, {0, false}, {0, false}, {3, true}, {1, true}, {0, false}}
@@ -85,7 +85,7 @@
 }
 
 // A confirmation waits for entries that call and lack the version, and at a new leader for those that its predecessor had.
-func TestConfirmationsWaitForEntries(t *testing.T) {
+func TestConfirmationWaitsForEntries(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	type call struct {
@@ -110,12 +110,12 @@
 		{"both", 2, []call{{50, "a", 7}, {60, "b", 7}}, 100, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := site.NewRolloutAfter(at(0), c.expected)
+			r := site.NewRolloutOfSuccessor(at(0), c.expected)
 			for _, call := range c.calls {
-				r.Hear(at(call.ms), call.entry, call.version)
+				r.NoteVersion(at(call.ms), call.entry, call.version)
 			}
-			r.Accept(at(0), at(100), 7)
-			if diff := cmp.Diff(c.want, r.Rest(at(c.at), 7)); diff != "" {
+			r.Track(at(0), at(100), 7)
+			if diff := cmp.Diff(c.want, r.RemainingWait(at(c.at), 7)); diff != "" {
 				t.Errorf("waits yet (-want +got):\n%s", diff)
 			}
 		})
--- a/site/silent_test.go
+++ b/site/silent_test.go
@@ -12,23 +12,23 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// power makes connections from and to hosts go silent, as when a VM loses power: nothing is reset.
-type power struct {
+// connFaults makes connections from and to hosts go silent, as when a VM loses power: nothing is reset.
+type connFaults struct {
 	mu  sync.Mutex
 	off map[string]bool
 	// opened counts connections, dead is how many of the first ones are silent for good.
-	opened, dead int
+	opened, silentConns int
 }
 
-// forget makes all connections that are open go silent for good, while new ones work.
-func (p *power) forget() {
+// silenceOpenConns makes all connections that are open go silent for good, while new ones work.
+func (p *connFaults) silenceOpenConns() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dead = p.opened
+	p.silentConns = p.opened
 }
 
-// open counts a new connection and returns whether it is silent.
-func (p *power) open(from, to string) func() bool {
+// openConn counts a new connection and returns whether it is silent.
+func (p *connFaults) openConn(from, to string) func() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.opened++
@@ -36,24 +36,24 @@
 	return func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return n <= p.dead || p.off[from] || p.off[to]
+		return n <= p.silentConns || p.off[from] || p.off[to]
 	}
 }
 
-func (p *power) lose(host string) {
+func (p *connFaults) powerOff(host string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.off[host] = true
 }
 
-func (p *power) silent(a, b string) bool {
+func (p *connFaults) silent(a, b string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.off[a] || p.off[b]
 }
 
 // dial opens connections of a host.
-func (p *power) dial(from string) transport.Dial {
+func (p *connFaults) dial(from string) transport.Dial {
 	tcp := transport.TCP()
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		to, _, err := net.SplitHostPort(address)
@@ -68,19 +68,19 @@
 		if err != nil {
 			return nil, err
 		}
-		return &powered{Conn: conn, silent: p.open(from, to), closed: make(chan struct{})}, nil
+		return &silenceableConn{Conn: conn, silent: p.openConn(from, to), closed: make(chan struct{})}, nil
 	}
 }
 
-// powered is a connection that may go silent.
-type powered struct {
+// silenceableConn is a connection that may go silent.
+type silenceableConn struct {
 	net.Conn
 	silent func() bool
 	once   sync.Once
 	closed chan struct{}
 }
 
-func (c *powered) Read(b []byte) (int, error) {
+func (c *silenceableConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if c.silent() {
 		<-c.closed
@@ -89,36 +89,36 @@
 	return n, err
 }
 
-func (c *powered) Write(b []byte) (int, error) {
+func (c *silenceableConn) Write(b []byte) (int, error) {
 	if c.silent() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
-func (c *powered) Close() error {
+func (c *silenceableConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
 // An order that reaches a follower while its leader has lost power goes to the next leader, not into the old connection's time-out.
-func TestOrderIsNotHeldByALostLeader(t *testing.T) {
+func TestConfigurationOrderPassesLostLeader(t *testing.T) {
 	d := newDaemons(t)
-	p := &power{off: map[string]bool{}}
+	faults := &connFaults{off: map[string]bool{}}
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
 	for _, host := range hosts {
-		d.dial = p.dial(host)
-		d.control(host, true)
+		d.dial = faults.dial(host)
+		d.startControl(host, true)
 	}
-	d.replace(hosts[0], 1)
-	d.voters(hosts[0], 3)
-	var s *site.State
-	d.until("the leader is known", func() bool {
+	d.waitUntilReplaced(hosts[0], 1)
+	d.waitForVoters(hosts[0], 3)
+	var state *site.State
+	d.waitUntil("the leader is known", func() bool {
 		var err error
-		s, err = site.Inspect(context.Background(), transport.TCP(), d.peers(hosts...))
-		return err == nil && s.Leader != ""
+		state, err = site.Inspect(context.Background(), transport.TCP(), d.peers(hosts...))
+		return err == nil && state.Leader != ""
 	})
-	lost, _, err := net.SplitHostPort(s.Leader)
+	lost, _, err := net.SplitHostPort(state.Leader)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,49 +127,49 @@
 			hosts = append(hosts[:i:i], hosts[i+1:]...)
 		}
 	}
-	d.dial = p.dial("127.0.2.1")
-	d.entry("127.0.2.1")
-	d.replace(hosts[0], 2)
-	d.until("the entry has the configuration", func() bool { return d.routed("127.0.2.1", 2) })
-	p.lose(lost)
-	began := time.Now()
+	d.dial = faults.dial("127.0.2.1")
+	d.startEntry("127.0.2.1")
+	d.waitUntilReplaced(hosts[0], 2)
+	d.waitUntil("the entry has the configuration", func() bool { return d.routed("127.0.2.1", 2) })
+	faults.powerOff(lost)
+	startedAt := time.Now()
 	for i, host := range hosts {
 		if err := d.offer(host, httproute.Version(3+i)); err != nil {
 			t.Errorf("%s: %v", host, err)
 		}
 	}
-	t.Logf("two orders took %v", time.Since(began))
-	if took := time.Since(began); took > 2*time.Second {
+	t.Logf("two orders took %v", time.Since(startedAt))
+	if took := time.Since(startedAt); took > 2*time.Second {
 		t.Errorf("two orders took %v after the leader was lost", took)
 	}
-	began = time.Now()
-	d.until("the entry has the newest one", func() bool { return d.routed("127.0.2.1", 4) })
-	t.Logf("in force %v after the confirmation", time.Since(began))
-	if took := time.Since(began); took > time.Second {
+	startedAt = time.Now()
+	d.waitUntil("the entry has the newest one", func() bool { return d.routed("127.0.2.1", 4) })
+	t.Logf("in force %v after the confirmation", time.Since(startedAt))
+	if took := time.Since(startedAt); took > time.Second {
 		t.Errorf("in force %v after the confirmation", took)
 	}
 }
 
 // A configuration is in force within the bound at an entry whose connections go silent for good, while new ones work.
-func TestConfigurationReachesAnEntryWhoseConnectionsGoSilent(t *testing.T) {
+func TestConfigurationReachesEntryWithSilentConnections(t *testing.T) {
 	const bound = 2 * time.Second
 	d := newDaemons(t)
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
 	for _, host := range hosts {
-		d.control(host, true)
+		d.startControl(host, true)
 	}
-	d.replace(hosts[0], 1)
-	d.voters(hosts[0], 3)
-	p := &power{off: map[string]bool{}}
-	d.dial = p.dial("127.0.2.1")
-	d.entry("127.0.2.1")
-	d.until("the entry has the configuration", func() bool { return d.routed("127.0.2.1", 1) })
+	d.waitUntilReplaced(hosts[0], 1)
+	d.waitForVoters(hosts[0], 3)
+	faults := &connFaults{off: map[string]bool{}}
+	d.dial = faults.dial("127.0.2.1")
+	d.startEntry("127.0.2.1")
+	d.waitUntil("the entry has the configuration", func() bool { return d.routed("127.0.2.1", 1) })
 	for version := httproute.Version(2); version < 6; version++ {
-		p.forget()
-		d.replace(hosts[version%3], version)
-		began := time.Now()
-		d.until("the entry has the next one", func() bool { return d.routed("127.0.2.1", version) })
-		took := time.Since(began)
+		faults.silenceOpenConns()
+		d.waitUntilReplaced(hosts[version%3], version)
+		startedAt := time.Now()
+		d.waitUntil("the entry has the next one", func() bool { return d.routed("127.0.2.1", version) })
+		took := time.Since(startedAt)
 		t.Logf("version %d in force %v after its confirmation", version, took)
 		if took > bound {
 			t.Errorf("version %d in force %v after its confirmation", version, took)
--- a/site/site_test.go
+++ b/site/site_test.go
@@ -25,8 +25,8 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// eventually is how long a condition may take on a busy machine; no verdict depends on how long it took.
-const eventually = 60 * time.Second
+// conditionTimeout is how long a condition may take on a busy machine; no verdict depends on how long it took.
+const conditionTimeout = 60 * time.Second
 
 // daemons are the processes of a site on loopback addresses, with one folder each.
 type daemons struct {
@@ -43,7 +43,7 @@
 type running struct {
 	control *site.Control
 	entry   *site.Entry
-	end     context.CancelFunc
+	stop    context.CancelFunc
 	done    chan struct{}
 }
 
@@ -91,8 +91,8 @@
 }
 
 func (d *daemons) start(host string, run func(ctx context.Context) error) {
-	ctx, end := context.WithCancel(context.Background())
-	r := &running{end: end, done: make(chan struct{})}
+	ctx, stop := context.WithCancel(context.Background())
+	r := &running{stop: stop, done: make(chan struct{})}
 	d.running[host] = r
 	go func() {
 		defer close(r.done)
@@ -102,7 +102,7 @@
 	}()
 }
 
-func (d *daemons) control(host string, first bool) {
+func (d *daemons) startControl(host string, first bool) {
 	d.t.Helper()
 	cfg := d.settings(host, first)
 	cfg.Listen.Control = d.address(host)
@@ -111,7 +111,7 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	c.DecodeConfig = decode
+	c.DecodeConfig = decodeConfig
 	if d.dial != nil {
 		c.Dial = d.dial
 	}
@@ -122,13 +122,13 @@
 	d.running[host].control = c
 }
 
-// voters waits until a daemon knows of so many voters.
-func (d *daemons) voters(host string, n int) {
+// waitForVoters waits until a daemon knows of so many voters.
+func (d *daemons) waitForVoters(host string, n int) {
 	d.t.Helper()
-	d.until(fmt.Sprintf("%d voters", n), func() bool { return d.running[host].control.Voters() == n })
+	d.waitUntil(fmt.Sprintf("%d voters", n), func() bool { return d.running[host].control.Voters() == n })
 }
 
-func (d *daemons) entry(host string) {
+func (d *daemons) startEntry(host string) {
 	cfg := d.settings(host, false)
 	cfg.Listen.Callers = d.address(host)
 	dial := d.dial
@@ -136,7 +136,7 @@
 		dial = transport.TCP()
 	}
 	e := site.NewEntry(cfg, relay.HeaderNames{RequestID: "Request", Deadline: "Deadline", Key: "Key", Customer: "Customer", Incarnation: "Life"}, dial)
-	e.DecodeConfig = decode
+	e.DecodeConfig = decodeConfig
 	e.ReadyHandler = func(func() bool) http.Handler { return http.NotFoundHandler() }
 	e.LoadSettings = func() (*settings.Site, error) { return cfg, nil }
 	d.start(host, e.Run)
@@ -146,7 +146,7 @@
 // kill ends a daemon and waits until it is gone.
 func (d *daemons) kill(host string) {
 	if r := d.running[host]; r != nil {
-		r.end()
+		r.stop()
 		<-r.done
 		delete(d.running, host)
 	}
@@ -178,10 +178,10 @@
 	return strings.Contains(d.get(host, fmt.Sprintf("/v%d/x", version)), `"result":"no-whole-group"`)
 }
 
-// until waits for a condition and ends the test when it never holds.
-func (d *daemons) until(what string, holds func() bool) {
+// waitUntil waits for a condition and ends the test when it never holds.
+func (d *daemons) waitUntil(what string, holds func() bool) {
 	d.t.Helper()
-	for limit := time.Now().Add(eventually); time.Now().Before(limit); {
+	for limit := time.Now().Add(conditionTimeout); time.Now().Before(limit); {
 		if holds() {
 			return
 		}
@@ -196,8 +196,8 @@
 	return []byte(strconv.FormatUint(uint64(version), 10))
 }
 
-// decode reads that form: one public route that nothing serves.
-func decode(body []byte) (*httproute.Config, error) {
+// decodeConfig reads that form: one public route that nothing serves.
+func decodeConfig(body []byte) (*httproute.Config, error) {
 	version, err := strconv.ParseUint(string(body), 10, 64)
 	if err != nil {
 		return nil, err
@@ -219,14 +219,14 @@
 	return d.running[host].control.Replace(context.Background(), version, configOf(version))
 }
 
-func (d *daemons) replace(host string, version httproute.Version) {
+func (d *daemons) waitUntilReplaced(host string, version httproute.Version) {
 	d.t.Helper()
-	d.until(fmt.Sprintf("version %d is accepted", version), func() bool { return d.offer(host, version) == nil })
+	d.waitUntil(fmt.Sprintf("version %d is accepted", version), func() bool { return d.offer(host, version) == nil })
 }
 
-func (d *daemons) reads(host string, version httproute.Version) {
+func (d *daemons) waitUntilRead(host string, version httproute.Version) {
 	d.t.Helper()
-	d.until(fmt.Sprintf("version %d is read", version), func() bool {
+	d.waitUntil(fmt.Sprintf("version %d is read", version), func() bool {
 		body, err := d.running[host].control.Read(context.Background())
 		return err == nil && string(body) == string(configOf(version))
 	})
@@ -234,19 +234,19 @@
 
 // A site forms itself from its seeds, grows, loses folders and members, and restarts as a whole, and what it accepted is
 // there after each.
-func TestControlFormsAndHealsItself(t *testing.T) {
+func TestControlQuorumFormsAndRecovers(t *testing.T) {
 	d := newDaemons(t)
 	// The last seed comes late, the others are not seeds.
 	for _, host := range []string{"127.0.1.5", "127.0.1.2", "127.0.1.1", "127.0.1.4", "127.0.1.3"} {
-		d.control(host, true)
+		d.startControl(host, true)
 	}
-	d.replace("127.0.1.4", 3)
+	d.waitUntilReplaced("127.0.1.4", 3)
 	for host := range d.running {
-		d.reads(host, 3)
+		d.waitUntilRead(host, 3)
 	}
-	d.voters("127.0.1.5", 5)
-	d.entry("127.0.2.1")
-	d.until("the entry has the configuration", func() bool {
+	d.waitForVoters("127.0.1.5", 5)
+	d.startEntry("127.0.2.1")
+	d.waitUntil("the entry has the configuration", func() bool {
 		return d.routed("127.0.2.1", 3)
 	})
 
@@ -257,56 +257,56 @@
 			t.Fatal(err)
 		}
 	}
-	d.replace("127.0.1.5", 7)
+	d.waitUntilReplaced("127.0.1.5", 7)
 	for _, host := range []string{"127.0.1.1", "127.0.1.2"} {
-		d.control(host, false)
+		d.startControl(host, false)
 	}
-	d.reads("127.0.1.1", 7)
-	d.until("both vote in place of their old folders", func() bool {
+	d.waitUntilRead("127.0.1.1", 7)
+	d.waitUntil("both vote in place of their old folders", func() bool {
 		return d.running["127.0.1.1"].control.IsVoter() && d.running["127.0.1.2"].control.IsVoter() && d.running["127.0.1.5"].control.Voters() == 5
 	})
 
 	t.Log("two others are gone for good, one is replaced at another address")
 	d.kill("127.0.1.3")
-	d.control("127.0.1.6", false)
-	d.replace("127.0.1.6", 9)
-	d.until("the replacement votes", func() bool { return d.running["127.0.1.6"].control.IsVoter() })
+	d.startControl("127.0.1.6", false)
+	d.waitUntilReplaced("127.0.1.6", 9)
+	d.waitUntil("the replacement votes", func() bool { return d.running["127.0.1.6"].control.IsVoter() })
 	d.kill("127.0.1.4")
-	d.replace("127.0.1.6", 12)
+	d.waitUntilReplaced("127.0.1.6", 12)
 
 	t.Log("all restart")
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.5", "127.0.1.6"}
 	var wg sync.WaitGroup
 	for _, host := range hosts {
 		r := d.running[host]
-		wg.Go(func() { r.end(); <-r.done })
+		wg.Go(func() { r.stop(); <-r.done })
 	}
 	wg.Wait()
 	for _, host := range hosts {
-		d.control(host, false)
+		d.startControl(host, false)
 	}
 	for _, host := range hosts {
-		d.reads(host, 12)
+		d.waitUntilRead(host, 12)
 	}
-	d.replace("127.0.1.2", 9) // An older version once more is acknowledged and changes nothing.
-	d.reads("127.0.1.5", 12)
-	d.until("the entry follows", func() bool {
+	d.waitUntilReplaced("127.0.1.2", 9) // An older version once more is acknowledged and changes nothing.
+	d.waitUntilRead("127.0.1.5", 12)
+	d.waitUntil("the entry follows", func() bool {
 		return d.routed("127.0.2.1", 12) && !d.routed("127.0.2.1", 3)
 	})
 }
 
 // An empty folder never forms a quorum of its own after the first start; another site that may form shows when there was
 // time enough to do so.
-func TestEmptyFoldersDoNotFormTwice(t *testing.T) {
+func TestEmptyFoldersFormNoSecondQuorum(t *testing.T) {
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
 	d, other := newDaemons(t), newDaemons(t)
 	for _, host := range hosts {
-		d.control(host, false)
+		d.startControl(host, false)
 	}
 	for _, host := range hosts {
-		other.control(host, true)
+		other.startControl(host, true)
 	}
-	other.replace(hosts[0], 1)
+	other.waitUntilReplaced(hosts[0], 1)
 	for _, host := range hosts {
 		if n := d.running[host].control.Voters(); n != 0 {
 			t.Errorf("%s knows of %d voters", host, n)
@@ -318,19 +318,19 @@
 }
 
 // An upstream reports to any control daemon; one without a majority acknowledges nothing.
-func TestReports(t *testing.T) {
+func TestReportsThroughAnyControlDaemon(t *testing.T) {
 	d := newDaemons(t)
 	for _, host := range []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"} {
-		d.control(host, true)
+		d.startControl(host, true)
 	}
-	d.replace("127.0.1.1", 1)
+	d.waitUntilReplaced("127.0.1.1", 1)
 	report := func(host string) (string, error) {
 		r := &roster.Report{Upstream: roster.Upstream{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Slots: 4}, Sequence: 1}
 		return d.running[host].control.Report(context.Background(), r)
 	}
 	leader := ""
 	for _, host := range []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"} {
-		d.until("a report is taken", func() bool {
+		d.waitUntil("a report is taken", func() bool {
 			later, err := report(host)
 			if err == nil && later == "" {
 				leader = host
@@ -346,7 +346,7 @@
 			d.kill(host)
 		}
 	}
-	d.until("a daemon without a majority stops acknowledging", func() bool {
+	d.waitUntil("a daemon without a majority stops acknowledging", func() bool {
 		_, err := report(leader)
 		return result.CodeOf(err) == result.NoLeader
 	})
@@ -356,25 +356,25 @@
 }
 
 // An upstream that reported before its service was declared serves as soon as it is, not from its next report on.
-func TestUpstreamOfAnAddedServiceIsKnown(t *testing.T) {
+func TestReportBeforeServiceIsDeclared(t *testing.T) {
 	d := newDaemons(t)
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
 	for _, host := range hosts {
-		d.control(host, true)
+		d.startControl(host, true)
 	}
-	d.replace(hosts[0], 1)
+	d.waitUntilReplaced(hosts[0], 1)
 	for i, host := range hosts {
 		r := &roster.Report{
 			Upstream: roster.Upstream{ID: ident.Incarnation(fmt.Sprintf("i-%d", i)), Service: "only-2", Address: fmt.Sprintf("127.0.0.1:%d", i+1), Slots: 4},
 			Sequence: 1,
 		}
-		d.until("the report is acknowledged", func() bool {
+		d.waitUntil("the report is acknowledged", func() bool {
 			_, err := d.running[host].control.Report(context.Background(), r)
 			return err == nil
 		})
 	}
-	d.replace(hosts[1], 2)
-	d.until("the upstreams are known", func() bool {
+	d.waitUntilReplaced(hosts[1], 2)
+	d.waitUntil("the upstreams are known", func() bool {
 		s, err := site.Inspect(context.Background(), transport.TCP(), d.peers(hosts...))
 		return err == nil && len(s.Upstreams) == len(hosts)
 	})
@@ -386,10 +386,10 @@
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
 	peers := func(host string) string { return fmt.Sprintf("%s:%d", host, d.port) }
 	for _, host := range hosts {
-		d.control(host, true)
+		d.startControl(host, true)
 	}
-	d.replace(hosts[0], 1)
-	d.until("an upstream is taken", func() bool {
+	d.waitUntilReplaced(hosts[0], 1)
+	d.waitUntil("an upstream is taken", func() bool {
 		r := &roster.Report{Upstream: roster.Upstream{ID: "i-1", Service: "m", Address: "127.0.0.1:1", Domain: "d", Slots: 4}, Sequence: 1}
 		_, err := d.running[hosts[0]].control.Report(context.Background(), r)
 		return err == nil
@@ -401,7 +401,7 @@
 	}
 	for _, host := range hosts {
 		var s *site.State
-		d.until("a group is begun", func() bool {
+		d.waitUntil("a group is begun", func() bool {
 			var err error
 			s, err = site.Inspect(context.Background(), transport.TCP(), []string{peers("127.0.2.1"), peers(host)})
 			return err == nil && len(s.Groups) == 1 && len(s.Decisions) == 1
@@ -422,22 +422,22 @@
 	}
 	d.kill(hosts[1])
 	d.kill(hosts[2])
-	d.until("a daemon without a majority tells nothing", func() bool {
+	d.waitUntil("a daemon without a majority tells nothing", func() bool {
 		_, err := site.Inspect(context.Background(), transport.TCP(), []string{peers(hosts[0])})
 		return result.CodeOf(err) == result.NoLeader
 	})
 }
 
 // A call that waits for news ends with the leadership: the daemon that made it asks the next leader, not after the time that calls are kept.
-func TestCallsForNewsEndWithTheLeadership(t *testing.T) {
+func TestSyncCallsEndWithLeadership(t *testing.T) {
 	d := newDaemons(t)
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
 	for _, host := range hosts {
-		d.control(host, true)
+		d.startControl(host, true)
 	}
-	d.replace(hosts[0], 1)
+	d.waitUntilReplaced(hosts[0], 1)
 	var leader string
-	d.until("a leader is known", func() bool {
+	d.waitUntil("a leader is known", func() bool {
 		s, err := site.Inspect(context.Background(), transport.TCP(), d.peers(hosts...))
 		if err != nil {
 			return false
@@ -447,7 +447,7 @@
 	})
 	for i, address := range d.peers(hosts...) {
 		if address == leader {
-			if !d.running[hosts[i]].control.RenewedAtTheEnd() {
+			if !d.running[hosts[i]].control.WaitersWokenAtLeadershipEnd() {
 				t.Error("calls that wait are not woken when the leadership ends")
 			}
 		}
--- a/site/unread_test.go
+++ b/site/unread_test.go
@@ -15,44 +15,44 @@
 )
 
 // The leader hears once of each word that nothing reads, another leader of all of them.
-func TestUnreadWordsAreToldToTheLeader(t *testing.T) {
+func TestUnrecognizedNamesAreSentToLeader(t *testing.T) {
 	cfg := settings.DefaultSite()
 	e := site.NewEntry(&cfg, relay.HeaderNames{}, transport.TCP())
-	type words = map[ident.Incarnation][]string
-	note := func(id ident.Incarnation, word string) {
-		e.NoteUnread(id, word)
+	type namesByUpstream = map[ident.Incarnation][]string
+	note := func(id ident.Incarnation, name string) {
+		e.NoteUnrecognized(id, name)
 	}
-	take := func(leadership site.LeadershipID) {
-		e.Take(time.Now(), &site.SyncReply{Leads: true, Leadership: leadership})
+	acknowledge := func(leadership site.LeadershipID) {
+		e.ApplyReply(time.Now(), &site.SyncReply{Leads: true, Leadership: leadership})
 	}
 	note("u", "Queue-Hint")
 	for _, c := range []struct {
 		what string
 		do   func()
-		want words
+		want namesByUpstream
 	}{
-		{"a word", func() {}, words{"u": {"Queue-Hint"}}},
-		{"the call was lost", func() {}, words{"u": {"Queue-Hint"}}},
-		{"the first leader took it, and is told all since it is new", func() { take("one") }, words{"u": {"Queue-Hint"}}},
-		{"it took that", func() { take("one") }, nil},
-		{"another word", func() { note("u", "Other") }, words{"u": {"Other"}}},
-		{"one more while the call is out", func() { note("v", "Other") }, words{"u": {"Other"}, "v": {"Other"}}},
-		{"it took both", func() { take("one") }, nil},
-		{"a new leader", func() { take("two") }, words{"u": {"Other", "Queue-Hint"}, "v": {"Other"}}},
-		{"it took all", func() { take("two") }, nil},
+		{"a word", func() {}, namesByUpstream{"u": {"Queue-Hint"}}},
+		{"the call was lost", func() {}, namesByUpstream{"u": {"Queue-Hint"}}},
+		{"the first leader took it, and is told all since it is new", func() { acknowledge("one") }, namesByUpstream{"u": {"Queue-Hint"}}},
+		{"it took that", func() { acknowledge("one") }, nil},
+		{"another word", func() { note("u", "Other") }, namesByUpstream{"u": {"Other"}}},
+		{"one more while the call is out", func() { note("v", "Other") }, namesByUpstream{"u": {"Other"}, "v": {"Other"}}},
+		{"it took both", func() { acknowledge("one") }, nil},
+		{"a new leader", func() { acknowledge("two") }, namesByUpstream{"u": {"Other", "Queue-Hint"}, "v": {"Other"}}},
+		{"it took all", func() { acknowledge("two") }, nil},
 	} {
 		c.do()
-		if diff := cmp.Diff(c.want, e.Call().Unread); diff != "" {
+		if diff := cmp.Diff(c.want, e.NextCall().Unread); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", c.what, diff)
 		}
 	}
-	r := site.NewLeading()
-	r.Note(&site.SyncCall{From: "a", Entry: true, Unread: words{"u": {"Queue-Hint"}}})
-	if got := r.Unread("u"); len(got) != 1 {
+	r := site.NewLeadership()
+	r.ApplyCall(&site.SyncCall{From: "a", Entry: true, Unread: namesByUpstream{"u": {"Queue-Hint"}}})
+	if got := r.Unrecognized("u"); len(got) != 1 {
 		t.Errorf("the leader knows %v", got)
 	}
-	r.ForgetUnread(clock.Now().Add(time.Hour))
-	if got := r.Unread("u"); len(got) != 0 {
+	r.PruneUnrecognized(clock.Now().Add(time.Hour))
+	if got := r.Unrecognized("u"); len(got) != 0 {
 		t.Errorf("it still knows %v of one that has ended", got)
 	}
 }
--- a/site/versions_test.go
+++ b/site/versions_test.go
@@ -82,12 +82,12 @@
 }
 
 // An entry applies changes to what it has; one that does not fit is not in force, confirms nothing and is replaced by the whole.
-func TestAnEntryTakesChanges(t *testing.T) {
+func TestEntryAppliesPatches(t *testing.T) {
 	cfg := settings.DefaultSite()
 	e := site.NewEntry(&cfg, relay.HeaderNames{}, transport.TCP())
 	e.DecodeConfig = func(body []byte) (*httproute.Config, error) {
 		first, _, _ := strings.Cut(string(body), " ")
-		return decode([]byte(first))
+		return decodeConfig([]byte(first))
 	}
 	patch := func(from, to httproute.Version) []byte {
 		p, err := catalog.Patch(bodyOf(from), bodyOf(to))
@@ -97,8 +97,8 @@
 		return p
 	}
 	type state struct {
-		Taken, Whole bool
-		Version      httproute.Version
+		Applied, Whole bool
+		Version        httproute.Version
 		// Sure is the number of the last reply that confirmed anything, 0 for none.
 		Sure int
 	}
@@ -118,14 +118,14 @@
 		{"the whole again", site.SyncReply{Version: 6, Config: documentOf(t, 6).Packed}, state{true, false, 6, 7}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			taken := e.Take(start.Add(time.Duration(i+1-100)*time.Minute), &c.reply)
+			applied := e.ApplyReply(start.Add(time.Duration(i+1-100)*time.Minute), &c.reply)
 			version, age := e.InForce()
 			sure := 0
 			if age > time.Hour {
 				// Replies are dated an hour and more ago; an entry that has confirmed nothing says exactly an hour.
 				sure = 100 - int(age.Round(time.Minute)/time.Minute)
 			}
-			if diff := cmp.Diff(c.want, state{taken, e.Call().Whole, version, sure}); diff != "" {
+			if diff := cmp.Diff(c.want, state{applied, e.NextCall().Whole, version, sure}); diff != "" {
 				t.Errorf("-want +got:\n%s", diff)
 			}
 		})
@@ -133,7 +133,7 @@
 }
 
 // What a configuration says of callers' headers and idle connections is in force with it.
-func TestBoundsOnCallersComeWithTheConfiguration(t *testing.T) {
+func TestCallerBoundsFollowConfiguration(t *testing.T) {
 	cfg := settings.DefaultSite()
 	e := site.NewEntry(&cfg, relay.HeaderNames{}, transport.TCP())
 	limits := httproute.Limits{HeaderBytes: 100 << 10, HeaderTimeout: 9 * time.Second, IdleTimeout: 90 * time.Second}
@@ -143,7 +143,7 @@
 	if diff := cmp.Diff(inbound.Bounds{}, e.CallerBounds()); diff != "" {
 		t.Errorf("before any configuration (-want +got):\n%s", diff)
 	}
-	e.Take(time.Now(), &site.SyncReply{Version: 2, Config: documentOf(t, 2).Packed})
+	e.ApplyReply(time.Now(), &site.SyncReply{Version: 2, Config: documentOf(t, 2).Packed})
 	want := inbound.Bounds{HeaderBytes: limits.HeaderBytes, HeaderTime: limits.HeaderTimeout, IdleTime: limits.IdleTimeout}
 	if diff := cmp.Diff(want, e.CallerBounds()); diff != "" {
 		t.Errorf("with a configuration (-want +got):\n%s", diff)
