--- a/site/entries.go
+++ b/site/entries.go
@@ -1,8 +1,8 @@
 package site
 
-// What entries tell the leader with each call: what they saw of groups, how many
-// requests they have at each upstream, and the work that was asked for. The
-// leader puts it together and tells each entry of all others.
+// Entries report to the leader with each call: the state of groups as they observed it, their requests in progress at
+// each upstream, and the demand for each model. The leader merges the reports and sends each entry the sum over the
+// others.
 
 import (
 	"time"
@@ -13,14 +13,14 @@
 	"github.com/dunlinquay/dunlinquay/replicaset"
 )
 
-// entryState is what an entry told with its newest call.
+// entryState is what an entry reported with its newest call.
 type entryState struct {
 	calledAt time.Time
 	hall     ident.Hall
 	seen     []relay.Observation
 }
 
-// groupObservations puts together what all entries saw of each group; the mutex is held.
+// groupObservations merges what all entries observed of each group; the mutex is held.
 func (r *leadership) groupObservations(now time.Time) map[ident.Group]replicaset.Observation {
 	observations := map[ident.Group]replicaset.Observation{}
 	for _, g := range r.roster.Groups() {
@@ -40,7 +40,7 @@
 		}
 	}
 	for name, observation := range observations {
-		// A sign that any entry saw shows that the group works.
+		// Progress that any entry observed shows that the group works.
 		observation.StalledFor = min(observation.StalledFor, observation.SinceLastResponse)
 		observations[name] = observation
 	}
@@ -51,7 +51,7 @@
 	if seen.Answered >= 0 {
 		observation.SinceLastResponse = min(observation.SinceLastResponse, seen.Answered+callAge)
 	}
-	// What an entry did not tell since may have ended, so its silence does not grow with its own.
+	// The stall may have ended since the entry's last call, so it is not extended by the age of that call.
 	observation.StalledFor = max(observation.StalledFor, seen.Silence)
 	observation.ConnectionRefused = observation.ConnectionRefused || seen.Refused
 	observation.StallConfirmed = observation.StallConfirmed || seen.Stands
@@ -61,7 +61,7 @@
 	return observation
 }
 
-// applyCall takes what an entry tells and returns how many entries there are.
+// applyCall applies what an entry reports and returns how many entries there are.
 func (r *leadership) applyCall(call *SyncCall) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,7 +95,8 @@
 	return r.entryCount(now)
 }
 
-// entryCount is how many entries there are, with those of the former leader that have not called yet; the mutex is held.
+// entryCount returns how many entries there are, including those of the former leader that have not called yet; the
+// mutex is held.
 func (r *leadership) entryCount(now time.Time) int {
 	if r.configRollout.awaitingEntries(now) {
 		return r.configRollout.expectedEntries
@@ -103,7 +104,7 @@
 	return len(r.entries)
 }
 
-// removeEntry drops an entry that does not call any more; the mutex is held.
+// removeEntry removes an entry that has stopped calling; the mutex is held.
 func (r *leadership) removeEntry(name string) {
 	r.subtractSeen(r.entries[name])
 	delete(r.entries, name)
@@ -112,7 +113,7 @@
 	r.lists.stale = true
 }
 
-// subtractSeen takes an entry's requests out of the totals; the mutex is held.
+// subtractSeen subtracts an entry's requests from the totals; the mutex is held.
 func (r *leadership) subtractSeen(e *entryState) {
 	if e == nil {
 		return
@@ -132,13 +133,13 @@
 	for model, d := range call.Demand {
 		r.requestsSeen = true
 		if seconds := r.upstreamSeconds(model, d); seconds > 0 {
-			demand[model] = ModelDemand{seconds, d.Requests} // callers may name any model, rates are kept for those that there are
+			demand[model] = ModelDemand{seconds, d.Requests} // callers may name any model; only declared models are counted
 		}
 	}
 	r.demand.Add(now, call.From, demand)
 }
 
-// upstreamSeconds is the time that d takes of upstreams of the model, worked out from the engine's published figures.
+// upstreamSeconds returns the upstream time that the demand for a model needs, by the engine's declared figures.
 func (r *leadership) upstreamSeconds(model ident.Model, d relay.Demand) float64 {
 	table := r.control.newestTable()
 	if table == nil {
--- a/site/leadership.go
+++ b/site/leadership.go
@@ -1,9 +1,8 @@
 package site
 
-// A leadership is the time in which one daemon leads. What it needs beyond the
-// replicated configuration is soft: upstreams report about once a second, and
-// groups stand in their reports, so a new leader starts from the copy that it
-// had as a follower, or from nothing and waits until all have reported.
+// A leadership is one daemon's term as leader. Besides the replicated configuration it needs only soft state, which
+// upstreams rebuild by reporting about once a second, with their groups. A new leader starts from the copy of the
+// roster that it kept as a follower, or without one waits until all upstreams have reported.
 
 import (
 	"context"
@@ -21,31 +20,33 @@
 )
 
 const (
-	// evaluateInterval is how often the leader looks at its groups when nothing changes.
+	// evaluateInterval is how often the leader evaluates its groups when nothing changes.
 	evaluateInterval = 50 * time.Millisecond
-	// minEvaluatePause gathers the changes of one moment, evaluatePauseFactor does so for longer where a look takes long: the leader has to hear entries,
-	// upstreams and voters between its looks.
+	// minEvaluatePause is the shortest time over which changes are gathered between two evaluations,
+	// evaluatePauseFactor that time as a multiple of the last evaluation's duration: between evaluations the leader has
+	// to handle messages of entries, upstreams and voters.
 	minEvaluatePause    = 10 * time.Millisecond
 	evaluatePauseFactor = 3
-	// settleReportIntervals is how many report intervals a leader without a copy waits until it believes its roster.
+	// settleReportIntervals is how many report intervals a leader without a copy waits before it acts on its roster.
 	settleReportIntervals = 2
-	// silentReportIntervals and forgetReportIntervals are how many intervals without a report make an upstream silent, and forgotten.
+	// silentReportIntervals and forgetReportIntervals are the report intervals without a report after which an upstream
+	// counts as silent, and is removed.
 	silentReportIntervals = 2.3
 	forgetReportIntervals = 40
-	// maxCopyAge is the age up to which a follower's copy is a start for a new leader.
+	// maxCopyAge is the age up to which a new leader starts from its follower's copy of the roster.
 	maxCopyAge = 10 * time.Second
-	// quietArrivalIntervals is the part of a report interval without a new upstream after which the first groups are formed,
-	// maxArrivalIntervals how many intervals after the first upstream they are formed at the latest: upstreams that start together
-	// report for the first time within two.
+	// quietArrivalIntervals is the fraction of a report interval without a new upstream after which the first groups
+	// are formed, maxArrivalIntervals the number of intervals after the first upstream within which that happens in any
+	// case: upstreams that start together send their first reports within two intervals.
 	quietArrivalIntervals = 0.35
 	maxArrivalIntervals   = 3
-	// entryTimeout is how long an entry that does not call still counts as one.
+	// entryTimeout is how long an entry counts after its last call.
 	entryTimeout = 3 * time.Second
 	// orderTimeout bounds an order; engines answer at once.
 	orderTimeout = time.Second
-	// epochCounterBits is the room for the groups of one term below the term in an epoch.
+	// epochCounterBits is the width of the counter below the term in an epoch.
 	epochCounterBits = 24
-	// noAnswerAge stands for the age of an answer that never came.
+	// noAnswerAge is the age reported for the last answer of a group that has not answered yet.
 	noAnswerAge = time.Hour
 )
 
@@ -59,26 +60,28 @@
 	control *Control
 	name    LeadershipID
 	term    quorum.Term
-	// startedAt is a time of day, for operators.
+	// startedAt is wall-clock time, shown to operators.
 	startedAt time.Time
 	roster    *roster.Roster
-	// entryView is what entries get of the roster.
+	// entryView is the roster as sent to entries.
 	entryView *roster.View
-	// settledAt is when the roster is believed.
+	// settledAt is when the roster counts as complete.
 	settledAt time.Time
 
-	// evaluating is held during each look at the groups; formations and decisions belong to it.
+	// evaluating is held during each evaluation of the groups; it guards formations and decisions.
 	evaluating   sync.Mutex
 	formations   map[ident.Service]*replicaset.Formation
 	decisions    decisionLog
 	epochCounter uint64
 	orderResults chan orderResult
+	// initialStart is set from the first start of a site until its first request.
 	initialStart bool
 	prober       *prober
 	slowdowns    *slowdownTracker
-	// unrecognizedPrunedAt is when what ended upstreams said was last forgotten.
+	// unrecognizedPrunedAt is when unrecognized names of removed upstreams were last deleted.
 	unrecognizedPrunedAt time.Time
-	// upstreamsSeen is how many upstreams there were, firstArrived and lastArrived when the first and the newest one was seen.
+	// upstreamsSeen is the largest number of upstreams so far, firstArrived and lastArrived are when the first and the
+	// newest was seen.
 	upstreamsSeen int
 	firstArrived  time.Time
 	lastArrived   time.Time
@@ -88,30 +91,30 @@
 	// lists are the entries by hall.
 	lists  *entryLists
 	totals map[ident.Incarnation]int
-	// totalsData are the totals as they were encoded at totalsEncodedAt.
+	// totalsData are the totals as encoded at totalsEncodedAt.
 	totalsData      []byte
 	totalsEncodedAt time.Time
-	// packedEntryView and packedFullRoster are what is sent to who has nothing.
+	// packedEntryView and packedFullRoster are sent to daemons that have no roster.
 	packedEntryView  packedRoster
 	packedFullRoster packedRoster
-	// bulkPacer gives turns to replies that carry much.
+	// bulkPacer limits the rate of large replies.
 	bulkPacer pacer
-	// localShareEntries is how many entries go by their own parts of upstreams' limits.
+	// localShareEntries counts, by upstream, the entries that use their local share of the upstream's limit.
 	localShareEntries map[ident.Incarnation]int
 	demand            DemandRates
 	requestsSeen      bool
 	// undeclared are reports of upstreams whose service is not declared.
 	undeclared undeclared
-	// configRollout follows accepted configurations to the entries.
+	// configRollout tracks accepted configurations until the entries have them in force.
 	configRollout *rollout[httproute.Version]
-	// drainRollout follows orders on halls to the entries.
+	// drainRollout tracks orders on halls until the entries have them in force.
 	drainRollout *rollout[catalog.DrainRevision]
 }
 
-// bytesPerMbit is in bytes.
+// bytesPerMbit converts megabits to bytes.
 const bytesPerMbit = 1e6 / 8
 
-// orderResultQueueLength bounds the outcomes that wait for the leader's next look.
+// orderResultQueueLength bounds the outcomes of orders that wait for the next evaluation.
 const orderResultQueueLength = 256
 
 func (c *Control) newLeadership(status *quorum.Status) *leadership {
@@ -172,7 +175,7 @@
 	return !now.Before(r.settledAt)
 }
 
-// leadLoop begins and ends leaderships and looks after the groups.
+// leadLoop starts and ends leaderships and evaluates the groups of the current one.
 func (c *Control) leadLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		r := c.currentLeadership()
@@ -193,25 +196,25 @@
 	if r != nil && (status.Role != quorum.RoleLeader || status.Term != r.term) {
 		c.Log.Info("leadership ended", "leadership", r.name, "leader", status.Leader, "term", status.Term)
 		c.leadership.Store(nil)
-		// Calls that wait here for news go to the next leader at once.
+		// Calls that wait here for updates are answered at once, so that their callers turn to the next leader.
 		c.notifyWaiting()
 		r = nil
 	}
 	if r == nil && c.leads() {
 		r = c.newLeadership(&status)
-		c.Log.Info("leadership began", "leadership", r.name, "settled-in-ms", max(0, r.settledAt.Sub(clock.Now()).Milliseconds()),
+		c.Log.Info("leadership started", "leadership", r.name, "settled-in-ms", max(0, r.settledAt.Sub(clock.Now()).Milliseconds()),
 			"upstreams", len(r.roster.Since(0).Upstreams), "version", c.stateMachine.Held().Version)
 		c.leadership.Store(r)
 	}
 	return r
 }
 
-// evaluatePause returns how long changes are gathered after a look that took so long.
+// evaluatePause returns how long changes are gathered after an evaluation of the given duration.
 func evaluatePause(took time.Duration) time.Duration {
 	return min(evaluateInterval, max(minEvaluatePause, evaluatePauseFactor*took))
 }
 
-// waitForChange returns when it is time for the next look, a pause after a change at the soonest.
+// waitForChange returns when the next evaluation is due: after evaluateInterval, or minPause after a change.
 func (r *leadership) waitForChange(ctx context.Context, changed <-chan struct{}, minPause time.Duration) {
 	timer := time.NewTimer(evaluateInterval)
 	defer timer.Stop()
@@ -236,7 +239,7 @@
 		"known", result.order.Context)
 }
 
-// evaluate looks at every service with engines; without the lease nothing is ordered.
+// evaluate evaluates every service with engines; it does nothing without the lease.
 func (r *leadership) evaluate() {
 	r.evaluating.Lock()
 	defer r.evaluating.Unlock()
@@ -275,10 +278,10 @@
 	}
 }
 
-// logRollouts logs which configurations, and orders on halls, have reached all entries, and which are late at some.
+// logRollouts logs which configurations and orders on halls are in force at all entries, and which are late at some.
 func (r *leadership) logRollouts(now time.Time) {
 	for _, report := range r.drainRollout.newReports(now) {
-		r.control.Log.Info("drained halls followed to the entries", "revision", report.Version, "entries", report.Entries,
+		r.control.Log.Info("drained halls rollout to entries", "revision", report.Version, "entries", report.Entries,
 			"after-ms", report.After.Milliseconds(), "missing", report.Missing)
 	}
 	for _, report := range r.configRollout.newReports(now) {
@@ -292,7 +295,7 @@
 	}
 }
 
-// updateEntryView brings the view for entries up to date.
+// updateEntryView brings the entries' view of the roster up to date.
 func (r *leadership) updateEntryView(table *httproute.Table) {
 	r.entryView.Update(func(name ident.Service) bool {
 		s := table.Service(name)
@@ -300,8 +303,8 @@
 	})
 }
 
-// upstreamsArriving reports whether upstreams still come in for the first time at the start of a site: groups that are formed of
-// the first few would be spread over the domains badly.
+// upstreamsArriving reports whether upstreams of a new site are still sending their first reports. Groups formed from
+// the first few of them would be spread badly over the failure domains.
 func (r *leadership) upstreamsArriving(now time.Time, upstreams int) bool {
 	if !r.initialStart {
 		return false
@@ -339,20 +342,20 @@
 	return f
 }
 
-// sendOrder gives an order in the background, under the lease that holds at that moment.
+// sendOrder sends an order in the background, if the lease holds at that moment.
 func (r *leadership) sendOrder(service ident.Service, order replicaset.Order) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 		defer cancel()
 		outcome := replicaset.OutcomeUnknown
-		// What it asked for binds orders too; the formation gives the order again.
+		// A backoff that the upstream requested applies to orders as well; the formation repeats the order.
 		if r.control.leads() && !r.control.backedOff(order.To) {
 			outcome = r.control.SendOrder(ctx, &order)
 		}
 		select {
 		case r.orderResults <- orderResult{service, order, outcome}:
 		default:
-			r.control.Log.Info("outcome of an order dropped, the leader is behind", "to", order.To, "action", order.Action)
+			r.control.Log.Info("outcome of an order dropped, the leader's queue is full", "to", order.To, "action", order.Action)
 		}
 	}()
 }
