--- a/site/calls.go
+++ b/site/calls.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// forwardTimeout bounds a call that is passed on to the leader; upstreams wait for a second.
+	// forwardTimeout bounds a call that is forwarded to the leader; upstreams wait for a second.
 	forwardTimeout = 800 * time.Millisecond
 	// changeTimeout bounds the acceptance of a configuration.
 	changeTimeout = 2500 * time.Millisecond
 )
 
-// Report takes the report of an upstream; it returns the address for later reports when this daemon does not lead.
+// Report applies the report of an upstream; it returns the address for later reports, or "" when this daemon leads.
 func (c *Control) Report(ctx context.Context, r *roster.Report) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
@@ -33,7 +33,7 @@
 	return address, err
 }
 
-// report takes a report here when this daemon leads, and passes it on with others otherwise.
+// report applies a report here when this daemon leads; otherwise it forwards the report to the leader in a batch.
 func (c *Control) report(ctx context.Context, r *roster.Report) (string, error) {
 	if c.leader() != string(c.self.Name) {
 		return c.reportForwarder.submit(ctx, r)
@@ -42,20 +42,21 @@
 	return "", err
 }
 
-// forwardReports hands reports to the leader; it returns the address for later ones.
+// forwardReports sends reports to the leader; it returns the address for later ones.
 func (c *Control) forwardReports(ctx context.Context, list []*roster.Report) (string, error) {
 	reply, err := c.callLeader(ctx, forwardTimeout, &ForwardedCall{Kind: CallReport, Reports: list})
 	return reply.Address, err
 }
 
-// Leave takes the word of an upstream that it is gone.
+// Leave applies an upstream's notice that it has stopped.
 func (c *Control) Leave(ctx context.Context, id ident.Incarnation) error {
 	_, err := c.callLeader(ctx, forwardTimeout, &ForwardedCall{Kind: CallLeave, Upstream: id})
 	c.Log.Info("upstream gone", "upstream", id, "acknowledged", err == nil)
 	return err
 }
 
-// Replace accepts a configuration that was checked; it returns after a majority has it on disk, and the entries that can be reached in force.
+// Replace accepts a configuration that was checked; it returns after a majority has it on disk, and the reachable
+// entries have it in force.
 func (c *Control) Replace(ctx context.Context, version httproute.Version, body []byte) error {
 	startedAt := clock.Now()
 	leader := c.leader()
@@ -84,7 +85,8 @@
 	return reply.Body, err
 }
 
-// retryCall is call for what operators send, which may come twice: it is tried again, at the next leader if need be, as long as there is time.
+// retryCall is callLeader for operators' calls, which are safe to repeat: it retries until timeout, at the next leader
+// if there is one.
 func (c *Control) retryCall(ctx context.Context, timeout time.Duration, call *ForwardedCall) (ForwardedReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -103,7 +105,8 @@
 	}
 }
 
-// callUntilLeaderChanges makes the call and gives it up once another daemon leads: the connection to one that is lost tells nothing.
+// callUntilLeaderChanges makes the call and cancels it once another daemon leads: a connection to a lost leader may
+// stay open without an answer.
 func (c *Control) callUntilLeaderChanges(ctx context.Context, leader string, timeout time.Duration, call *ForwardedCall) (ForwardedReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -118,7 +121,7 @@
 	return c.callLeader(ctx, timeout, call)
 }
 
-// callLeader answers a call here when this daemon leads, and passes it on otherwise.
+// callLeader answers a call here when this daemon leads, and forwards it otherwise.
 func (c *Control) callLeader(ctx context.Context, timeout time.Duration, call *ForwardedCall) (ForwardedReply, error) {
 	leader := c.leader()
 	if leader == "" {
@@ -137,7 +140,8 @@
 	return reply, nil
 }
 
-// answerForwarded answers a call that another daemon took; the caller may then report here directly.
+// answerForwarded answers a call that another daemon forwarded. In reply to reports it names this daemon's address
+// where upstreams may report directly.
 func (c *Control) answerForwarded(call *ForwardedCall) ForwardedReply {
 	reply, err := c.answerWithTimeout(context.Background(), changeTimeout, call)
 	if err != nil {
@@ -149,7 +153,7 @@
 	return reply
 }
 
-// answerWithTimeout does what call asks for, as leader.
+// answerWithTimeout answers a call as leader, within timeout.
 func (c *Control) answerWithTimeout(ctx context.Context, timeout time.Duration, call *ForwardedCall) (ForwardedReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -161,7 +165,7 @@
 func (c *Control) answerAsLeader(ctx context.Context, call *ForwardedCall) (ForwardedReply, error) {
 	r := c.leadership.Load()
 	if r == nil || !c.leads() {
-		return ForwardedReply{}, result.New(result.NoLeader, "this daemon does not lead, or not surely")
+		return ForwardedReply{}, result.New(result.NoLeader, "this daemon does not lead, or cannot confirm that it does")
 	}
 	switch call.Kind {
 	case CallReport:
@@ -183,8 +187,8 @@
 	return ForwardedReply{}, result.New(result.PeerRefused, "unknown call %s", call.Kind)
 }
 
-// applyReports takes reports of upstreams whose service is declared. Any other names nothing to use, and must not end the upstream
-// at its address; it is taken once a configuration declares the service.
+// applyReports applies reports of upstreams whose service is declared. Any other report must not replace the upstream
+// at its address; it is kept until a configuration declares the service.
 func (c *Control) applyReports(r *leadership, list []*roster.Report) {
 	table := c.newestTable()
 	for _, report := range list {
@@ -199,14 +203,15 @@
 	}
 }
 
-// LogUnusableReport logs a report that names nothing to use, at most one each second; the line tells how many came since the last one.
+// LogUnusableReport logs a report that cannot be used, at most one each second; the line counts the reports since the
+// last line.
 func (c *Control) LogUnusableReport(upstream string, reason error) {
 	if occurrences, ok := c.unusableReportLog.allow(clock.Now()); ok {
-		c.Log.Info("report of no use", "upstream", upstream, "code", int(result.CodeOf(reason)), "why", result.Message(reason), "since-last", occurrences)
+		c.Log.Info("report not usable", "upstream", upstream, "code", int(result.CodeOf(reason)), "why", result.Message(reason), "since-last", occurrences)
 	}
 }
 
-// replaceConfig accepts a configuration and returns when the entries have it in force, as far as they can be reached.
+// replaceConfig accepts a configuration and returns when the reachable entries have it in force.
 func (c *Control) replaceConfig(ctx context.Context, r *leadership, call *ForwardedCall) error {
 	if call.Version > c.stateMachine.Held().Version {
 		if err := c.proposeOnce(ctx, r, call); err != nil {
@@ -217,11 +222,11 @@
 	return nil
 }
 
-// proposeOnce writes a configuration to the log, once for all calls that bring it at the same time.
+// proposeOnce writes a configuration to the log, once for all concurrent calls that bring it.
 func (c *Control) proposeOnce(ctx context.Context, r *leadership, call *ForwardedCall) error {
 	key := strconv.FormatUint(uint64(call.Version), 10) + "/" + strconv.FormatUint(xxhash.Sum64(call.Body), 16)
 	done := c.proposals.DoChan(key, func() (any, error) {
-		// Whoever brought it first may leave; the others wait for the same decision.
+		// The first caller may give up; the others wait for the same proposal.
 		ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 		defer cancel()
 		return nil, c.propose(ctx, r, call)
@@ -253,14 +258,15 @@
 	if err == nil {
 		r.configRollout.track(startedAt, clock.Now(), call.Version)
 	}
-	c.Log.Info("configuration decided", "version", call.Version, "held-before", versionBefore, "from", call.From, "index", index,
+	c.Log.Info("configuration proposed", "version", call.Version, "held-before", versionBefore, "from", call.From, "index", index,
 		"packed-bytes", len(document.Packed), "took-ms", clock.Since(startedAt).Milliseconds(), "code", int(result.CodeOf(err)))
 	return err
 }
 
 func (c *Control) readConfig() (ForwardedReply, error) {
 	held := c.stateMachine.Held()
-	// The lease is looked at again: nobody else can have accepted a newer one by now.
+	// The lease is checked again after the read: while it holds, no other daemon can have accepted a newer
+	// configuration.
 	if !c.leads() {
 		return ForwardedReply{}, result.New(result.NoLeader, "this daemon may no longer lead")
 	}
@@ -271,7 +277,7 @@
 	return ForwardedReply{Version: held.Version, Body: body}, err
 }
 
-// sync answers a daemon that follows, at once when there is news for it and after a moment otherwise.
+// sync answers a follower's call, at once when there are updates for the caller and after a hold time otherwise.
 func (c *Control) sync(call *SyncCall) SyncReply {
 	r := c.leadership.Load()
 	if r == nil || !c.leads() {
@@ -303,19 +309,19 @@
 		}
 		sleep(context.Background(), wait)
 	}
-	// Looked at last: what stands in the reply was then the newest that anyone had accepted.
+	// Checked last: if the lease still holds, the reply contained the newest state accepted anywhere.
 	reply.Leads = c.leads()
 	return reply
 }
 
 const (
-	// maxLeaderWait is how long a call for news waits at a daemon that knows no leader: all daemons ask at that time, and would ask again at
-	// once. leaderPollInterval is how often the daemon looks.
+	// maxLeaderWait is how long a sync call waits at a daemon that knows no leader: all daemons ask while there is
+	// none, and would ask again at once. leaderPollInterval is how often the daemon checks for a leader meanwhile.
 	maxLeaderWait      = 250 * time.Millisecond
 	leaderPollInterval = 25 * time.Millisecond
 )
 
-// awaitLeader returns the leader, once this daemon knows one or the time is over.
+// awaitLeader returns the leader's address once this daemon knows it, or "" after maxLeaderWait.
 func (c *Control) awaitLeader() string {
 	for startedAt := clock.Now(); ; sleep(context.Background(), leaderPollInterval) {
 		leader := c.leader()
@@ -325,8 +331,8 @@
 	}
 }
 
-// fillCommitted adds what the caller has not of the configuration and of the drained halls. What this daemon holds was committed, so any may
-// tell it; only the leader can say that it is the newest.
+// fillCommitted adds the configuration and the drained halls if the caller's are older. This daemon's state is
+// committed, so any control daemon may send it; only the leader can confirm that it is the newest.
 func (c *Control) fillCommitted(call *SyncCall, reply *SyncReply) {
 	if drained := c.stateMachine.Drained(); drained.Revision > call.Drains {
 		reply.Drained = &drained
@@ -344,13 +350,13 @@
 	}
 }
 
-// rosterUsable reports whether the roster is of use to the caller: a part of it is better than nothing, but not better than a
-// copy of the whole.
+// rosterUsable reports whether the caller should apply the roster: an incomplete roster is better than none, but not
+// better than a copy of a complete one.
 func (r *leadership) rosterUsable(call *SyncCall) bool {
 	return call.Leadership == "" || call.Leadership == r.name || r.settled(clock.Now())
 }
 
-// rosterFor is what the caller gets of the roster.
+// rosterFor returns the roster that the caller may see.
 func (r *leadership) rosterFor(call *SyncCall) *roster.Roster {
 	if call.Entry {
 		return r.entryView.Roster
@@ -358,8 +364,8 @@
 	return r.roster
 }
 
-// waitForUpdates returns when something is new for the caller, or after a while in which entries tell nothing. News are
-// gathered for a moment that grows with the number of entries: all of them ask again after each answer.
+// waitForUpdates returns when there is an update for the caller, or after the hold time. Updates are gathered for a
+// time that grows with the number of entries, since all of them call again after each answer.
 func (c *Control) waitForUpdates(r *leadership, call *SyncCall, entries int) {
 	c.mu.Lock()
 	stateChanged := c.stateChanged
--- a/site/messages.go
+++ b/site/messages.go
@@ -21,31 +21,31 @@
 	Messages []quorum.Message
 }
 
-// HelloReply tells who a control daemon is.
+// HelloReply identifies a control daemon.
 type HelloReply struct {
 	ID     quorum.MemberID
 	Formed bool
-	// Leader is the peers' address of the leader that it follows, or nothing.
+	// Leader is the peer address of the leader that the daemon follows, or "".
 	Leader string
-	// Controls are the peers' addresses of the control daemons that it knows.
+	// Controls are the peer addresses of the control daemons that the daemon knows.
 	Controls []string
 }
 
-// JoinCall asks the leader to take a control daemon in.
+// JoinCall asks the leader to add a control daemon as a member.
 type JoinCall struct {
 	ID quorum.MemberID
 }
 
-// JoinReply tells whether the receiver leads, and if not, who does.
+// JoinReply says whether the receiver leads, and if not, which daemon does.
 type JoinReply struct {
 	Leads  bool
 	Leader string
 }
 
-// LeadershipID names the time in which one leader's revisions count.
+// LeadershipID identifies one daemon's term as leader; roster revisions can be compared only within it.
 type LeadershipID string
 
-// SyncCall asks the leader for what is new; it waits there until something is.
+// SyncCall asks the leader for updates; the leader holds the call until there are some, or for a hold time.
 type SyncCall struct {
 	From string
 	Hall ident.Hall
@@ -53,73 +53,74 @@
 	Entry      bool
 	Leadership LeadershipID
 	Revision   roster.Revision
-	// Sums are the digests of the caller's copy of the roster, when it may be of a former leader.
+	// Sums are the digests of the caller's copy of the roster, set when the copy may be from a former leader.
 	Sums    *roster.Digests
 	Version httproute.Version
-	// Drains is the revision of the drained halls that the caller has.
+	// Drains is the revision of the caller's drained halls.
 	Drains catalog.DrainRevision
-	// Whole is set by a daemon that needs the configuration whole.
+	// Whole is set by a daemon that needs the whole configuration instead of a patch.
 	Whole  bool
 	Seen   []relay.Observation
 	Demand map[ident.Model]relay.Demand
-	// Entries names the lists of entries that the caller has.
+	// Entries are the digests of the caller's lists of entries.
 	Entries map[ident.Hall]ListDigest
-	// Held tells of works under which upstreams ended, when the caller knows of others than the leader; HeldSum is the digest of all
-	// that it has to tell.
+	// Held are quarantine reports, sent when the caller's set of them differs from the leader's; HeldSum is the digest
+	// of the caller's set.
 	Held    []quarantine.Report
 	HeldSum uint64
-	// Unread are words of upstreams that nothing reads, which the leader was not told of yet.
+	// Unread are unrecognized names from upstreams that the leader has not received yet.
 	Unread map[ident.Incarnation][]string
 }
 
-// ListDigest is a digest of a list of addresses, 0 of none.
+// ListDigest is the digest of a list of addresses, 0 for an empty list.
 type ListDigest uint64
 
-// SyncReply is what is new at the leader. Unless Leads is set, only Leader and Controls count.
+// SyncReply holds the leader's updates. Unless Leads is set, only Leader, Controls, and the committed configuration and
+// drained halls are valid.
 type SyncReply struct {
 	Leads      bool
 	Leader     string
 	Controls   []string
 	Leadership LeadershipID
-	// Usable is set when Changes are to be applied: a leader that has not heard of all upstreams yet knows less than a
-	// copy of its predecessor's roster.
+	// Usable is set when Changes are to be applied: a leader that has not received the reports of all upstreams yet
+	// knows less than a copy of its predecessor's roster.
 	Usable  bool
 	Changes roster.Delta
-	// Packed is the whole roster in place of Changes.
+	// Packed is the whole roster, compressed, in place of Changes.
 	Packed []byte
-	// Version is set when the caller's version is older, and either Config, which is the whole packed configuration, or Patch,
-	// which makes it of the caller's.
+	// Version is set when the caller's version is older, with either Config, the whole packed configuration, or Patch,
+	// which turns the caller's configuration into this one.
 	Version httproute.Version
 	Config  []byte
 	Patch   []byte
-	// Drained are the drained halls, nil when the caller has this revision of them.
+	// Drained are the drained halls, nil when the caller has this revision.
 	Drained *catalog.Drained
-	// Totals are the requests of all entries at each upstream (totals.go).
+	// Totals are the requests of all entries at each upstream, encoded by encodeTotals.
 	Totals []byte
-	// Limits are the limits of upstreams that entries were told of lately.
+	// Limits are the upstreams' limits that entries need (see limitSummaries).
 	Limits map[ident.Incarnation]LimitSummary
-	// Entries is how many entries there are, Lists are those of the halls of which the caller has another list, ListChanges what leads to
-	// them where that is known.
+	// Entries is how many entries there are. Lists are the lists of halls of which the caller has another list;
+	// ListChanges are sent instead where the leader knows the caller's list.
 	Entries     int
 	Lists       []EntryList
 	ListChanges []ListChange
-	// PackedLists are all lists in place of Lists.
+	// PackedLists are all lists, compressed, in place of Lists.
 	PackedLists []byte
-	// Held and HeldSum are what the leader knows of such works, as in the call.
+	// Held and HeldSum are the leader's quarantine reports and their digest, as in SyncCall.
 	Held    []quarantine.Report
 	HeldSum uint64
 }
 
-// EntryList holds the peers' addresses of the entries of one hall, in order.
+// EntryList holds the peer addresses of the entries of one hall, in order.
 type EntryList struct {
 	Hall    ident.Hall
 	Entries []string
 }
 
-// CallKind says which call of an upstream or an operator is passed on.
+// CallKind is the kind of a call that is forwarded to the leader.
 type CallKind string
 
-// The calls that a daemon passes on to the leader.
+// The calls of upstreams and operators that a daemon forwards to the leader.
 const (
 	CallReport  CallKind = "report"
 	CallLeave   CallKind = "leave"
@@ -129,16 +130,16 @@
 	CallDrain   CallKind = "drain"
 )
 
-// ForwardedCall is one call that the leader must answer.
+// ForwardedCall is one call that only the leader can answer.
 type ForwardedCall struct {
 	Kind CallKind
-	// From is the daemon that took the call.
+	// From is the daemon that received the call.
 	From     string
 	Reports  []*roster.Report
 	Upstream ident.Incarnation
 	Version  httproute.Version
 	Body     []byte
-	// Drain is an order on a hall.
+	// Drain is set for CallDrain.
 	Drain *catalog.DrainOrder
 }
 
@@ -147,31 +148,31 @@
 	Code    result.Code
 	Text    string
 	Address string
-	// Version and Body are the configuration that was read.
+	// Version and Body are the configuration, for CallRead.
 	Version httproute.Version
 	Body    []byte
-	// State answers CallInspect.
+	// State is set for CallInspect.
 	State *State
 }
 
 const (
-	// minSyncHold is how long the leader keeps a call for news, as often entries tell their load; syncHoldPerEntry is the same for
-	// each entry where there are many, maxSyncHold bounds it: calls of hundreds of entries would otherwise fill the
-	// leader's link.
+	// minSyncHold is how long the leader holds a sync call without updates; entries report their load at this interval.
+	// With many entries it is syncHoldPerEntry for each, maxSyncHold at most: replies to hundreds of entries would
+	// otherwise fill the leader's link.
 	minSyncHold      = 100 * time.Millisecond
 	syncHoldPerEntry = 1500 * time.Microsecond
 	maxSyncHold      = 500 * time.Millisecond
-	// syncGatherPerEntry is how long news are gathered for each entry, maxSyncGather bounds it.
+	// syncGatherPerEntry is the time for each entry over which updates are gathered, maxSyncGather its bound.
 	syncGatherPerEntry = 300 * time.Microsecond
 	maxSyncGather      = 150 * time.Millisecond
 )
 
-// holdTime is how long a leader with so many entries keeps a call for news.
+// holdTime is how long a leader with this many entries holds a sync call without updates.
 func holdTime(entries int) time.Duration {
 	return min(maxSyncHold, max(minSyncHold, time.Duration(entries)*syncHoldPerEntry))
 }
 
-// gatherTime is how long it gathers news before it answers.
+// gatherTime is how long a leader with this many entries gathers updates before it replies.
 func gatherTime(entries int) time.Duration {
 	return min(maxSyncGather, time.Duration(entries)*syncGatherPerEntry)
 }
--- a/site/peers.go
+++ b/site/peers.go
@@ -14,7 +14,8 @@
 
 const (
 	serviceName = "Site"
-	// deliverTimeout bounds the delivery of log messages; a peer that is cut off silently must not hold newer ones for long.
+	// deliverTimeout bounds the delivery of log messages; a peer whose connection was cut silently must not delay newer
+	// ones for long.
 	deliverTimeout = 800 * time.Millisecond
 	// callTimeout bounds a call that the receiver answers at once.
 	callTimeout        = 600 * time.Millisecond
@@ -22,7 +23,7 @@
 	maxDeliverMessages = 64
 )
 
-// Handlers are what a daemon does with the calls of others; a nil one refuses.
+// Handlers answer the calls of other daemons and of operators.
 type Handlers struct {
 	Deliver func(messages []quorum.Message)
 	Hello   func() HelloReply
@@ -38,43 +39,43 @@
 	handlers *Handlers
 }
 
-// Deliver takes log messages.
+// Deliver receives log messages.
 func (s *Service) Deliver(c *DeliverCall, _ *Empty) error {
 	s.handlers.Deliver(c.Messages)
 	return nil
 }
 
-// Hello says who this daemon is.
+// Hello identifies this daemon.
 func (s *Service) Hello(_ *Empty, reply *HelloReply) error {
 	*reply = s.handlers.Hello()
 	return nil
 }
 
-// Join takes a control daemon in.
+// Join handles a control daemon's request to become a member.
 func (s *Service) Join(c *JoinCall, reply *JoinReply) error {
 	*reply = s.handlers.Join(c)
 	return nil
 }
 
-// Sync gives what is new.
+// Sync returns updates to a follower.
 func (s *Service) Sync(c *SyncCall, reply *SyncReply) error {
 	*reply = s.handlers.Sync(c)
 	return nil
 }
 
-// Pass answers a call that another daemon took.
+// Pass answers a call that another daemon forwarded.
 func (s *Service) Pass(c *ForwardedCall, reply *ForwardedReply) error {
 	*reply = s.handlers.Pass(c)
 	return nil
 }
 
-// Inspect tells operators the state of the site.
+// Inspect returns the state of the site to operators.
 func (s *Service) Inspect(_ *Empty, reply *InspectReply) error {
 	*reply = s.handlers.Inspect()
 	return nil
 }
 
-// Drain takes an operator's order on a hall.
+// Drain carries out an operator's order on a hall.
 func (s *Service) Drain(o *catalog.DrainOrder, reply *ForwardedReply) error {
 	*reply = s.handlers.Drain(o)
 	return nil
@@ -85,7 +86,7 @@
 	return link.NewServer(ln, serviceName, &Service{handlers})
 }
 
-// controlLink is the connection to one control daemon and the log messages that wait for it.
+// controlLink is the connection to one control daemon and the log messages queued for it.
 type controlLink struct {
 	*link.Client
 	queue chan quorum.Message
@@ -118,7 +119,7 @@
 	return l
 }
 
-// send queues log messages; when a queue is full they are dropped, as a network may.
+// send queues log messages; they are dropped when a queue is full, as in a network.
 func (p *controlLinks) send(messages []quorum.Message) {
 	for i := range messages {
 		select {
@@ -128,7 +129,7 @@
 	}
 }
 
-// deliver has one call on its way at a time, which keeps messages in order and gathers those that come meanwhile.
+// deliver makes one call at a time, which keeps messages in order and batches those that arrive meanwhile.
 func (l *controlLink) deliver(ctx context.Context) {
 	for {
 		select {
@@ -137,7 +138,7 @@
 			return
 		case m := <-l.queue:
 			call := &DeliverCall{Messages: l.batch(m)}
-			// The protocol of the log sends again what is lost.
+			// The log's protocol repeats lost messages.
 			_ = l.Call(ctx, deliverTimeout, "Deliver", call, &Empty{})
 		}
 	}
@@ -168,7 +169,7 @@
 	return reply, err
 }
 
-// sync asks for news; entries is how many entries the leader has, which decides how long it keeps a call.
+// sync asks a daemon for updates; entries is the leader's number of entries, which decides how long it holds the call.
 func (p *controlLinks) sync(address string, entries int, call *SyncCall) (SyncReply, error) {
 	var reply SyncReply
 	err := p.linkTo(address).Call(p.ctx, holdTime(entries)+gatherTime(entries)+callTimeout, "Sync", call, &reply)
@@ -185,7 +186,7 @@
 	p.wg.Wait()
 }
 
-// dropSilentSince closes the connections over which nothing has come since a time.
+// dropSilentSince closes the connections on which nothing has been received since a time.
 func (p *controlLinks) dropSilentSince(since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/site/reports.go
+++ b/site/reports.go
@@ -1,9 +1,8 @@
 package site
 
-// Upstreams report to any control daemon, about once a second each. One that
-// does not lead passes reports on to the leader, all that have come while the
-// last call was on its way in one call: one daemon could not take the reports of
-// thousands of upstreams one by one.
+// Upstreams report to any control daemon, about once a second each. A daemon that does not lead forwards to the leader,
+// in one call, all reports that arrived during its last call: one daemon could not process the reports of thousands of
+// upstreams one by one.
 
 import (
 	"context"
@@ -13,10 +12,10 @@
 )
 
 const (
-	// maxBatchReports bounds the reports of one call, reportQueueLength those that wait for the next.
+	// maxBatchReports bounds the reports in one call, reportQueueLength those that wait for the next.
 	maxBatchReports   = 256
 	reportQueueLength = 2048
-	// maxDirectReporters is the number of upstreams up to which they are told to report to the leader itself.
+	// maxDirectReporters is the number of upstreams up to which they are asked to report to the leader directly.
 	maxDirectReporters = 600
 )
 
@@ -31,7 +30,7 @@
 	err     error
 }
 
-// reportForwarder passes the reports that a daemon takes on to the leader.
+// reportForwarder forwards the reports that a daemon receives to the leader.
 type reportForwarder struct {
 	queue chan queuedReport
 	// forward makes the call; it returns the address for later reports.
@@ -42,7 +41,7 @@
 	return &reportForwarder{queue: make(chan queuedReport, reportQueueLength), forward: forward}
 }
 
-// submit returns once the leader has the report.
+// submit queues a report and returns once the leader has it.
 func (q *reportForwarder) submit(ctx context.Context, r *roster.Report) (string, error) {
 	queued := queuedReport{r, make(chan forwardResult, 1)}
 	select {
@@ -54,7 +53,7 @@
 	case forwarded := <-queued.done:
 		return forwarded.address, forwarded.err
 	case <-ctx.Done():
-		return "", result.Wrap(ctx.Err(), result.DaemonUnreached, "the leader did not take the report in time")
+		return "", result.Wrap(ctx.Err(), result.DaemonUnreached, "the leader did not confirm the report in time")
 	}
 }
 
