--- a/site/control.go
+++ b/site/control.go
@@ -32,31 +32,33 @@
 )
 
 const (
-	// snapshotEvery is the number of log entries after which a snapshot is taken; each entry is a whole configuration.
+	// snapshotEvery is the number of log entries after which a snapshot is made; each entry is a whole configuration.
 	snapshotEvery = 32
-	// operatorLinesPerSecond bounds the log lines of one kind on operators' calls, in lines a second.
+	// operatorLinesPerSecond bounds the log lines of one kind on operators' calls.
 	operatorLinesPerSecond = 20
 	// headerTimeout and idleTimeout bound the connections of upstreams and operators.
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 30 * time.Second
 )
 
-// Control is a daemon that keeps the replicated configuration and, while it leads, the groups; exported fields are set before Run.
+// Control is a daemon that keeps the replicated configuration and, while it leads, the groups; exported fields are set
+// before Run.
 type Control struct {
 	Settings *settings.Site
 	Log      logr.Logger
 	Dial     transport.Dial
-	// DecodeConfig reads a configuration in the form in which operators send it.
+	// DecodeConfig decodes a configuration in the form in which operators send it.
 	DecodeConfig func(body []byte) (*httproute.Config, error)
 	// SendOrder sends an order to an engine, once.
 	SendOrder func(ctx context.Context, o *replicaset.Order) replicaset.Outcome
-	// QuerySlowdown asks an engine how many times longer than usual all takes there; nil when engines can't be asked.
+	// QuerySlowdown asks an engine for its slowdown, how many times slower than normal it runs; nil when engines can't
+	// be asked.
 	QuerySlowdown func(ctx context.Context, address string, id ident.Incarnation) (float64, error)
 	// Handler serves the calls of upstreams and operators.
 	Handler http.Handler
 	// LoadSettings reads the settings again.
 	LoadSettings func() (*settings.Site, error)
-	// Unrecognized is what upstreams say in their answers that nothing reads.
+	// Unrecognized are the headers and fields from upstreams that no code reads.
 	Unrecognized *unread.List[ident.Incarnation]
 
 	self         quorum.MemberID
@@ -73,34 +75,34 @@
 
 	mu         sync.Mutex
 	rosterCopy *roster.Copy
-	// copyConfirmedAt is when the copy was last confirmed by the leader of copyLeadership; recalled is set when it comes from the last
-	// life.
+	// copyConfirmedAt is when the leader of copyLeadership last confirmed the copy; copyFromDisk is set when the copy
+	// was read from the data folder.
 	copyConfirmedAt time.Time
 	copyLeadership  LeadershipID
 	copyFromDisk    bool
-	// table is the configuration of tableVersion laid out; only a leader needs it.
+	// table is the routing table of the configuration of tableVersion; only a leader needs it.
 	table        *httproute.Table
 	tableVersion httproute.Version
-	// stateChanged is closed when another configuration counts, other halls are drained, or this daemon leads no more.
+	// stateChanged is closed when the configuration or the drained halls change, or this daemon stops leading.
 	stateChanged chan struct{}
 	joinRequests map[quorum.MemberID]time.Time
 
 	leadership        atomic.Pointer[leadership]
 	reportForwarder   *reportForwarder
 	unusableReportLog logLimiter
-	// refusedConfigLog and reads bound the lines on configurations that operators offer and read.
+	// refusedConfigLog and configReadLog limit the log lines on configurations that operators offer and read.
 	refusedConfigLog logLimiter
-	// proposals are the decisions on configurations that are under way.
+	// proposals are the configurations that are being proposed.
 	proposals singleflight.Group
-	// leaderEntries is how many entries the leader had that this daemon followed last.
+	// leaderEntries is how many entries the leader had that this daemon last followed.
 	leaderEntries atomic.Int64
-	// proposedConfigs counts the configurations that this daemon wrote to the log as leader.
+	// proposedConfigs counts the configurations that this daemon proposed as leader.
 	proposedConfigs atomic.Int64
 	configReadLog   logLimiter
 	quarantine      *quarantine.List
-	// backoffs is what upstreams asked this daemon for.
+	// backoffs are the backoffs that upstreams requested from this daemon.
 	backoffs *backoff.List[ident.Incarnation]
-	// limits are the limits that upstreams named to this daemon.
+	// limits are the limits that upstreams set for this daemon.
 	limits *ratelimit.LimitTable[ident.Incarnation]
 }
 
@@ -161,7 +163,7 @@
 	select {
 	case <-ctx.Done():
 	case err = <-c.fatalErr:
-		c.Log.Error(err, "control daemon fails", "code", int(result.CodeOf(err)))
+		c.Log.Error(err, "control daemon failed", "code", int(result.CodeOf(err)))
 	}
 	c.transferLeadership()
 	stop()
@@ -188,7 +190,7 @@
 	node.Log = c.Log
 }
 
-// seedOf spreads the members' election times.
+// seedOf returns a seed that differs between members, so that their election timeouts do.
 func seedOf(id quorum.MemberID) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id.Folder))
@@ -205,12 +207,12 @@
 func (c *Control) listenPeers() (serverRunner, error) {
 	ln, err := net.Listen("tcp", c.Settings.PeerListen())
 	if err != nil {
-		return nil, result.Wrap(err, result.StartFailed, "peers' address cannot be used")
+		return nil, result.Wrap(err, result.StartFailed, "address for peers cannot be used")
 	}
 	return newServer(ln, &Handlers{Deliver: c.node.Deliver, Hello: c.hello, Join: c.join, Sync: c.sync, Pass: c.answerForwarded, Inspect: c.inspect, Drain: c.answerDrain})
 }
 
-// serverRunner is a server of links.
+// serverRunner is a link server.
 type serverRunner interface{ Run(ctx context.Context) }
 
 func (c *Control) listenCalls() ([]server, error) {
@@ -220,7 +222,7 @@
 	})
 }
 
-// transferLeadership gives the lead to another member before this one stops.
+// transferLeadership hands leadership to another member before this one stops.
 func (c *Control) transferLeadership() {
 	if c.node.Status().Role != quorum.RoleLeader {
 		return
@@ -228,19 +230,19 @@
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	if c.node.TransferLeadership(ctx) {
-		c.Log.Info("lead handed over")
+		c.Log.Info("leadership handed over")
 		sleep(ctx, c.Settings.Times.Heartbeat.Std())
 	}
 }
 
-// configChanged wakes those who wait for a new configuration.
+// configChanged wakes the calls that wait for a new configuration.
 func (c *Control) configChanged(d catalog.Document) {
 	c.versions.add(d)
 	c.notifyWaiting()
-	c.Log.Info("configuration held", "version", d.Version, "packed-bytes", len(d.Packed))
+	c.Log.Info("configuration applied from the log", "version", d.Version, "packed-bytes", len(d.Packed))
 }
 
-// notifyWaiting wakes the calls that wait for news of what the log holds.
+// notifyWaiting wakes the calls that wait for a change of the replicated state.
 func (c *Control) notifyWaiting() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -248,7 +250,7 @@
 	c.stateChanged = make(chan struct{})
 }
 
-// newestTable returns the newest configuration laid out, or nil before the first.
+// newestTable returns the routing table of the newest configuration, or nil before the first.
 func (c *Control) newestTable() *httproute.Table {
 	held := c.stateMachine.Held()
 	c.mu.Lock()
@@ -259,15 +261,15 @@
 	cfg, err := decodePacked(held.Packed, c.DecodeConfig)
 	c.tableVersion = held.Version
 	if err != nil {
-		// It was checked before it was accepted, so this is a fault of this build.
-		c.Log.Error(err, "accepted configuration cannot be read", "version", held.Version)
+		// The configuration was checked before it was accepted, so this is a fault of this build.
+		c.Log.Error(err, "accepted configuration cannot be decoded", "version", held.Version)
 		return c.table
 	}
 	c.table = httproute.NewTable(cfg)
 	return c.table
 }
 
-// decodePacked reads a packed configuration.
+// decodePacked unpacks and decodes a configuration.
 func decodePacked(packed []byte, decode func(body []byte) (*httproute.Config, error)) (*httproute.Config, error) {
 	body, err := catalog.Unpack(packed)
 	if err != nil {
@@ -277,13 +279,13 @@
 }
 
 // leads reports whether this daemon may act as leader now: it holds the lease and knows everything that was committed.
-// Earlier leases are over: each of its voters had not heard another leader for the election time, which is longer than a
-// lease, and a leader that hands over gives its lease up first.
+// Earlier leases are over: each voter for this leader had had no contact with another leader for the election timeout,
+// which is longer than a lease, and a leader that transfers leadership gives up its lease first.
 func (c *Control) leads() bool {
 	return c.node.HoldsLease(clock.Now()) && c.node.Status().KnowsCommitted
 }
 
-// leader returns the peers' address of the leader that this daemon knows, or nothing.
+// leader returns the peer address of the leader that this daemon knows, or "".
 func (c *Control) leader() string {
 	status := c.node.Status()
 	if status.Role == quorum.RoleLeader {
@@ -298,7 +300,7 @@
 	return ""
 }
 
-// controls returns the peers' addresses of all control daemons that this one knows.
+// controls returns the peer addresses of all control daemons that this one knows.
 func (c *Control) controls() []string {
 	addresses := map[string]bool{string(c.self.Name): true}
 	for _, m := range c.node.Status().Members {
@@ -322,7 +324,7 @@
 		links: c.links, directory: c.directory, log: c.Log,
 		fillCall: func(call *SyncCall) {
 			call.From = string(c.self.Name)
-			// The log brings the configuration here.
+			// The replicated log brings the configuration and the drained halls here.
 			call.Version = c.stateMachine.Held().Version
 			call.Drains = c.stateMachine.Drained().Revision
 			call.HeldSum = c.quarantine.Digest(clock.Now())
@@ -364,7 +366,7 @@
 	return true
 }
 
-// rosterDigests returns the digests of the copy of the roster, nil when it is empty.
+// rosterDigests returns the digests of the copy of the roster, nil when the copy is empty.
 func (c *Control) rosterDigests() *roster.Digests {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -383,7 +385,7 @@
 	c.directory.setSeeds(cfg.SeedPeers())
 }
 
-// Reload takes the parts of the settings that may change while the daemon runs.
+// Reload applies the settings that may change while the daemon runs.
 func (c *Control) Reload() {
 	c.reloadSeeds()
 	c.Log.Info("settings read again", "seeds", c.directory.addresses())
--- a/site/entry.go
+++ b/site/entry.go
@@ -22,15 +22,17 @@
 )
 
 const (
-	// keysLapseFraction is the part of the revocation bound for which keys are believed without a confirmation by the leader.
+	// keysLapseFraction is the fraction of the revocation bound for which API keys stay valid without a confirmation by
+	// the leader.
 	keysLapseFraction = 0.8
-	// bodyMemoryFraction is the part of the VM's memory that bodies of requests may take together, and answers the same.
+	// bodyMemoryFraction is the fraction of the VM's memory that all request bodies may use together; responses get the
+	// same.
 	bodyMemoryFraction = 0.2
-	// notReadyGrace is how long new connections may still come after this daemon has said that it is not ready.
+	// notReadyGrace is how long new connections may still arrive after this daemon has reported that it is not ready.
 	notReadyGrace = 2500 * time.Millisecond
-	// stopMargin is left of the grace for the last lines and the exit.
+	// stopMargin is kept of the stop grace for the last log lines and the exit.
 	stopMargin = 700 * time.Millisecond
-	// readyHeaderTimeout bounds how long the platform's question for readiness may take.
+	// readyHeaderTimeout bounds reading the headers of the platform's readiness request.
 	readyHeaderTimeout = 5 * time.Second
 )
 
@@ -42,36 +44,37 @@
 	RequestLog   logr.Logger
 	Dial         transport.Dial
 	DecodeConfig func(body []byte) (*httproute.Config, error)
-	// ReadyHandler makes the handler that tells the platform whether callers may come.
+	// ReadyHandler builds the handler of the readiness endpoint.
 	ReadyHandler func(ready func() bool) http.Handler
 	LoadSettings func() (*settings.Site, error)
 
 	relay *relay.Relay
-	// callerServer serves them within the bounds of the configuration.
+	// callerServer serves callers within the bounds of the configuration.
 	callerServer *inbound.Server
 	directory    *directory
-	// peerEntries are the other entries.
+	// peerEntries exchanges updates with the other entries.
 	peerEntries  *peerEntries
 	meter        *meter.Meter
 	metrics      *entryMetrics
 	unrecognized unrecognizedQueue
-	// configBody is the configuration in force as operators sent it; needFullConfig is set when a change did not fit it. Both belong to the
-	// goroutine that follows the leader.
+	// configBody is the configuration in force as operators sent it; needFullConfig is set when a patch did not fit.
+	// Both belong to the goroutine that follows the leader, as do the fields up to leaderQuarantineDigest.
 	configBody     []byte
 	needFullConfig bool
-	// drainRevision is the revision of the drained halls in force; it belongs to the same goroutine.
+	// drainRevision is the revision of the drained halls in force.
 	drainRevision catalog.DrainRevision
-	// sentInflight are the requests at upstreams that the newest call named, known the upstreams; both belong to the same goroutine.
+	// sentInflight are the requests in progress by upstream that the last call reported, upstreamsByShortID the
+	// upstreams of the roster.
 	sentInflight       map[ident.Incarnation]int
 	upstreamsByShortID map[shortID]ident.Incarnation
-	// leaderQuarantineDigest is the digest of what the leader knows of held work; it belongs to the same goroutine.
+	// leaderQuarantineDigest is the digest of the leader's quarantined fingerprints.
 	leaderQuarantineDigest uint64
 	stop                   chan struct{}
 	stopOnce               sync.Once
 	wasReady               atomic.Bool
 }
 
-// NewEntry returns an entry whose callers and upstreams use names.
+// NewEntry returns an entry that uses the given header names with callers and upstreams.
 func NewEntry(cfg *settings.Site, headers relay.HeaderNames, dial transport.Dial) *Entry {
 	e := &Entry{
 		Settings: cfg, Log: logr.Discard(), RequestLog: logr.Discard(), Dial: dial,
@@ -98,7 +101,7 @@
 	return e
 }
 
-// Stop begins a planned stop, which Run ends.
+// Stop begins a planned stop, after which Run returns.
 func (e *Entry) Stop() {
 	e.stopOnce.Do(func() { close(e.stop) })
 }
@@ -156,7 +159,8 @@
 	return ready
 }
 
-// drainRequests lets callers move away and requests in progress end.
+// drainRequests waits for callers to switch to other entries and for requests in progress to end, within the stop
+// grace.
 func (e *Entry) drainRequests(ctx context.Context) {
 	e.Log.Info("planned stop begins", "grace-ms", e.Settings.Bounds.StopGrace.Std().Milliseconds())
 	e.relay.Stop()
@@ -164,11 +168,11 @@
 	defer cancel()
 	sleep(ctx, notReadyGrace)
 	if err := e.callerServer.Shutdown(ctx); err != nil {
-		e.Log.Info("requests were still in progress at the end of the grace", "error", err.Error())
+		e.Log.Info("requests still in progress at the end of the stop grace", "error", err.Error())
 	}
 }
 
-// fillCall fills in what the leader is told with each call.
+// fillCall fills in what this entry reports to the leader with each call.
 func (e *Entry) fillCall(call *SyncCall) {
 	call.From = e.Settings.PeerAddress()
 	call.Hall = e.Settings.Hall
@@ -186,9 +190,11 @@
 	e.countBackoffs(e.relay.Now())
 }
 
-// applyReply puts the leader's confirmation in force; began is the moment up to which it is certainly the newest.
+// applyReply applies a leader's reply; sentAt is when the call was sent, so the reply holds the newest state up to that
+// moment.
 func (e *Entry) applyReply(sentAt time.Time, reply *SyncReply) bool {
-	// Before anything that lets requests go: an entry that has just started knows of no work that is held.
+	// First of all: an entry that has just started knows no quarantined fingerprints, and what follows may make it
+	// ready.
 	e.applyQuarantine(reply)
 	e.applyLimits(reply)
 	if e.unrecognized.acknowledge(reply.Leadership) {
@@ -213,13 +219,14 @@
 	return newest
 }
 
-// applyCommitted puts what a daemon that does not lead holds in force; it confirms nothing.
+// applyCommitted applies the committed state from a daemon that does not lead; such a reply confirms nothing.
 func (e *Entry) applyCommitted(sentAt time.Time, reply *SyncReply) bool {
 	e.applyDrained(reply.Drained)
 	return e.applyConfig(sentAt, reply)
 }
 
-// applyConfig puts the configuration in a reply in force. If it can't, this daemon can't be sure of anything newer than what it has.
+// applyConfig puts the configuration in a reply in force. If it returns false, this daemon cannot know whether its
+// configuration is the newest.
 func (e *Entry) applyConfig(sentAt time.Time, reply *SyncReply) bool {
 	if reply.Config == nil && reply.Patch == nil {
 		return true
@@ -228,14 +235,14 @@
 	versionBefore := e.relay.Version()
 	body, err := e.unpackConfig(reply)
 	if err != nil {
-		e.Log.Error(err, "configuration cannot be unpacked, the whole one is asked for", "version", reply.Version, "patch", reply.Config == nil)
+		e.Log.Error(err, "configuration cannot be unpacked, requesting it in full", "version", reply.Version, "patch", reply.Config == nil)
 		e.needFullConfig = true
 		return false
 	}
 	cfg, err := e.DecodeConfig(body)
 	if err != nil {
-		// It was checked before it was accepted, so this is a fault of this build.
-		e.Log.Error(err, "accepted configuration cannot be read", "version", reply.Version)
+		// The configuration was checked before it was accepted, so this is a fault of this build.
+		e.Log.Error(err, "accepted configuration cannot be decoded", "version", reply.Version)
 		e.needFullConfig = true
 		return false
 	}
@@ -276,7 +283,7 @@
 	e.directory.setSeeds(cfg.SeedPeers())
 }
 
-// Reload takes the parts of the settings that may change while the daemon runs.
+// Reload applies the settings that may change while the daemon runs.
 func (e *Entry) Reload() {
 	e.reloadSeeds()
 	e.Log.Info("settings read again", "seeds", e.directory.addresses())
--- a/site/listen.go
+++ b/site/listen.go
@@ -10,19 +10,19 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// server serves connections of a listener until it is closed.
+// server serves the connections of a listener until it is closed.
 type server interface {
 	Serve(ln net.Listener) error
 	Close() error
 }
 
-// listener is an address and what is served there; without an address nothing is.
+// listener is an address and the server for it; it is skipped when the address is empty.
 type listener struct {
 	address string
 	server  server
 }
 
-// serveAll serves every listener in the background and returns the servers in the same order.
+// serveAll starts every listener in the background and returns the servers in the same order.
 func serveAll(log logr.Logger, list []listener) ([]server, error) {
 	var servers []server
 	for _, l := range list {
--- a/site/loglimiter.go
+++ b/site/loglimiter.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// logLimiter bounds the log lines on one matter that others can cause as often as they like.
+// logLimiter bounds the rate of log lines on events that other parties can cause at any rate.
 type logLimiter struct {
-	// linesPerSecond is how many lines each second may have, one if it is not set.
+	// linesPerSecond is the bound, one if it is not set.
 	linesPerSecond int
 
 	mu          sync.Mutex
@@ -16,7 +16,7 @@
 	occurrences int
 }
 
-// allow counts one case and reports whether it may be logged, and how many came since the last one that was.
+// allow counts one event and reports whether to log it, and how many events there were since the last logged one.
 func (l *logLimiter) allow(now time.Time) (occurrences int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
