--- a/site/directory.go
+++ b/site/directory.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// directory is what a daemon knows of where control is: the seeds of its settings, and what control daemons told it.
-// A seed may be gone for good, so learned addresses count as much as seeds.
+// directory holds the known addresses of control daemons: the seeds of the settings, and the addresses from control
+// daemons' replies. A seed may no longer exist, so received addresses count as much as seeds.
 type directory struct {
 	mu       sync.Mutex
 	seeds    []string
@@ -26,7 +26,7 @@
 	d.seeds = seeds
 }
 
-// update takes what a control daemon told.
+// update applies the leader and the control daemons that a control daemon's reply names.
 func (d *directory) update(leader string, controls []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -36,7 +36,7 @@
 	d.leader = leader
 }
 
-// forgetLeader is called when the leader does not answer, or does not lead any more.
+// forgetLeader is called when the leader does not answer or no longer leads.
 func (d *directory) forgetLeader(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -51,7 +51,7 @@
 	return d.leader
 }
 
-// nextAddress returns the leader, or one after the other of all known control daemons.
+// nextAddress returns the leader, or if that is unknown all known control daemons in rotation.
 func (d *directory) nextAddress() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -80,7 +80,7 @@
 	return list
 }
 
-// addresses returns every known address.
+// addresses returns every known address once, in order.
 func (d *directory) addresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/site/follow.go
+++ b/site/follow.go
@@ -15,28 +15,31 @@
 const (
 	// followRetryPause is the pause before the next control daemon is asked for the leader.
 	followRetryPause = 30 * time.Millisecond
-	// retryJitterPerEntry is the time for each entry over which entries that have lost their leader ask for the next one: calls of all of them at the
-	// same moment would keep that from its voters.
+	// retryJitterPerEntry is the retry jitter for each entry of the site after the leader is lost: calls of all entries
+	// at the same moment would cut the next leader off from its voters.
 	retryJitterPerEntry = 500 * time.Microsecond
-	// jitterMinEntries is from how many entries on they spread.
+	// jitterMinEntries is the number of entries from which on retries have jitter.
 	jitterMinEntries = 32
-	// reloadSeedsAfter is how long no leader was found until the settings are read again for other seeds.
+	// reloadSeedsAfter is the time without a leader after which the settings are read again for other seeds.
 	reloadSeedsAfter = 2 * time.Second
-	// unknownEntryCount stands for as many entries as make a leader keep calls for longest.
+	// unknownEntryCount is used while the number of entries is unknown; with it a leader's hold time is the longest.
 	unknownEntryCount = 1 << 10
 )
 
-// follower keeps a daemon up to date with the leader: one call at a time waits there for news. Fields are set before run.
+// follower keeps a daemon up to date with the leader, by one call at a time that waits there for updates. Function
+// fields are set before run.
 type follower struct {
 	links     *controlLinks
 	directory *directory
-	// fillCall fills in what this daemon tells with each call.
+	// fillCall fills in what this daemon reports with each call.
 	fillCall func(call *SyncCall)
-	// applyReply takes the leader's confirmation and reports whether the configuration in it, if any, is in force; began is when the call was sent.
+	// applyReply applies the leader's reply and reports whether its configuration, if any, is in force; sentAt is when
+	// the call was sent.
 	applyReply func(sentAt time.Time, reply *SyncReply) bool
-	// applyCommitted puts what a daemon that does not lead holds of the configuration in force, and reports whether it is.
+	// applyCommitted applies the committed state from a daemon that does not lead, and reports whether its
+	// configuration is in force.
 	applyCommitted func(sentAt time.Time, reply *SyncReply) bool
-	// rosterDigests returns the digests of what this daemon has of the roster, nil when it has nothing.
+	// rosterDigests returns the digests of this daemon's roster, nil when it has none.
 	rosterDigests func() *roster.Digests
 	// reloadSeeds reads the settings again for other seeds.
 	reloadSeeds func()
@@ -45,13 +48,13 @@
 	leadership LeadershipID
 	revision   roster.Revision
 	version    httproute.Version
-	// leaderEntries is how many entries the leader has; one that isn't known yet may have any number.
+	// leaderEntries is how many entries the leader has, or unknownEntryCount.
 	leaderEntries int
 	leaderSeenAt  time.Time
 	leaderLost    bool
-	// retryJitter is the time over which this daemon and all others ask for the next leader.
+	// retryJitter is the time over which this daemon and all others spread their next call after the leader is lost.
 	retryJitter time.Duration
-	// leaderUncertain is set when the next answer may come from another leader than the last one.
+	// leaderUncertain is set when the next reply may be from another leader than the last one.
 	leaderUncertain bool
 }
 
@@ -66,7 +69,7 @@
 	}
 }
 
-// syncOnce asks one daemon and reports whether it leads.
+// syncOnce calls one daemon and reports whether that daemon leads.
 func (f *follower) syncOnce() bool {
 	address := f.directory.nextAddress()
 	if address == "" {
@@ -81,7 +84,7 @@
 	reply, err := f.links.sync(address, f.leaderEntries, call)
 	if err != nil {
 		f.markLeaderUncertain()
-		// Idle connections may have gone silent with this one, and each would hold the next call for its whole time-out.
+		// Other idle connections may be dead as well, and each would hold the next call for its whole timeout.
 		f.links.dropSilentSince(sentAt)
 		f.directory.forgetLeader(address)
 		f.leaderEntries = unknownEntryCount
@@ -95,7 +98,7 @@
 	}
 	f.leaderEntries = max(1, reply.Entries)
 	if err := reply.unpack(); err != nil {
-		f.log.Error(err, "the leader's roster cannot be read", "leader", reply.Leader)
+		f.log.Error(err, "roster from the leader cannot be decoded", "leader", reply.Leader)
 		return false
 	}
 	f.leaderUncertain = false
@@ -106,7 +109,8 @@
 	return true
 }
 
-// acceptCommitted takes a newer configuration from a daemon that does not lead: while entries have no leader it was confirmed all the same.
+// acceptCommitted applies a newer configuration from a daemon that does not lead, since a configuration can be
+// confirmed while an entry has no contact with the leader.
 func (f *follower) acceptCommitted(sentAt time.Time, reply *SyncReply) {
 	if reply.Version <= f.version {
 		reply.Config, reply.Patch = nil, nil
@@ -116,7 +120,7 @@
 	}
 }
 
-// markLeaderUncertain notes that the leader that this daemon followed is lost, or may be.
+// markLeaderUncertain records that the leader is lost, or may be.
 func (f *follower) markLeaderUncertain() {
 	if !f.leaderUncertain {
 		f.retryJitter = jitterFor(f.leaderEntries)
@@ -124,7 +128,7 @@
 	f.leaderUncertain = true
 }
 
-// jitterFor is the time over which so many entries ask for a leader, 0 where they are few, or not known.
+// jitterFor returns the retry jitter for a number of entries, 0 where there are few or the number is unknown.
 func jitterFor(entries int) time.Duration {
 	if entries < jitterMinEntries || entries == unknownEntryCount {
 		return 0
@@ -132,7 +136,7 @@
 	return time.Duration(entries) * retryJitterPerEntry
 }
 
-// unpack puts a packed roster, and packed lists, in the places of what is not packed.
+// unpack replaces Changes and Lists by the packed roster and lists, where the reply has these.
 func (r *SyncReply) unpack() error {
 	if r.Packed != nil {
 		r.Changes = roster.Delta{}
@@ -146,7 +150,8 @@
 	return nil
 }
 
-// recordReply remembers what this daemon then has; nothing goes back within its life.
+// recordReply records the state that the reply brings, and drops a configuration that is not newer: a daemon never
+// returns to an older one while it runs.
 func (f *follower) recordReply(reply *SyncReply) {
 	if reply.Usable {
 		f.leadership = reply.Leadership
--- a/site/members.go
+++ b/site/members.go
@@ -1,14 +1,12 @@
 package site
 
-// How the control quorum finds itself. At the very first start the seeds know
-// each other's addresses from their settings: the one with the lowest address
-// asks all of them who they are and makes them the first voters. Every other
-// control daemon asks the leader to be taken in, as does one whose folder is
-// empty again; the log then brings it up to date before it gets a vote.
+// Formation of the control quorum. At the first start of a site the seeds know each other's addresses from their
+// settings: the seed with the lowest address asks all others for their IDs and makes them the first voters. Every other
+// control daemon asks the leader to be added as a member, and so does a daemon whose folder is empty again; the log
+// brings the new member up to date before it gets a vote.
 //
-// A voter is removed only after another one has been promoted in its place, so
-// a majority of the voters always includes someone who holds what was
-// acknowledged. Two of five folders may be lost at once that way.
+// A voter is removed only after another member has been promoted in its place, so a majority of the voters always
+// includes one that holds what was acknowledged. This way two of five folders may be lost at once.
 
 import (
 	"context"
@@ -21,17 +19,18 @@
 )
 
 const (
-	// membershipInterval is how often membership is looked at.
+	// membershipInterval is how often membership is checked.
 	membershipInterval = 150 * time.Millisecond
-	// maxVoters is the number of voters that a site grows to: it survives two losses at once.
+	// maxVoters is the number of voters that a site grows to: with five it survives two losses at once.
 	maxVoters = 5
-	// replaceVoterAfter is how long a voter must be silent until a waiting daemon takes its place; a restart takes a second.
+	// replaceVoterAfter is how long a voter must be silent until a waiting daemon replaces it; a restart takes a
+	// second.
 	replaceVoterAfter = 2500 * time.Millisecond
-	// joinRequestTTL is how long a daemon that asked to be taken in is remembered.
+	// joinRequestTTL is how long a request to join is remembered.
 	joinRequestTTL = 2 * time.Second
-	// joinAfterSilence is how long a daemon hears no leader's log before it asks to be taken in.
+	// joinAfterSilence is how long a daemon receives nothing from a leader's log before it asks to join.
 	joinAfterSilence = 700 * time.Millisecond
-	// learnerTimeout is how long a learner may be silent before it is dropped.
+	// learnerTimeout is how long a learner may be silent before it is removed.
 	learnerTimeout = 10 * time.Second
 )
 
@@ -45,7 +44,7 @@
 		status := c.node.Status()
 		switch {
 		case status.Expelled:
-			c.fatal(result.New(result.NotAdmitted, "this data folder lost what it had synced; empty it"))
+			c.fatal(result.New(result.NotAdmitted, "this data folder lost data that it had synced to disk; empty the folder"))
 			return
 		case status.Role == quorum.RoleLeader:
 			c.changeMembers(ctx, &status)
@@ -58,12 +57,12 @@
 	}
 }
 
-// quorumWorking reports whether the quorum has formed as far as this daemon knows.
+// quorumWorking reports whether the quorum has formed, as far as this daemon knows.
 func (c *Control) quorumWorking(status *quorum.Status) bool {
 	return status.Formed && (status.Commit > 0 || status.Leader != "")
 }
 
-// Voters returns how many members the control quorum has, as this daemon knows it.
+// Voters returns how many voters the control quorum has, as far as this daemon knows.
 func (c *Control) Voters() int {
 	n := 0
 	for _, m := range c.node.Status().Members {
@@ -74,7 +73,7 @@
 	return n
 }
 
-// IsVoter reports whether this daemon has a vote, as it knows itself.
+// IsVoter reports whether this daemon has a vote, as far as it knows.
 func (c *Control) IsVoter() bool {
 	for _, m := range c.node.Status().Members {
 		if m.ID == c.self {
@@ -100,7 +99,8 @@
 	return len(seeds) > 0 && seeds[0] == string(c.self.Name)
 }
 
-// formQuorum makes the seeds the first voters, once in the life of a site, when all of them answer that they were never formed.
+// formQuorum makes the seeds the first voters, once in the lifetime of a site, if all of them answer that they belong
+// to no quorum yet.
 func (c *Control) formQuorum(ctx context.Context, status *quorum.Status) {
 	members := []quorum.Member{{ID: c.self, Voter: true}}
 	for _, address := range c.Settings.SeedPeers() {
@@ -119,7 +119,7 @@
 	} else {
 		members = status.Members
 	}
-	// A message may be lost, so the first members are told again until the log works.
+	// A message may be lost, so this is repeated until the log works.
 	for _, m := range members {
 		if m.ID != c.self {
 			c.links.send([]quorum.Message{{
@@ -129,7 +129,7 @@
 	}
 }
 
-// requestJoin asks the leader to take this daemon in.
+// requestJoin asks the leader to add this daemon as a member.
 func (c *Control) requestJoin() {
 	address := c.leader()
 	if address == "" || address == string(c.self.Name) {
@@ -156,7 +156,7 @@
 	return JoinReply{Leads: leads, Leader: c.leader()}
 }
 
-// changeMembers changes the members by one step when something calls for it.
+// changeMembers changes the members by one step if needed.
 func (c *Control) changeMembers(ctx context.Context, status *quorum.Status) {
 	members, reason := nextMembers(clock.Now(), status, c.currentJoinRequests(status))
 	if members == nil {
@@ -186,8 +186,8 @@
 	return list
 }
 
-// nextMembers returns the members after the next step and why, or nil when nothing is to be done. A learner gets its vote
-// from the log itself, once it has caught up.
+// nextMembers returns the members after the next step and the reason, or nil when no step is needed. The log promotes a
+// learner by itself once the learner has caught up.
 func nextMembers(now time.Time, status *quorum.Status, joining []quorum.MemberID) ([]quorum.Member, string) {
 	silentFor := silenceByMember(now, status)
 	voters := 0
@@ -201,7 +201,7 @@
 	}
 	if voters > maxVoters {
 		if id, ok := voterToRemove(status, silentFor, joining); ok {
-			return withoutMember(status.Members, id), "a voter that is silent has been replaced"
+			return withoutMember(status.Members, id), "a silent voter has been replaced"
 		}
 	}
 	for _, m := range status.Members {
@@ -215,9 +215,9 @@
 	for _, id := range joining {
 		switch {
 		case replacesVoter(status, id):
-			return withLearner(status.Members, id), "a voter came back with an empty folder"
+			return withLearner(status.Members, id), "a voter returned with an empty folder"
 		case voters < maxVoters:
-			return withLearner(status.Members, id), "there are few voters"
+			return withLearner(status.Members, id), "there are fewer voters than wanted"
 		case anySilentVoter(status, silentFor):
 			return withLearner(status.Members, id), "a voter is silent"
 		}
@@ -225,7 +225,8 @@
 	return nil, ""
 }
 
-// silenceByMember returns how long each follower has not answered; one that was proved to have lost its log counts as silent for long.
+// silenceByMember returns how long each follower has not answered; one that is known to have lost its log counts as
+// silent for an hour.
 func silenceByMember(now time.Time, status *quorum.Status) map[quorum.MemberID]time.Duration {
 	list := map[quorum.MemberID]time.Duration{}
 	for _, f := range status.Followers {
@@ -237,7 +238,7 @@
 	return list
 }
 
-// replacesVoter reports whether id has the address of a voter with another folder, which is then gone.
+// replacesVoter reports whether id has the address of a voter with another folder; that voter no longer exists.
 func replacesVoter(status *quorum.Status, id quorum.MemberID) bool {
 	for _, m := range status.Members {
 		if m.Voter && m.ID.Name == id.Name && m.ID.Folder != id.Folder {
@@ -256,7 +257,8 @@
 	return false
 }
 
-// voterToRemove returns the voter to remove: one whose address has another member now, or else the one silent for longest.
+// voterToRemove returns the voter to remove: one whose address another member uses now, else the one that has been
+// silent for the longest time.
 func voterToRemove(status *quorum.Status, silentFor map[quorum.MemberID]time.Duration, joining []quorum.MemberID) (quorum.MemberID, bool) {
 	var candidate quorum.MemberID
 	longest := replaceVoterAfter
