--- a/site/backoff.go
+++ b/site/backoff.go
@@ -1,8 +1,8 @@
 package site
 
-// Upstreams ask entries to send them nothing for a time, or say that they leave.
-// Each entry keeps that for itself; the leader is told who does, so that
-// operators see it, and takes a leaving one for what it says it is.
+// Upstreams may ask entries to send them no requests for a time, or announce that they shut down. Each entry applies
+// this by itself; it reports the backoffs to the leader for operators to see, and the leader marks upstreams that shut
+// down as leaving.
 
 import (
 	"cmp"
@@ -18,21 +18,21 @@
 	"github.com/dunlinquay/dunlinquay/settings"
 )
 
-// backoffRule is the rule that the settings give.
+// backoffRule returns the rule of the settings.
 func backoffRule(cfg *settings.Backoff) backoff.Rule {
 	rule := backoff.DefaultRule()
 	rule.Max, rule.Leaving = cfg.Most.Std(), cfg.Leaving.Std()
 	return rule
 }
 
-// ApplyNotice takes what an upstream asks for with its answer to an order or a question.
+// ApplyNotice applies what an upstream's answer to an order or a query asks for.
 func (c *Control) ApplyNotice(id ident.Incarnation, notice backoff.Notice) {
 	now := clock.Now()
 	switch {
 	case notice.BackoffErr != nil:
-		c.Log.Info("upstream asks for something unreadable", "upstream", id, "code", result.CodeOf(notice.BackoffErr), "error", result.Message(notice.BackoffErr))
+		c.Log.Info("upstream sent an unreadable backoff", "upstream", id, "code", result.CodeOf(notice.BackoffErr), "error", result.Message(notice.BackoffErr))
 	case notice.Backoff > 0 && c.backoffs.NoteRefusal(now, id, notice.Backoff):
-		c.Log.Info("upstream asked for time", "upstream", id, "retry-after", notice.RetryAfterText, "asked-ms", notice.Backoff.Milliseconds())
+		c.Log.Info("upstream requested a backoff", "upstream", id, "retry-after", notice.RetryAfterText, "asked-ms", notice.Backoff.Milliseconds())
 	}
 	c.applyLimit(id, &notice, now)
 	c.noteUnrecognizedHeaders(id, notice.Header)
@@ -41,26 +41,26 @@
 	}
 }
 
-// applyLimit notes the limit that an upstream names. Orders and questions do not count against it: a group is formed by a handful of
-// them, and one that takes few requests must be closed as soon as any other.
+// applyLimit records the limit that an upstream sets. Orders and queries do not count against the limit: a group is
+// formed by a handful of orders, and an upstream with a low limit must be closed as soon as any other.
 func (c *Control) applyLimit(id ident.Incarnation, notice *backoff.Notice, now time.Time) {
 	if notice.LimitErr != nil {
-		c.Log.Info("upstream names an unreadable limit", "upstream", id, "code", result.CodeOf(notice.LimitErr), "error", result.Message(notice.LimitErr))
+		c.Log.Info("upstream sent an unreadable limit", "upstream", id, "code", result.CodeOf(notice.LimitErr), "error", result.Message(notice.LimitErr))
 	}
 	if !notice.Limited {
 		return
 	}
 	if previous, changed := c.limits.Record(id, notice.Limit, now); changed {
-		c.Log.Info("upstream names a limit", "upstream", id, "limit", notice.Limit, "was", previous.Rate)
+		c.Log.Info("upstream set a limit", "upstream", id, "limit", notice.Limit, "was", previous.Rate)
 	}
 }
 
-// backedOff reports whether an upstream asked this daemon for time that is not over.
+// backedOff reports whether a backoff that an upstream requested from this daemon is still in effect.
 func (c *Control) backedOff(id ident.Incarnation) bool {
 	return c.backoffs.StateOf(clock.Now(), id).Remaining > 0
 }
 
-// slowdownQuery returns how engines are asked for their pace, nil where they can't be.
+// slowdownQuery returns the function that queries engines for their slowdown, nil when engines can't be asked.
 func (c *Control) slowdownQuery() func(ctx context.Context, address string, id ident.Incarnation) (float64, error) {
 	if c.QuerySlowdown == nil {
 		return nil
@@ -68,24 +68,24 @@
 	return c.queryUnlessBackedOff
 }
 
-// queryUnlessBackedOff asks an engine for its pace unless it asked for time.
+// queryUnlessBackedOff queries an engine's slowdown unless the engine requested a backoff.
 func (c *Control) queryUnlessBackedOff(ctx context.Context, address string, id ident.Incarnation) (float64, error) {
 	if c.backedOff(id) {
-		return 0, result.New(result.BackedOff, "it asked for time")
+		return 0, result.New(result.BackedOff, "the upstream requested a backoff")
 	}
 	return c.QuerySlowdown(ctx, address, id)
 }
 
-// BackoffState is what an upstream asked one entry for, as operators see it.
+// BackoffState is an upstream's backoff at one entry, as operators see it.
 type BackoffState struct {
-	// Entry is the peers' address of the entry that it asked.
+	// Entry is the peer address of the entry.
 	Entry string `json:"entry"`
-	// ForMS is for how long it is still sent nothing from there; Leaving is set when that is because it leaves.
+	// ForMS is how much longer the entry sends the upstream nothing; Leaving is set when the upstream is shutting down.
 	ForMS   int64 `json:"for-ms"`
 	Leaving bool  `json:"leaving"`
 }
 
-// backoffStates returns what upstreams want, by the newest calls of all entries; the mutex is held.
+// backoffStates returns the backoffs by the newest calls of all entries; the mutex is held.
 func (r *leadership) backoffStates(now time.Time) map[ident.Incarnation][]BackoffState {
 	list := map[ident.Incarnation][]BackoffState{}
 	for name, e := range r.entries {
@@ -102,7 +102,7 @@
 	return list
 }
 
-// applyLeaving takes upstreams for what they told an entry that they are: leaving.
+// applyLeaving marks the upstreams that told the calling entry that they shut down.
 func (r *leadership) applyLeaving(call *SyncCall) {
 	for i := range call.Seen {
 		if call.Seen[i].Leaving {
@@ -111,14 +111,14 @@
 	}
 }
 
-// markLeaving notes that an upstream told somebody that it leaves.
+// markLeaving marks an upstream as leaving; source is the daemon that learned of it.
 func (r *leadership) markLeaving(id ident.Incarnation, source string) {
 	if r.roster.MarkDraining(id) {
 		r.control.Log.Info("upstream leaves", "upstream", id, "told", source)
 	}
 }
 
-// logUpstreamSignal logs and counts what has changed of what an upstream asks for.
+// logUpstreamSignal logs and counts a change in what an upstream asks for.
 func (e *Entry) logUpstreamSignal(signal *relay.BackpressureEvent) {
 	e.meter.Scope.Tagged(map[string]string{"kind": string(signal.Kind)}).Counter("upstream_askings").Inc(1)
 	fields := []any{"upstream", signal.Upstream, "group", signal.Group}
@@ -140,13 +140,14 @@
 	}
 	log := e.Log
 	if signal.Kind == relay.BackpressureUnreadable || signal.Kind == relay.BackpressureUnrecognized {
-		// Each answer may have one; what changes a state is kept when the log falls behind.
+		// Any answer may carry one of these, so they use the request log; lines on changes of state must not be lost
+		// among them.
 		log = e.RequestLog
 	}
 	log.Info("upstream "+string(signal.Kind), fields...)
 }
 
-// countBackoffs updates how many upstreams want nothing from this entry, and how many have named a limit.
+// countBackoffs updates how many upstreams are backed off or limited at this entry.
 func (e *Entry) countBackoffs(now time.Time) {
 	n := 0
 	e.relay.Backoff.Each(now, func(ident.Incarnation, backoff.State) { n++ })
--- a/site/held.go
+++ b/site/held.go
@@ -1,9 +1,8 @@
 package site
 
-// Entries tell each other of work under which upstreams ended by datagrams. The
-// leader passes the same reports on with its syncs: datagrams may be filtered,
-// and every entry that serves has a way to the leader. Both sides name all that
-// they know by a digest, so nothing is sent while they know the same.
+// Entries exchange quarantine reports, on request fingerprints under which upstreams crashed, by datagrams. The leader
+// distributes the same reports with its sync replies: datagrams may be filtered, while every serving entry has a
+// connection to the leader. Both sides compare digests of their reports and send nothing while these are equal.
 
 import (
 	"net/netip"
@@ -15,24 +14,25 @@
 	"github.com/dunlinquay/dunlinquay/settings"
 )
 
-// maxSyncReports bounds the reports of one sync, 26 to 98 bytes each in CBOR with a short name of the customer.
+// maxSyncReports bounds the quarantine reports of one sync, 26 to 98 bytes each in CBOR with a short customer name.
 const maxSyncReports = 32
 
-// maxSavedReports bounds the works that are kept on disk, the longest held first.
+// maxSavedReports bounds the quarantine reports that are saved to disk; those with the longest quarantine left are
+// kept.
 const maxSavedReports = 256
 
-// QuarantineState is a work that is held, as operators see it.
+// QuarantineState is a quarantined request fingerprint, as operators see it.
 type QuarantineState struct {
 	Customer ident.Customer `json:"customer"`
-	// Content is the digest of the request's path and body, as in the lines on requests.
+	// Content is the digest of the request's path and body, as in the request log.
 	Content string `json:"content"`
-	// Ends is how many upstreams ended under it in a row, ForMS how long it is still held.
+	// Ends is how many upstreams in a row crashed under such requests, ForMS how much longer they are refused.
 	Ends  int   `json:"ends"`
 	ForMS int64 `json:"for-ms"`
 }
 
-// mergeQuarantine takes what a caller tells of works, and fills in what it does not know. Control daemons that follow are told too, so that a
-// new leader and one that starts again know it.
+// mergeQuarantine applies the caller's quarantine reports, and adds the caller's missing ones to the reply. Followers
+// receive them too, so that a new leader knows them, as does a follower that has restarted.
 func (c *Control) mergeQuarantine(now time.Time, call *SyncCall, reply *SyncReply) {
 	c.applyQuarantine(now, call.Held)
 	reply.HeldSum = c.quarantine.Digest(now)
@@ -41,14 +41,14 @@
 	}
 }
 
-// applyQuarantine takes what others know of works.
+// applyQuarantine applies quarantine reports of other daemons.
 func (c *Control) applyQuarantine(now time.Time, list []quarantine.Report) {
 	for i := range list {
 		c.quarantine.Merge(now, &list[i])
 	}
 }
 
-// quarantineStates returns what is held now.
+// quarantineStates returns the fingerprints in quarantine now.
 func (c *Control) quarantineStates(now time.Time) []QuarantineState {
 	var list []QuarantineState
 	for _, report := range c.quarantine.Quarantined(now) {
@@ -57,24 +57,24 @@
 	return list
 }
 
-// fillQuarantine fills in what the leader is told of works.
+// fillQuarantine adds this entry's quarantine reports to a call.
 func (e *Entry) fillQuarantine(call *SyncCall) {
 	list, now := e.relay.Quarantine, e.relay.Now()
 	call.HeldSum = list.Digest(now)
 	if call.HeldSum != e.leaderQuarantineDigest {
-		// Asked for only when it is sent: each time it is the next ones' turn.
+		// ToSend rotates over the reports, so it is called only when its result is sent.
 		call.Held = list.ToSend(now, maxSyncReports)
 	}
 	e.metrics.quarantined.Update(float64(list.QuarantinedLen(now)))
 }
 
-// applyQuarantine takes what the leader knows of works.
+// applyQuarantine applies the leader's quarantine reports.
 func (e *Entry) applyQuarantine(reply *SyncReply) {
 	e.leaderQuarantineDigest = reply.HeldSum
 	e.relay.ApplyQuarantineReports(reply.Held, netip.AddrPort{})
 }
 
-// logQuarantineEvent logs what became of held work.
+// logQuarantineEvent logs a change of a fingerprint's quarantine.
 func (e *Entry) logQuarantineEvent(event *relay.QuarantineEvent) {
 	from := "this entry"
 	if event.From.IsValid() {
@@ -87,14 +87,14 @@
 func quarantineAction(event *relay.QuarantineEvent) string {
 	switch {
 	case event.Trying:
-		return "let in once more"
+		return "admitted for one attempt"
 	case len(event.Ends) == 0:
 		return "cleared"
 	}
 	return "held"
 }
 
-// quarantineRule is the rule that the settings give.
+// quarantineRule returns the rule of the settings.
 func quarantineRule(cfg *settings.Quarantine) quarantine.Rule {
 	return quarantine.Rule{Crashes: cfg.Ends, InitialDuration: cfg.Hold.Std(), MaxRecords: cfg.Records}
 }
--- a/site/limits.go
+++ b/site/limits.go
@@ -1,8 +1,8 @@
 package site
 
-// Entries tell each other of limits that upstreams name by datagrams. The leader
-// passes them on as well: an entry that has just started would send an upstream
-// what it likes until that tells it, and datagrams may be filtered.
+// Entries send each other the limits that upstreams set in datagrams. The leader sends them as well: an entry that has
+// just started would send an upstream requests without bound until the upstream's first answer, and datagrams may be
+// filtered.
 
 import (
 	"cmp"
@@ -15,29 +15,30 @@
 	"github.com/dunlinquay/dunlinquay/sharing"
 )
 
-// maxLimitAge is how old the word of an upstream may be that the leader passes on: an entry that has requests there hears it more often,
-// and the end of a limit is not told.
+// maxLimitAge is the age up to which the leader sends on a limit: an entry with requests at the upstream gets newer
+// answers itself, and the removal of a limit is not sent.
 const maxLimitAge = 5 * time.Second
 
-// LimitSummary is the limit of an upstream, how long ago it said so, and how many entries go by their own parts of it.
+// LimitSummary is the limit of an upstream, its age, and how many entries use their local share of it.
 type LimitSummary struct {
 	Rate  ratelimit.Rate
 	Age   time.Duration
 	Apart int
 }
 
-// applyLimits takes what upstreams told an entry of their limits.
+// applyLimits applies the limits that upstreams set in answers to an entry.
 func (c *Control) applyLimits(now time.Time, call *SyncCall) {
 	for i := range call.Seen {
-		// What an entry heard of others is not passed on: the time that it was on its way would make it look younger each time.
+		// A limit that the entry has from others is not sent on: the time in transit would make it look younger each
+		// time.
 		if limit := call.Seen[i].Limit; limit != nil && limit.Own {
 			c.limits.Merge(call.Seen[i].ID, limit.Rate, now.Add(-limit.Said))
 		}
 	}
 }
 
-// limitSummaries returns the limits of which the leader has heard lately, and those of which entries take their own parts; nil where there
-// are none.
+// limitSummaries returns the limits that upstreams set within maxLimitAge, and those of which entries use local shares;
+// nil where there are none.
 func (r *leadership) limitSummaries(now time.Time) map[ident.Incarnation]LimitSummary {
 	limits := r.control.limits
 	if limits.Count() == 0 {
@@ -55,7 +56,7 @@
 	return summaries
 }
 
-// countLocalShares counts the entries that go by their own parts of limits, by what one saw; the mutex is held.
+// countLocalShares adds delta to the number of entries on a local share if seen reports one; the mutex is held.
 func (r *leadership) countLocalShares(seen *relay.Observation, delta int) {
 	if seen.Limit == nil || !seen.Limit.Apart {
 		return
@@ -68,26 +69,29 @@
 
 // LimitState is the limit of an upstream, as operators see it.
 type LimitState struct {
-	// Limit is in requests a second, SinceMS is how long ago it was first named, SaidMS how long ago it was last.
+	// Limit is in requests a second, SinceMS is how long ago the upstream first set it, SaidMS how long ago it last
+	// did.
 	Limit   ratelimit.Rate `json:"limit"`
 	SinceMS int64          `json:"since-ms"`
 	SaidMS  int64          `json:"said-ms"`
-	// Coordinator is the entry that lets requests go there.
+	// Coordinator is the entry that grants permits for the upstream.
 	Coordinator string       `json:"coordinator"`
 	Entries     []LimitShare `json:"entries"`
 }
 
-// LimitShare is what one entry gets of a limit.
+// LimitShare is one entry's use of a limit.
 type LimitShare struct {
 	Entry string `json:"entry"`
-	// ToldMS is how long ago the upstream named the limit to this entry, -1 when others did.
+	// ToldMS is how long ago the upstream sent the limit to this entry, -1 when the entry has it from others.
 	ToldMS int64 `json:"told-ms"`
-	// Lately is how many requests were let go in the last ten seconds, the others are since the entry knows of the limit.
+	// Lately is how many permits were granted in the last ten seconds; the other counts are since the entry knows the
+	// limit.
 	Lately     int `json:"lately"`
 	Granted    int `json:"granted"`
 	Refused    int `json:"refused"`
 	Unanswered int `json:"unanswered"`
-	// Apart is set when it can't reach the coordinator and goes by its own part, Own is how many it has sent by that.
+	// Apart is set when the entry can't reach the coordinator and uses its local share, Own is how many requests it has
+	// sent within that share.
 	Apart bool `json:"apart"`
 	Own   int  `json:"own"`
 }
@@ -117,7 +121,7 @@
 	return states
 }
 
-// withEntry adds what an entry told of a limit so long ago.
+// withEntry adds what an entry reported of a limit callAge ago.
 func (l *LimitState) withEntry(entry string, seen *relay.LimitObservation, callAge time.Duration) *LimitState {
 	saidMS, sinceMS := (seen.Said + callAge).Milliseconds(), (seen.Since + callAge).Milliseconds()
 	if l == nil {
@@ -138,7 +142,7 @@
 	return l
 }
 
-// applyLimits takes what the leader has heard of limits.
+// applyLimits applies the limits that the leader sends.
 func (e *Entry) applyLimits(reply *SyncReply) {
 	var localShares map[ident.Incarnation]int
 	for id, limit := range reply.Limits {
--- a/site/undeclared.go
+++ b/site/undeclared.go
@@ -8,11 +8,11 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// maxUndeclared bounds the upstreams of services that are not declared of which the newest report is kept.
+// maxUndeclared bounds the upstreams whose report is kept for an undeclared service.
 const maxUndeclared = 4096
 
-// undeclared keeps the newest reports of upstreams whose service is not declared: they name nothing to use until a configuration
-// declares it.
+// undeclared keeps the newest reports of upstreams whose service is not declared: these upstreams cannot be used until
+// a configuration declares the service.
 type undeclared struct {
 	reports map[ident.Incarnation]undeclaredReport
 	version httproute.Version
@@ -41,7 +41,8 @@
 	u.reports[r.ID] = undeclaredReport{r, now}
 }
 
-// takeDeclared returns the reports of services that a newer configuration declares and forgets these, and all that are too old.
+// takeDeclared removes and returns the reports of services that a newer configuration declares; reports older than
+// maxAge are dropped.
 func (u *undeclared) takeDeclared(now time.Time, table *httproute.Table, maxAge time.Duration) []undeclaredReport {
 	if u.version == table.Config.Version {
 		return nil
@@ -60,7 +61,7 @@
 	return list
 }
 
-// applyDeclared takes the reports of upstreams whose service has just been declared.
+// applyDeclared applies the reports of upstreams whose service has just been declared.
 func (r *leadership) applyDeclared(now time.Time, table *httproute.Table) {
 	r.mu.Lock()
 	list := r.undeclared.takeDeclared(now, table, r.roster.SilentAfter)
--- a/site/unread.go
+++ b/site/unread.go
@@ -1,7 +1,7 @@
 package site
 
-// What upstreams say that nothing here reads is told to the leader once, so that
-// operators see it: it may be a wish that is not kept.
+// Names of headers and fields from upstreams that no code recognizes are sent to the leader once, so that operators see
+// them: such a header may be a request that is not met.
 
 import (
 	"net/http"
@@ -12,19 +12,19 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// maxUnrecognizedUpstreams bounds the upstreams of which one call tells such words.
+// maxUnrecognizedUpstreams bounds the upstreams in one call's unrecognized names.
 const maxUnrecognizedUpstreams = 64
 
-// unrecognizedQueue are the words that the leader has not been told of yet.
+// unrecognizedQueue holds the names that the leader has not received yet.
 type unrecognizedQueue struct {
 	mu      sync.Mutex
 	pending map[ident.Incarnation][]string
-	// inCall are those of the call that is out, leadership is the leader that knows all others.
+	// inCall are the names in the outstanding call, leadership is the leader that has received all others.
 	inCall     map[ident.Incarnation][]string
 	leadership LeadershipID
 }
 
-// add notes a word for the leader.
+// add queues a name for the leader.
 func (n *unrecognizedQueue) add(id ident.Incarnation, name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -34,7 +34,7 @@
 	n.pending[id] = append(n.pending[id], name)
 }
 
-// takeForCall returns what the leader is told with the next call, nil when there is nothing.
+// takeForCall returns the names for the next call, nil when there are none.
 func (n *unrecognizedQueue) takeForCall() map[ident.Incarnation][]string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -51,7 +51,8 @@
 	return n.inCall
 }
 
-// acknowledge notes that a leader has taken the call, and reports whether it is another one, which has to be told all.
+// acknowledge removes the names of the last call, which a leader has received, and reports whether the leader is a new
+// one, to which all names have to be sent.
 func (n *unrecognizedQueue) acknowledge(leadership LeadershipID) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -67,7 +68,7 @@
 	return newLeader
 }
 
-// resendUnrecognized lets the next calls tell a new leader of all words.
+// resendUnrecognized queues all known names for a new leader.
 func (e *Entry) resendUnrecognized() {
 	e.relay.Unrecognized.Each(func(id ident.Incarnation, names []string) {
 		e.unrecognized.mu.Lock()
@@ -79,10 +80,10 @@
 	})
 }
 
-// unrecognizedPruneInterval is how often what ended upstreams said is forgotten.
+// unrecognizedPruneInterval is how often the names of removed upstreams are deleted.
 const unrecognizedPruneInterval = 10 * time.Second
 
-// pruneUnrecognized forgets what upstreams said that have ended.
+// pruneUnrecognized deletes the names of upstreams that are no longer in the roster.
 func (r *leadership) pruneUnrecognized(now time.Time) {
 	if now.Sub(r.unrecognizedPrunedAt) < unrecognizedPruneInterval {
 		return
@@ -96,21 +97,21 @@
 	r.control.Unrecognized.Retain(func(id ident.Incarnation) bool { return existing[id] })
 }
 
-// noteUnrecognizedHeaders notes what an engine says with its answer to an order or a question that nothing reads.
+// noteUnrecognizedHeaders records unrecognized headers in an engine's answer to an order or a query.
 func (c *Control) noteUnrecognizedHeaders(id ident.Incarnation, headers http.Header) {
 	for _, name := range c.Unrecognized.AddHeaders(id, headers) {
-		c.Log.Info("upstream says what nothing reads", "upstream", id, "word", name)
+		c.Log.Info("upstream sent an unrecognized header", "upstream", id, "word", name)
 	}
 }
 
-// NoteUnrecognizedReportFields notes fields of an upstream's report that nothing reads.
+// NoteUnrecognizedReportFields records unrecognized fields of an upstream's report.
 func (c *Control) NoteUnrecognizedReportFields(id ident.Incarnation, fields []string) {
 	for _, field := range c.Unrecognized.AddNames(id, fields) {
-		c.Log.Info("upstream says what nothing reads", "upstream", id, "field", field)
+		c.Log.Info("upstream sent an unrecognized field", "upstream", id, "field", field)
 	}
 }
 
-// LogUnrecognizedConfigFields tells of fields of an accepted configuration that nothing reads.
+// LogUnrecognizedConfigFields logs unrecognized fields of an accepted configuration.
 func (c *Control) LogUnrecognizedConfigFields(version httproute.Version, fields []string) {
-	c.Log.Info("configuration says what nothing reads", "version", version, "fields", fields)
+	c.Log.Info("configuration has unrecognized fields", "version", version, "fields", fields)
 }
