--- a/site/paces.go
+++ b/site/paces.go
@@ -1,9 +1,8 @@
 package site
 
-// A group runs at the pace of its slowest member, and only the member can say
-// that it is the slow one. So the members of a group whose streams pause for
-// longer than those of a full group, or that stands still, are asked for their
-// pace, and those that are slow again and again until they are not.
+// A group runs at the speed of its slowest member, and only the member itself can tell that it is slow. The leader
+// therefore queries the members of each group that has stalled or whose event gaps exceed those of a full group, and
+// queries slow members repeatedly until they are no longer slow.
 
 import (
 	"context"
@@ -22,19 +21,20 @@
 )
 
 const (
-	// gapHalfLife is the time after which a pause between events counts half.
+	// gapHalfLife is the half-life of observed event gaps.
 	gapHalfLife = 700 * time.Millisecond
-	// minGapEvents is the number of events from which on their pauses say something of a group.
+	// minGapEvents is the number of events needed for a group's mean gap.
 	minGapEvents = 6.0
-	// slowQueryInterval is when an upstream that is slow is asked again, normalQueryInterval when one that is not is, stalledQueryInterval when one is whose
-	// group stands still for longer than stalledAfter: what it said may be as old as its last report.
+	// slowQueryInterval, normalQueryInterval and stalledQueryInterval are the intervals between queries to an upstream
+	// that is slow, that is not, and whose group has stalled for stalledAfter: an answer may be as old as the
+	// upstream's last report.
 	slowQueryInterval    = time.Second
 	normalQueryInterval  = 3 * time.Second
 	stalledQueryInterval = 400 * time.Millisecond
 	stalledAfter         = 500 * time.Millisecond
-	// slowdownTTL is how long an answer counts.
+	// slowdownTTL is how long an answer is valid.
 	slowdownTTL = 2500 * time.Millisecond
-	// slowdownQueryTimeout bounds a question; engines answer at once.
+	// slowdownQueryTimeout bounds a query; engines answer at once.
 	slowdownQueryTimeout = 500 * time.Millisecond
 )
 
@@ -44,7 +44,7 @@
 	slowdown   float64
 }
 
-// gapSum is a fading sum of events and the time between them.
+// gapSum is an exponentially decaying sum of events and of the time between them.
 type gapSum struct {
 	events     float64
 	gapSeconds float64
@@ -58,7 +58,7 @@
 	s.decayedAt = now
 }
 
-// slowdownTracker is what a leader knows of how fast groups and upstreams are.
+// slowdownTracker holds what a leader knows of the speed of groups and upstreams.
 type slowdownTracker struct {
 	query func(ctx context.Context, address string, id ident.Incarnation) (float64, error)
 	log   logr.Logger
@@ -72,7 +72,7 @@
 	return &slowdownTracker{query: query, log: log, gaps: map[ident.Group]*gapSum{}, answers: map[ident.Incarnation]slowdownAnswer{}}
 }
 
-// addGaps takes the pauses that an entry saw.
+// addGaps adds the event gaps that an entry observed.
 func (p *slowdownTracker) addGaps(now time.Time, seen []relay.Observation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +92,7 @@
 	}
 }
 
-// evaluate adds what is known to the world and asks the members of groups that seem slow.
+// evaluate adds the known gaps and slowdowns to snapshot and queries the members of groups that seem slow.
 func (p *slowdownTracker) evaluate(snapshot *replicaset.Snapshot, groups []roster.Group, table *httproute.Table) {
 	if p.query == nil {
 		return
@@ -130,7 +130,7 @@
 	}
 }
 
-// seemsSlow reports whether streams of g pause for longer than at a full group.
+// seemsSlow reports whether the event gap of g is longer than at a full group.
 func seemsSlow(table *httproute.Table, g *roster.Group, gap time.Duration) bool {
 	s := table.Service(g.Service)
 	if s == nil || s.Engine == nil || gap == 0 {
@@ -152,7 +152,7 @@
 	return time.Duration(sum.gapSeconds / sum.events * float64(time.Second))
 }
 
-// prune drops groups and upstreams that have ended.
+// prune removes groups and upstreams that no longer exist.
 func (p *slowdownTracker) prune(groups []roster.Group, upstreams map[ident.Incarnation]*roster.Upstream) {
 	existing := map[ident.Group]bool{}
 	for i := range groups {
@@ -170,7 +170,7 @@
 	}
 }
 
-// queryUpstream asks an upstream for its pace unless that was done less than again ago.
+// queryUpstream asks an upstream for its slowdown unless the last query is less than interval ago.
 func (p *slowdownTracker) queryUpstream(now time.Time, u *roster.Upstream, interval time.Duration) {
 	if u == nil {
 		return
@@ -187,7 +187,7 @@
 		defer cancel()
 		slowdown, err := p.query(ctx, address, id)
 		if err != nil {
-			p.log.Info("pace of an upstream not known", "upstream", id, "error", err.Error())
+			p.log.Info("slowdown of an upstream unknown", "upstream", id, "error", err.Error())
 			return
 		}
 		p.applyAnswer(id, slowdown)
@@ -199,7 +199,7 @@
 	defer p.mu.Unlock()
 	answer := p.answers[id]
 	if (slowdown >= replicaset.SlowdownLimit) != (answer.slowdown >= replicaset.SlowdownLimit) {
-		p.log.Info("pace of an upstream changed", "upstream", id, "from", answer.slowdown, "to", slowdown)
+		p.log.Info("slowdown of an upstream changed", "upstream", id, "from", answer.slowdown, "to", slowdown)
 	}
 	answer.answeredAt, answer.slowdown = clock.Now(), slowdown
 	p.answers[id] = answer
--- a/site/probes.go
+++ b/site/probes.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// probeAfter is how long a group stands still until its members are probed; passes with long prompts take as long.
+	// probeAfter is how long a group must have stalled before its members are probed; iterations that read long prompts
+	// take as long.
 	probeAfter = 220 * time.Millisecond
-	// probeInterval is the pause between two probes of one upstream.
+	// probeInterval is the shortest time between two probes of one upstream.
 	probeInterval = 400 * time.Millisecond
-	// probeTimeout is how long a connection may take to open; within a region that takes milliseconds, but the leader of 3,000
-	// upstreams has its whole share of a core to do at times, and what it is late for itself must not count as dark.
+	// probeTimeout is how long a connection may take to open. Within a region that takes milliseconds, but the leader
+	// of 3,000 upstreams can be delayed by its own load, which must not count as a failed probe.
 	probeTimeout = 180 * time.Millisecond
-	// failedProbeTTL is how long a failed probe counts when nothing newer is known.
+	// failedProbeTTL is how long a failed probe counts without a newer report or probe.
 	failedProbeTTL = 5 * time.Second
 )
 
@@ -29,8 +30,8 @@
 	failedAt time.Time
 }
 
-// prober finds out which members of groups that stand still take no connections. An upstream that has lost power says
-// nothing, and its next report would be missed only a second later.
+// prober finds the members of stalled groups that accept no connections. An upstream that has lost power sends nothing,
+// and its missing report would be noticed only a second later.
 type prober struct {
 	dial transport.Dial
 
@@ -42,7 +43,7 @@
 	return &prober{dial: dial, results: map[ident.Incarnation]probeResult{}}
 }
 
-// probeStalled probes the members of every group that stands still.
+// probeStalled probes the members of every stalled group.
 func (p *prober) probeStalled(snapshot *replicaset.Snapshot, groups []roster.Group) {
 	addresses := map[ident.Incarnation]string{}
 	for i := range snapshot.Upstreams {
--- a/site/rate.go
+++ b/site/rate.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// slowHalfLife is the time after which work that was asked for counts half: prompts differ by ten times in size, so the
-	// work of a few seconds says little.
+	// slowHalfLife is the half-life of demand: prompts differ tenfold in size, so the demand of a few seconds is a poor
+	// estimate.
 	slowHalfLife = 6 * time.Second
-	// quickHalfLife is the same where so many requests come that a second or two say enough, and slower rates would bring groups late.
+	// quickHalfLife is the half-life of the short average. It is used where there are enough requests for a reliable
+	// estimate within a second or two; the slow average would start groups late there.
 	quickHalfLife = 1500 * time.Millisecond
-	// requestVariation is how far the work of single requests is off its mean, in parts of it, and quickSignificance how many times the error
-	// that this makes of a rate of quickHalfLife that rate must be off the slow one to count.
+	// requestVariation is the standard deviation of the upstream time of one request, relative to its mean.
+	// quickSignificance is how many standard errors the quick rate must differ from the slow rate to be used.
 	requestVariation  = 1.2
 	quickSignificance = 4.0
-	// ratesKnownAfter is how long work is counted until its rates are known, entriesSettledAfter how long no entry may have been new, and
-	// ratesKnownAtLatest when they count as known in any case.
+	// ratesKnownAfter is how long demand is counted before its rates are known, entriesSettledAfter how long no new
+	// entry may have called, and ratesKnownAtLatest when rates count as known in any case.
 	ratesKnownAfter     = 1500 * time.Millisecond
 	entriesSettledAfter = time.Second
 	ratesKnownAtLatest  = 5 * time.Second
 )
 
-// DemandRates are averages of the work a second that was asked of each model; they fade with time. Every entry has its own: after a
-// change of leaders entries come one after the other, and what one was asked for before it came is not known.
+// DemandRates are decaying averages of the demand for each model per second. They are kept by entry: after a change of
+// leaders the entries call one after the other, and the demand on an entry before its first call is unknown.
 type DemandRates struct {
 	entries       map[string]*entryRates
 	firstEntryAt  time.Time
@@ -38,21 +39,22 @@
 	decayedAt time.Time
 }
 
-// demandRate is the work a second that was asked of a model, over a long and a short time, and the requests a second over the short one.
+// demandRate is the demand for a model per second, in upstream-seconds over a long and a short time, and in requests
+// over the short one.
 type demandRate struct {
 	slow     float64
 	quick    float64
 	requests float64
 }
 
-// ModelDemand is the work that was asked of a model, in upstream-seconds, and the requests that asked for it.
+// ModelDemand is the demand for a model, in upstream-seconds and in requests.
 type ModelDemand struct {
 	UpstreamSeconds float64
 	Requests        int
 }
 
-// Add takes the work that an entry was asked for since it was last heard; the first time it only begins to count. Nothing
-// counts before the first request to any of them.
+// Add adds the demand on an entry since its last call; the first call only starts the count. No entry is counted before
+// the first request to any of them.
 func (r *DemandRates) Add(now time.Time, entry string, demand map[ident.Model]ModelDemand) {
 	if r.entries == nil && len(demand) == 0 {
 		return
@@ -81,12 +83,12 @@
 	r.entries[entry] = &entryRates{map[ident.Model]demandRate{}, now, now}
 }
 
-// Forget drops an entry that has ended: its callers go to others.
+// Forget removes an entry that has stopped; its callers use other entries.
 func (r *DemandRates) Forget(entry string) {
 	delete(r.entries, entry)
 }
 
-// At returns the rates, nothing until they are known.
+// At returns the rates, nil until they are known.
 func (r *DemandRates) At(now time.Time) map[ident.Model]float64 {
 	age := now.Sub(r.firstEntryAt)
 	if r.entries == nil || age < ratesKnownAfter || age < ratesKnownAtLatest && now.Sub(r.newestEntryAt) < entriesSettledAfter {
@@ -95,7 +97,7 @@
 	sums := map[ident.Model]demandRate{}
 	for _, entry := range r.entries {
 		entry.decay(now)
-		// What came before the count began is not known, so it is left out of the average.
+		// The demand before the count began is unknown, so that time is left out of the average.
 		slowWeight := max(minWeight, 1-decayFactor(now.Sub(entry.startedAt), slowHalfLife))
 		quickWeight := max(minWeight, 1-decayFactor(now.Sub(entry.startedAt), quickHalfLife))
 		for model, value := range entry.values {
@@ -113,7 +115,7 @@
 	return rates
 }
 
-// estimate returns the slow rate, or the quick one when that is off by more than chance makes it.
+// estimate returns the slow rate, or the quick one where the two differ by more than chance explains.
 func (v *demandRate) estimate() float64 {
 	requests := v.requests * quickHalfLife.Seconds() / math.Ln2
 	if requests <= 0 || math.Abs(v.quick-v.slow) <= quickSignificance*requestVariation/math.Sqrt(requests)*v.slow {
@@ -122,7 +124,7 @@
 	return v.quick
 }
 
-// minWeight keeps the work of an entry's first moments from being taken for its rate.
+// minWeight keeps the demand of an entry's first moments from counting as its rate.
 const minWeight = 0.1
 
 func (e *entryRates) decay(now time.Time) {
@@ -133,7 +135,7 @@
 	e.decayedAt = now
 }
 
-// decayFactor is what is left of work after a time.
+// decayFactor returns the fraction of demand that remains after a time.
 func decayFactor(elapsed, halfLife time.Duration) float64 {
 	return math.Exp2(-float64(elapsed) / float64(halfLife))
 }
