--- a/site/known_entries.go
+++ b/site/known_entries.go
@@ -1,9 +1,8 @@
 package site
 
-// What all entries together may do is divided by how many they are, and a new
-// leader knows only those that have called it already. An entry that took its
-// first list for the whole would take several times its part. So after a change
-// of leaders those of the former one count on, for as long as a leader counts an
+// Limits on all entries together are divided by the number of entries, but a new leader knows only the entries that
+// have called it already. An entry that relied on the first list of a new leader would use several times its share.
+// After a change of leaders the entries of the former leader therefore still count, for as long as a leader counts an
 // entry that does not call.
 
 import (
@@ -13,10 +12,11 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// knownEntries is the entries by hall, as the leaders tell.
+// knownEntries holds the entries by hall, as received from leaders.
 type knownEntries struct {
 	leadership LeadershipID
-	// leaderSince is when the leader's first list came, former the entries of the one before until they count no more.
+	// leaderSince is when the leader's first list arrived, formerLists are the entries of the leader before, until they
+	// no longer count.
 	leaderSince time.Time
 	lists       map[ident.Hall][]string
 	formerLists map[ident.Hall][]string
@@ -26,7 +26,7 @@
 	return &knownEntries{lists: map[ident.Hall][]string{}}
 }
 
-// apply puts changed lists of a leader in place and reports whether the entries may be others than before.
+// apply applies changed lists of a leader and reports whether the entries that count may differ from before.
 func (c *knownEntries) apply(now time.Time, leadership LeadershipID, changed []EntryList) bool {
 	differs := len(changed) > 0
 	if leadership != c.leadership {
--- a/site/lists.go
+++ b/site/lists.go
@@ -1,10 +1,8 @@
 package site
 
-// Every entry knows all others. At a site of hundreds they come and go while
-// others call, so a change is sent as what came and what went, and the leader
-// gathers changes for a moment. One that has just begun hears of the entries
-// one after the other, and tells those that have lists nothing until it has
-// heard of as many as its predecessor had.
+// Every entry knows all others. At a site of hundreds, entries start and stop all the time, so the leader sends changes
+// of lists instead of lists, and gathers changes for a moment. A new leader learns of the entries one after the other;
+// to entries that have lists it sends no changes until it knows as many entries as its predecessor did.
 
 import (
 	"slices"
@@ -14,15 +12,16 @@
 )
 
 const (
-	// listGatherPerEntry is how long the leader gathers changes for each entry that it has.
+	// listGatherPerEntry is the time for each entry over which the leader gathers changes.
 	listGatherPerEntry = 200 * time.Microsecond
-	// listGatherMinEntries is up to how many entries each change is sent at once.
+	// listGatherMinEntries is the number of entries up to which each change is sent at once.
 	listGatherMinEntries = 32
-	// maxListVersions is how many lists of a hall a leader can send changes from.
+	// maxListVersions is how many versions of a hall's list a leader keeps to send changes from.
 	maxListVersions = 16
 )
 
-// listGatherTime is how long a leader with so many entries gathers changes of lists; few entries cost little.
+// listGatherTime is how long a leader with this many entries gathers changes of lists; with few entries changes cost
+// little.
 func listGatherTime(entries int) time.Duration {
 	if entries <= listGatherMinEntries {
 		return 0
@@ -30,7 +29,7 @@
 	return time.Duration(entries) * listGatherPerEntry
 }
 
-// ListChange leads from one list of the entries of a hall to the next one.
+// ListChange turns one list of a hall's entries into the next one.
 type ListChange struct {
 	Hall ident.Hall
 	Base ListDigest
@@ -38,7 +37,7 @@
 	Went []string
 }
 
-// apply returns the list that the change leads to.
+// apply returns the list with the change applied.
 func (c *ListChange) apply(list []string) []string {
 	next := slices.DeleteFunc(slices.Clone(list), func(name string) bool { return slices.Contains(c.Went, name) })
 	next = append(next, c.Came...)
@@ -52,15 +51,15 @@
 	list   []string
 }
 
-// entryLists are the entries of each hall in order, the newest list of a hall last.
+// entryLists are the lists of entries by hall, the newest list of a hall last.
 type entryLists struct {
 	lists map[ident.Hall][]digestedList
-	// builtAt is when they were put together, stale is set when entries have come or gone since.
+	// builtAt is when the lists were built, stale is set when entries were added or removed since.
 	builtAt time.Time
 	stale   bool
-	// packed are all of the newest lists in the form in which they are sent to who has none.
+	// packed are all newest lists, compressed, for entries that have none.
 	packed []byte
-	// changes are those that lead to the newest lists, as far as they were asked for.
+	// changes are the changes to the newest lists that were requested so far.
 	changes map[changeKey]*ListChange
 }
 
@@ -73,7 +72,7 @@
 	return &entryLists{lists: map[ident.Hall][]digestedList{}, changes: map[changeKey]*ListChange{}}
 }
 
-// rebuild puts the lists together again.
+// rebuild builds the lists from the entries.
 func (l *entryLists) rebuild(now time.Time, entries map[string]*entryState) {
 	l.builtAt, l.stale, l.packed, l.changes = now, false, nil, map[changeKey]*ListChange{}
 	next := map[ident.Hall][]string{}
@@ -97,7 +96,7 @@
 	}
 }
 
-// changeFrom returns what leads from a list of a hall to the newest one, nil where that list is not known.
+// changeFrom returns the change from a hall's list to its newest one, nil where the list is not known.
 func (l *entryLists) changeFrom(hall ident.Hall, base ListDigest) *ListChange {
 	key := changeKey{hall, base}
 	if change, ok := l.changes[key]; ok {
@@ -114,7 +113,7 @@
 	return change
 }
 
-// onlyIn returns what stands in one ordered list and not in the other.
+// onlyIn returns the names that are in list and not in other; other is sorted.
 func onlyIn(list, other []string) []string {
 	var missing []string
 	for _, name := range list {
@@ -125,7 +124,7 @@
 	return missing
 }
 
-// fillLists adds what the caller has not of the lists of entries.
+// fillLists adds the lists of entries, or their changes, that the caller lacks.
 func (r *leadership) fillLists(now time.Time, call *SyncCall, reply *SyncReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -159,7 +158,7 @@
 	}
 }
 
-// packedLists returns all lists packed; the mutex is held.
+// packedLists returns all lists, compressed; the mutex is held.
 func (r *leadership) packedLists() []byte {
 	lists := r.lists
 	if lists.packed != nil {
--- a/site/memory.go
+++ b/site/memory.go
@@ -1,11 +1,10 @@
 package site
 
-// A daemon that restarts together with all others would wait for the reports
-// of every upstream before it could route again. Each control daemon therefore
-// keeps its newest copy of the roster in its data folder. What it reads there
-// after a start may be old, so it is used like the copy of a follower: entries
-// may try it, and nothing is decided on an upstream until it has reported. Work
-// that is held stands there too, or its next request would end three more.
+// If all control daemons restarted at once, routing would stop until every upstream had reported again. Each control
+// daemon therefore saves its newest copy of the roster in its data folder. After a start the saved roster may be
+// outdated, so it is used like a follower's copy: entries may use its upstreams, and no decision is made on an upstream
+// before its report. Quarantine reports are saved as well; without them the next request with such a fingerprint could
+// crash three more upstreams.
 
 import (
 	"context"
@@ -21,19 +20,20 @@
 
 const (
 	rosterFileName = "roster"
-	// rosterSaveInterval is the least time between two writes; members of groups are lost every few seconds.
+	// rosterSaveInterval is the shortest time between two writes; the roster changes every few seconds, as groups lose
+	// members.
 	rosterSaveInterval = 700 * time.Millisecond
 )
 
-// savedRoster is what the file holds.
+// savedRoster is the content of the file.
 type savedRoster struct {
 	Upstreams []roster.Upstream `cbor:"1,keyasint"`
 	Groups    []roster.Group    `cbor:"2,keyasint"`
-	// Held are the works that were held.
+	// Held are the quarantine reports.
 	Held []quarantine.Report `cbor:"3,keyasint,omitempty"`
 }
 
-// saveRosterLoop writes the roster when it has changed, or works have come to be held.
+// saveRosterLoop saves the roster and the quarantine reports when either has changed.
 func (c *Control) saveRosterLoop(ctx context.Context) {
 	var written roster.Revision
 	var leadership LeadershipID
@@ -46,14 +46,14 @@
 			continue
 		}
 		if err := c.saveRoster(snapshot); err != nil {
-			c.Log.Error(err, "roster not written, a restart will wait for reports", "code", int(result.CodeOf(err)))
+			c.Log.Error(err, "roster not saved, a restart will wait for reports", "code", int(result.CodeOf(err)))
 			continue
 		}
 		leadership, written, writtenDigest = current, snapshot.Revision, quarantineDigest
 	}
 }
 
-// newestRoster returns what this daemon leads by, or its copy.
+// newestRoster returns the roster of this daemon as leader, or else its copy.
 func (c *Control) newestRoster() (LeadershipID, *roster.Delta) {
 	if r := c.leadership.Load(); r != nil {
 		snapshot := r.roster.Since(0)
@@ -77,7 +77,7 @@
 	return c.folder.WriteFile(rosterFileName, content)
 }
 
-// loadRoster reads the roster of the last life; a file that can't be read is as good as none.
+// loadRoster reads the roster saved by the last run; a file that can't be read is ignored.
 func (c *Control) loadRoster() {
 	content, err := c.folder.ReadFile(rosterFileName)
 	if err != nil || content == nil {
@@ -85,7 +85,7 @@
 	}
 	var saved savedRoster
 	if err := cbor.Unmarshal(content, &saved); err != nil {
-		c.Log.Error(err, "remembered roster cannot be read")
+		c.Log.Error(err, "saved roster cannot be decoded")
 		return
 	}
 	c.applyQuarantine(clock.Now(), saved.Held)
@@ -93,5 +93,5 @@
 	defer c.mu.Unlock()
 	c.rosterCopy.Apply(&roster.Delta{Full: true, Upstreams: saved.Upstreams, Groups: saved.Groups})
 	c.copyFromDisk = true
-	c.Log.Info("roster of the last life read", "upstreams", len(saved.Upstreams), "groups", len(saved.Groups), "held", len(saved.Held))
+	c.Log.Info("saved roster loaded", "upstreams", len(saved.Upstreams), "groups", len(saved.Groups), "held", len(saved.Held))
 }
--- a/site/neighbours.go
+++ b/site/neighbours.go
@@ -1,9 +1,8 @@
 package site
 
-// Entries tell each other directly of the prompts that they send, one datagram
-// for each prompt and entry that uses the same group: an engine reads a prompt
-// sooner than the leader could tell of it. A datagram that is lost is not sent
-// again. Who the entries are comes from the leader, one list for each hall.
+// Entries notify each other directly of the prompts that they send, by one datagram for each prompt and each entry that
+// uses the same group: an engine may have read the prompt before an update through the leader would arrive. Lost
+// datagrams are not sent again. The leader sends the list of entries, one list for each hall.
 
 import (
 	"context"
@@ -26,57 +25,58 @@
 )
 
 const (
-	// updateQueueLength bounds the news that wait to be sent; what comes beyond is dropped, as a network may.
+	// updateQueueLength bounds the updates that wait to be sent; further ones are dropped, as in a network.
 	updateQueueLength = 64
-	// maxDatagramBytes bounds a datagram; one has about 30 bytes.
+	// maxDatagramBytes bounds a datagram; a typical one has about 30 bytes.
 	maxDatagramBytes = 256
-	// promptDatagramsPerSecond is how many datagrams a second tell of prompts at most. Where there are more prompts and neighbours each
-	// prompt is told to some of them, by turns; those that are not told then take a pass that reads it for one that stands still.
-	// Callers spread unevenly over entries, so it leaves room for a busy one.
+	// promptDatagramsPerSecond bounds the datagrams on prompts. With more prompts and entries each prompt is sent to
+	// some of the entries, in rotation; the others can mistake the iteration that reads the prompt for a stall. Callers
+	// are spread unevenly over entries, so the bound has a reserve for a busy one.
 	promptDatagramsPerSecond = 1800.0
-	// promptDatagramBurst is how many datagrams may be saved up for a moment with many prompts, as a time.
+	// promptDatagramBurst is how much of that rate may be saved up for a burst of prompts.
 	promptDatagramBurst = 500 * time.Millisecond
 )
 
-// digestList returns the digest of a list.
+// digestList returns the digest of a list of addresses.
 func digestList(list []string) ListDigest {
 	if len(list) == 0 {
 		return 0
 	}
 	h := fnv.New64a()
 	for _, address := range list {
-		_, _ = h.Write([]byte(address)) // a hash takes everything
+		_, _ = h.Write([]byte(address)) // a hash never fails
 		_, _ = h.Write([]byte{0})
 	}
 	return ListDigest(h.Sum64())
 }
 
-// queuedUpdate are news and those who are told, nobody for all.
+// queuedUpdate is an update and its receivers, all entries when to is nil.
 type queuedUpdate struct {
 	update relay.EntryUpdate
 	to     []string
 }
 
-// addresses are where the other entries listen: all of them in order, and by name.
+// addresses are the addresses of the other entries, in order and by name.
 type addresses struct {
 	list   []netip.AddrPort
 	byName map[string]netip.AddrPort
 }
 
-// peerEntries sends news to the other entries and takes theirs. Fields are set before run.
+// peerEntries sends updates to the other entries and receives theirs. Fields are set before run.
 type peerEntries struct {
-	// receive takes what another entry sent.
+	// receive handles an update from another entry.
 	receive func(n relay.EntryUpdate, from netip.AddrPort)
 	log     logr.Logger
 
 	queue     chan queuedUpdate
 	addresses atomic.Pointer[addresses]
-	// knownEntries is the entries, names the names of the leader's lists of them, and known how many entries count; all belong to the goroutine
-	// that follows the leader.
+	// known are the entries, digests the digests of the leader's lists of entries, and entryCount the number of
+	// entries; they belong to the goroutine that follows the leader.
 	known      *knownEntries
 	digests    map[ident.Hall]ListDigest
 	entryCount int
-	// promptBudget is how many datagrams may tell of prompts now, since when that was counted, next whose turn it is.
+	// promptBudget is how many datagrams on prompts may be sent at budgetAt, nextPeer the index of the next receiver in
+	// rotation.
 	promptBudget float64
 	budgetAt     time.Time
 	nextPeer     int
@@ -86,7 +86,7 @@
 	return &peerEntries{receive: receive, log: logr.Discard(), queue: make(chan queuedUpdate, updateQueueLength), known: newKnownEntries(), digests: map[ident.Hall]ListDigest{}}
 }
 
-// enqueue sends n to those in a list, or to all entries without one, in the background.
+// enqueue queues an update to the named entries, or to all if to is nil; the update is dropped when the queue is full.
 func (b *peerEntries) enqueue(update relay.EntryUpdate, to []string) {
 	if b.addresses.Load() == nil {
 		return
@@ -97,10 +97,11 @@
 	}
 }
 
-// setEntries takes what a leader says of the entries, and returns them as the one called self sees them, nil where they are the same as before.
+// setEntries applies the leader's lists and list changes, and returns the entries as seen by the one named self, nil if
+// they are unchanged.
 func (b *peerEntries) setEntries(now time.Time, self string, leadership LeadershipID, changed []EntryList, changes []ListChange) *sharing.Entries {
 	for i := range changes {
-		// One that leads from another list than this entry has is left out; the next call gets the list itself.
+		// A change of a list that this entry does not have is ignored; the next reply brings the list itself.
 		if change := &changes[i]; b.digests[change.Hall] == change.Base {
 			changed = append(changed, EntryList{change.Hall, change.apply(b.known.lists[change.Hall])})
 		}
@@ -120,7 +121,7 @@
 	for _, name := range entries.Others() {
 		address, err := netip.ParseAddrPort(name)
 		if err != nil {
-			b.log.Info("neighbour passed over, its address is not an IP address and port", "address", name)
+			b.log.Info("entry ignored, its address is not an IP address and port", "address", name)
 			continue
 		}
 		all.list = append(all.list, address)
@@ -130,7 +131,7 @@
 	return entries
 }
 
-// listenDatagrams opens the socket of an address.
+// listenDatagrams opens a UDP socket at an address.
 func listenDatagrams(address string) (*net.UDPConn, error) {
 	a, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
@@ -143,12 +144,12 @@
 	return conn, nil
 }
 
-// run sends and takes news until ctx ends, and closes conn.
+// run sends and receives updates until ctx ends, and closes conn.
 func (b *peerEntries) run(ctx context.Context, conn *net.UDPConn) {
 	var wg sync.WaitGroup
 	wg.Go(func() { b.readLoop(ctx, conn) })
 	b.sendLoop(ctx, conn)
-	// Nothing is lost by a socket that does not close in order.
+	// An error on close loses no data.
 	_ = conn.Close()
 	wg.Wait()
 }
@@ -167,21 +168,21 @@
 func (b *peerEntries) sendUpdate(conn *net.UDPConn, queued queuedUpdate) {
 	data, err := cbor.Marshal(queued.update)
 	if err != nil {
-		b.log.Error(err, "news cannot be encoded", "head", queued.update.Head)
+		b.log.Error(err, "update for other entries cannot be encoded", "head", queued.update.Head)
 		return
 	}
 	targets := b.addresses.Load().named(queued.to)
 	if queued.update.IsPrompt() {
-		// What is said of whether a group works is little, and all of it counts.
+		// Only updates on prompts are limited: the others are few, and each of them matters.
 		targets = b.promptTargets(clock.Now(), targets)
 	}
 	for _, target := range targets {
-		// A neighbour that can't be reached is one that needs no news; the leader's next list leaves it out.
+		// An entry that can't be reached needs no update; the leader's next list omits it.
 		_, _ = conn.WriteToUDPAddrPort(data, target)
 	}
 }
 
-// named returns the addresses of those in a list, all without one.
+// named returns the addresses of the named entries, all if names is nil.
 func (a *addresses) named(names []string) []netip.AddrPort {
 	if names == nil {
 		return a.list
@@ -195,7 +196,7 @@
 	return list
 }
 
-// promptTargets returns the neighbours that are told of a prompt.
+// promptTargets returns the entries that are notified of a prompt.
 func (b *peerEntries) promptTargets(now time.Time, all []netip.AddrPort) []netip.AddrPort {
 	elapsed := min(now.Sub(b.budgetAt), promptDatagramBurst)
 	b.budgetAt = now
@@ -218,13 +219,13 @@
 			return
 		}
 		if err != nil {
-			b.log.Info("datagrams of neighbours cannot be read", "error", err.Error())
+			b.log.Info("datagrams from entries cannot be read", "error", err.Error())
 			sleep(ctx, followRetryPause)
 			continue
 		}
 		var update relay.EntryUpdate
 		if err := cbor.Unmarshal(buf[:n], &update); err != nil {
-			b.log.Info("a datagram is no news", "from", from.String(), "error", err.Error())
+			b.log.Info("datagram ignored, it is not an update", "from", from.String(), "error", err.Error())
 			continue
 		}
 		b.receive(update, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
--- a/site/pacer.go
+++ b/site/pacer.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// pacedLinkFraction is the part of the link that whole rosters and configurations may take: the heartbeats of the log have to pass between them.
+	// pacedLinkFraction is the fraction of the link that whole rosters and configurations may use: the heartbeats of
+	// the log have to pass between them.
 	pacedLinkFraction = 0.5
-	// pacerBurst is how much may go at once, as a time.
+	// pacerBurst is how much may be sent at once, as a time at the paced rate.
 	pacerBurst = 50 * time.Millisecond
-	// maxPacerWait is the longest turn that is waited for; whoever would wait longer asks again.
+	// maxPacerWait is the longest wait for a reservation; a caller that would wait longer has to call again.
 	maxPacerWait = 500 * time.Millisecond
 )
 
-// pacer gives turns to what is sent at a rate.
+// pacer spreads large replies over time at a fixed rate.
 type pacer struct {
-	// bytesPerSecond is in bytes a second.
 	bytesPerSecond float64
 
 	mu sync.Mutex
-	// freeAt is when all that had a turn has been sent.
+	// freeAt is when everything reserved so far will have been sent.
 	freeAt time.Time
 }
 
-// reserve returns how long so many bytes wait until they are sent, and false when that is too long.
+// reserve returns how long to wait before sending this many bytes, and false when the wait would be too long.
 func (p *pacer) reserve(now time.Time, bytes int) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/site/packed.go
+++ b/site/packed.go
@@ -1,8 +1,8 @@
 package site
 
-// A daemon that has nothing of the roster gets it whole. When many start at the
-// same moment it is the same for all, so it is encoded and packed once for each
-// revision. One that has a copy of a former leader's gets the parts that differ.
+// A daemon that has no roster gets the whole one. When many daemons start at once it is the same for all, so it is
+// encoded and compressed once for each revision. A daemon with a copy from a former leader gets only the parts that
+// differ.
 
 import (
 	"bytes"
@@ -18,13 +18,14 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// packedRosterTTL is how long a packed roster is sent on although it has changed since: who got it is told of that with its next call.
+// packedRosterTTL is how long a packed roster is sent although the roster has changed since; the receiver gets the
+// changes with its next call.
 const packedRosterTTL = 200 * time.Millisecond
 
-// maxUnpackedBytes bounds a roster after it is unpacked, in bytes.
+// maxUnpackedBytes bounds a roster after decompression.
 const maxUnpackedBytes = 64 << 20
 
-// packedRoster is a whole roster in the form in which it is sent.
+// packedRoster is a whole roster as sent, encoded and compressed.
 type packedRoster struct {
 	mu       sync.Mutex
 	revision roster.Revision
@@ -32,7 +33,7 @@
 	data     []byte
 }
 
-// get returns the packed roster, which is packed again some time after it has changed.
+// get returns the packed roster, packing it again if it has changed and is older than packedRosterTTL.
 func (p *packedRoster) get(now time.Time, r *roster.Roster) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -41,7 +42,7 @@
 	}
 	snapshot := r.Since(0)
 	for i := range snapshot.Groups {
-		// The leader's own time.
+		// This time is of the leader's clock.
 		snapshot.Groups[i].Since = time.Time{}
 	}
 	data, err := pack(&snapshot)
@@ -52,7 +53,7 @@
 	return data, nil
 }
 
-// pack encodes and packs what many daemons get alike.
+// pack encodes and compresses a value.
 func pack(value any) ([]byte, error) {
 	plain, err := cbor.Marshal(value)
 	if err != nil {
@@ -69,23 +70,23 @@
 	return packed.Bytes(), nil
 }
 
-// unpack reads what was packed into value.
+// unpack decompresses and decodes a value that pack made.
 func unpack(packed []byte, value any) error {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
-		return result.Wrap(err, result.PeerRefused, "what the leader sent cannot be unpacked")
+		return result.Wrap(err, result.PeerRefused, "data from the leader cannot be decompressed")
 	}
 	plain, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes))
 	if err != nil {
-		return result.Wrap(err, result.PeerRefused, "what the leader sent cannot be unpacked")
+		return result.Wrap(err, result.PeerRefused, "data from the leader cannot be decompressed")
 	}
 	if err := cbor.Unmarshal(plain, value); err != nil {
-		return result.Wrap(err, result.PeerRefused, "what the leader sent cannot be decoded")
+		return result.Wrap(err, result.PeerRefused, "data from the leader cannot be decoded")
 	}
 	return nil
 }
 
-// fillChanges adds what the caller has not of the roster.
+// fillChanges adds the parts of the roster that the caller lacks.
 func (r *leadership) fillChanges(call *SyncCall, reply *SyncReply) {
 	visible, packed := r.roster, &r.packedFullRoster
 	if call.Entry {
--- a/site/rollout.go
+++ b/site/rollout.go
@@ -10,27 +10,29 @@
 )
 
 const (
-	// maxCallAge is how old the newest call of an entry may be for its version to count: entries call again after each answer, and
-	// the leader keeps a call for maxSyncHold and maxSyncGather at most.
+	// maxCallAge is how old the newest call of an entry may be for its version to count: entries call again after each
+	// answer, which the leader delays by maxSyncHold and maxSyncGather at most.
 	maxCallAge = time.Second
 	// entriesArriveWithin is how long the entries of a former leader may take to call the next one.
 	entriesArriveWithin = 1500 * time.Millisecond
-	// maxConfirmWait is the time from the offer of a configuration for which its confirmation may wait for entries: operators go to
-	// another daemon after a second without an answer.
+	// maxConfirmWait is how long after the offer of a configuration its confirmation may wait for entries: operators
+	// try another daemon after a second without an answer.
 	maxConfirmWait = 600 * time.Millisecond
-	// rolloutPollInterval is how often a confirmation looks whether the entries have it. Looking at each call of an entry instead would cost a look
-	// at all entries for each of them.
+	// rolloutPollInterval is how often a waiting confirmation checks the entries. A check on each entry's call would go
+	// over all entries each time.
 	rolloutPollInterval = 10 * time.Millisecond
-	// rolloutLateAfter is when a configuration that some entries don't have is logged with their names.
+	// rolloutLateAfter is the age from which a configuration that some entries lack is logged with their names.
 	rolloutLateAfter = time.Second
-	// maxPendingRollouts bounds the configurations that are followed, maxMissingNames the entries in one line.
+	// maxPendingRollouts bounds the versions that are tracked, maxMissingNames the entries named in one log line.
 	maxPendingRollouts = 16
 	maxMissingNames    = 8
 )
 
-// rollout follows accepted versions, such as those of configurations, until every entry that calls the leader has them in force.
+// rollout tracks accepted versions, such as those of configurations, until every entry that calls the leader has them
+// in force.
 type rollout[V ~uint64] struct {
-	// startedAt is when the leader began, expected how many entries its predecessor had: those that have not called yet may lack anything.
+	// startedAt is when the leader started, expectedEntries how many entries its predecessor had; those that have not
+	// called yet may have any version.
 	startedAt       time.Time
 	expectedEntries int
 
@@ -39,23 +41,23 @@
 	pending []*pendingVersion[V]
 }
 
-// entryVersion is the version that an entry had in force at the time of its newest call.
+// entryVersion is the version that an entry had in force at its newest call.
 type entryVersion[V ~uint64] struct {
 	version  V
 	calledAt time.Time
 }
 
-// pendingVersion is a configuration that some entries may not have.
+// pendingVersion is a version that some entries may lack.
 type pendingVersion[V ~uint64] struct {
 	version V
-	// offered is when it came to the leader, accepted when a majority had it on disk.
+	// offered is when the leader received the version, accepted when a majority had it on disk.
 	offered  time.Time
 	accepted time.Time
-	// late is set once it was reported as late.
+	// late is set once the version was reported as late.
 	late bool
 }
 
-// rolloutReport says how far a configuration has got; Missing is empty when every entry has it.
+// rolloutReport describes the progress of a version; Missing is empty when every entry has it in force.
 type rolloutReport[V ~uint64] struct {
 	Version V
 	After   time.Duration
@@ -63,12 +65,12 @@
 	Missing []string
 }
 
-// newRollout returns the rollout of a leader that begins now after one that had so many entries.
+// newRollout returns the rollout of a leader that starts now; its predecessor had the expected number of entries.
 func newRollout[V ~uint64](now time.Time, expected int) *rollout[V] {
 	return &rollout[V]{startedAt: now, expectedEntries: expected, entries: map[string]entryVersion[V]{}}
 }
 
-// track begins to follow a version that was offered at a time.
+// track starts to track a version.
 func (r *rollout[V]) track(offered, now time.Time, version V) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,14 +81,14 @@
 	r.pending = r.pending[max(0, len(r.pending)-maxPendingRollouts):]
 }
 
-// noteVersion notes the version that an entry has in force.
+// noteVersion records the version that an entry has in force.
 func (r *rollout[V]) noteVersion(now time.Time, entry string, version V) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.entries[entry] = entryVersion[V]{version, now}
 }
 
-// removeEntry drops an entry that does not call any more.
+// removeEntry removes an entry that has stopped calling.
 func (r *rollout[V]) removeEntry(entry string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,12 +102,12 @@
 	return r.awaitingEntriesLocked(now)
 }
 
-// awaitingEntriesLocked is arriving for callers that hold the mutex.
+// awaitingEntriesLocked is awaitingEntries for callers that hold the mutex.
 func (r *rollout[V]) awaitingEntriesLocked(now time.Time) bool {
 	return len(r.entries) < r.expectedEntries && now.Sub(r.startedAt) < entriesArriveWithin
 }
 
-// waitInForce returns when every entry that calls has the version or a newer one, or maxConfirmWait after that was offered.
+// waitInForce returns when every entry that calls has the version or a newer one, or maxConfirmWait after the offer.
 func (r *rollout[V]) waitInForce(ctx context.Context, version V) {
 	for ctx.Err() == nil {
 		remaining := r.remainingWait(clock.Now(), version)
@@ -116,7 +118,7 @@
 	}
 }
 
-// remainingWait returns how long a confirmation of the version has to wait yet.
+// remainingWait returns how much longer a confirmation of the version has to wait.
 func (r *rollout[V]) remainingWait(now time.Time, version V) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -149,7 +151,8 @@
 	return names
 }
 
-// newReports returns the versions that every entry has since the last call, and those that have become late.
+// newReports returns a report for each version that every entry has since the last call, and for each that has become
+// late.
 func (r *rollout[V]) newReports(now time.Time) []rolloutReport[V] {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/site/totals.go
+++ b/site/totals.go
@@ -1,9 +1,8 @@
 package site
 
-// How many requests all entries together have at each upstream is told to each
-// entry several times a second. It is the same for all of them, so it is encoded
-// once, and each takes away what it told itself. An upstream takes about six
-// bytes: 32 bits of its id's digest and the number.
+// The leader sends each entry the requests in progress of all entries at each upstream, several times a second. The
+// totals are the same for all entries, so they are encoded once, and each entry subtracts its own requests. An upstream
+// takes about six bytes: 32 bits of its ID's digest and the number.
 
 import (
 	"encoding/binary"
@@ -14,17 +13,18 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// totalsTTL is how long encoded totals are sent on.
+// totalsTTL is how long encoded totals are reused.
 const totalsTTL = 20 * time.Millisecond
 
-// shortID is a part of the digest of an upstream's id. Two upstreams with the same one count as one, which only rates them worse.
+// shortID is a part of the digest of an upstream's ID. Two upstreams with the same short ID count as one, which only
+// makes them look busier.
 type shortID uint32
 
 func shortIDOf(id ident.Incarnation) shortID {
 	return shortID(xxhash.Sum64String(string(id)))
 }
 
-// shortIDs returns upstreams by their short ids.
+// shortIDs returns upstreams by their short IDs.
 func shortIDs(list []ident.Incarnation) map[shortID]ident.Incarnation {
 	upstreams := make(map[shortID]ident.Incarnation, len(list))
 	for _, id := range list {
@@ -33,7 +33,7 @@
 	return upstreams
 }
 
-// encodeTotals encodes the requests at upstreams.
+// encodeTotals encodes the requests in progress at upstreams.
 func encodeTotals(totals map[ident.Incarnation]int) []byte {
 	var b []byte
 	for id, n := range totals {
@@ -43,7 +43,7 @@
 	return b
 }
 
-// decodeTotals returns the requests at the upstreams that are known, less those of the caller's own; what can't be read is left out.
+// decodeTotals returns the requests at known upstreams less the caller's own; unreadable data is ignored.
 func decodeTotals(b []byte, upstreams map[shortID]ident.Incarnation, own map[ident.Incarnation]int) map[ident.Incarnation]int {
 	const width = 4
 	others := map[ident.Incarnation]int{}
@@ -61,7 +61,7 @@
 	return others
 }
 
-// encodedTotals returns the requests of all entries at each upstream.
+// encodedTotals returns the encoded requests of all entries at each upstream.
 func (r *leadership) encodedTotals(now time.Time) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/site/versions.go
+++ b/site/versions.go
@@ -8,18 +8,18 @@
 	"github.com/dunlinquay/dunlinquay/httproute"
 )
 
-// maxPatchVersions is how many configurations a leader can send changes from: daemons that are called every half second at most are a
-// few behind while an operator makes several changes a second.
+// maxPatchVersions is how many configurations a leader keeps to make patches from: followers call every half second at
+// least, and fall a few versions behind while an operator makes several changes a second.
 const maxPatchVersions = 8
 
-// versions keeps the newest configurations and the patches that lead from each of them to the newest.
+// versions keeps the newest configurations and the patches from each of them to the newest.
 type versions struct {
 	mu        sync.Mutex
 	documents []catalog.Document
 	patches   map[httproute.Version][]byte
 }
 
-// add takes the configuration that counts from now on.
+// add sets the newest configuration.
 func (v *versions) add(d catalog.Document) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -29,8 +29,8 @@
 	v.patches = map[httproute.Version][]byte{}
 }
 
-// patch returns what makes the newest configuration, if that has version to, of an earlier one; nothing when it is not known or not
-// worth it.
+// patch returns the patch from one version to the newest, if that is version to; nil when from is not known or a patch
+// is not smaller.
 func (v *versions) patch(from, to httproute.Version) []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -49,11 +49,11 @@
 	return patch
 }
 
-// makePatch returns the patch between two packed configurations, or nothing when the second one is as small.
+// makePatch returns the patch between two packed configurations, nil when the second one is not larger than the patch.
 func makePatch(base, next []byte) []byte {
 	from, err := catalog.Unpack(base)
 	if err != nil {
-		return nil // whoever gets the whole configuration instead tells of the damage
+		return nil // a receiver of the whole configuration reports the damage
 	}
 	to, err := catalog.Unpack(next)
 	if err != nil {
