--- a/site/drain.go
+++ b/site/drain.go
@@ -1,8 +1,7 @@
 package site
 
-// Operators drain a hall before work there, and take it back afterwards. An
-// order goes through the log like a configuration, and is confirmed once the
-// entries that call have it in force.
+// Operators drain a hall before maintenance there, and undrain it afterwards. The order is written to the log like a
+// configuration, and confirmed once the entries that call the leader have it in force.
 
 import (
 	"context"
@@ -16,7 +15,8 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// Drain drains a hall, or takes it back; it returns after a majority has the order on disk, and the entries that can be reached in force.
+// Drain drains or undrains a hall; it returns after a majority has the order on disk, and the reachable entries have it
+// in force.
 func (c *Control) Drain(ctx context.Context, order catalog.DrainOrder) error {
 	startedAt := clock.Now()
 	_, err := c.retryCall(ctx, changeTimeout, &ForwardedCall{Kind: CallDrain, From: string(c.self.Name), Drain: &order})
@@ -25,7 +25,7 @@
 	return err
 }
 
-// drainHall carries an order on a hall out, as leader.
+// drainHall carries out an order on a hall, as leader.
 func (c *Control) drainHall(ctx context.Context, r *leadership, call *ForwardedCall) error {
 	order := call.Drain
 	if order == nil || !c.knowsHall(r, order.Hall) {
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// proposeDrain writes an order to the log and returns the revision that holds with it.
+// proposeDrain writes an order to the log and returns the resulting revision of the drained halls.
 func (c *Control) proposeDrain(ctx context.Context, r *leadership, call *ForwardedCall) (catalog.DrainRevision, error) {
 	startedAt := clock.Now()
 	if !call.Drain.Drain && c.stateMachine.Drained().Has(call.Drain.Hall) {
@@ -52,9 +52,9 @@
 	value, index, err := c.node.Propose(ctx, data)
 	answer, ok := value.(catalog.Answer)
 	if err == nil && !ok {
-		err = result.New(result.NoLeader, "the order was not carried out here")
+		err = result.New(result.NoLeader, "the order was not applied here")
 	}
-	c.Log.Info("order on a hall decided", "hall", call.Drain.Hall, "drain", call.Drain.Drain, "from", call.From, "index", index,
+	c.Log.Info("order on a hall proposed", "hall", call.Drain.Hall, "drain", call.Drain.Drain, "from", call.From, "index", index,
 		"revision", answer.Drained.Revision, "took-ms", clock.Since(startedAt).Milliseconds(), "code", int(result.CodeOf(err)))
 	if err != nil {
 		return 0, err
@@ -63,7 +63,7 @@
 	return answer.Drained.Revision, nil
 }
 
-// knowsHall reports whether a hall is declared in the settings, or an upstream has reported from it.
+// knowsHall reports whether a hall is declared in the settings, drained already, or reported by an upstream.
 func (c *Control) knowsHall(r *leadership, hall ident.Hall) bool {
 	if _, ok := c.Settings.Halls[hall]; ok || hall == c.Settings.Hall {
 		return true
@@ -77,13 +77,13 @@
 	return slices.Contains(c.stateMachine.Drained().Halls, hall)
 }
 
-// drainChanged wakes those who wait for news.
+// drainChanged wakes the calls that wait for updates.
 func (c *Control) drainChanged(drained catalog.Drained) {
 	c.notifyWaiting()
-	c.Log.Info("drained halls held", "revision", drained.Revision, "halls", drained.Halls)
+	c.Log.Info("drained halls applied from the log", "revision", drained.Revision, "halls", drained.Halls)
 }
 
-// drainedHalls returns the halls in which nothing is formed.
+// drainedHalls returns the halls in which no group is formed.
 func (c *Control) drainedHalls() map[ident.Hall]bool {
 	halls := map[ident.Hall]bool{}
 	for _, hall := range c.stateMachine.Drained().Halls {
@@ -92,10 +92,10 @@
 	return halls
 }
 
-// OrderDrain asks the control daemons at addresses (host:port of their peers' listeners), one after the other, to drain a hall or to take it
-// back.
+// OrderDrain asks the control daemons at addresses (host:port of their peer listeners), one after the other, to drain
+// or undrain a hall.
 func OrderDrain(ctx context.Context, dial transport.Dial, addresses []string, order catalog.DrainOrder) error {
-	err := result.New(result.Usage, "no control daemon is named")
+	err := result.New(result.Usage, "no control daemon is given")
 	for _, address := range addresses {
 		client := link.NewClient(address, serviceName)
 		client.Dial = dial
@@ -117,7 +117,7 @@
 	return err
 }
 
-// answerDrain takes an operator's order on a hall.
+// answerDrain answers an operator's order on a hall.
 func (c *Control) answerDrain(order *catalog.DrainOrder) ForwardedReply {
 	if err := c.Drain(context.Background(), *order); err != nil {
 		return ForwardedReply{Code: result.CodeOf(err), Text: result.Message(err)}
--- a/site/inspect.go
+++ b/site/inspect.go
@@ -1,7 +1,6 @@
 package site
 
-// What operators see of a site: the state of the leader, asked for through any
-// control daemon. It changes nothing.
+// Inspection for operators: any control daemon returns the state of the leader. It changes nothing.
 
 import (
 	"context"
@@ -19,16 +18,16 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// maxDecisions bounds the decisions that a leader remembers for operators: some minutes of a troubled day.
+// maxDecisions bounds the decisions that a leader keeps for operators; it covers some minutes with many failures.
 const maxDecisions = 500
 
-// State is what the leader of a site knows and wants at one moment.
+// State is the leader's view of its site at one moment, with its decisions.
 type State struct {
 	Leader     string            `json:"leader"`
 	Leadership LeadershipID      `json:"leadership"`
 	Since      time.Time         `json:"since"`
 	Config     httproute.Version `json:"config-version"`
-	// Settled is unset while a new leader waits until all upstreams have reported; it orders nothing then.
+	// Settled is unset while a new leader waits for the reports of all upstreams; it gives no orders then.
 	Settled   bool            `json:"settled"`
 	Controls  []string        `json:"controls"`
 	Entries   int             `json:"entries"`
@@ -39,11 +38,11 @@
 	// Drained are the halls whose upstreams get no requests, DrainRevision counts the orders on halls.
 	Drained       []ident.Hall          `json:"drained-halls"`
 	DrainRevision catalog.DrainRevision `json:"drain-revision"`
-	// Held are the works that no entry sends to upstreams now.
+	// Held are the request fingerprints in quarantine.
 	Held []QuarantineState `json:"held"`
 }
 
-// ModelState is what a model of a service has and needs.
+// ModelState is the capacity of a service's model and what it needs.
 type ModelState struct {
 	Service ident.Service `json:"service"`
 	replicaset.Outlook
@@ -61,7 +60,7 @@
 	Members []ident.Incarnation `json:"members"`
 }
 
-// UpstreamState is one upstream, how old its last report is, and what it does.
+// UpstreamState is one upstream, the age of its last report, and its role.
 type UpstreamState struct {
 	ID      ident.Incarnation `json:"upstream"`
 	Service ident.Service     `json:"service"`
@@ -70,11 +69,11 @@
 	Domain  ident.Domain      `json:"domain"`
 	AgeMS   int64             `json:"report-age-ms"`
 	Place   string            `json:"place"`
-	// Asked are the entries that it has asked to send it nothing.
+	// Asked are the entries at which the upstream has a backoff.
 	Asked []BackoffState `json:"asked"`
-	// Limit is the limit that it has named, nil where it has none.
+	// Limit is the limit that the upstream set, nil where it has none.
 	Limit *LimitState `json:"limit,omitempty"`
-	// Unread are words in its answers that nothing reads.
+	// Unread are unrecognized names in the upstream's reports and answers.
 	Unread []string `json:"unread,omitempty"`
 }
 
@@ -88,17 +87,17 @@
 	Reason   string              `json:"reason"`
 }
 
-// InspectReply is the state of the leader; Code is 0 when there is one.
+// InspectReply is the state of the leader; Code is 0 when State is valid.
 type InspectReply struct {
 	Code  result.Code
 	Text  string
 	State State
 }
 
-// Inspect asks the control daemons at addresses (host:port of their peers' listeners) for the state of the site, one after
-// the other until one knows it.
+// Inspect asks the control daemons at addresses (host:port of their peer listeners) for the state of the site, one
+// after the other until one returns it.
 func Inspect(ctx context.Context, dial transport.Dial, addresses []string) (*State, error) {
-	err := result.New(result.Usage, "no control daemon is named")
+	err := result.New(result.Usage, "no control daemon is given")
 	for _, address := range addresses {
 		client := link.NewClient(address, serviceName)
 		client.Dial = dial
@@ -117,7 +116,7 @@
 	return nil, err
 }
 
-// inspect gives the state of this daemon's leadership, or that of the leader's.
+// inspect returns the state of the leader, which may be this daemon.
 func (c *Control) inspect() InspectReply {
 	reply, err := c.callLeader(context.Background(), forwardTimeout, &ForwardedCall{Kind: CallInspect})
 	if err != nil {
@@ -126,7 +125,7 @@
 	return InspectReply{State: *reply.State}
 }
 
-// state describes the leadership; what it tells of groups is from the last look at them.
+// state describes the leadership; the groups are as of the last evaluation.
 func (r *leadership) state(now time.Time) State {
 	r.evaluating.Lock()
 	defer r.evaluating.Unlock()
@@ -165,13 +164,13 @@
 	}
 	switch {
 	case r.control.stateMachine.Drained().Has(u.Hall):
-		return "gets nothing, its hall is drained"
+		return "gets no requests, its hall is drained"
 	case u.Draining:
 		return "leaves"
 	case u.Silent:
 		return "silent"
 	}
-	return "serves by itself"
+	return "serves without a group"
 }
 
 // decisionLog keeps the newest decisions, in a ring.
@@ -189,7 +188,7 @@
 	d.next = (d.next + 1) % maxDecisions
 }
 
-// list returns the decisions, the oldest first.
+// list returns the decisions, oldest first.
 func (d *decisionLog) list() []GroupDecision {
 	return append(append([]GroupDecision(nil), d.ring[d.next:]...), d.ring[:d.next]...)
 }
--- a/site/numbers.go
+++ b/site/numbers.go
@@ -13,19 +13,19 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// maxSeries bounds the pairs of customer and class that have metrics of their own; the rest is counted together.
+// maxSeries bounds the pairs of customer and class with metrics of their own; all others are counted together.
 const maxSeries = 512
 
-// maxAttemptSeries bounds the ways in which tries end that are counted: there are about ten, and texts of errors beside them.
+// maxAttemptSeries bounds the outcomes of attempts that are counted: there are about ten, plus error texts.
 const maxAttemptSeries = 32
 
-// attemptKey is one way in which tries end.
+// attemptKey is the outcome of an attempt.
 type attemptKey struct {
 	result string
 	cut    relay.ConnFailure
 }
 
-// otherSeries names what is counted together.
+// otherSeries is the label of the series for all others.
 const otherSeries = "other"
 
 type seriesKey struct {
@@ -49,16 +49,16 @@
 	series      map[seriesKey]*series
 	firstEvents map[ident.Model]*firstEventMetrics
 	attempts    map[attemptKey]tally.Counter
-	// quarantined is how many works are held.
+	// quarantined is the number of fingerprints in quarantine.
 	quarantined tally.Gauge
-	// backedOff is how many upstreams want nothing from this entry.
+	// backedOff is the number of upstreams that are backed off at this entry.
 	backedOff tally.Gauge
-	// limited is how many upstreams have named a limit, permits count the requests that were meant for them.
+	// limited is the number of upstreams with a limit, permits count the requests for permits.
 	limited tally.Gauge
 	permits map[ratelimit.Outcome]tally.Counter
 }
 
-// firstEventMetrics are the first words of one model: when they were expected, when they came, and how far apart the two were.
+// firstEventMetrics are the times to first event of one model: as expected, as observed, and the difference.
 type firstEventMetrics struct {
 	expected  tally.Histogram
 	actual    tally.Histogram
@@ -73,7 +73,7 @@
 	}
 }
 
-// permitCounters count requests that were meant for upstreams with a limit by what became of them.
+// permitCounters returns the counters of requests for permits by their outcome.
 func permitCounters(scope tally.Scope) map[ratelimit.Outcome]tally.Counter {
 	counters := map[ratelimit.Outcome]tally.Counter{}
 	for _, o := range []ratelimit.Outcome{ratelimit.Granted, ratelimit.Refused, ratelimit.Unanswered} {
@@ -99,7 +99,7 @@
 	for i := range r.Attempts {
 		n.countAttempt(&r.Attempts[i])
 	}
-	// Only models that the configuration declares have an expectation, so callers can't make up series.
+	// Only declared models have an expectation, so callers can't create series.
 	if r.ExpectedFirstEvent > 0 && r.FirstEvent > 0 && len(r.Attempts) == 1 {
 		event := n.firstEvent(r.Model)
 		event.expected.RecordDuration(r.ExpectedFirstEvent)
@@ -108,7 +108,8 @@
 	}
 }
 
-// countAttempt counts how a try ended, and in which way its connection did where it has no whole answer; the mutex is held.
+// countAttempt counts an attempt by its outcome, and by how the connection was cut if the response is incomplete; the
+// mutex is held.
 func (n *entryMetrics) countAttempt(attempt *relay.Attempt) {
 	key := attemptKey{attempt.Result, attempt.ConnFailure}
 	counter := n.attempts[key]
@@ -157,7 +158,7 @@
 	return s
 }
 
-// observe counts a finished request and writes its line.
+// observe counts a finished request and writes its log line.
 func (e *Entry) observe(r *relay.Record) {
 	e.metrics.observe(r)
 	e.RequestLog.Info("request", "id", r.ID, "route", r.Route, "customer", r.Customer, "model", r.Model, "content", r.Content.String(),
--- a/site/tallies.go
+++ b/site/tallies.go
@@ -12,16 +12,18 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// countInterval is how often the leader counts groups and free upstreams.
+// countInterval is how often the leader counts groups and stranded upstreams.
 const countInterval = 500 * time.Millisecond
 
-// rolloutBuckets are the classes of times from the acceptance of a configuration until it is in force at all entries.
+// rolloutBuckets are the histogram buckets for the time from the acceptance of a configuration until all entries have
+// it in force.
 var rolloutBuckets = tally.DurationBuckets{
 	50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond,
 	1500 * time.Millisecond, 2500 * time.Millisecond, 5 * time.Second,
 }
 
-// controlMetrics are the numbers of a control daemon. Groups and upstreams are counted by the leader only, since it began to lead.
+// controlMetrics are the metrics of a control daemon. Only the leader counts groups and upstreams, from the start of
+// its leadership.
 type controlMetrics struct {
 	scope tally.Scope
 
@@ -39,7 +41,7 @@
 	t.scope.Tagged(map[string]string{"kind": string(kind), "result": result.Lookup(result.CodeOf(err)).Name}).Counter("calls").Inc(1)
 }
 
-// rollout counts how long a configuration took to all entries, or that it is late at some.
+// rollout records how long a configuration took to be in force at all entries, or that it is late at some.
 func (t *controlMetrics) rollout(r *rolloutReport[httproute.Version]) {
 	if len(r.Missing) > 0 {
 		t.scope.Counter("configurations_late").Inc(1)
@@ -52,8 +54,8 @@
 	t.scope.Tagged(map[string]string{"action": string(action), "outcome": string(outcome)}).Counter("orders").Inc(1)
 }
 
-// count takes one look at the roster: a group is down while fewer serve than the most that ever did, an upstream with a
-// domain is stranded while it is in no group.
+// count evaluates the roster: a group is down while its model has fewer open groups than it ever had, an upstream with
+// a domain is stranded while it is in no group.
 func (t *controlMetrics) count(now time.Time, groups []roster.Group, upstreams []roster.Upstream) {
 	since := now.Sub(t.countedAt)
 	if since < countInterval {
