--- a/site/backoff_test.go
+++ b/site/backoff_test.go
@@ -15,7 +15,7 @@
 	"github.com/dunlinquay/dunlinquay/site"
 )
 
-// Operators see which entries an upstream asked for time, for how long still, and by whose word.
+// Operators see at which entries an upstream has a backoff, for how much longer, and whether it is shutting down.
 func TestBackoffStates(t *testing.T) {
 	r := site.NewLeadership()
 	r.ApplyCall(&site.SyncCall{From: "b", Entry: true, Seen: []relay.Observation{{ID: "u", Backoff: time.Minute}, {ID: "v"}}})
@@ -29,15 +29,16 @@
 	}
 	want := map[ident.Incarnation][]site.BackoffState{"u": {{Entry: "a", ForMS: 60, Leaving: true}, {Entry: "b", ForMS: 1}}}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("what upstreams asked for, in minutes (-want +got):\n%s", diff)
+		t.Errorf("backoffs, in minutes (-want +got):\n%s", diff)
 	}
 	if got := r.BackoffStates(now.Add(2 * time.Minute)); len(got["u"]) != 1 {
-		t.Errorf("two minutes later %v, want the entry that was asked for an hour", got)
+		t.Errorf("two minutes later %v, want the entry with a backoff of an hour", got)
 	}
 }
 
-// An upstream that tells an entry that it leaves is a leaving one to all, also when its own word to control is lost, and a later
-// report that says otherwise does not take it back. Another life of it does not leave.
+// An upstream that tells an entry that it shuts down is leaving for all, also when its own notice to the control
+// daemons is lost, and a later report that says otherwise does not undo that. Another incarnation of the upstream is
+// not leaving.
 func TestEntryReportsLeavingUpstream(t *testing.T) {
 	r := site.NewLeadership()
 	report := func(id ident.Incarnation, sequence uint64) {
@@ -57,15 +58,16 @@
 	r.ApplyCall(&site.SyncCall{From: "a", Entry: true, Seen: []relay.Observation{{ID: "u@1", Leaving: true}, {ID: "nobody", Leaving: true}}})
 	report("u@1", 2)
 	if diff := cmp.Diff(map[ident.Incarnation]bool{"u@1": true}, leaving()); diff != "" {
-		t.Errorf("who leaves (-want +got):\n%s", diff)
+		t.Errorf("leaving upstreams (-want +got):\n%s", diff)
 	}
 	report("u@2", 1)
 	if diff := cmp.Diff(map[ident.Incarnation]bool{"u@2": false}, leaving()); diff != "" {
-		t.Errorf("who leaves after a new life (-want +got):\n%s", diff)
+		t.Errorf("leaving upstreams after a new incarnation (-want +got):\n%s", diff)
 	}
 }
 
-// What an upstream answers to orders binds control: it gives none for the time that was asked for, and takes a leaving one for that.
+// The control daemon applies what an upstream's answer to an order asks for: it sends no orders during a backoff, and
+// marks an upstream that shuts down as leaving.
 func TestNoticesInAnswersToOrders(t *testing.T) {
 	c, r := site.NewControlWithBackoffs()
 	r.Roster().ApplyReport(clock.Now(), &roster.Report{
@@ -73,14 +75,14 @@
 	})
 	c.ApplyNotice("u", backoff.Notice{BackoffErr: result.New(result.BackoffUnreadable, "soon")})
 	if c.BackedOff("u") {
-		t.Error("what can't be read counts")
+		t.Error("an unreadable backoff is applied")
 	}
 	c.ApplyNotice("u", backoff.Notice{Backoff: time.Minute, Leaving: true})
 	if !c.BackedOff("u") || c.BackedOff("v") {
-		t.Error("the upstream that asked for time gets orders, or another gets none")
+		t.Error("the upstream that requested a backoff gets orders, or another gets none")
 	}
 	upstreams, _ := r.Roster().Upstreams(clock.Now())
 	if len(upstreams) != 1 || !upstreams[0].Draining {
-		t.Errorf("%+v, want one that leaves", upstreams)
+		t.Errorf("%+v, want one that is leaving", upstreams)
 	}
 }
--- a/site/change_test.go
+++ b/site/change_test.go
@@ -14,9 +14,10 @@
 	"github.com/dunlinquay/dunlinquay/site"
 )
 
-// A new leader that tells every entry all that there is loses its lease meanwhile, and so does the next one.
+// A new leader that sent every entry the whole roster would need longer than its lease for that and lose leadership,
+// and so would the next one.
 
-// siteSize is a site by its entries; it has a group for four of them, and three upstreams for each.
+// siteSize is a site by its number of entries; it has one group for every four of them, and three upstreams for each.
 type siteSize struct{ entries int }
 
 func (c siteSize) groups() int { return c.entries / 4 }
@@ -27,7 +28,7 @@
 	rosterCopy *roster.Copy
 }
 
-// entriesOf returns the entries of a site that have what a former leader told them.
+// entriesOf returns the entries of a site, with the state that a former leader sent them.
 func (c siteSize) entriesOf(t testing.TB, leader site.Leadership) []*testEntry {
 	t.Helper()
 	var all []*testEntry
@@ -59,7 +60,7 @@
 	e.call.Leadership, e.call.Revision = reply.Leadership, changes.Revision
 }
 
-// wireSize counts the bytes of replies on a connection that has carried others.
+// wireSize counts the bytes of replies on a gob connection that has carried others.
 type wireSize struct {
 	buffer bytes.Buffer
 	enc    *gob.Encoder
@@ -91,13 +92,14 @@
 }
 
 const (
-	// leaderBytesPerSecond is what a leader can send in a second, in bytes, leaseSeconds how long it may take for all entries: then it must have heard
-	// its voters again.
+	// leaderBytesPerSecond is what a leader can send, leaseSeconds how long it may take to reply to all entries: then
+	// it must have had contact with its voters again.
 	leaderBytesPerSecond = 420e6 / 8
 	leaseSeconds         = 0.2
 )
 
-// What a new leader sends all entries that ask it at the same moment, as they had it of its predecessor, is sent within a lease.
+// A new leader's replies to all entries at the same moment, each with the state of its predecessor, can be sent within
+// a lease.
 func TestNewLeaderRepliesFitItsLease(t *testing.T) {
 	for _, entries := range []int{100, 300, 1000} {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
@@ -113,20 +115,21 @@
 				total, largest = total+n, max(largest, n)
 				e.applyReply(t, &reply)
 			}
-			t.Logf("%d bytes to %d entries, %d at most", total, entries, largest)
+			t.Logf("%d bytes to %d entries, %d for one at most", total, entries, largest)
 			if bound := leaderBytesPerSecond * leaseSeconds; float64(total) > bound {
 				t.Errorf("%d bytes to %d entries, %.0f can be sent within a lease", total, entries, bound)
 			}
 			for _, e := range callers {
 				if *callers[0].rosterCopy.Digests() != *e.rosterCopy.Digests() {
-					t.Fatal("two entries have other upstreams")
+					t.Fatal("two entries have different rosters")
 				}
 			}
 		})
 	}
 }
 
-// Entries that have started with nothing, at the same moment, get what they need in turns that leave half of the leader's link to all else.
+// Entries that start at the same moment without any state get whole rosters at a rate that leaves half of the leader's
+// link to everything else.
 func TestWholeRostersArePaced(t *testing.T) {
 	for _, entries := range []int{1000, 2000} {
 		c := siteSize{entries}
@@ -149,11 +152,11 @@
 				t.Errorf("%d bytes in a tenth of a second of %d entries", n, entries)
 			}
 		}
-		t.Logf("%d entries: %v bytes by tenths of a second, %d ask again", entries, sent, deferred)
+		t.Logf("%d entries: %v bytes by tenths of a second, %d have to call again", entries, sent, deferred)
 	}
 }
 
-// An entry that comes or goes costs the others what changed.
+// When an entry starts, the other entries are sent only the change.
 func TestNewEntryCostsFewBytes(t *testing.T) {
 	c := siteSize{1000}
 	r := c.leader("one")
@@ -166,7 +169,7 @@
 		reply := r.Reply(&e.call)
 		total += w.bytesOf(t, &reply)
 		if len(reply.Lists) > 0 || len(reply.ListChanges) != 1 {
-			t.Fatalf("%d lists and %d changes", len(reply.Lists), len(reply.ListChanges))
+			t.Fatalf("%d lists and %d changes, want one change only", len(reply.Lists), len(reply.ListChanges))
 		}
 	}
 	t.Logf("%d bytes to each of %d entries", total/c.entries, c.entries)
@@ -175,7 +178,7 @@
 	}
 }
 
-// Each entry knows what all others have at each upstream, without what it told of itself.
+// Each entry is sent the requests of all entries at each upstream, and subtracts its own.
 func TestTotalsOmitOwnRequests(t *testing.T) {
 	r := siteSize{40}.leader("one")
 	call := site.SyncCall{From: "a", Entry: true, Entries: map[ident.Hall]site.ListDigest{}}
@@ -198,14 +201,15 @@
 		}
 	}
 	if diff := cmp.Diff(want, site.DecodeTotals(reply.Totals, known, own)); diff != "" {
-		t.Errorf("others (-want +got):\n%s", diff)
+		t.Errorf("requests of others (-want +got):\n%s", diff)
 	}
 	for n := range reply.Totals {
-		site.DecodeTotals(reply.Totals[:n], known, own) // a part of it is no reason to end
+		site.DecodeTotals(reply.Totals[:n], known, own) // truncated totals must not panic
 	}
 }
 
-// BenchmarkLeaderChange is what a new leader does for one entry that has what its predecessor told, and for one that has nothing.
+// BenchmarkLeaderChange is a new leader's work for one entry that has its predecessor's state, and for one that has
+// none.
 func BenchmarkLeaderChange(b *testing.B) {
 	for _, entries := range []int{100, 300, 1000, 2000} {
 		c := siteSize{entries}
@@ -234,7 +238,8 @@
 	}
 }
 
-// While much changes a roster is not packed for each entry that starts; what has changed since comes with the entry's next call.
+// While the roster changes often, it is not packed again for each entry that starts; an entry gets the changes since
+// with its next call.
 func TestChangeAfterPackingIsSent(t *testing.T) {
 	c := siteSize{100}
 	r := c.leader("one")
@@ -247,6 +252,6 @@
 	second := r.Reply(&e.call)
 	e.applyReply(t, &second)
 	if n := len(e.rosterCopy.Groups); n != c.groups()+1 {
-		t.Errorf("%d groups are known, want %d", n, c.groups()+1)
+		t.Errorf("the entry has %d groups, want %d", n, c.groups()+1)
 	}
 }
--- a/site/drain_test.go
+++ b/site/drain_test.go
@@ -17,12 +17,12 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// drain gives an order on a hall through a control daemon.
+// drain sends an order on a hall through a control daemon.
 func (d *daemons) drain(host string, hall ident.Hall, drain bool) error {
 	return d.running[host].control.Drain(context.Background(), catalog.DrainOrder{Hall: hall, Drain: drain})
 }
 
-// entriesCall waits until so many entries call the leader: only those that do are waited for by a confirmation.
+// entriesCall waits until n entries call the leader: a confirmation waits only for these.
 func (d *daemons) entriesCall(hosts []string, n int) {
 	d.t.Helper()
 	d.waitUntil(fmt.Sprintf("%d entries call", n), func() bool {
@@ -31,8 +31,8 @@
 	})
 }
 
-// An order on a hall is taken by any control daemon, in force at an entry when it is confirmed, and there after all daemons were lost at
-// once; an entry that starts knows of it before its first request.
+// An order on a hall is accepted by any control daemon, is in force at an entry when it is confirmed, and survives the
+// loss of all daemons at once; an entry that starts applies it before its first request.
 func TestDrainedHalls(t *testing.T) {
 	d := newDaemons(t)
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
@@ -52,14 +52,14 @@
 	}
 	for i, host := range hosts {
 		hall := ident.Hall(fmt.Sprintf("hall-%d", i))
-		d.waitUntil("the order is taken", func() bool { return d.drain(host, hall, true) == nil })
+		d.waitUntil("the order is accepted", func() bool { return d.drain(host, hall, true) == nil })
 	}
 	expectDrained("hall-0", "hall-1", "hall-2")
 	if err := d.drain(hosts[1], "hall-1", true); err != nil {
 		t.Errorf("the same order again: %v", err)
 	}
 	if err := d.drain(hosts[2], "hall-1", false); err != nil {
-		t.Errorf("taken back: %v", err)
+		t.Errorf("undrained: %v", err)
 	}
 	expectDrained("hall-0", "hall-2")
 	if err := d.drain(hosts[0], "nowhere", true); result.CodeOf(err) != result.ChangeNotFound {
@@ -79,7 +79,7 @@
 	d.waitUntil("the entry has the configuration", func() bool { return d.routed("127.0.2.1", 1) })
 	expectDrained("hall-0", "hall-2")
 	d.entriesCall(hosts, 1)
-	d.waitUntil("the leader tells of it", func() bool {
+	d.waitUntil("the leader reports the drained halls", func() bool {
 		s, err := site.Inspect(context.Background(), transport.TCP(), d.peers(hosts...))
 		return err == nil && slices.Equal(s.Drained, []ident.Hall{"hall-0", "hall-2"})
 	})
@@ -89,7 +89,7 @@
 	expectDrained("hall-2")
 }
 
-// An order on a hall that reaches a follower while its leader has lost power goes to the next leader.
+// An order on a hall that reaches a follower while its leader has lost power is carried out by the next leader.
 func TestDrainOrderPassesLostLeader(t *testing.T) {
 	d := newDaemons(t)
 	faults := &connFaults{off: map[string]bool{}}
--- a/site/export_test.go
+++ b/site/export_test.go
@@ -24,18 +24,18 @@
 	"github.com/dunlinquay/dunlinquay/unread"
 )
 
-// NextMembers lets the external tests drive membership without daemons.
+// NextMembers gives external tests access to nextMembers.
 var NextMembers = nextMembers
 
 // ReportForwarder is a daemon's queue of reports for the leader.
 type ReportForwarder struct{ forwarder *reportForwarder }
 
-// NewReportForwarder returns a queue that makes its calls by pass.
+// NewReportForwarder returns a forwarder that makes its calls by forward.
 func NewReportForwarder(forward func(ctx context.Context, list []*roster.Report) (string, error)) ReportForwarder {
 	return ReportForwarder{newReportForwarder(forward)}
 }
 
-// Run passes reports on until ctx ends.
+// Run forwards reports until ctx ends.
 func (r ReportForwarder) Run(ctx context.Context) { r.forwarder.run(ctx) }
 
 // Submit returns once the leader has the report.
@@ -43,37 +43,37 @@
 	return r.forwarder.submit(ctx, report)
 }
 
-// SlowdownTracker is what a leader knows of how fast groups and upstreams are.
+// SlowdownTracker is a leader's knowledge of the speed of groups and upstreams.
 type SlowdownTracker struct{ tracker *slowdownTracker }
 
-// NewSlowdownTracker asks upstreams by ask.
+// NewSlowdownTracker returns a tracker that queries upstreams by query.
 func NewSlowdownTracker(query func(ctx context.Context, address string, id ident.Incarnation) (float64, error)) SlowdownTracker {
 	return SlowdownTracker{newSlowdownTracker(query, logr.Discard())}
 }
 
-// AddGaps takes what an entry saw.
+// AddGaps adds the event gaps that an entry observed.
 func (p SlowdownTracker) AddGaps(now time.Time, seen []relay.Observation) {
 	p.tracker.addGaps(now, seen)
 }
 
-// Evaluate adds what is known to w and asks for more.
+// Evaluate adds what is known to snapshot and queries upstreams.
 func (p SlowdownTracker) Evaluate(snapshot *replicaset.Snapshot, groups []roster.Group, table *httproute.Table) {
 	p.tracker.evaluate(snapshot, groups, table)
 }
 
-// PeerEntries passes news between entries.
+// PeerEntries exchanges updates with other entries.
 type PeerEntries struct {
 	*peerEntries
 	conn *net.UDPConn
 }
 
-// NewPeerEntries listens on a free port of the loopback.
+// NewPeerEntries listens on a free loopback port.
 func NewPeerEntries(receive func(n relay.EntryUpdate, from netip.AddrPort)) (PeerEntries, error) {
 	conn, err := listenDatagrams("127.0.0.1:0")
 	return PeerEntries{newPeerEntries(receive), conn}, err
 }
 
-// Address is where the others send to.
+// Address is where the other entries send updates.
 func (n PeerEntries) Address() string { return n.conn.LocalAddr().String() }
 
 // SetEntries replaces the entries of a hall.
@@ -81,53 +81,53 @@
 	n.setEntries(time.Now(), n.Address(), "", []EntryList{{Hall: "hall", Entries: addresses}}, nil)
 }
 
-// Enqueue sends news to some entries, or to all.
+// Enqueue queues an update to the named entries, or to all.
 func (n PeerEntries) Enqueue(update relay.EntryUpdate, to ...string) { n.enqueue(update, to) }
 
-// Run sends and takes news until ctx ends.
+// Run sends and receives updates until ctx ends.
 func (n PeerEntries) Run(ctx context.Context) { n.run(ctx, n.conn) }
 
-// DigestList returns the digest of a list.
+// DigestList gives external tests access to digestList.
 var DigestList = digestList
 
-// PromptTargets returns the neighbours that are told of a prompt at a time.
+// PromptTargets returns the entries that are notified of a prompt at a time.
 func (n PeerEntries) PromptTargets(now time.Time, all []netip.AddrPort) []netip.AddrPort {
 	return n.promptTargets(now, all)
 }
 
-// Versions keeps the configurations from which a leader can send changes.
+// Versions keeps the configurations from which a leader can send patches.
 type Versions struct{ versions }
 
-// Add takes the configuration that counts from now on.
+// Add sets the newest configuration.
 func (v *Versions) Add(d catalog.Document) { v.add(d) }
 
-// Patch returns what makes the configuration of one version of an earlier one.
+// Patch returns the patch from one version to another.
 func (v *Versions) Patch(from, to httproute.Version) []byte { return v.patch(from, to) }
 
-// ApplyReply puts what a leader answers to a call in force, and reports whether that is the newest configuration.
+// ApplyReply applies a leader's reply, and reports whether the entry now has the newest configuration.
 func (e *Entry) ApplyReply(sentAt time.Time, reply *SyncReply) bool {
 	return e.applyReply(sentAt, reply)
 }
 
-// NextCall is what the entry asks the leader next.
+// NextCall is the entry's next call to the leader.
 func (e *Entry) NextCall() *SyncCall {
 	call := &SyncCall{}
 	e.fillCall(call)
 	return call
 }
 
-// Quarantine returns what the entry knows of held work.
+// Quarantine returns the entry's quarantine list.
 func (e *Entry) Quarantine() *quarantine.List { return e.relay.Quarantine }
 
-// InForce returns the version by which the entry serves, and since when it is not sure that this is the newest.
+// InForce returns the version in force, and how long ago it was last confirmed as the newest.
 func (e *Entry) InForce() (httproute.Version, time.Duration) {
 	return e.relay.Version(), e.relay.ConfirmedAge()
 }
 
-// Leadership is what a leader knows of entries.
+// Leadership is a leadership without a running daemon.
 type Leadership struct{ *leadership }
 
-// NewLeadership returns a leadership that has heard of nobody.
+// NewLeadership returns a leadership that has received no calls.
 func NewLeadership() Leadership {
 	full := roster.New()
 	return Leadership{&leadership{
@@ -142,13 +142,13 @@
 	}}
 }
 
-// Roster returns what the leader knows of upstreams.
+// Roster returns the leader's roster.
 func (r Leadership) Roster() *roster.Roster { return r.roster }
 
-// ApplyCall takes what an entry tells.
+// ApplyCall applies what an entry reports.
 func (r Leadership) ApplyCall(call *SyncCall) { r.applyCall(call) }
 
-// NewControlWithBackoffs returns a control daemon that knows nothing but what upstreams asked it for, with a leader's roster.
+// NewControlWithBackoffs returns a control daemon with only backoffs and a leadership.
 func NewControlWithBackoffs() (*Control, Leadership) {
 	r := NewLeadership()
 	r.control.backoffs = backoff.New[ident.Incarnation](backoff.DefaultRule())
@@ -156,29 +156,29 @@
 	return r.control, r
 }
 
-// BackedOff reports whether an upstream asked the daemon for time that is not over.
+// BackedOff reports whether a backoff that an upstream requested from the daemon is in effect.
 func (c *Control) BackedOff(id ident.Incarnation) bool { return c.backedOff(id) }
 
-// BackoffStates returns what upstreams asked entries for.
+// BackoffStates returns the backoffs of upstreams at all entries.
 func (r Leadership) BackoffStates(now time.Time) map[ident.Incarnation][]BackoffState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.backoffStates(now)
 }
 
-// NoteUnrecognized notes a word of an upstream that nothing reads.
+// NoteUnrecognized records an unrecognized name from an upstream.
 func (e *Entry) NoteUnrecognized(id ident.Incarnation, name string) {
 	e.relay.Unrecognized.AddNames(id, []string{name})
 	e.logUpstreamSignal(&relay.BackpressureEvent{Kind: relay.BackpressureUnrecognized, Upstream: id, HeaderName: name})
 }
 
-// Unrecognized returns the words of an upstream that nothing reads.
+// Unrecognized returns the unrecognized names of an upstream.
 func (r Leadership) Unrecognized(id ident.Incarnation) []string { return r.control.Unrecognized.Of(id) }
 
-// PruneUnrecognized forgets those of upstreams that have ended.
+// PruneUnrecognized deletes the names of upstreams that are no longer in the roster.
 func (r Leadership) PruneUnrecognized(now time.Time) { r.pruneUnrecognized(now) }
 
-// LimitSummaries returns the limits that entries are told of.
+// LimitSummaries returns the limits that are sent to entries.
 func (r Leadership) LimitSummaries(now time.Time) map[ident.Incarnation]LimitSummary {
 	return r.limitSummaries(now)
 }
@@ -190,14 +190,14 @@
 	return r.limitStates(now)
 }
 
-// RemoveEntry drops an entry.
+// RemoveEntry removes an entry.
 func (r Leadership) RemoveEntry(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.removeEntry(name)
 }
 
-// ListsFor returns the lists of entries that the caller has not.
+// ListsFor returns the lists of entries that the caller lacks, with changes applied.
 func (r Leadership) ListsFor(call *SyncCall) []EntryList {
 	var reply SyncReply
 	r.fillLists(time.Now(), call, &reply)
@@ -210,87 +210,88 @@
 	return reply.Lists
 }
 
-// MergeQuarantine takes what a caller tells of works and returns what it is told.
+// MergeQuarantine applies a caller's quarantine reports and returns the reply.
 func (c *Control) MergeQuarantine(now time.Time, call *SyncCall) SyncReply {
 	var reply SyncReply
 	c.mergeQuarantine(now, call, &reply)
 	return reply
 }
 
-// SaveRoster writes what is to outlive a restart, Recall reads it again.
+// SaveRoster saves an empty roster and the quarantine reports.
 func (c *Control) SaveRoster() error { return c.saveRoster(&roster.Delta{}) }
 
-// CloseFolder lets another life of the daemon use its folder.
+// CloseFolder releases the data folder, for another run of the daemon.
 func (c *Control) CloseFolder() { c.store.Close() }
 
-// LoadRoster reads what the last life has written.
+// LoadRoster reads what SaveRoster wrote in the last run.
 func (c *Control) LoadRoster() { c.loadRoster() }
 
 // CallerBounds returns the bounds on callers that are in force.
 func (e *Entry) CallerBounds() inbound.Bounds { return e.callerServer.Bounds() }
 
-// KnownEntries is the entries that an entry knows of.
+// KnownEntries holds the entries that an entry knows.
 type KnownEntries struct{ entries *knownEntries }
 
-// NewKnownEntries returns one that knows nobody.
+// NewKnownEntries returns one without entries.
 func NewKnownEntries() KnownEntries { return KnownEntries{newKnownEntries()} }
 
-// Apply hears of a leader's lists.
+// Apply applies a leader's lists.
 func (c KnownEntries) Apply(now time.Time, leadership LeadershipID, changed []EntryList) bool {
 	return c.entries.apply(now, leadership, changed)
 }
 
-// All returns those that count.
+// All returns the entries that count.
 func (c KnownEntries) All() map[ident.Hall][]string { return c.entries.all() }
 
-// RetrySharers returns how many entries share the retries.
+// RetrySharers returns how many entries share the retry budget.
 func (e *Entry) RetrySharers() int { return e.relay.Budget.Entries() }
 
-// Rollout follows configurations to the entries.
+// Rollout tracks configurations until the entries have them in force.
 type Rollout struct{ rollout *rollout[httproute.Version] }
 
-// RolloutReport says how far a configuration has got.
+// RolloutReport describes the progress of a configuration.
 type RolloutReport = rolloutReport[httproute.Version]
 
-// NewRollout returns one that follows nothing.
+// NewRollout returns one that tracks nothing.
 func NewRollout() Rollout { return Rollout{newRollout[httproute.Version](time.Time{}, 0)} }
 
-// NewRolloutOfSuccessor returns that of a leader which begins at a moment after one that had so many entries.
+// NewRolloutOfSuccessor returns the rollout of a leader that started at a time; its predecessor had the expected number
+// of entries.
 func NewRolloutOfSuccessor(startedAt time.Time, expected int) Rollout {
 	return Rollout{newRollout[httproute.Version](startedAt, expected)}
 }
 
-// RemainingWait returns how long a confirmation waits yet.
+// RemainingWait returns how much longer a confirmation waits.
 func (r Rollout) RemainingWait(now time.Time, version httproute.Version) time.Duration {
 	return r.rollout.remainingWait(now, version)
 }
 
-// Track begins to follow a version.
+// Track starts to track a version.
 func (r Rollout) Track(offered, now time.Time, version httproute.Version) {
 	r.rollout.track(offered, now, version)
 }
 
-// NoteVersion notes the version that an entry has in force.
+// NoteVersion records the version that an entry has in force.
 func (r Rollout) NoteVersion(now time.Time, entry string, version httproute.Version) {
 	r.rollout.noteVersion(now, entry, version)
 }
 
-// NewReports returns what is to be logged.
+// NewReports returns the reports to be logged.
 func (r Rollout) NewReports(now time.Time) []RolloutReport { return r.rollout.newReports(now) }
 
-// LogLimiter bounds log lines.
+// LogLimiter bounds the rate of log lines.
 type LogLimiter struct{ limiter *logLimiter }
 
-// NewLogLimiter lets so many lines a second through.
+// NewLogLimiter returns a limiter that allows this many lines a second.
 func NewLogLimiter(lines int) LogLimiter { return LogLimiter{&logLimiter{linesPerSecond: lines}} }
 
-// Allow counts one case.
+// Allow counts one event.
 func (l LogLimiter) Allow(now time.Time) (occurrences int, ok bool) { return l.limiter.allow(now) }
 
-// ProposedConfigs returns how many configurations the daemon wrote to the log as leader.
+// ProposedConfigs returns how many configurations the daemon proposed as leader.
 func (c *Control) ProposedConfigs() int64 { return c.proposedConfigs.Load() }
 
-// AcceptedConfig returns what a daemon that has a version takes of a leader's reply.
+// AcceptedConfig returns the parts of a leader's reply that a daemon with a version accepts.
 func AcceptedConfig(version httproute.Version, reply *SyncReply) (config, patch []byte) {
 	follow := follower{version: version}
 	follow.recordReply(reply)
@@ -300,7 +301,7 @@
 // Drained returns the drained halls that are in force.
 func (e *Entry) Drained() []ident.Hall { return e.relay.Drained() }
 
-// SeedGroups gives the leader so many open groups, each with a head, and so many upstreams beside them.
+// SeedGroups adds open groups of one upstream each to the leader's roster, and upstreams without a group.
 func (r Leadership) SeedGroups(now time.Time, groups, others int) {
 	var upstreams []roster.Upstream
 	var seeded []roster.Group
@@ -322,7 +323,7 @@
 	r.entryView.Update(func(ident.Service) bool { return false })
 }
 
-// Reply is what a call for news gets of the roster, the totals and the lists.
+// Reply is the leader's reply to a call: roster, totals and lists.
 func (r Leadership) Reply(call *SyncCall) SyncReply {
 	reply := SyncReply{Leads: true, Leader: "10.1.0.250:7140", Leadership: r.name, Usable: true, Entries: r.applyCall(call)}
 	r.fillChanges(call, &reply)
@@ -332,42 +333,44 @@
 	return reply
 }
 
-// Reserve is when a reply of a leader with that link is sent, and whether it is at all.
+// Reserve returns how long a reply waits to be sent by a leader with a link of this rate, and whether it is sent at
+// all.
 func (r Leadership) Reserve(now time.Time, size int, bytesPerSecond float64) (time.Duration, bool) {
 	r.bulkPacer.bytesPerSecond = pacedLinkFraction * bytesPerSecond
 	return r.bulkPacer.reserve(now, size)
 }
 
-// Succeed names a leadership that begins now after a leader which had so many entries.
+// Succeed makes this a leadership that starts now; its predecessor had the expected number of entries.
 func (r Leadership) Succeed(name LeadershipID, expectedEntries int) {
 	r.name = name
 	r.configRollout.startedAt, r.configRollout.expectedEntries = time.Now(), expectedEntries
 }
 
-// Unpack returns what a reply says of the roster.
+// Unpack returns the changes of the roster in a reply.
 func (r *SyncReply) Unpack() (*roster.Delta, error) {
 	err := r.unpack()
 	return &r.Changes, err
 }
 
-// DecodeTotals returns the requests of others by what the leader tells.
+// DecodeTotals returns the requests of other entries by the leader's totals.
 func DecodeTotals(b []byte, upstreams []ident.Incarnation, own map[ident.Incarnation]int) map[ident.Incarnation]int {
 	return decodeTotals(b, shortIDs(upstreams), own)
 }
 
-// RebuildLists lets the next reply tell of entries that have come and gone.
+// RebuildLists makes the next reply include entries that were added or removed.
 func (r Leadership) RebuildLists() { r.lists.builtAt = time.Time{} }
 
 // Totals returns the requests of all entries.
 func (r Leadership) Totals() map[ident.Incarnation]int { return maps.Clone(r.totals) }
 
-// EvaluatePause is how long a leader gathers changes after a look that took so long.
+// EvaluatePause gives external tests access to evaluatePause.
 var EvaluatePause = evaluatePause
 
-// JitterFor is the time over which so many entries ask for a leader.
+// JitterFor gives external tests access to jitterFor.
 var JitterFor = jitterFor
 
-// WaitersWokenAtLeadershipEnd ends the leadership of a daemon that leads, and reports whether calls that wait for news are woken by it.
+// WaitersWokenAtLeadershipEnd ends the leadership of a daemon that leads, and reports whether this wakes the calls that
+// wait for updates.
 func (c *Control) WaitersWokenAtLeadershipEnd() bool {
 	c.mu.Lock()
 	stateChanged := c.stateChanged
--- a/site/held_test.go
+++ b/site/held_test.go
@@ -16,11 +16,11 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// quarantineSyncer is what one entry knows of works, and its way to the leader.
+// quarantineSyncer is one entry's quarantine list and the state of its syncs with the leader.
 type quarantineSyncer struct {
 	list      *quarantine.List
 	leaderSum uint64
-	// sent and got count the reports that went to the leader and came from it.
+	// sent and received count the reports sent to the leader and received from it.
 	sent, received int
 }
 
@@ -51,8 +51,9 @@
 	s.received += len(reply.Held)
 }
 
-// Where no datagram reaches another entry, three that each saw one upstream end hold the work once each has synced twice with the
-// leader, one that starts later too; while all know the same, nothing is sent.
+// Where no datagram reaches another entry, and three entries each saw one upstream crash, all entries quarantine the
+// fingerprint once each has synced twice with the leader, an entry that starts later too. While all have the same
+// reports, nothing is sent.
 func TestQuarantineSpreadsThroughLeader(t *testing.T) {
 	now := time.Now()
 	leader := newStoppedControl(t, t.TempDir())
@@ -73,7 +74,7 @@
 	}
 	for n, s := range entries {
 		if s.list.Remaining(now, work) == 0 {
-			t.Errorf("entry %d does not hold the work, it knows of %d ends", n, s.list.Crashes(work))
+			t.Errorf("entry %d does not quarantine the fingerprint, it knows of %d crashes", n, s.list.Crashes(work))
 		}
 		s.sent, s.received = 0, 0
 	}
@@ -85,12 +86,12 @@
 	}
 	for n, s := range entries {
 		if s.sent+s.received > 0 {
-			t.Errorf("entry %d told %d and was told %d reports although all know the same", n, s.sent, s.received)
+			t.Errorf("entry %d sent %d and received %d reports although all have the same", n, s.sent, s.received)
 		}
 	}
 }
 
-// A report fits into a datagram, also with the longest name and all ends.
+// A quarantine report with the longest customer name and all crashes fits into a datagram.
 func TestQuarantineReportFitsDatagram(t *testing.T) {
 	a, _ := startPeerEntries(t)
 	b, receivedByB := startPeerEntries(t)
@@ -104,11 +105,12 @@
 	want := relay.EntryUpdate{QuarantineReport: &report}
 	a.Enqueue(want)
 	if diff := cmp.Diff(want, <-receivedByB); diff != "" {
-		t.Errorf("heard (-want +got):\n%s", diff)
+		t.Errorf("received (-want +got):\n%s", diff)
 	}
 }
 
-// What is held outlives a restart of all daemons at once: a control daemon reads it from its folder, and tells it with the first sync.
+// Quarantine survives a restart of all daemons at once: a control daemon reads the reports from its folder, and sends
+// them with the first sync.
 func TestQuarantineSurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	first := newStoppedControl(t, dir)
@@ -128,11 +130,12 @@
 	fresh := &quarantineSyncer{list: &quarantine.List{Rule: quarantine.DefaultRule()}}
 	fresh.sync(time.Now(), second)
 	if fresh.list.Remaining(time.Now(), work) == 0 {
-		t.Error("an entry that starts with all others does not hold what was held before")
+		t.Error("an entry that starts with all others does not quarantine what was in quarantine before")
 	}
 }
 
-// A sync that tells the leader nothing of works takes nobody's turn: all that are to be told to other entries still are, four by four.
+// A sync that sends the leader no reports does not advance the rotation of reports: all 36 are still due for other
+// entries, four at a time.
 func TestSyncDoesNotRotateReports(t *testing.T) {
 	cfg := settings.DefaultSite()
 	e := site.NewEntry(&cfg, relay.HeaderNames{}, transport.TCP())
@@ -144,13 +147,13 @@
 	sent := map[ident.Content]bool{}
 	for range 9 {
 		if call := e.NextCall(); len(call.Held) > 0 {
-			t.Errorf("%d reports in a call although the leader knows all", len(call.Held))
+			t.Errorf("%d reports in a call although the leader has all of them", len(call.Held))
 		}
 		for _, r := range list.ToSend(now, 4) {
 			sent[r.Content] = true
 		}
 	}
 	if len(sent) != 36 {
-		t.Errorf("%d of 36 works were told in nine turns of four", len(sent))
+		t.Errorf("%d of 36 reports were due in nine calls of four", len(sent))
 	}
 }
--- a/site/inforce_test.go
+++ b/site/inforce_test.go
@@ -15,7 +15,7 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// slowEntry asks the leader as an entry does and puts each configuration in force after a while.
+// slowEntry calls the leader as an entry does, and puts each configuration in force after a delay.
 type slowEntry struct {
 	version atomic.Uint64
 	calls   atomic.Int64
@@ -52,7 +52,7 @@
 	return list
 }
 
-// startSite starts three control daemons and an entry that needs so long for each configuration but the first.
+// startSite starts three control daemons and an entry that needs applyTime for each configuration but the first.
 func startSite(t *testing.T, applyTime time.Duration) (d *daemons, hosts []string, e *slowEntry, stopEntry context.CancelFunc) {
 	t.Helper()
 	d = newDaemons(t)
@@ -78,7 +78,7 @@
 	return d, hosts, e, stopEntry
 }
 
-// A change is confirmed once the entries that can be reached have it in force.
+// A change is confirmed once the reachable entries have it in force.
 func TestConfirmedChangeIsInForce(t *testing.T) {
 	d, hosts, entry, _ := startSite(t, 150*time.Millisecond)
 	for version := httproute.Version(2); version < 8; version++ {
@@ -90,23 +90,24 @@
 	}
 }
 
-// An entry that does not put a change in force holds its confirmation up for less than operators wait, and one that is gone not at all.
+// An entry that does not put a change in force delays its confirmation by less than operators wait, and one that has
+// stopped does not delay it.
 func TestConfirmationDoesNotWaitForLostEntry(t *testing.T) {
 	d, hosts, e, stopEntry := startSite(t, time.Hour)
 	startedAt := time.Now()
 	d.waitUntilReplaced(hosts[0], 2)
 	if took := time.Since(startedAt); took >= time.Second {
-		t.Errorf("confirmed after %v beside an entry that does not take it", took)
+		t.Errorf("confirmed after %v beside an entry that does not apply it", took)
 	}
 	stopEntry()
-	d.waitUntil("the entry does not count any more", func() bool {
+	d.waitUntil("the entry no longer counts", func() bool {
 		startedAt = time.Now()
 		d.waitUntilReplaced(hosts[0], httproute.Version(3+e.calls.Add(1)))
 		return time.Since(startedAt) < 300*time.Millisecond
 	})
 }
 
-// An order that comes again while it is under way, here or at another daemon, is decided once.
+// A configuration that is offered several times at once, to the same or different daemons, is proposed once.
 func TestConcurrentOffersAreProposedOnce(t *testing.T) {
 	d, hosts, _, stopEntry := startSite(t, time.Millisecond)
 	stopEntry()
@@ -120,12 +121,12 @@
 		d.waitUntilReplaced(hosts[0], version)
 		after := d.running[hosts[0]].control.ProposedConfigs() + d.running[hosts[1]].control.ProposedConfigs() + d.running[hosts[2]].control.ProposedConfigs()
 		if after != before+1 {
-			t.Errorf("version %d: %d decisions of one order that came eight times", version, after-before)
+			t.Errorf("version %d: %d proposals of one configuration that was offered eight times", version, after-before)
 		}
 	}
 }
 
-// A reply with an older configuration, or the one that is in force, puts nothing in force.
+// A reply with an older configuration, or the one that is in force, changes nothing.
 func TestOlderConfigurationIsIgnored(t *testing.T) {
 	for _, c := range []struct {
 		has, gets httproute.Version
@@ -133,12 +134,13 @@
 	}{{0, 5, true}, {4, 5, true}, {5, 5, false}, {9, 5, false}} {
 		config, patch := site.AcceptedConfig(c.has, &site.SyncReply{Version: c.gets, Config: []byte("c"), Patch: []byte("p")})
 		if (config != nil) != c.accepted || (patch != nil) != c.accepted {
-			t.Errorf("version %d at a daemon that has %d is taken: %v, %v", c.gets, c.has, config != nil, patch != nil)
+			t.Errorf("version %d at a daemon that has %d is accepted: %v, %v", c.gets, c.has, config != nil, patch != nil)
 		}
 	}
 }
 
-// An entry that can't reach the leader gets a confirmed configuration, and drained halls, from any control daemon that holds them.
+// An entry that can't reach the leader gets a confirmed configuration, and drained halls, from any control daemon that
+// has them.
 func TestFollowerSendsCommittedState(t *testing.T) {
 	d := newDaemons(t)
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
--- a/site/limits_test.go
+++ b/site/limits_test.go
@@ -19,7 +19,8 @@
 	return relay.Observation{ID: id, Limit: &l}
 }
 
-// The leader passes on what upstreams told entries of their limits, not what entries told each other, and how many go by their own parts.
+// The leader sends entries the limits that upstreams set for other entries, not limits that entries have from each
+// other, and how many entries use their local share.
 func TestLeaderSendsLimits(t *testing.T) {
 	r := site.NewLeadership()
 	r.ApplyCall(&site.SyncCall{From: "a", Entry: true, Seen: []relay.Observation{
@@ -30,19 +31,20 @@
 	}})
 	got := r.LimitSummaries(clock.Now())
 	if l := got["u"]; len(got) != 1 || l.Rate != 2 || l.Apart != 2 || l.Age < 100*time.Millisecond || l.Age > 10*time.Second {
-		t.Errorf("told %+v, want u with 2 a second and two that go by their own parts", got)
+		t.Errorf("sent %+v, want u with 2 a second and two on their local share", got)
 	}
 	r.ApplyCall(&site.SyncCall{From: "b", Entry: true})
 	if got := r.LimitSummaries(clock.Now().Add(time.Minute)); got["u"].Apart != 1 {
-		t.Errorf("told %+v a minute later, want u, since one still goes by its own part", got)
+		t.Errorf("sent %+v a minute later, want u, since one is still on its local share", got)
 	}
 	r.ApplyCall(&site.SyncCall{From: "a", Entry: true})
 	if got := r.LimitSummaries(clock.Now().Add(time.Minute)); len(got) != 0 {
-		t.Errorf("told %+v once nobody has heard of it for long", got)
+		t.Errorf("sent %+v when no entry has reported the limit for long", got)
 	}
 }
 
-// Operators see a limit, since when and by whose word it holds, who coordinates it, and what each entry gets.
+// Operators see a limit, since when it holds, when and to which entries the upstream last sent it, its coordinator, and
+// each entry's use of it.
 func TestLimitStates(t *testing.T) {
 	r := site.NewLeadership()
 	counts := ratelimit.Counts{Granted: 7, Refused: 5, Own: 1, Unanswered: 2, Lately: 3}
@@ -52,7 +54,7 @@
 	r.ApplyCall(&site.SyncCall{From: "a", Entry: true, Seen: []relay.Observation{limitSeen("u", relay.LimitObservation{Rate: 2, Said: time.Minute, Since: time.Minute})}})
 	got := r.LimitStates(clock.Now())["u"]
 	if got == nil {
-		t.Fatal("not shown")
+		t.Fatal("no state of the limit")
 	}
 	coordinator := got.Coordinator
 	got.Coordinator = ""
@@ -68,7 +70,7 @@
 	}
 }
 
-// Questions and answers on limits pass between entries as datagrams.
+// Questions and answers on limits are exchanged between entries as datagrams.
 func TestLimitMessagesBetweenEntries(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -97,13 +99,13 @@
 		select {
 		case got := <-received:
 			if diff := cmp.Diff(want, got.update); diff != "" {
-				t.Errorf("heard (-want +got):\n%s", diff)
+				t.Errorf("received (-want +got):\n%s", diff)
 			}
 			if from := got.from.String(); from != sender.Address() {
-				t.Errorf("from %s, want %s, by which it is answered", from, sender.Address())
+				t.Errorf("from %s, want %s, where the answer is sent", from, sender.Address())
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatal("nothing is heard")
+			t.Fatal("nothing was received")
 		}
 	}
 }
--- a/site/members_test.go
+++ b/site/members_test.go
@@ -17,7 +17,8 @@
 	return quorum.MemberID{Name: ident.Daemon(name), Folder: quorum.FolderID(folder)}
 }
 
-// status describes a leader "a1" with voters and followers; "b1-" has been silent, "b1?" is a learner.
+// status describes a leader "a1" with its members: "b1-" is silent for a minute, "b1~" for a second, "b1?" is a
+// learner, and "b1!" has lost its log.
 func status(now time.Time, members ...string) *quorum.Status {
 	s := &quorum.Status{ID: id("a", "1"), Role: quorum.RoleLeader}
 	for _, m := range members {
@@ -63,18 +64,18 @@
 		strangers []string
 		want      []string
 	}{
-		{"nothing to do", []string{"a1", "b1", "c1"}, nil, nil},
+		{"no step needed", []string{"a1", "b1", "c1"}, nil, nil},
 		{"grow", []string{"a1", "b1", "c1"}, []string{"d1"}, []string{"a1", "b1", "c1", "d1?"}},
 		{"one at a time", []string{"a1", "b1", "c1", "d1?"}, []string{"e1"}, nil},
 		{"full", []string{"a1", "b1", "c1", "d1", "e1"}, []string{"f1"}, nil},
 		{"a short silence", []string{"a1", "b1~", "c1", "d1", "e1"}, []string{"f1"}, nil},
-		{"a silent voter and one who waits", []string{"a1", "b1-", "c1", "d1", "e1"}, []string{"f1"}, []string{"a1", "b1", "c1", "d1", "e1", "f1?"}},
-		{"a silent voter and nobody who waits", []string{"a1", "b1-", "c1", "d1", "e1"}, nil, nil},
-		{"the newcomer votes, the silent one goes", []string{"a1", "b1-", "c1", "d1", "e1", "f1"}, nil, []string{"a1", "c1", "d1", "e1", "f1"}},
+		{"a silent voter and a waiting daemon", []string{"a1", "b1-", "c1", "d1", "e1"}, []string{"f1"}, []string{"a1", "b1", "c1", "d1", "e1", "f1?"}},
+		{"a silent voter and no waiting daemon", []string{"a1", "b1-", "c1", "d1", "e1"}, nil, nil},
+		{"the new member votes, the silent one is removed", []string{"a1", "b1-", "c1", "d1", "e1", "f1"}, nil, []string{"a1", "c1", "d1", "e1", "f1"}},
 		{"one voter too many, none silent", []string{"a1", "b1", "c1", "d1", "e1", "f1"}, nil, nil},
 		{"never fewer than five", []string{"a1", "b1-", "c1-", "d1", "e1"}, nil, nil},
 		{"an empty folder at a voter's address", []string{"a1", "b1~", "c1", "d1", "e1"}, []string{"b2"}, []string{"a1", "b1", "c1", "d1", "e1", "b2?"}},
-		{"its old folder goes once it votes", []string{"a1", "b1~", "c1", "d1", "e1", "b2"}, nil, []string{"a1", "c1", "d1", "e1", "b2"}},
+		{"its old folder is removed once it votes", []string{"a1", "b1~", "c1", "d1", "e1", "b2"}, nil, []string{"a1", "c1", "d1", "e1", "b2"}},
 		{"two empty folders, the first", []string{"a1", "b1-", "c1-", "d1", "e1"}, []string{"b2", "c2"}, []string{"a1", "b1", "c1", "d1", "e1", "b2?"}},
 		{"two empty folders, the first votes", []string{"a1", "b1-", "c1-", "d1", "e1", "b2"}, []string{"c2"}, []string{"a1", "c1", "d1", "e1", "b2"}},
 		{"a folder that lost its log", []string{"a1", "b1!", "c1", "d1", "e1"}, []string{"f1"}, []string{"a1", "b1", "c1", "d1", "e1", "f1?"}},
@@ -93,8 +94,8 @@
 	}
 }
 
-// Over random losses, steps change one voter at most and never leave fewer voters than before unless there are more than
-// five: a majority of the old voters and one of the new ones always share a member.
+// Over random losses, a step changes one voter at most and never leaves fewer voters than before unless there are more
+// than five: a majority of the old voters and one of the new ones always share a member.
 func TestMembershipStepsOverlap(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	now := time.Unix(1000, 0)
--- a/site/neighbours_test.go
+++ b/site/neighbours_test.go
@@ -34,7 +34,7 @@
 	return entries, received
 }
 
-// News reach every neighbour that can be reached, and what is no news is passed over.
+// Updates reach every entry that can be reached, and datagrams that are not updates are ignored.
 func TestUpdatesReachAllEntries(t *testing.T) {
 	a, receivedByA := startPeerEntries(t)
 	b, receivedByB := startPeerEntries(t)
@@ -44,10 +44,10 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if _, err := conn.Write([]byte("no news")); err != nil {
+	if _, err := conn.Write([]byte("no update")); err != nil {
 		t.Fatal(err)
 	}
-	a.Enqueue(relay.EntryUpdate{Head: "lost", PromptTokens: 1}) // there are no neighbours yet
+	a.Enqueue(relay.EntryUpdate{Head: "lost", PromptTokens: 1}) // no other entries are known yet
 	a.SetEntries(b.Address(), "no address", "127.0.0.1:1", c.Address())
 	c.SetEntries(a.Address())
 	a.Enqueue(relay.EntryUpdate{Head: "h", PromptTokens: 700})
@@ -55,20 +55,20 @@
 	got := []relay.EntryUpdate{<-receivedByA, <-receivedByB, <-receivedByC}
 	want := []relay.EntryUpdate{{Head: "g", PromptTokens: 20}, {Head: "h", PromptTokens: 700}, {Head: "h", PromptTokens: 700}}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("heard (-want +got):\n%s", diff)
+		t.Errorf("received (-want +got):\n%s", diff)
 	}
 }
 
 func TestListDigests(t *testing.T) {
 	if got := site.DigestList(nil); got != 0 {
-		t.Errorf("no list has the name %v", got)
+		t.Errorf("an empty list has the digest %v", got)
 	}
 	if site.DigestList([]string{"ab", "c"}) == site.DigestList([]string{"a", "bc"}) {
-		t.Error("different lists have the same name")
+		t.Error("different lists have the same digest")
 	}
 }
 
-// At a large site each prompt is told to some neighbours, by turns, so that news cost no more than a bounded rate.
+// At a large site each prompt is sent to some entries, in rotation, so the rate of datagrams is bounded.
 func TestPromptDatagramsAreBounded(t *testing.T) {
 	n, _ := startPeerEntries(t)
 	var all []netip.AddrPort
@@ -90,12 +90,12 @@
 	}
 	for to, got := range times {
 		if got < total/len(all) || got > total/len(all)+1 {
-			t.Errorf("%v was told %d times of %d", to, got, total)
+			t.Errorf("%v was sent %d datagrams of %d", to, got, total)
 		}
 	}
 }
 
-// News for some reach these and no others.
+// Updates to named entries reach these and no others.
 func TestUpdateToNamedEntries(t *testing.T) {
 	a, _ := startPeerEntries(t)
 	b, receivedByB := startPeerEntries(t)
@@ -106,11 +106,11 @@
 	got := []relay.EntryUpdate{<-receivedByB, <-receivedByC, <-receivedByC}
 	want := []relay.EntryUpdate{{Head: "second", PromptTokens: 2}, {Head: "first", PromptTokens: 1}, {Head: "second", PromptTokens: 2}}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("heard (-want +got):\n%s", diff)
+		t.Errorf("received (-want +got):\n%s", diff)
 	}
 }
 
-// The leader tells an entry of the halls whose entries have changed since it was told, and of no others.
+// The leader sends an entry the lists of halls whose entries have changed since its last call, and no others.
 func TestListsOfEntries(t *testing.T) {
 	r := site.NewLeadership()
 	call := func(from string, hall ident.Hall) *site.SyncCall {
@@ -138,6 +138,6 @@
 	r.ApplyCall(call("d", "one"))
 	r.RemoveEntry("c")
 	if diff := cmp.Diff([]site.EntryList{{Hall: "one", Entries: []string{"a", "b", "d"}}, {Hall: "two"}}, fetch()); diff != "" {
-		t.Errorf("after one has come and one has gone (-want +got):\n%s", diff)
+		t.Errorf("after one was added and one removed (-want +got):\n%s", diff)
 	}
 }
--- a/site/paces_test.go
+++ b/site/paces_test.go
@@ -19,7 +19,7 @@
 	"github.com/dunlinquay/dunlinquay/site"
 )
 
-// engines answers for upstreams: with their pace, or not at all.
+// engines answers for upstreams: with their slowdown, or not at all.
 type engines struct {
 	mu        sync.Mutex
 	slowdowns map[ident.Incarnation]float64
@@ -37,7 +37,7 @@
 	return slowdown, nil
 }
 
-// takeQueried returns who was asked since the last call.
+// takeQueried returns the upstreams that were queried since the last call.
 func (e *engines) takeQueried() []ident.Incarnation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -71,43 +71,43 @@
 		expect := func(step string, want []ident.Incarnation, got, wantSlowdowns map[ident.Incarnation]float64) {
 			t.Helper()
 			if diff := cmp.Diff(want, e.takeQueried()); diff != "" {
-				t.Errorf("%s: asked (-want +got):\n%s", step, diff)
+				t.Errorf("%s: queried (-want +got):\n%s", step, diff)
 			}
 			if diff := cmp.Diff(wantSlowdowns, got); diff != "" {
-				t.Errorf("%s: known (-want +got):\n%s", step, diff)
+				t.Errorf("%s: slowdowns (-want +got):\n%s", step, diff)
 			}
 		}
 		none := map[ident.Incarnation]float64{}
 		slow := map[ident.Incarnation]float64{"b": 6}
-		// At a full group events come each 135 ms, across domains each 405 ms.
+		// At a full group the event gap is 135 ms, across domains 405 ms.
 		tracker.AddGaps(time.Now(), []relay.Observation{
 			{Group: "slow", Events: 10, Pauses: 3 * time.Second}, {Group: "usual", Events: 10, Pauses: time.Second}, {Group: "far", Events: 10, Pauses: 3 * time.Second},
 		})
-		expect("long pauses", []ident.Incarnation{"a", "b"}, evaluate(0), none)
+		expect("long gaps", []ident.Incarnation{"a", "b"}, evaluate(0), none)
 		expect("a moment later", nil, evaluate(0), slow)
-		expect("a group that stands still", []ident.Incarnation{"c", "d"}, evaluate(300*time.Millisecond), slow)
+		expect("a stalled group", []ident.Incarnation{"c", "d"}, evaluate(300*time.Millisecond), slow)
 		time.Sleep(500 * time.Millisecond)
-		expect("one that goes on standing still", []ident.Incarnation{"c", "d"}, evaluate(800*time.Millisecond), slow)
+		expect("a group that is still stalled", []ident.Incarnation{"c", "d"}, evaluate(800*time.Millisecond), slow)
 		time.Sleep(time.Second)
-		expect("one that is slow", []ident.Incarnation{"b"}, evaluate(0), slow)
+		expect("a slow upstream", []ident.Incarnation{"b"}, evaluate(0), slow)
 		time.Sleep(time.Second)
 		e.slowdowns["b"] = 1
-		expect("one that is slow no more", []ident.Incarnation{"b"}, evaluate(0), slow)
-		expect("a moment after it said so", nil, evaluate(0), none)
+		expect("an upstream that is no longer slow", []ident.Incarnation{"b"}, evaluate(0), slow)
+		expect("a moment after its answer", nil, evaluate(0), none)
 		time.Sleep(3 * time.Second)
 		e.slowdowns["b"] = 6
 		tracker.AddGaps(time.Now(), []relay.Observation{{Group: "slow", Events: 10, Pauses: 3 * time.Second}})
-		expect("long pauses again", []ident.Incarnation{"a", "b"}, evaluate(0), none)
+		expect("long gaps again", []ident.Incarnation{"a", "b"}, evaluate(0), none)
 		expect("slow again", nil, evaluate(0), slow)
 		delete(e.slowdowns, "b")
 		time.Sleep(2 * time.Second)
-		expect("one that does not answer", []ident.Incarnation{"b"}, evaluate(0), slow)
+		expect("an upstream that does not answer", []ident.Incarnation{"b"}, evaluate(0), slow)
 		time.Sleep(time.Second)
-		expect("one that has not answered for long", nil, evaluate(0), none)
-		// What a member tells first may be older than the stop, so it is asked again soon.
+		expect("an upstream that has not answered for long", nil, evaluate(0), none)
+		// A member's first answer may be older than the stall, so the member is queried again soon.
 		stalled = true
-		expect("one that entries found to stand still", []ident.Incarnation{"c", "d"}, evaluate(0), none)
+		expect("a group that entries found stalled", []ident.Incarnation{"c", "d"}, evaluate(0), none)
 		time.Sleep(500 * time.Millisecond)
-		expect("one that does so still", []ident.Incarnation{"c", "d"}, evaluate(0), none)
+		expect("a group that entries still find stalled", []ident.Incarnation{"c", "d"}, evaluate(0), none)
 	})
 }
--- a/site/rate_test.go
+++ b/site/rate_test.go
@@ -11,7 +11,7 @@
 	"github.com/dunlinquay/dunlinquay/site"
 )
 
-// demandOf is work of so many seconds for each model, of two requests each.
+// demandOf is a demand of so many upstream-seconds for each model, in two requests each.
 func demandOf(work map[ident.Model]float64) map[ident.Model]site.ModelDemand {
 	demand := map[ident.Model]site.ModelDemand{}
 	for model, w := range work {
@@ -24,13 +24,13 @@
 	return math.Abs(got-want) < 0.15*want
 }
 
-// A steady stream of work has the same rate from the moment on at which rates are known, and those of all models are known at
-// the same time: the first request for one of them may come later.
+// Steady demand has the same rate from the moment on at which rates are known, and the rates of all models are known at
+// the same time, although the first request for one of them may arrive later.
 func TestRatesDoNotStartLow(t *testing.T) {
 	start := time.Unix(1000, 0)
 	r := &site.DemandRates{}
 	if got := r.At(start); got != nil {
-		t.Fatalf("rates of nothing: %v", got)
+		t.Fatalf("rates without demand: %v", got)
 	}
 	for i := range 20 {
 		r.Add(start.Add(time.Duration(i-100)*100*time.Millisecond), "e", nil)
@@ -44,18 +44,19 @@
 		r.Add(now, "e", demandOf(work))
 		got := r.At(now)
 		if i < 15 && got != nil {
-			t.Fatalf("%v on: rates of %v are known already", now.Sub(start), got)
+			t.Fatalf("after %v: rates of %v are known already", now.Sub(start), got)
 		}
 		if i >= 15 && (!isAbout(got["often"], 5) || got["now and then"] < 3 || got["now and then"] > 7) {
-			t.Fatalf("%v on: rates of %v, want about 5 each", now.Sub(start), got)
+			t.Fatalf("after %v: rates of %v, want about 5 each", now.Sub(start), got)
 		}
 	}
 	if got := r.At(start.Add(time.Minute))["often"]; got > 0.1 {
-		t.Errorf("%.2f long after the last work", got)
+		t.Errorf("%.2f long after the last demand", got)
 	}
 }
 
-// After a change of leaders entries come one after the other; their rates are known once all are there, and are right then.
+// After a change of leaders entries call one after the other; their rates are known once all have called, and are right
+// then.
 func TestRatesWithStaggeredEntries(t *testing.T) {
 	start := time.Unix(1000, 0)
 	r := &site.DemandRates{}
@@ -64,7 +65,7 @@
 		since := time.Duration(i) * 100 * time.Millisecond
 		for e := range 20 {
 			if at := time.Duration(e) * 100 * time.Millisecond; since >= at {
-				// What an entry could not tell before comes with its first word.
+				// The first call reports the demand since the entry's last call to the former leader.
 				work := 0.5
 				if since == at {
 					work = 5
@@ -80,7 +81,7 @@
 			fallthrough
 		default:
 			if !isAbout(got["m"], 100) {
-				t.Fatalf("%v on: %v, want about 100", since, got)
+				t.Fatalf("after %v: %v, want about 100", since, got)
 			}
 		}
 	}
@@ -91,11 +92,11 @@
 		r.Forget(fmt.Sprint(e))
 	}
 	if got := r.At(start.Add(10 * time.Second))["m"]; !isAbout(got, 50) {
-		t.Errorf("%v when half of the entries have ended, want about 50", got)
+		t.Errorf("%v when half of the entries have stopped, want about 50", got)
 	}
 }
 
-// Where entries restart all the time rates are known all the same.
+// Where entries restart all the time, rates are known at ratesKnownAtLatest.
 func TestRatesWithRestartingEntries(t *testing.T) {
 	start := time.Unix(1000, 0)
 	r := &site.DemandRates{}
@@ -104,18 +105,18 @@
 		r.Add(now, "steady", demandOf(map[ident.Model]float64{"m": 0.5}))
 		r.Add(now, fmt.Sprint(i/5), nil)
 		if got := r.At(now); (got == nil) != (i < 50) {
-			t.Fatalf("%v on: %v", now.Sub(start), got)
+			t.Fatalf("after %v: %v", now.Sub(start), got)
 		}
 	}
 }
 
-// A class that comes at 1.6 times is seen within two seconds where hundreds of requests come in each; chance where few come moves
-// nothing, however their sizes differ.
+// A rise to 1.6 times the demand shows within two seconds at hundreds of requests a second. At few requests, chance
+// does not move the rate, although their sizes differ much.
 func TestRatesFollowBurst(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		requests float64
-		// seen is how long after its start the rate must show two thirds of the burst.
+		// seen is how long after its start two thirds of the burst must show in the rate.
 		seen time.Duration
 	}{
 		{"600 a second", 600, 2500 * time.Millisecond},
@@ -139,32 +140,33 @@
 				r.Add(now, "e", map[ident.Model]site.ModelDemand{"m": demand})
 				got := r.At(now)["m"] / (meanSeconds * c.requests)
 				if i >= 60 && i < 200 && math.Abs(got-1) > 0.25 {
-					t.Fatalf("%.2f of the usual rate after %v", got, now.Sub(start))
+					t.Fatalf("%.2f of the mean rate after %v", got, now.Sub(start))
 				}
 				if i >= 200 && now.Sub(start)-20*time.Second >= c.seen && got < 1.4 {
-					t.Fatalf("%.2f of the usual rate %v after the start of a burst", got, now.Sub(start)-20*time.Second)
+					t.Fatalf("%.2f of the mean rate %v after the start of a burst", got, now.Sub(start)-20*time.Second)
 				}
 			}
 		})
 	}
 }
 
-// A look that takes long leaves the leader time for everything else before the next one.
+// After a long evaluation the leader leaves time for everything else before the next one.
 func TestEvaluatePause(t *testing.T) {
 	for took, want := range map[time.Duration]time.Duration{
 		0: 10 * time.Millisecond, time.Millisecond: 10 * time.Millisecond, 8 * time.Millisecond: 24 * time.Millisecond, time.Second: 50 * time.Millisecond,
 	} {
 		if got := site.EvaluatePause(took); got != want {
-			t.Errorf("%v after a look of %v, want %v", got, took, want)
+			t.Errorf("%v after an evaluation of %v, want %v", got, took, want)
 		}
 	}
 }
 
-// Entries that lose their leader at the same moment ask for the next one over a time in which it can answer them, and hear its voters.
+// Entries that lose their leader at the same moment spread their next calls, so that the next leader can answer them
+// and stay in contact with its voters.
 func TestRetryJitter(t *testing.T) {
 	for entries, want := range map[int]time.Duration{0: 0, 8: 0, 31: 0, 89: 44500 * time.Microsecond, 984: 492 * time.Millisecond, 2000: time.Second} {
 		if got := site.JitterFor(entries); got != want {
-			t.Errorf("%d entries ask over %v, want %v", entries, got, want)
+			t.Errorf("%d entries call over %v, want %v", entries, got, want)
 		}
 	}
 }
--- a/site/reports_test.go
+++ b/site/reports_test.go
@@ -14,7 +14,8 @@
 	"github.com/dunlinquay/dunlinquay/site"
 )
 
-// Reports that come while a call is on its way go together in the next one; each is acknowledged only when the leader has it.
+// Reports that arrive during a call are sent together in the next one; each is acknowledged only when the leader has
+// it.
 func TestReportsAreForwardedInBatches(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -22,7 +23,7 @@
 		took time.Duration
 		code result.Code
 	}{
-		{"the leader takes them", nil, 100 * time.Millisecond, result.OK},
+		{"the leader accepts them", nil, 100 * time.Millisecond, result.OK},
 		{"the leader refuses", result.New(result.NoLeader, "none"), 100 * time.Millisecond, result.NoLeader},
 		{"the leader does not answer", nil, time.Hour, result.DaemonUnreached},
 	} {
--- a/site/rollout_test.go
+++ b/site/rollout_test.go
@@ -10,7 +10,7 @@
 	"github.com/dunlinquay/dunlinquay/site"
 )
 
-// A leader reports a configuration once it is in force at all entries that call, and once when some are late.
+// A leader reports a configuration once when it is in force at all entries that call, and once when some are late.
 func TestRolloutReports(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
@@ -33,7 +33,7 @@
 			r.NoteVersion(at(200), "b", 8)
 			return append(list, append(r.NewReports(at(210)), r.NewReports(at(220))...)...)
 		}, []report{{Version: 7, After: 200 * time.Millisecond, Entries: 2}}},
-		{"one is late and then has it", func(r site.Rollout) []report {
+		{"one is late and then has it in force", func(r site.Rollout) []report {
 			var list []report
 			r.NoteVersion(at(0), "a", 7)
 			r.Track(at(0), at(0), 7)
@@ -50,7 +50,7 @@
 			{Version: 7, After: time.Second, Entries: 2, Missing: []string{"b"}},
 			{Version: 7, After: 1500 * time.Millisecond, Entries: 2},
 		}},
-		{"one that does not call any more does not count", func(r site.Rollout) []report {
+		{"one that has stopped calling does not count", func(r site.Rollout) []report {
 			r.NoteVersion(at(0), "a", 6)
 			r.Track(at(100), at(100), 7)
 			list := r.NewReports(at(900))
@@ -65,7 +65,7 @@
 	}
 }
 
-// A log limiter writes so many lines a second, and counts those that it left out.
+// A log limiter allows a number of lines a second, and counts the events that it suppressed.
 func TestLogLimiter(t *testing.T) {
 	l := site.NewLogLimiter(2)
 	start := time.Now()
@@ -84,7 +84,7 @@
 	}
 }
 
-// A confirmation waits for entries that call and lack the version, and at a new leader for those that its predecessor had.
+// A confirmation waits for entries that call and lack the version, and at a new leader for those of its predecessor.
 func TestConfirmationWaitsForEntries(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
@@ -100,10 +100,10 @@
 		at       int
 		want     time.Duration
 	}{
-		{"nobody is known", 0, nil, 100, 0},
+		{"no entry is known", 0, nil, 100, 0},
 		{"one that lacks it", 0, []call{{50, "a", 6}}, 100, 500 * time.Millisecond},
 		{"one that lacks it, later", 0, []call{{50, "a", 6}}, 400, 200 * time.Millisecond},
-		{"a decision that took long", 0, []call{{50, "a", 6}}, 610, -10 * time.Millisecond},
+		{"a proposal that took long", 0, []call{{50, "a", 6}}, 610, -10 * time.Millisecond},
 		{"one that has it", 0, []call{{50, "a", 7}}, 100, 0},
 		{"one that has a newer one", 0, []call{{50, "a", 9}}, 100, 0},
 		{"one of two that the predecessor had", 2, []call{{50, "a", 7}}, 100, 500 * time.Millisecond},
@@ -116,7 +116,7 @@
 			}
 			r.Track(at(0), at(100), 7)
 			if diff := cmp.Diff(c.want, r.RemainingWait(at(c.at), 7)); diff != "" {
-				t.Errorf("waits yet (-want +got):\n%s", diff)
+				t.Errorf("remaining wait (-want +got):\n%s", diff)
 			}
 		})
 	}
--- a/site/silent_test.go
+++ b/site/silent_test.go
@@ -16,18 +16,18 @@
 type connFaults struct {
 	mu  sync.Mutex
 	off map[string]bool
-	// opened counts connections, dead is how many of the first ones are silent for good.
+	// opened counts connections, of which the first silentConns are silent for good.
 	opened, silentConns int
 }
 
-// silenceOpenConns makes all connections that are open go silent for good, while new ones work.
+// silenceOpenConns makes all open connections go silent for good, while new ones work.
 func (p *connFaults) silenceOpenConns() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.silentConns = p.opened
 }
 
-// openConn counts a new connection and returns whether it is silent.
+// openConn counts a new connection and returns a function that reports whether it is silent.
 func (p *connFaults) openConn(from, to string) func() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,7 +101,8 @@
 	return c.Conn.Close()
 }
 
-// An order that reaches a follower while its leader has lost power goes to the next leader, not into the old connection's time-out.
+// An order that reaches a follower while its leader has lost power is sent to the next leader, and does not wait for
+// the timeout of the old connection.
 func TestConfigurationOrderPassesLostLeader(t *testing.T) {
 	d := newDaemons(t)
 	faults := &connFaults{off: map[string]bool{}}
--- a/site/site_test.go
+++ b/site/site_test.go
@@ -36,7 +36,7 @@
 	ports   map[string]int
 	seeds   []string
 	running map[string]*running
-	// dial opens the connections of daemons that are started, nil for the usual way.
+	// dial opens the connections of daemons that are started, nil for TCP.
 	dial transport.Dial
 }
 
@@ -122,7 +122,7 @@
 	d.running[host].control = c
 }
 
-// waitForVoters waits until a daemon knows of so many voters.
+// waitForVoters waits until a daemon knows n voters.
 func (d *daemons) waitForVoters(host string, n int) {
 	d.t.Helper()
 	d.waitUntil(fmt.Sprintf("%d voters", n), func() bool { return d.running[host].control.Voters() == n })
@@ -143,7 +143,7 @@
 	d.running[host].entry = e
 }
 
-// kill ends a daemon and waits until it is gone.
+// kill stops a daemon and waits for its end.
 func (d *daemons) kill(host string) {
 	if r := d.running[host]; r != nil {
 		r.stop()
@@ -152,7 +152,7 @@
 	}
 }
 
-// get asks an entry for a path of the host of every route.
+// get requests a path of an entry, at the host of every route.
 func (d *daemons) get(host, path string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -173,12 +173,12 @@
 	return string(text)
 }
 
-// routed reports whether an entry has the route of a version: there is one, and nothing that serves it.
+// routed reports whether an entry has the route of a version, which has no upstream to serve it.
 func (d *daemons) routed(host string, version httproute.Version) bool {
 	return strings.Contains(d.get(host, fmt.Sprintf("/v%d/x", version)), `"result":"no-whole-group"`)
 }
 
-// waitUntil waits for a condition and ends the test when it never holds.
+// waitUntil waits for a condition and fails the test when it never holds.
 func (d *daemons) waitUntil(what string, holds func() bool) {
 	d.t.Helper()
 	for limit := time.Now().Add(conditionTimeout); time.Now().Before(limit); {
@@ -191,12 +191,12 @@
 	d.t.Fatalf("never: %s", what)
 }
 
-// configOf is the form of a configuration in these tests: its version in digits.
+// configOf encodes a configuration of these tests: its version in digits.
 func configOf(version httproute.Version) []byte {
 	return []byte(strconv.FormatUint(uint64(version), 10))
 }
 
-// decodeConfig reads that form: one public route that nothing serves.
+// decodeConfig decodes that form: a configuration with one public route, which no upstream serves.
 func decodeConfig(body []byte) (*httproute.Config, error) {
 	version, err := strconv.ParseUint(string(body), 10, 64)
 	if err != nil {
@@ -232,11 +232,11 @@
 	})
 }
 
-// A site forms itself from its seeds, grows, loses folders and members, and restarts as a whole, and what it accepted is
-// there after each.
+// A site forms from its seeds, grows, loses folders and members, and restarts as a whole; its accepted configuration
+// survives each of these.
 func TestControlQuorumFormsAndRecovers(t *testing.T) {
 	d := newDaemons(t)
-	// The last seed comes late, the others are not seeds.
+	// The last seed starts last, and two of the daemons are not seeds.
 	for _, host := range []string{"127.0.1.5", "127.0.1.2", "127.0.1.1", "127.0.1.4", "127.0.1.3"} {
 		d.startControl(host, true)
 	}
@@ -266,7 +266,7 @@
 		return d.running["127.0.1.1"].control.IsVoter() && d.running["127.0.1.2"].control.IsVoter() && d.running["127.0.1.5"].control.Voters() == 5
 	})
 
-	t.Log("two others are gone for good, one is replaced at another address")
+	t.Log("two others are lost for good, one is replaced at another address")
 	d.kill("127.0.1.3")
 	d.startControl("127.0.1.6", false)
 	d.waitUntilReplaced("127.0.1.6", 9)
@@ -288,15 +288,15 @@
 	for _, host := range hosts {
 		d.waitUntilRead(host, 12)
 	}
-	d.waitUntilReplaced("127.0.1.2", 9) // An older version once more is acknowledged and changes nothing.
+	d.waitUntilReplaced("127.0.1.2", 9) // An older version is acknowledged and changes nothing.
 	d.waitUntilRead("127.0.1.5", 12)
 	d.waitUntil("the entry follows", func() bool {
 		return d.routed("127.0.2.1", 12) && !d.routed("127.0.2.1", 3)
 	})
 }
 
-// An empty folder never forms a quorum of its own after the first start; another site that may form shows when there was
-// time enough to do so.
+// An empty folder never forms a quorum of its own after the first start. Another site that may form shows when there
+// was time enough for that.
 func TestEmptyFoldersFormNoSecondQuorum(t *testing.T) {
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
 	d, other := newDaemons(t), newDaemons(t)
@@ -317,7 +317,7 @@
 	}
 }
 
-// An upstream reports to any control daemon; one without a majority acknowledges nothing.
+// An upstream can report to any control daemon; a daemon without a majority acknowledges nothing.
 func TestReportsThroughAnyControlDaemon(t *testing.T) {
 	d := newDaemons(t)
 	for _, host := range []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"} {
@@ -330,7 +330,7 @@
 	}
 	leader := ""
 	for _, host := range []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"} {
-		d.waitUntil("a report is taken", func() bool {
+		d.waitUntil("a report is acknowledged", func() bool {
 			later, err := report(host)
 			if err == nil && later == "" {
 				leader = host
@@ -355,7 +355,8 @@
 	}
 }
 
-// An upstream that reported before its service was declared serves as soon as it is, not from its next report on.
+// An upstream that reported before its service was declared is in the roster as soon as the service is, not from its
+// next report on.
 func TestReportBeforeServiceIsDeclared(t *testing.T) {
 	d := newDaemons(t)
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
@@ -374,13 +375,13 @@
 		})
 	}
 	d.waitUntilReplaced(hosts[1], 2)
-	d.waitUntil("the upstreams are known", func() bool {
+	d.waitUntil("the upstreams are in the roster", func() bool {
 		s, err := site.Inspect(context.Background(), transport.TCP(), d.peers(hosts...))
 		return err == nil && len(s.Upstreams) == len(hosts)
 	})
 }
 
-// Any control daemon tells operators what the leader knows and decided; without a leader none does.
+// Any control daemon shows operators the leader's state and decisions; without a leader none does.
 func TestInspect(t *testing.T) {
 	d := newDaemons(t)
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
@@ -389,19 +390,19 @@
 		d.startControl(host, true)
 	}
 	d.waitUntilReplaced(hosts[0], 1)
-	d.waitUntil("an upstream is taken", func() bool {
+	d.waitUntil("an upstream's report is acknowledged", func() bool {
 		r := &roster.Report{Upstream: roster.Upstream{ID: "i-1", Service: "m", Address: "127.0.0.1:1", Domain: "d", Slots: 4}, Sequence: 1}
 		_, err := d.running[hosts[0]].control.Report(context.Background(), r)
 		return err == nil
 	})
-	// A report of another writer, for a service that nobody declared, takes the place of none.
+	// A report for a service that is not declared does not replace the upstream at the same address.
 	other := &roster.Report{Upstream: roster.Upstream{ID: "i-2", Service: "odd", Address: "127.0.0.1:1", Domain: "d", Slots: 4}, Sequence: 1}
 	if _, err := d.running[hosts[0]].control.Report(context.Background(), other); err != nil {
-		t.Errorf("a report of another writer: %v", err)
+		t.Errorf("a report for an undeclared service: %v", err)
 	}
 	for _, host := range hosts {
 		var s *site.State
-		d.waitUntil("a group is begun", func() bool {
+		d.waitUntil("a group is forming", func() bool {
 			var err error
 			s, err = site.Inspect(context.Background(), transport.TCP(), []string{peers("127.0.2.1"), peers(host)})
 			return err == nil && len(s.Groups) == 1 && len(s.Decisions) == 1
@@ -422,13 +423,14 @@
 	}
 	d.kill(hosts[1])
 	d.kill(hosts[2])
-	d.waitUntil("a daemon without a majority tells nothing", func() bool {
+	d.waitUntil("a daemon without a majority returns no state", func() bool {
 		_, err := site.Inspect(context.Background(), transport.TCP(), []string{peers(hosts[0])})
 		return result.CodeOf(err) == result.NoLeader
 	})
 }
 
-// A call that waits for news ends with the leadership: the daemon that made it asks the next leader, not after the time that calls are kept.
+// A call that waits for updates is answered when the leadership ends, so that its caller calls the next leader without
+// waiting for the hold time.
 func TestSyncCallsEndWithLeadership(t *testing.T) {
 	d := newDaemons(t)
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
@@ -448,7 +450,7 @@
 	for i, address := range d.peers(hosts...) {
 		if address == leader {
 			if !d.running[hosts[i]].control.WaitersWokenAtLeadershipEnd() {
-				t.Error("calls that wait are not woken when the leadership ends")
+				t.Error("waiting calls are not woken when the leadership ends")
 			}
 		}
 	}
--- a/site/unread_test.go
+++ b/site/unread_test.go
@@ -14,7 +14,7 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// The leader hears once of each word that nothing reads, another leader of all of them.
+// The leader receives each unrecognized name once, another leader receives all of them.
 func TestUnrecognizedNamesAreSentToLeader(t *testing.T) {
 	cfg := settings.DefaultSite()
 	e := site.NewEntry(&cfg, relay.HeaderNames{}, transport.TCP())
@@ -31,15 +31,15 @@
 		do   func()
 		want namesByUpstream
 	}{
-		{"a word", func() {}, namesByUpstream{"u": {"Queue-Hint"}}},
+		{"a name", func() {}, namesByUpstream{"u": {"Queue-Hint"}}},
 		{"the call was lost", func() {}, namesByUpstream{"u": {"Queue-Hint"}}},
-		{"the first leader took it, and is told all since it is new", func() { acknowledge("one") }, namesByUpstream{"u": {"Queue-Hint"}}},
-		{"it took that", func() { acknowledge("one") }, nil},
-		{"another word", func() { note("u", "Other") }, namesByUpstream{"u": {"Other"}}},
-		{"one more while the call is out", func() { note("v", "Other") }, namesByUpstream{"u": {"Other"}, "v": {"Other"}}},
-		{"it took both", func() { acknowledge("one") }, nil},
+		{"the first leader received it, and is sent all names as a new leader", func() { acknowledge("one") }, namesByUpstream{"u": {"Queue-Hint"}}},
+		{"the leader received that", func() { acknowledge("one") }, nil},
+		{"another name", func() { note("u", "Other") }, namesByUpstream{"u": {"Other"}}},
+		{"one more while the call is outstanding", func() { note("v", "Other") }, namesByUpstream{"u": {"Other"}, "v": {"Other"}}},
+		{"the leader received both", func() { acknowledge("one") }, nil},
 		{"a new leader", func() { acknowledge("two") }, namesByUpstream{"u": {"Other", "Queue-Hint"}, "v": {"Other"}}},
-		{"it took all", func() { acknowledge("two") }, nil},
+		{"the new leader received all", func() { acknowledge("two") }, nil},
 	} {
 		c.do()
 		if diff := cmp.Diff(c.want, e.NextCall().Unread); diff != "" {
@@ -49,10 +49,10 @@
 	r := site.NewLeadership()
 	r.ApplyCall(&site.SyncCall{From: "a", Entry: true, Unread: namesByUpstream{"u": {"Queue-Hint"}}})
 	if got := r.Unrecognized("u"); len(got) != 1 {
-		t.Errorf("the leader knows %v", got)
+		t.Errorf("the leader has %v", got)
 	}
 	r.PruneUnrecognized(clock.Now().Add(time.Hour))
 	if got := r.Unrecognized("u"); len(got) != 0 {
-		t.Errorf("it still knows %v of one that has ended", got)
+		t.Errorf("the leader still has %v of a removed upstream", got)
 	}
 }
--- a/site/versions_test.go
+++ b/site/versions_test.go
@@ -17,7 +17,7 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// bodyOf is a configuration that is long enough for a change of it to be shorter.
+// bodyOf is a configuration that is long enough for a patch to be shorter.
 func bodyOf(version httproute.Version) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d", version)
@@ -39,11 +39,11 @@
 	return d
 }
 
-// A leader has changes from the last configurations to the newest, and from no others.
+// A leader makes patches from the last configurations to the newest, and no others.
 func TestVersions(t *testing.T) {
 	var v site.Versions
 	if v.Patch(0, 0) != nil {
-		t.Error("a change without any configuration")
+		t.Error("a patch without any configuration")
 	}
 	for version := httproute.Version(1); version <= 12; version++ {
 		v.Add(documentOf(t, version))
@@ -55,7 +55,7 @@
 	}{
 		{"from the one before", 11, 12, true},
 		{"again", 11, 12, true},
-		{"from the oldest that is kept", 5, 12, true},
+		{"from the oldest kept", 5, 12, true},
 		{"from one that is not kept", 4, 12, false},
 		{"from nothing", 0, 12, false},
 		{"to one that is not the newest", 9, 10, false},
@@ -63,25 +63,26 @@
 		t.Run(c.name, func(t *testing.T) {
 			patch := v.Patch(c.from, c.to)
 			if diff := cmp.Diff(c.want, patch != nil); diff != "" {
-				t.Fatalf("there is a change (-want +got):\n%s", diff)
+				t.Fatalf("there is a patch (-want +got):\n%s", diff)
 			}
 			if patch == nil {
 				return
 			}
 			got, err := catalog.Apply(bodyOf(c.from), patch)
 			if err != nil || string(got) != string(bodyOf(c.to)) {
-				t.Errorf("the change does not give the newest: %v", err)
+				t.Errorf("the patch does not give the newest: %v", err)
 			}
 		})
 	}
-	// A snapshot may bring back an older one.
+	// A snapshot may restore an older version.
 	v.Add(documentOf(t, 7))
 	if v.Patch(6, 7) == nil || v.Patch(11, 7) != nil {
-		t.Error("after an older one came back, changes lead from those before it only")
+		t.Error("after an older version was restored, patches are only from versions before it")
 	}
 }
 
-// An entry applies changes to what it has; one that does not fit is not in force, confirms nothing and is replaced by the whole.
+// An entry applies patches to its configuration; a patch that does not fit changes and confirms nothing, and the entry
+// requests the whole configuration.
 func TestEntryAppliesPatches(t *testing.T) {
 	cfg := settings.DefaultSite()
 	e := site.NewEntry(&cfg, relay.HeaderNames{}, transport.TCP())
@@ -102,27 +103,27 @@
 		// Sure is the number of the last reply that confirmed anything, 0 for none.
 		Sure int
 	}
-	// Replies come a minute apart.
+	// Replies are a minute apart.
 	start := time.Now()
 	for i, c := range []struct {
 		name  string
 		reply site.SyncReply
 		want  state
 	}{
-		{"a change before anything", site.SyncReply{Version: 2, Patch: patch(1, 2)}, state{false, true, 0, 0}},
-		{"the whole", site.SyncReply{Version: 2, Config: documentOf(t, 2).Packed}, state{true, false, 2, 2}},
-		{"a change", site.SyncReply{Version: 5, Patch: patch(2, 5)}, state{true, false, 5, 3}},
-		{"nothing new", site.SyncReply{}, state{true, false, 5, 4}},
-		{"a change of another one", site.SyncReply{Version: 6, Patch: patch(4, 6)}, state{false, true, 5, 4}},
-		{"a damaged one", site.SyncReply{Version: 6, Config: []byte("x")}, state{false, true, 5, 4}},
-		{"the whole again", site.SyncReply{Version: 6, Config: documentOf(t, 6).Packed}, state{true, false, 6, 7}},
+		{"a patch before any configuration", site.SyncReply{Version: 2, Patch: patch(1, 2)}, state{false, true, 0, 0}},
+		{"a whole configuration", site.SyncReply{Version: 2, Config: documentOf(t, 2).Packed}, state{true, false, 2, 2}},
+		{"a patch", site.SyncReply{Version: 5, Patch: patch(2, 5)}, state{true, false, 5, 3}},
+		{"no change", site.SyncReply{}, state{true, false, 5, 4}},
+		{"a patch of another version", site.SyncReply{Version: 6, Patch: patch(4, 6)}, state{false, true, 5, 4}},
+		{"a damaged configuration", site.SyncReply{Version: 6, Config: []byte("x")}, state{false, true, 5, 4}},
+		{"a whole configuration again", site.SyncReply{Version: 6, Config: documentOf(t, 6).Packed}, state{true, false, 6, 7}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			applied := e.ApplyReply(start.Add(time.Duration(i+1-100)*time.Minute), &c.reply)
 			version, age := e.InForce()
 			sure := 0
 			if age > time.Hour {
-				// Replies are dated an hour and more ago; an entry that has confirmed nothing says exactly an hour.
+				// Replies are dated an hour and more ago; an entry that has confirmed nothing reports exactly an hour.
 				sure = 100 - int(age.Round(time.Minute)/time.Minute)
 			}
 			if diff := cmp.Diff(c.want, state{applied, e.NextCall().Whole, version, sure}); diff != "" {
@@ -132,7 +133,7 @@
 	}
 }
 
-// What a configuration says of callers' headers and idle connections is in force with it.
+// A configuration's bounds on callers' headers and idle connections are put in force with it.
 func TestCallerBoundsFollowConfiguration(t *testing.T) {
 	cfg := settings.DefaultSite()
 	e := site.NewEntry(&cfg, relay.HeaderNames{}, transport.TCP())
