--- a/site/rate_test.go
+++ b/site/demand_test.go
@@ -12,10 +12,10 @@
 )
 
 // demandOf is a demand of so many upstream-seconds for each model, in two requests each.
-func demandOf(work map[ident.Model]float64) map[ident.Model]site.ModelDemand {
+func demandOf(secondsByModel map[ident.Model]float64) map[ident.Model]site.ModelDemand {
 	demand := map[ident.Model]site.ModelDemand{}
-	for model, w := range work {
-		demand[model] = site.ModelDemand{UpstreamSeconds: w, Requests: 2}
+	for model, seconds := range secondsByModel {
+		demand[model] = site.ModelDemand{UpstreamSeconds: seconds, Requests: 2}
 	}
 	return demand
 }
@@ -26,7 +26,7 @@
 
 // Steady demand has the same rate from the moment on at which rates are known, and the rates of all models are known at
 // the same time, although the first request for one of them may arrive later.
-func TestRatesDoNotStartLow(t *testing.T) {
+func TestRatesOfSteadyDemand(t *testing.T) {
 	start := time.Unix(1000, 0)
 	r := &site.DemandRates{}
 	if got := r.At(start); got != nil {
@@ -37,11 +37,11 @@
 	}
 	for i := range 200 {
 		now := start.Add(time.Duration(i) * 100 * time.Millisecond)
-		work := map[ident.Model]float64{"often": 0.5}
+		seconds := map[ident.Model]float64{"often": 0.5}
 		if i%5 == 4 {
-			work["now and then"] = 2.5
+			seconds["now and then"] = 2.5
 		}
-		r.Add(now, "e", demandOf(work))
+		r.Add(now, "e", demandOf(seconds))
 		got := r.At(now)
 		if i < 15 && got != nil {
 			t.Fatalf("after %v: rates of %v are known already", now.Sub(start), got)
@@ -66,11 +66,11 @@
 		for e := range 20 {
 			if at := time.Duration(e) * 100 * time.Millisecond; since >= at {
 				// The first call reports the demand since the entry's last call to the former leader.
-				work := 0.5
+				seconds := 0.5
 				if since == at {
-					work = 5
+					seconds = 5
 				}
-				r.Add(start.Add(since), fmt.Sprint(e), demandOf(map[ident.Model]float64{"m": work}))
+				r.Add(start.Add(since), fmt.Sprint(e), demandOf(map[ident.Model]float64{"m": seconds}))
 			}
 		}
 		got := r.At(start.Add(since))
@@ -116,8 +116,8 @@
 	for _, c := range []struct {
 		name     string
 		requests float64
-		// seen is how long after its start two thirds of the burst must show in the rate.
-		seen time.Duration
+		// visibleWithin is how long after its start two thirds of the burst must show in the rate.
+		visibleWithin time.Duration
 	}{
 		{"600 a second", 600, 2500 * time.Millisecond},
 		{"60 a second", 60, 8 * time.Second},
@@ -142,7 +142,7 @@
 				if i >= 60 && i < 200 && math.Abs(got-1) > 0.25 {
 					t.Fatalf("%.2f of the mean rate after %v", got, now.Sub(start))
 				}
-				if i >= 200 && now.Sub(start)-20*time.Second >= c.seen && got < 1.4 {
+				if i >= 200 && now.Sub(start)-20*time.Second >= c.visibleWithin && got < 1.4 {
 					t.Fatalf("%.2f of the mean rate %v after the start of a burst", got, now.Sub(start)-20*time.Second)
 				}
 			}
--- a/site/drain_test.go
+++ b/site/drain_test.go
@@ -92,7 +92,7 @@
 // An order on a hall that reaches a follower while its leader has lost power is carried out by the next leader.
 func TestDrainOrderPassesLostLeader(t *testing.T) {
 	d := newDaemons(t)
-	faults := &connFaults{off: map[string]bool{}}
+	faults := &connFaults{poweredOff: map[string]bool{}}
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
 	for _, host := range hosts {
 		d.dial = faults.dial(host)
--- a/site/entries.go
+++ b/site/entries.go
@@ -72,7 +72,7 @@
 		}
 		return r.entryCount(clock.Now())
 	}
-	r.subtractSeen(previous)
+	r.subtractRequests(previous)
 	now := clock.Now()
 	if previous == nil || previous.hall != call.Hall {
 		r.lists.stale = true
@@ -106,15 +106,15 @@
 
 // removeEntry removes an entry that has stopped calling; the mutex is held.
 func (r *leadership) removeEntry(name string) {
-	r.subtractSeen(r.entries[name])
+	r.subtractRequests(r.entries[name])
 	delete(r.entries, name)
 	r.configRollout.removeEntry(name)
 	r.drainRollout.removeEntry(name)
 	r.lists.stale = true
 }
 
-// subtractSeen subtracts an entry's requests from the totals; the mutex is held.
-func (r *leadership) subtractSeen(e *entryState) {
+// subtractRequests subtracts an entry's requests from the totals; the mutex is held.
+func (r *leadership) subtractRequests(e *entryState) {
 	if e == nil {
 		return
 	}
--- a/site/export_test.go
+++ b/site/export_test.go
@@ -68,7 +68,7 @@
 }
 
 // NewPeerEntries listens on a free loopback port.
-func NewPeerEntries(receive func(n relay.EntryUpdate, from netip.AddrPort)) (PeerEntries, error) {
+func NewPeerEntries(receive func(update relay.EntryUpdate, from netip.AddrPort)) (PeerEntries, error) {
 	conn, err := listenDatagrams("127.0.0.1:0")
 	return PeerEntries{newPeerEntries(receive), conn}, err
 }
@@ -203,8 +203,8 @@
 	r.fillLists(time.Now(), call, &reply)
 	for i := range reply.ListChanges {
 		change := &reply.ListChanges[i]
-		kept := r.lists.lists[change.Hall]
-		base := kept[slices.IndexFunc(kept, func(n digestedList) bool { return n.digest == change.Base })]
+		versions := r.lists.lists[change.Hall]
+		base := versions[slices.IndexFunc(versions, func(n digestedList) bool { return n.digest == change.Base })]
 		reply.Lists = append(reply.Lists, EntryList{change.Hall, change.apply(base.list)})
 	}
 	return reply.Lists
--- a/site/inforce_test.go
+++ b/site/in_force_test.go
@@ -161,7 +161,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	faults := &connFaults{off: map[string]bool{host: true}}
+	faults := &connFaults{poweredOff: map[string]bool{host: true}}
 	d.dial = faults.dial("127.0.2.1")
 	d.startEntry("127.0.2.1")
 	d.waitUntil("the entry has the configuration", func() bool { return d.routed("127.0.2.1", 1) })
--- a/site/change_test.go
+++ b/site/leader_change_test.go
@@ -18,9 +18,9 @@
 // and so would the next one.
 
 // siteSize is a site by its number of entries; it has one group for every four of them, and three upstreams for each.
-type siteSize struct{ entries int }
+type siteSize struct{ entryCount int }
 
-func (c siteSize) groups() int { return c.entries / 4 }
+func (c siteSize) groupCount() int { return c.entryCount / 4 }
 
 // testEntry is an entry as a leader sees it.
 type testEntry struct {
@@ -29,19 +29,19 @@
 }
 
 // entriesOf returns the entries of a site, with the state that a former leader sent them.
-func (c siteSize) entriesOf(t testing.TB, leader site.Leadership) []*testEntry {
+func (c siteSize) entriesOf(t testing.TB, former site.Leadership) []*testEntry {
 	t.Helper()
 	var all []*testEntry
-	for i := range c.entries {
+	for i := range c.entryCount {
 		call := site.SyncCall{
 			From: fmt.Sprintf("10.1.%d.%d:7140", i/200, i%200), Hall: ident.Hall(fmt.Sprintf("hall-%d", i%5)), Entry: true,
 			Entries: map[ident.Hall]site.ListDigest{},
 		}
-		leader.ApplyCall(&call)
+		former.ApplyCall(&call)
 		all = append(all, &testEntry{call, roster.NewCopy()})
 	}
 	for _, e := range all {
-		reply := leader.Reply(&e.call)
+		reply := former.Reply(&e.call)
 		e.applyReply(t, &reply)
 	}
 	return all
@@ -86,8 +86,8 @@
 // leader returns a leader of the site.
 func (c siteSize) leader(name site.LeadershipID) site.Leadership {
 	r := site.NewLeadership()
-	r.Succeed(name, c.entries)
-	r.SeedGroups(time.Now(), c.groups(), 3*c.entries-c.groups())
+	r.Succeed(name, c.entryCount)
+	r.SeedGroups(time.Now(), c.groupCount(), 3*c.entryCount-c.groupCount())
 	return r
 }
 
@@ -172,9 +172,9 @@
 			t.Fatalf("%d lists and %d changes, want one change only", len(reply.Lists), len(reply.ListChanges))
 		}
 	}
-	t.Logf("%d bytes to each of %d entries", total/c.entries, c.entries)
-	if bound := 2500; total/c.entries > bound {
-		t.Errorf("%d bytes to each entry, want %d at most", total/c.entries, bound)
+	t.Logf("%d bytes to each of %d entries", total/c.entryCount, c.entryCount)
+	if bound := 2500; total/c.entryCount > bound {
+		t.Errorf("%d bytes to each entry, want %d at most", total/c.entryCount, bound)
 	}
 }
 
@@ -245,13 +245,13 @@
 	r := c.leader("one")
 	call := site.SyncCall{From: "a", Entry: true}
 	first := r.Reply(&call)
-	r.SeedGroups(time.Now(), c.groups()+1, 0)
+	r.SeedGroups(time.Now(), c.groupCount()+1, 0)
 	e := &testEntry{call, roster.NewCopy()}
 	e.call.Entries = map[ident.Hall]site.ListDigest{}
 	e.applyReply(t, &first)
 	second := r.Reply(&e.call)
 	e.applyReply(t, &second)
-	if n := len(e.rosterCopy.Groups); n != c.groups()+1 {
-		t.Errorf("the entry has %d groups, want %d", n, c.groups()+1)
+	if n := len(e.rosterCopy.Groups); n != c.groupCount()+1 {
+		t.Errorf("the entry has %d groups, want %d", n, c.groupCount()+1)
 	}
 }
--- a/site/leadership.go
+++ b/site/leadership.go
@@ -29,8 +29,8 @@
 	evaluatePauseFactor = 3
 	// settleReportIntervals is how many report intervals a leader without a copy waits before it acts on its roster.
 	settleReportIntervals = 2
-	// silentReportIntervals and forgetReportIntervals are the report intervals without a report after which an upstream
-	// counts as silent, and is removed.
+	// silentReportIntervals is the number of report intervals without a report after which an upstream counts as silent,
+	// forgetReportIntervals the number after which the upstream is removed.
 	silentReportIntervals = 2.3
 	forgetReportIntervals = 40
 	// maxCopyAge is the age up to which a new leader starts from its follower's copy of the roster.
--- a/site/limits.go
+++ b/site/limits.go
@@ -1,8 +1,8 @@
 package site
 
-// Entries send each other the limits that upstreams set in datagrams. The leader sends them as well: an entry that has
-// just started would send an upstream requests without bound until the upstream's first answer, and datagrams may be
-// filtered.
+// Entries exchange the limits that upstreams set, by datagrams. The leader sends these limits as well: an entry that
+// has just started would send an upstream requests without bound until the upstream's first answer, and datagrams may
+// be filtered.
 
 import (
 	"cmp"
--- a/site/limits_test.go
+++ b/site/limits_test.go
@@ -15,7 +15,7 @@
 	"github.com/dunlinquay/dunlinquay/site"
 )
 
-func limitSeen(id ident.Incarnation, l relay.LimitObservation) relay.Observation {
+func observationOfLimit(id ident.Incarnation, l relay.LimitObservation) relay.Observation {
 	return relay.Observation{ID: id, Limit: &l}
 }
 
@@ -24,10 +24,10 @@
 func TestLeaderSendsLimits(t *testing.T) {
 	r := site.NewLeadership()
 	r.ApplyCall(&site.SyncCall{From: "a", Entry: true, Seen: []relay.Observation{
-		limitSeen("u", relay.LimitObservation{Rate: 3, Own: true, Said: 300 * time.Millisecond, Apart: true}), limitSeen("v", relay.LimitObservation{Rate: 9}),
+		observationOfLimit("u", relay.LimitObservation{Rate: 3, Own: true, Said: 300 * time.Millisecond, Apart: true}), observationOfLimit("v", relay.LimitObservation{Rate: 9}),
 	}})
 	r.ApplyCall(&site.SyncCall{From: "b", Entry: true, Seen: []relay.Observation{
-		limitSeen("u", relay.LimitObservation{Rate: 2, Own: true, Said: 100 * time.Millisecond, Apart: true}),
+		observationOfLimit("u", relay.LimitObservation{Rate: 2, Own: true, Said: 100 * time.Millisecond, Apart: true}),
 	}})
 	got := r.LimitSummaries(clock.Now())
 	if l := got["u"]; len(got) != 1 || l.Rate != 2 || l.Apart != 2 || l.Age < 100*time.Millisecond || l.Age > 10*time.Second {
@@ -49,9 +49,9 @@
 	r := site.NewLeadership()
 	counts := ratelimit.Counts{Granted: 7, Refused: 5, Own: 1, Unanswered: 2, Lately: 3}
 	r.ApplyCall(&site.SyncCall{From: "b", Entry: true, Seen: []relay.Observation{
-		limitSeen("u", relay.LimitObservation{Rate: 3, Own: true, Said: time.Hour, Since: 9 * time.Hour, Counts: counts, Apart: true}),
+		observationOfLimit("u", relay.LimitObservation{Rate: 3, Own: true, Said: time.Hour, Since: 9 * time.Hour, Counts: counts, Apart: true}),
 	}})
-	r.ApplyCall(&site.SyncCall{From: "a", Entry: true, Seen: []relay.Observation{limitSeen("u", relay.LimitObservation{Rate: 2, Said: time.Minute, Since: time.Minute})}})
+	r.ApplyCall(&site.SyncCall{From: "a", Entry: true, Seen: []relay.Observation{observationOfLimit("u", relay.LimitObservation{Rate: 2, Said: time.Minute, Since: time.Minute})}})
 	got := r.LimitStates(clock.Now())["u"]
 	if got == nil {
 		t.Fatal("no state of the limit")
@@ -79,7 +79,7 @@
 		from   netip.AddrPort
 	}
 	received := make(chan message, 1)
-	receiver, err := site.NewPeerEntries(func(n relay.EntryUpdate, from netip.AddrPort) { received <- message{n, from} })
+	receiver, err := site.NewPeerEntries(func(update relay.EntryUpdate, from netip.AddrPort) { received <- message{update, from} })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/site/members_test.go
+++ b/site/members_test.go
@@ -59,10 +59,10 @@
 func TestNextMembers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
-		name      string
-		members   []string
-		strangers []string
-		want      []string
+		name    string
+		members []string
+		joining []string
+		want    []string
 	}{
 		{"no step needed", []string{"a1", "b1", "c1"}, nil, nil},
 		{"grow", []string{"a1", "b1", "c1"}, []string{"d1"}, []string{"a1", "b1", "c1", "d1?"}},
@@ -83,7 +83,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var joining []quorum.MemberID
-			for _, s := range c.strangers {
+			for _, s := range c.joining {
 				joining = append(joining, id(s[:1], s[1:2]))
 			}
 			got, _ := site.NextMembers(now, status(now, c.members...), joining)
--- a/site/neighbours.go
+++ b/site/peer_entries.go
@@ -65,7 +65,7 @@
 // peerEntries sends updates to the other entries and receives theirs. Fields are set before run.
 type peerEntries struct {
 	// receive handles an update from another entry.
-	receive func(n relay.EntryUpdate, from netip.AddrPort)
+	receive func(update relay.EntryUpdate, from netip.AddrPort)
 	log     logr.Logger
 
 	queue     chan queuedUpdate
@@ -82,7 +82,7 @@
 	nextPeer     int
 }
 
-func newPeerEntries(receive func(n relay.EntryUpdate, from netip.AddrPort)) *peerEntries {
+func newPeerEntries(receive func(update relay.EntryUpdate, from netip.AddrPort)) *peerEntries {
 	return &peerEntries{receive: receive, log: logr.Discard(), queue: make(chan queuedUpdate, updateQueueLength), known: newKnownEntries(), digests: map[ident.Hall]ListDigest{}}
 }
 
--- a/site/held_test.go
+++ b/site/quarantine_test.go
@@ -18,8 +18,8 @@
 
 // quarantineSyncer is one entry's quarantine list and the state of its syncs with the leader.
 type quarantineSyncer struct {
-	list      *quarantine.List
-	leaderSum uint64
+	list         *quarantine.List
+	leaderDigest uint64
 	// sent and received count the reports sent to the leader and received from it.
 	sent, received int
 }
@@ -39,11 +39,11 @@
 
 func (s *quarantineSyncer) sync(now time.Time, c *site.Control) {
 	call := &site.SyncCall{Entry: true, HeldSum: s.list.Digest(now)}
-	if call.HeldSum != s.leaderSum {
+	if call.HeldSum != s.leaderDigest {
 		call.Held = s.list.ToSend(now, 32)
 	}
 	reply := c.MergeQuarantine(now, call)
-	s.leaderSum = reply.HeldSum
+	s.leaderDigest = reply.HeldSum
 	for i := range reply.Held {
 		s.list.Merge(now, &reply.Held[i])
 	}
@@ -57,13 +57,13 @@
 func TestQuarantineSpreadsThroughLeader(t *testing.T) {
 	now := time.Now()
 	leader := newStoppedControl(t, t.TempDir())
-	work := quarantine.Fingerprint{Customer: "office", Content: 7}
+	fingerprint := quarantine.Fingerprint{Customer: "office", Content: 7}
 	var entries []*quarantineSyncer
 	for n := range 4 {
 		s := &quarantineSyncer{list: &quarantine.List{Rule: quarantine.DefaultRule()}}
 		entries = append(entries, s)
 		if n < 3 {
-			s.list.Crashed(now, work, quarantine.CrashIDOf(ident.Incarnation(rune('a'+n))))
+			s.list.Crashed(now, fingerprint, quarantine.CrashIDOf(ident.Incarnation(rune('a'+n))))
 		}
 	}
 	for range 3 {
@@ -73,8 +73,8 @@
 		now = now.Add(time.Second)
 	}
 	for n, s := range entries {
-		if s.list.Remaining(now, work) == 0 {
-			t.Errorf("entry %d does not quarantine the fingerprint, it knows of %d crashes", n, s.list.Crashes(work))
+		if s.list.Remaining(now, fingerprint) == 0 {
+			t.Errorf("entry %d does not quarantine the fingerprint, it knows of %d crashes", n, s.list.Crashes(fingerprint))
 		}
 		s.sent, s.received = 0, 0
 	}
@@ -116,9 +116,9 @@
 	first := newStoppedControl(t, dir)
 	now := time.Now()
 	entry := &quarantineSyncer{list: &quarantine.List{Rule: quarantine.DefaultRule()}}
-	work := quarantine.Fingerprint{Customer: "office", Content: 7}
+	fingerprint := quarantine.Fingerprint{Customer: "office", Content: 7}
 	for n := range 3 {
-		entry.list.Crashed(now, work, quarantine.CrashIDOf(ident.Incarnation(rune('a'+n))))
+		entry.list.Crashed(now, fingerprint, quarantine.CrashIDOf(ident.Incarnation(rune('a'+n))))
 	}
 	entry.sync(now, first)
 	if err := first.SaveRoster(); err != nil {
@@ -129,7 +129,7 @@
 	second.LoadRoster()
 	fresh := &quarantineSyncer{list: &quarantine.List{Rule: quarantine.DefaultRule()}}
 	fresh.sync(time.Now(), second)
-	if fresh.list.Remaining(time.Now(), work) == 0 {
+	if fresh.list.Remaining(time.Now(), fingerprint) == 0 {
 		t.Error("an entry that starts with all others does not quarantine what was in quarantine before")
 	}
 }
--- a/site/rollout_test.go
+++ b/site/rollout_test.go
@@ -70,13 +70,13 @@
 	l := site.NewLogLimiter(2)
 	start := time.Now()
 	type line struct {
-		Many int
-		OK   bool
+		Occurrences int
+		OK          bool
 	}
 	var got []line
 	for _, ms := range []int{0, 1, 2, 3, 1000, 1001, 1002} {
-		many, ok := l.Allow(start.Add(time.Duration(ms) * time.Millisecond))
-		got = append(got, line{many, ok})
+		occurrences, ok := l.Allow(start.Add(time.Duration(ms) * time.Millisecond))
+		got = append(got, line{occurrences, ok})
 	}
 	want := []line{{1, true}, {1, true}, {0, false}, {0, false}, {3, true}, {1, true}, {0, false}}
 	if diff := cmp.Diff(want, got); diff != "" {
--- a/site/silent_test.go
+++ b/site/silent_connections_test.go
@@ -14,8 +14,8 @@
 
 // connFaults makes connections from and to hosts go silent, as when a VM loses power: nothing is reset.
 type connFaults struct {
-	mu  sync.Mutex
-	off map[string]bool
+	mu         sync.Mutex
+	poweredOff map[string]bool
 	// opened counts connections, of which the first silentConns are silent for good.
 	opened, silentConns int
 }
@@ -36,20 +36,20 @@
 	return func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return n <= p.silentConns || p.off[from] || p.off[to]
+		return n <= p.silentConns || p.poweredOff[from] || p.poweredOff[to]
 	}
 }
 
 func (p *connFaults) powerOff(host string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.off[host] = true
+	p.poweredOff[host] = true
 }
 
 func (p *connFaults) silent(a, b string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.off[a] || p.off[b]
+	return p.poweredOff[a] || p.poweredOff[b]
 }
 
 // dial opens connections of a host.
@@ -105,7 +105,7 @@
 // the timeout of the old connection.
 func TestConfigurationOrderPassesLostLeader(t *testing.T) {
 	d := newDaemons(t)
-	faults := &connFaults{off: map[string]bool{}}
+	faults := &connFaults{poweredOff: map[string]bool{}}
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
 	for _, host := range hosts {
 		d.dial = faults.dial(host)
@@ -161,7 +161,7 @@
 	}
 	d.waitUntilReplaced(hosts[0], 1)
 	d.waitForVoters(hosts[0], 3)
-	faults := &connFaults{off: map[string]bool{}}
+	faults := &connFaults{poweredOff: map[string]bool{}}
 	d.dial = faults.dial("127.0.2.1")
 	d.startEntry("127.0.2.1")
 	d.waitUntil("the entry has the configuration", func() bool { return d.routed("127.0.2.1", 1) })
--- a/site/site_test.go
+++ b/site/site_test.go
@@ -179,16 +179,16 @@
 }
 
 // waitUntil waits for a condition and fails the test when it never holds.
-func (d *daemons) waitUntil(what string, holds func() bool) {
+func (d *daemons) waitUntil(condition string, holds func() bool) {
 	d.t.Helper()
-	for limit := time.Now().Add(conditionTimeout); time.Now().Before(limit); {
+	for deadline := time.Now().Add(conditionTimeout); time.Now().Before(deadline); {
 		if holds() {
 			return
 		}
 		wait := time.NewTimer(20 * time.Millisecond)
 		<-wait.C
 	}
-	d.t.Fatalf("never: %s", what)
+	d.t.Fatalf("never: %s", condition)
 }
 
 // configOf encodes a configuration of these tests: its version in digits.
--- a/site/unread_test.go
+++ b/site/unrecognized_test.go
@@ -26,8 +26,8 @@
 		e.ApplyReply(time.Now(), &site.SyncReply{Leads: true, Leadership: leadership})
 	}
 	note("u", "Queue-Hint")
-	for _, c := range []struct {
-		what string
+	for _, step := range []struct {
+		name string
 		do   func()
 		want namesByUpstream
 	}{
@@ -41,9 +41,9 @@
 		{"a new leader", func() { acknowledge("two") }, namesByUpstream{"u": {"Other", "Queue-Hint"}, "v": {"Other"}}},
 		{"the new leader received all", func() { acknowledge("two") }, nil},
 	} {
-		c.do()
-		if diff := cmp.Diff(c.want, e.NextCall().Unread); diff != "" {
-			t.Errorf("%s (-want +got):\n%s", c.what, diff)
+		step.do()
+		if diff := cmp.Diff(step.want, e.NextCall().Unread); diff != "" {
+			t.Errorf("%s (-want +got):\n%s", step.name, diff)
 		}
 	}
 	r := site.NewLeadership()
--- a/site/versions_test.go
+++ b/site/versions_test.go
@@ -100,8 +100,8 @@
 	type state struct {
 		Applied, Whole bool
 		Version        httproute.Version
-		// Sure is the number of the last reply that confirmed anything, 0 for none.
-		Sure int
+		// LastConfirmed is the number of the last reply that confirmed anything, 0 for none.
+		LastConfirmed int
 	}
 	// Replies are a minute apart.
 	start := time.Now()
@@ -121,12 +121,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			applied := e.ApplyReply(start.Add(time.Duration(i+1-100)*time.Minute), &c.reply)
 			version, age := e.InForce()
-			sure := 0
+			lastConfirmed := 0
 			if age > time.Hour {
 				// Replies are dated an hour and more ago; an entry that has confirmed nothing reports exactly an hour.
-				sure = 100 - int(age.Round(time.Minute)/time.Minute)
+				lastConfirmed = 100 - int(age.Round(time.Minute)/time.Minute)
 			}
-			if diff := cmp.Diff(c.want, state{applied, e.NextCall().Whole, version, sure}); diff != "" {
+			if diff := cmp.Diff(c.want, state{applied, e.NextCall().Whole, version, lastConfirmed}); diff != "" {
 				t.Errorf("-want +got:\n%s", diff)
 			}
 		})
