--- a/site/backoff.go
+++ b/site/backoff.go
@@ -89,8 +89,8 @@
 func (r *leadership) backoffStates(now time.Time) map[ident.Incarnation][]BackoffState {
 	list := map[ident.Incarnation][]BackoffState{}
 	for name, e := range r.entries {
-		for i := range e.seen {
-			seen := &e.seen[i]
+		for i := range e.observed {
+			seen := &e.observed[i]
 			if left := seen.Backoff - now.Sub(e.calledAt); left > 0 {
 				list[seen.ID] = append(list[seen.ID], BackoffState{name, left.Milliseconds(), seen.Leaving})
 			}
--- a/site/calls.go
+++ b/site/calls.go
@@ -23,22 +23,22 @@
 )
 
 // Report applies the report of an upstream; it returns the address for later reports, or "" when this daemon leads.
-func (c *Control) Report(ctx context.Context, r *roster.Report) (string, error) {
+func (c *Control) Report(ctx context.Context, report *roster.Report) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	address, err := c.report(ctx, r)
-	if err == nil && r.Draining {
-		c.Log.Info("upstream leaves", "upstream", r.ID, "service", r.Service, "sequence", r.Sequence)
+	address, err := c.report(ctx, report)
+	if err == nil && report.Draining {
+		c.Log.Info("upstream leaves", "upstream", report.ID, "service", report.Service, "sequence", report.Sequence)
 	}
 	return address, err
 }
 
 // report applies a report here when this daemon leads; otherwise it forwards the report to the leader in a batch.
-func (c *Control) report(ctx context.Context, r *roster.Report) (string, error) {
+func (c *Control) report(ctx context.Context, report *roster.Report) (string, error) {
 	if c.leader() != string(c.self.Name) {
-		return c.reportForwarder.submit(ctx, r)
+		return c.reportForwarder.submit(ctx, report)
 	}
-	_, err := c.answerWithTimeout(ctx, forwardTimeout, &ForwardedCall{Kind: CallReport, Reports: []*roster.Report{r}})
+	_, err := c.answerWithTimeout(ctx, forwardTimeout, &ForwardedCall{Kind: CallReport, Reports: []*roster.Report{report}})
 	return "", err
 }
 
@@ -158,7 +158,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	reply, err := c.answerAsLeader(ctx, call)
-	c.metrics.call(call.Kind, err)
+	c.metrics.countCall(call.Kind, err)
 	return reply, err
 }
 
@@ -264,17 +264,17 @@
 }
 
 func (c *Control) readConfig() (ForwardedReply, error) {
-	held := c.stateMachine.Held()
+	newest := c.stateMachine.Held()
 	// The lease is checked again after the read: while it holds, no other daemon can have accepted a newer
 	// configuration.
 	if !c.leads() {
 		return ForwardedReply{}, result.New(result.NoLeader, "this daemon may no longer lead")
 	}
-	if held.Version == 0 {
+	if newest.Version == 0 {
 		return ForwardedReply{}, result.New(result.NoLeader, "there is no configuration yet")
 	}
-	body, err := catalog.Unpack(held.Packed)
-	return ForwardedReply{Version: held.Version, Body: body}, err
+	body, err := catalog.Unpack(newest.Packed)
+	return ForwardedReply{Version: newest.Version, Body: body}, err
 }
 
 // sync answers a follower's call, at once when there are updates for the caller and after a hold time otherwise.
@@ -337,16 +337,16 @@
 	if drained := c.stateMachine.Drained(); drained.Revision > call.Drains {
 		reply.Drained = &drained
 	}
-	held := c.stateMachine.Held()
-	if held.Version <= call.Version {
+	newest := c.stateMachine.Held()
+	if newest.Version <= call.Version {
 		return
 	}
-	reply.Version = held.Version
+	reply.Version = newest.Version
 	if !call.Whole {
-		reply.Patch = c.versions.patch(call.Version, held.Version)
+		reply.Patch = c.versions.patch(call.Version, newest.Version)
 	}
 	if reply.Patch == nil {
-		reply.Config = held.Packed
+		reply.Config = newest.Packed
 	}
 }
 
--- a/site/control.go
+++ b/site/control.go
@@ -68,7 +68,7 @@
 	stateMachine *catalog.Machine
 	versions     *versions
 	links        *controlLinks
-	directory    *directory
+	directory    *controlDirectory
 	meter        *meter.Meter
 	metrics      *controlMetrics
 	fatalErr     chan error
@@ -94,8 +94,8 @@
 	refusedConfigLog logLimiter
 	// proposals are the configurations that are being proposed.
 	proposals singleflight.Group
-	// leaderEntries is how many entries the leader had that this daemon last followed.
-	leaderEntries atomic.Int64
+	// leaderEntryCount is how many entries the leader had that this daemon last followed.
+	leaderEntryCount atomic.Int64
 	// proposedConfigs counts the configurations that this daemon proposed as leader.
 	proposedConfigs atomic.Int64
 	configReadLog   logLimiter
@@ -119,7 +119,7 @@
 	c := &Control{
 		Settings: cfg, Log: logr.Discard(), Dial: transport.TCP(),
 		self: store.ID(), folder: folder, store: store, node: quorum.NewNode(store), stateMachine: catalog.NewMachine(), versions: &versions{},
-		directory: newDirectory(cfg.SeedPeers()), fatalErr: make(chan error, 1),
+		directory: newControlDirectory(cfg.SeedPeers()), fatalErr: make(chan error, 1),
 		rosterCopy: roster.NewCopy(), stateChanged: make(chan struct{}), joinRequests: map[quorum.MemberID]time.Time{},
 	}
 	c.stateMachine.Changed = c.configChanged
@@ -204,7 +204,7 @@
 	}
 }
 
-func (c *Control) listenPeers() (serverRunner, error) {
+func (c *Control) listenPeers() (linkServer, error) {
 	ln, err := net.Listen("tcp", c.Settings.PeerListen())
 	if err != nil {
 		return nil, result.Wrap(err, result.StartFailed, "address for peers cannot be used")
@@ -212,8 +212,8 @@
 	return newServer(ln, &Handlers{Deliver: c.node.Deliver, Hello: c.hello, Join: c.join, Sync: c.sync, Pass: c.answerForwarded, Inspect: c.inspect, Drain: c.answerDrain})
 }
 
-// serverRunner is a link server.
-type serverRunner interface{ Run(ctx context.Context) }
+// linkServer is the part of a link server that Run needs.
+type linkServer interface{ Run(ctx context.Context) }
 
 func (c *Control) listenCalls() ([]server, error) {
 	return serveAll(c.Log, []listener{
@@ -252,17 +252,17 @@
 
 // newestTable returns the routing table of the newest configuration, or nil before the first.
 func (c *Control) newestTable() *httproute.Table {
-	held := c.stateMachine.Held()
+	newest := c.stateMachine.Held()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if held.Version == c.tableVersion {
+	if newest.Version == c.tableVersion {
 		return c.table
 	}
-	cfg, err := decodePacked(held.Packed, c.DecodeConfig)
-	c.tableVersion = held.Version
+	cfg, err := decodePacked(newest.Packed, c.DecodeConfig)
+	c.tableVersion = newest.Version
 	if err != nil {
 		// The configuration was checked before it was accepted, so this is a fault of this build.
-		c.Log.Error(err, "accepted configuration cannot be decoded", "version", held.Version)
+		c.Log.Error(err, "accepted configuration cannot be decoded", "version", newest.Version)
 		return c.table
 	}
 	c.table = httproute.NewTable(cfg)
@@ -334,7 +334,7 @@
 		rosterDigests:  c.rosterDigests,
 		reloadSeeds:    c.reloadSeeds,
 	}
-	follow.leaderSeenAt, follow.leaderEntries, follow.leaderUncertain = clock.Now(), unknownEntryCount, true
+	follow.leaderSeenAt, follow.leaderEntryCount, follow.leaderUncertain = clock.Now(), unknownEntryCount, true
 	for ctx.Err() == nil {
 		if c.node.Status().Role == quorum.RoleLeader {
 			follow.leadership, follow.revision, follow.leaderUncertain = "", 0, true
@@ -354,7 +354,7 @@
 
 func (c *Control) applySync(_ time.Time, reply *SyncReply) bool {
 	c.applyQuarantine(clock.Now(), reply.Held)
-	c.leaderEntries.Store(int64(reply.Entries))
+	c.leaderEntryCount.Store(int64(reply.Entries))
 	if !reply.Usable {
 		return true
 	}
--- a/site/control_metrics.go
+++ b/site/control_metrics.go
@@ -37,12 +37,12 @@
 	return &controlMetrics{scope: scope, downtime: map[ident.Model]time.Duration{}, maxOpen: map[ident.Model]int{}}
 }
 
-func (t *controlMetrics) call(kind CallKind, err error) {
+func (t *controlMetrics) countCall(kind CallKind, err error) {
 	t.scope.Tagged(map[string]string{"kind": string(kind), "result": result.Lookup(result.CodeOf(err)).Name}).Counter("calls").Inc(1)
 }
 
-// rollout records how long a configuration took to be in force at all entries, or that it is late at some.
-func (t *controlMetrics) rollout(r *rolloutReport[httproute.Version]) {
+// recordRollout records how long a configuration took to be in force at all entries, or that it is late at some.
+func (t *controlMetrics) recordRollout(r *rolloutReport[httproute.Version]) {
 	if len(r.Missing) > 0 {
 		t.scope.Counter("configurations_late").Inc(1)
 		return
@@ -50,13 +50,13 @@
 	t.scope.Histogram("configuration_in_force_seconds", rolloutBuckets).RecordDuration(r.After)
 }
 
-func (t *controlMetrics) order(action replicaset.Action, outcome replicaset.Outcome) {
+func (t *controlMetrics) countOrder(action replicaset.Action, outcome replicaset.Outcome) {
 	t.scope.Tagged(map[string]string{"action": string(action), "outcome": string(outcome)}).Counter("orders").Inc(1)
 }
 
-// count evaluates the roster: a group is down while its model has fewer open groups than it ever had, an upstream with
-// a domain is stranded while it is in no group.
-func (t *controlMetrics) count(now time.Time, groups []roster.Group, upstreams []roster.Upstream) {
+// countGroups counts groups and stranded upstreams: a group is down while its model has fewer open groups than it ever
+// had, an upstream with a domain is stranded while it is in no group.
+func (t *controlMetrics) countGroups(now time.Time, groups []roster.Group, upstreams []roster.Upstream) {
 	since := now.Sub(t.countedAt)
 	if since < countInterval {
 		return
--- a/site/directory.go
+++ b/site/directory.go
@@ -5,29 +5,29 @@
 	"sync"
 )
 
-// directory holds the known addresses of control daemons: the seeds of the settings, and the addresses from control
-// daemons' replies. A seed may no longer exist, so received addresses count as much as seeds.
-type directory struct {
-	mu       sync.Mutex
-	seeds    []string
-	controls []string
-	leader   string
-	next     int
+// controlDirectory holds the known addresses of control daemons: the seeds of the settings, and the addresses from
+// control daemons' replies. A seed may no longer exist, so received addresses count as much as seeds.
+type controlDirectory struct {
+	mu        sync.Mutex
+	seeds     []string
+	controls  []string
+	leader    string
+	nextIndex int
 }
 
-func newDirectory(seeds []string) *directory {
-	return &directory{seeds: seeds}
+func newControlDirectory(seeds []string) *controlDirectory {
+	return &controlDirectory{seeds: seeds}
 }
 
 // setSeeds replaces the seeds after the settings have changed.
-func (d *directory) setSeeds(seeds []string) {
+func (d *controlDirectory) setSeeds(seeds []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.seeds = seeds
 }
 
 // update applies the leader and the control daemons that a control daemon's reply names.
-func (d *directory) update(leader string, controls []string) {
+func (d *controlDirectory) update(leader string, controls []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(controls) > 0 {
@@ -37,7 +37,7 @@
 }
 
 // forgetLeader is called when the leader does not answer or no longer leads.
-func (d *directory) forgetLeader(address string) {
+func (d *controlDirectory) forgetLeader(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.leader == address {
@@ -45,14 +45,14 @@
 	}
 }
 
-func (d *directory) knownLeader() string {
+func (d *controlDirectory) knownLeader() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.leader
 }
 
 // nextAddress returns the leader, or if that is unknown all known control daemons in rotation.
-func (d *directory) nextAddress() string {
+func (d *controlDirectory) nextAddress() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.leader != "" {
@@ -62,12 +62,12 @@
 	if len(all) == 0 {
 		return ""
 	}
-	d.next++
-	return all[d.next%len(all)]
+	d.nextIndex++
+	return all[d.nextIndex%len(all)]
 }
 
 // addressesLocked returns every known address once, in order; the mutex is held.
-func (d *directory) addressesLocked() []string {
+func (d *controlDirectory) addressesLocked() []string {
 	known := map[string]bool{}
 	var list []string
 	for _, address := range append(append([]string(nil), d.seeds...), d.controls...) {
@@ -81,7 +81,7 @@
 }
 
 // addresses returns every known address once, in order.
-func (d *directory) addresses() []string {
+func (d *controlDirectory) addresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addressesLocked()
--- a/site/entries.go
+++ b/site/entries.go
@@ -17,7 +17,7 @@
 type entryState struct {
 	calledAt time.Time
 	hall     ident.Hall
-	seen     []relay.Observation
+	observed []relay.Observation
 }
 
 // groupObservations merges what all entries observed of each group; the mutex is held.
@@ -33,7 +33,7 @@
 			r.demand.Forget(name)
 			continue
 		}
-		for _, seen := range e.seen {
+		for _, seen := range e.observed {
 			if observation, ok := observations[seen.Group]; ok {
 				observations[seen.Group] = mergeObservation(observation, &seen, callAge)
 			}
@@ -118,8 +118,8 @@
 	if e == nil {
 		return
 	}
-	for i := range e.seen {
-		seen := &e.seen[i]
+	for i := range e.observed {
+		seen := &e.observed[i]
 		r.countLocalShares(seen, -1)
 		r.totals[seen.ID] -= seen.Inflight
 		if r.totals[seen.ID] <= 0 {
--- a/site/entry.go
+++ b/site/entry.go
@@ -51,7 +51,7 @@
 	relay *relay.Relay
 	// callerServer serves callers within the bounds of the configuration.
 	callerServer *inbound.Server
-	directory    *directory
+	directory    *controlDirectory
 	// peerEntries exchanges updates with the other entries.
 	peerEntries  *peerEntries
 	meter        *meter.Meter
@@ -78,7 +78,7 @@
 func NewEntry(cfg *settings.Site, headers relay.HeaderNames, dial transport.Dial) *Entry {
 	e := &Entry{
 		Settings: cfg, Log: logr.Discard(), RequestLog: logr.Discard(), Dial: dial,
-		relay: relay.New(headers, dial), directory: newDirectory(cfg.SeedPeers()),
+		relay: relay.New(headers, dial), directory: newControlDirectory(cfg.SeedPeers()),
 		meter: meter.New(), stop: make(chan struct{}),
 	}
 	e.callerServer = inbound.New(e.relay)
--- a/site/export_test.go
+++ b/site/export_test.go
@@ -267,8 +267,8 @@
 }
 
 // Track starts to track a version.
-func (r Rollout) Track(offered, now time.Time, version httproute.Version) {
-	r.rollout.track(offered, now, version)
+func (r Rollout) Track(offeredAt, now time.Time, version httproute.Version) {
+	r.rollout.track(offeredAt, now, version)
 }
 
 // NoteVersion records the version that an entry has in force.
--- a/site/follow.go
+++ b/site/follow.go
@@ -30,7 +30,7 @@
 // fields are set before run.
 type follower struct {
 	links     *controlLinks
-	directory *directory
+	directory *controlDirectory
 	// fillCall fills in what this daemon reports with each call.
 	fillCall func(call *SyncCall)
 	// applyReply applies the leader's reply and reports whether its configuration, if any, is in force; sentAt is when
@@ -48,10 +48,10 @@
 	leadership LeadershipID
 	revision   roster.Revision
 	version    httproute.Version
-	// leaderEntries is how many entries the leader has, or unknownEntryCount.
-	leaderEntries int
-	leaderSeenAt  time.Time
-	leaderLost    bool
+	// leaderEntryCount is how many entries the leader has, or unknownEntryCount.
+	leaderEntryCount int
+	leaderSeenAt     time.Time
+	leaderLost       bool
 	// retryJitter is the time over which this daemon and all others spread their next call after the leader is lost.
 	retryJitter time.Duration
 	// leaderUncertain is set when the next reply may be from another leader than the last one.
@@ -59,7 +59,7 @@
 }
 
 func (f *follower) run(ctx context.Context) {
-	f.leaderSeenAt, f.leaderEntries, f.leaderUncertain = clock.Now(), unknownEntryCount, true
+	f.leaderSeenAt, f.leaderEntryCount, f.leaderUncertain = clock.Now(), unknownEntryCount, true
 	for ctx.Err() == nil {
 		if f.syncOnce() {
 			f.leaderFound()
@@ -81,13 +81,13 @@
 		call.Sums = f.rosterDigests()
 	}
 	sentAt := clock.Now()
-	reply, err := f.links.sync(address, f.leaderEntries, call)
+	reply, err := f.links.sync(address, f.leaderEntryCount, call)
 	if err != nil {
 		f.markLeaderUncertain()
 		// Other idle connections may be dead as well, and each would hold the next call for its whole timeout.
 		f.links.dropSilentSince(sentAt)
 		f.directory.forgetLeader(address)
-		f.leaderEntries = unknownEntryCount
+		f.leaderEntryCount = unknownEntryCount
 		return false
 	}
 	f.directory.update(reply.Leader, reply.Controls)
@@ -96,7 +96,7 @@
 		f.acceptCommitted(sentAt, &reply)
 		return false
 	}
-	f.leaderEntries = max(1, reply.Entries)
+	f.leaderEntryCount = max(1, reply.Entries)
 	if err := reply.unpack(); err != nil {
 		f.log.Error(err, "roster from the leader cannot be decoded", "leader", reply.Leader)
 		return false
@@ -123,7 +123,7 @@
 // markLeaderUncertain records that the leader is lost, or may be.
 func (f *follower) markLeaderUncertain() {
 	if !f.leaderUncertain {
-		f.retryJitter = jitterFor(f.leaderEntries)
+		f.retryJitter = jitterFor(f.leaderEntryCount)
 	}
 	f.leaderUncertain = true
 }
--- a/site/inspect.go
+++ b/site/inspect.go
@@ -175,8 +175,8 @@
 
 // decisionLog keeps the newest decisions, in a ring.
 type decisionLog struct {
-	ring []GroupDecision
-	next int
+	ring   []GroupDecision
+	oldest int
 }
 
 func (d *decisionLog) add(g *GroupDecision) {
@@ -184,11 +184,11 @@
 		d.ring = append(d.ring, *g)
 		return
 	}
-	d.ring[d.next] = *g
-	d.next = (d.next + 1) % maxDecisions
+	d.ring[d.oldest] = *g
+	d.oldest = (d.oldest + 1) % maxDecisions
 }
 
 // list returns the decisions, oldest first.
 func (d *decisionLog) list() []GroupDecision {
-	return append(append([]GroupDecision(nil), d.ring[d.next:]...), d.ring[:d.next]...)
+	return append(append([]GroupDecision(nil), d.ring[d.oldest:]...), d.ring[:d.oldest]...)
 }
--- a/site/leadership.go
+++ b/site/leadership.go
@@ -132,8 +132,8 @@
 		initialStart:      c.Settings.FirstStart,
 		prober:            newProber(c.Dial),
 		slowdowns:         newSlowdownTracker(c.slowdownQuery(), c.Log),
-		configRollout:     newRollout[httproute.Version](now, int(c.leaderEntries.Load())),
-		drainRollout:      newRollout[catalog.DrainRevision](now, int(c.leaderEntries.Load())),
+		configRollout:     newRollout[httproute.Version](now, int(c.leaderEntryCount.Load())),
+		drainRollout:      newRollout[catalog.DrainRevision](now, int(c.leaderEntryCount.Load())),
 	}
 	if configVersion := c.stateMachine.Held().Version; configVersion > 0 {
 		r.configRollout.track(now, now, configVersion)
@@ -210,8 +210,8 @@
 }
 
 // evaluatePause returns how long changes are gathered after an evaluation of the given duration.
-func evaluatePause(took time.Duration) time.Duration {
-	return min(evaluateInterval, max(minEvaluatePause, evaluatePauseFactor*took))
+func evaluatePause(duration time.Duration) time.Duration {
+	return min(evaluateInterval, max(minEvaluatePause, evaluatePauseFactor*duration))
 }
 
 // waitForChange returns when the next evaluation is due: after evaluateInterval, or minPause after a change.
@@ -234,7 +234,7 @@
 	if f := r.formations[result.service]; f != nil {
 		f.HandleOutcome(&result.order, result.outcome)
 	}
-	r.control.metrics.order(result.order.Action, result.outcome)
+	r.control.metrics.countOrder(result.order.Action, result.outcome)
 	r.control.Log.Info("order answered", "to", result.order.To, "action", result.order.Action, "group", result.order.Group, "epoch", result.order.Epoch, "outcome", result.outcome,
 		"known", result.order.Context)
 }
@@ -262,7 +262,7 @@
 	defer r.updateEntryView(table)
 	snapshot := r.clusterSnapshot(now)
 	r.slowdowns.evaluate(snapshot, r.roster.Groups(), table)
-	r.control.metrics.count(now, r.roster.Groups(), snapshot.Upstreams)
+	r.control.metrics.countGroups(now, r.roster.Groups(), snapshot.Upstreams)
 	for i := range table.Config.Services {
 		s := &table.Config.Services[i]
 		if s.Engine == nil {
@@ -285,7 +285,7 @@
 			"after-ms", report.After.Milliseconds(), "missing", report.Missing)
 	}
 	for _, report := range r.configRollout.newReports(now) {
-		r.control.metrics.rollout(&report)
+		r.control.metrics.recordRollout(&report)
 		if len(report.Missing) == 0 {
 			r.control.Log.Info("configuration in force at all entries", "version", report.Version, "entries", report.Entries, "after-ms", report.After.Milliseconds())
 			continue
--- a/site/limits.go
+++ b/site/limits.go
@@ -100,8 +100,8 @@
 func (r *leadership) limitStates(now time.Time) map[ident.Incarnation]*LimitState {
 	states := map[ident.Incarnation]*LimitState{}
 	for name, e := range r.entries {
-		for i := range e.seen {
-			if seen := &e.seen[i]; seen.Limit != nil {
+		for i := range e.observed {
+			if seen := &e.observed[i]; seen.Limit != nil {
 				states[seen.ID] = states[seen.ID].withEntry(name, seen.Limit, now.Sub(e.calledAt))
 			}
 		}
--- a/site/reports.go
+++ b/site/reports.go
@@ -42,8 +42,8 @@
 }
 
 // submit queues a report and returns once the leader has it.
-func (q *reportForwarder) submit(ctx context.Context, r *roster.Report) (string, error) {
-	queued := queuedReport{r, make(chan forwardResult, 1)}
+func (q *reportForwarder) submit(ctx context.Context, report *roster.Report) (string, error) {
+	queued := queuedReport{report, make(chan forwardResult, 1)}
 	select {
 	case q.queue <- queued:
 	default:
--- a/site/rollout.go
+++ b/site/rollout.go
@@ -50,9 +50,9 @@
 // pendingVersion is a version that some entries may lack.
 type pendingVersion[V ~uint64] struct {
 	version V
-	// offered is when the leader received the version, accepted when a majority had it on disk.
-	offered  time.Time
-	accepted time.Time
+	// offeredAt is when the leader received the version, acceptedAt when a majority had it on disk.
+	offeredAt  time.Time
+	acceptedAt time.Time
 	// late is set once the version was reported as late.
 	late bool
 }
@@ -71,13 +71,13 @@
 }
 
 // track starts to track a version.
-func (r *rollout[V]) track(offered, now time.Time, version V) {
+func (r *rollout[V]) track(offeredAt, now time.Time, version V) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if slices.ContainsFunc(r.pending, func(p *pendingVersion[V]) bool { return p.version == version }) {
 		return
 	}
-	r.pending = append(r.pending, &pendingVersion[V]{version: version, offered: offered, accepted: now})
+	r.pending = append(r.pending, &pendingVersion[V]{version: version, offeredAt: offeredAt, acceptedAt: now})
 	r.pending = r.pending[max(0, len(r.pending)-maxPendingRollouts):]
 }
 
@@ -126,7 +126,7 @@
 	if i < 0 || !r.awaitingEntriesLocked(now) && !r.anyBehind(now, version) {
 		return 0
 	}
-	return maxConfirmWait - now.Sub(r.pending[i].offered)
+	return maxConfirmWait - now.Sub(r.pending[i].offeredAt)
 }
 
 // anyBehind reports whether any entry that calls has an older version; the mutex is held.
@@ -158,7 +158,7 @@
 	defer r.mu.Unlock()
 	var list []rolloutReport[V]
 	r.pending = slices.DeleteFunc(r.pending, func(p *pendingVersion[V]) bool {
-		after := now.Sub(p.accepted)
+		after := now.Sub(p.acceptedAt)
 		if !r.anyBehind(now, p.version) {
 			list = append(list, rolloutReport[V]{Version: p.version, After: after, Entries: len(r.entries)})
 			return true
--- a/site/undeclared.go
+++ b/site/undeclared.go
@@ -24,21 +24,21 @@
 }
 
 // add keeps a report in place of an older one; the mutex of the leadership is held.
-func (u *undeclared) add(now time.Time, r *roster.Report) {
-	previous, ok := u.reports[r.ID]
-	if ok && r.Sequence <= previous.Sequence {
+func (u *undeclared) add(now time.Time, report *roster.Report) {
+	previous, ok := u.reports[report.ID]
+	if ok && report.Sequence <= previous.Sequence {
 		return
 	}
-	for other := range u.reports {
+	for id := range u.reports {
 		if ok || len(u.reports) < maxUndeclared {
 			break
 		}
-		delete(u.reports, other)
+		delete(u.reports, id)
 	}
 	if u.reports == nil {
 		u.reports = map[ident.Incarnation]undeclaredReport{}
 	}
-	u.reports[r.ID] = undeclaredReport{r, now}
+	u.reports[report.ID] = undeclaredReport{report, now}
 }
 
 // takeDeclared removes and returns the reports of services that a newer configuration declares; reports older than
