--- a/site/directory.go
+++ b/site/directory.go
@@ -5,29 +5,29 @@
 	"sync"
 )
 
-// directory is what a daemon knows of where control is: the seeds of its settings, and what control daemons told it.
-// A seed may be gone for good, so learned addresses count as much as seeds.
-type directory struct {
-	mu       sync.Mutex
-	seeds    []string
-	controls []string
-	leader   string
-	next     int
+// controlDirectory holds the known addresses of control daemons: the seeds of the settings, and the addresses from
+// control daemons' replies. A seed may no longer exist, so received addresses count as much as seeds.
+type controlDirectory struct {
+	mu        sync.Mutex
+	seeds     []string
+	controls  []string
+	leader    string
+	nextIndex int
 }
 
-func newDirectory(seeds []string) *directory {
-	return &directory{seeds: seeds}
+func newControlDirectory(seeds []string) *controlDirectory {
+	return &controlDirectory{seeds: seeds}
 }
 
 // setSeeds replaces the seeds after the settings have changed.
-func (d *directory) setSeeds(seeds []string) {
+func (d *controlDirectory) setSeeds(seeds []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.seeds = seeds
 }
 
-// learn takes what a control daemon told.
-func (d *directory) learn(leader string, controls []string) {
+// update applies the leader and the control daemons that a control daemon's reply names.
+func (d *controlDirectory) update(leader string, controls []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(controls) > 0 {
@@ -36,8 +36,8 @@
 	d.leader = leader
 }
 
-// forgetLeader is called when the leader does not answer, or does not lead any more.
-func (d *directory) forgetLeader(address string) {
+// forgetLeader is called when the leader does not answer or no longer leads.
+func (d *controlDirectory) forgetLeader(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.leader == address {
@@ -45,29 +45,29 @@
 	}
 }
 
-func (d *directory) knownLeader() string {
+func (d *controlDirectory) knownLeader() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.leader
 }
 
-// ask returns the leader, or one after the other of all known control daemons.
-func (d *directory) ask() string {
+// nextAddress returns the leader, or if that is unknown all known control daemons in rotation.
+func (d *controlDirectory) nextAddress() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.leader != "" {
 		return d.leader
 	}
-	all := d.all()
+	all := d.addressesLocked()
 	if len(all) == 0 {
 		return ""
 	}
-	d.next++
-	return all[d.next%len(all)]
+	d.nextIndex++
+	return all[d.nextIndex%len(all)]
 }
 
-// all returns every known address once, in order; the mutex is held.
-func (d *directory) all() []string {
+// addressesLocked returns every known address once, in order; the mutex is held.
+func (d *controlDirectory) addressesLocked() []string {
 	known := map[string]bool{}
 	var list []string
 	for _, address := range append(append([]string(nil), d.seeds...), d.controls...) {
@@ -80,9 +80,9 @@
 	return list
 }
 
-// list returns every known address.
-func (d *directory) list() []string {
+// addresses returns every known address once, in order.
+func (d *controlDirectory) addresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.all()
+	return d.addressesLocked()
 }
--- /dev/null
+++ b/site/entry_metrics.go
@@ -0,0 +1,169 @@
+package site
+
+import (
+	"strconv"
+	"sync"
+
+	"github.com/uber-go/tally/v4"
+
+	"github.com/dunlinquay/dunlinquay/ident"
+	"github.com/dunlinquay/dunlinquay/meter"
+	"github.com/dunlinquay/dunlinquay/ratelimit"
+	"github.com/dunlinquay/dunlinquay/relay"
+	"github.com/dunlinquay/dunlinquay/result"
+)
+
+// maxSeries bounds the pairs of customer and class with metrics of their own; all others are counted together.
+const maxSeries = 512
+
+// maxAttemptSeries bounds the outcomes of attempts that are counted: there are about ten, plus error texts.
+const maxAttemptSeries = 32
+
+// attemptKey is the outcome of an attempt.
+type attemptKey struct {
+	result string
+	cut    relay.ConnFailure
+}
+
+// otherSeries is the label of the series for all others.
+const otherSeries = "other"
+
+type seriesKey struct {
+	customer ident.Customer
+	class    ident.Class
+}
+
+// series are the metrics of one customer and class.
+type series struct {
+	scope tally.Scope
+	first tally.Histogram
+	total tally.Histogram
+	codes map[result.Code]tally.Counter
+}
+
+// entryMetrics counts requests by customer and class.
+type entryMetrics struct {
+	scope tally.Scope
+
+	mu          sync.Mutex
+	series      map[seriesKey]*series
+	firstEvents map[ident.Model]*firstEventMetrics
+	attempts    map[attemptKey]tally.Counter
+	// quarantined is the number of fingerprints in quarantine.
+	quarantined tally.Gauge
+	// backedOff is the number of upstreams that are backed off at this entry.
+	backedOff tally.Gauge
+	// limited is the number of upstreams with a limit, permits count the requests for permits.
+	limited tally.Gauge
+	permits map[ratelimit.Outcome]tally.Counter
+}
+
+// firstEventMetrics are the times to first event of one model: as expected, as observed, and the difference.
+type firstEventMetrics struct {
+	expected  tally.Histogram
+	actual    tally.Histogram
+	deviation tally.Histogram
+}
+
+func newEntryMetrics(scope tally.Scope) *entryMetrics {
+	return &entryMetrics{
+		scope: scope, series: map[seriesKey]*series{}, firstEvents: map[ident.Model]*firstEventMetrics{}, attempts: map[attemptKey]tally.Counter{},
+		quarantined: scope.Gauge("held_works"), backedOff: scope.Gauge("backed_off_upstreams"),
+		limited: scope.Gauge("limited_upstreams"), permits: permitCounters(scope),
+	}
+}
+
+// permitCounters returns the counters of requests for permits by their outcome.
+func permitCounters(scope tally.Scope) map[ratelimit.Outcome]tally.Counter {
+	counters := map[ratelimit.Outcome]tally.Counter{}
+	for _, o := range []ratelimit.Outcome{ratelimit.Granted, ratelimit.Refused, ratelimit.Unanswered} {
+		counters[o] = scope.Tagged(map[string]string{"outcome": string(o)}).Counter("limit_permits")
+	}
+	return counters
+}
+
+func (n *entryMetrics) observe(r *relay.Record) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	metrics := n.seriesOf(seriesKey{r.Customer, r.Route})
+	counter := metrics.codes[r.Code]
+	if counter == nil {
+		counter = metrics.scope.Tagged(map[string]string{"code": strconv.Itoa(int(r.Code)), "result": result.Lookup(r.Code).Name}).Counter("requests")
+		metrics.codes[r.Code] = counter
+	}
+	counter.Inc(1)
+	if r.FirstEvent > 0 {
+		metrics.first.RecordDuration(r.FirstEvent)
+	}
+	metrics.total.RecordDuration(r.Total)
+	for i := range r.Attempts {
+		n.countAttempt(&r.Attempts[i])
+	}
+	// Only declared models have an expectation, so callers can't create series.
+	if r.ExpectedFirstEvent > 0 && r.FirstEvent > 0 && len(r.Attempts) == 1 {
+		event := n.firstEvent(r.Model)
+		event.expected.RecordDuration(r.ExpectedFirstEvent)
+		event.actual.RecordDuration(r.FirstEvent)
+		event.deviation.RecordDuration((r.FirstEvent - r.ExpectedFirstEvent).Abs())
+	}
+}
+
+// countAttempt counts an attempt by its outcome, and by how the connection was cut if the response is incomplete; the
+// mutex is held.
+func (n *entryMetrics) countAttempt(attempt *relay.Attempt) {
+	key := attemptKey{attempt.Result, attempt.ConnFailure}
+	counter := n.attempts[key]
+	if counter == nil {
+		if len(n.attempts) >= maxAttemptSeries {
+			return
+		}
+		counter = n.scope.Tagged(map[string]string{"result": attempt.Result, "cut": string(attempt.ConnFailure)}).Counter("tries")
+		n.attempts[key] = counter
+	}
+	counter.Inc(1)
+}
+
+func (n *entryMetrics) firstEvent(model ident.Model) *firstEventMetrics {
+	event := n.firstEvents[model]
+	if event == nil {
+		scope := n.scope.Tagged(map[string]string{"model": string(model)})
+		event = &firstEventMetrics{
+			expected:  scope.Histogram("first_word_expected", meter.Durations()),
+			actual:    scope.Histogram("first_word_seen", meter.Durations()),
+			deviation: scope.Histogram("first_word_off", meter.Durations()),
+		}
+		n.firstEvents[model] = event
+	}
+	return event
+}
+
+func (n *entryMetrics) seriesOf(key seriesKey) *series {
+	if s := n.series[key]; s != nil {
+		return s
+	}
+	if len(n.series) >= maxSeries {
+		key = seriesKey{otherSeries, otherSeries}
+		if s := n.series[key]; s != nil {
+			return s
+		}
+	}
+	scope := n.scope.Tagged(map[string]string{"customer": string(key.customer), "class": string(key.class)})
+	s := &series{
+		scope: scope,
+		first: scope.Histogram("first_byte", meter.Durations()),
+		total: scope.Histogram("request", meter.Durations()),
+		codes: map[result.Code]tally.Counter{},
+	}
+	n.series[key] = s
+	return s
+}
+
+// observe counts a finished request and writes its log line.
+func (e *Entry) observe(r *relay.Record) {
+	e.metrics.observe(r)
+	e.RequestLog.Info("request", "id", r.ID, "route", r.Route, "customer", r.Customer, "model", r.Model, "content", r.Content.String(),
+		"code", int(r.Code), "status", r.Status, "text", r.ErrorText, "version", r.Version, "revision", r.Revision,
+		"confirmed-age-ms", r.ConfirmedAge.Milliseconds(), "tries", r.Attempts, "prompt", int(r.Prompt), "events", r.Events,
+		"first-ms", r.FirstEvent.Milliseconds(), "gap-ms", r.MaxEventGap.Milliseconds(), "total-ms", r.Total.Milliseconds(), "spent-ms", r.PriorElapsed.Milliseconds(), "retry-ms", r.RetryAfter.Milliseconds(),
+		"limit-waits", r.LimitWaits)
+}
--- a/site/known_entries.go
+++ b/site/known_entries.go
@@ -1,9 +1,8 @@
 package site
 
-// What all entries together may do is divided by how many they are, and a new
-// leader knows only those that have called it already. An entry that took its
-// first list for the whole would take several times its part. So after a change
-// of leaders those of the former one count on, for as long as a leader counts an
+// Limits on all entries together are divided by the number of entries, but a new leader knows only the entries that
+// have called it already. An entry that relied on the first list of a new leader would use several times its share.
+// After a change of leaders the entries of the former leader therefore still count, for as long as a leader counts an
 // entry that does not call.
 
 import (
@@ -13,29 +12,30 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// knownEntries is the entries by hall, as the leaders tell.
+// knownEntries holds the entries by hall, as received from leaders.
 type knownEntries struct {
 	leadership LeadershipID
-	// since is when the leader's first list came, former the entries of the one before until they count no more.
-	since  time.Time
-	lists  map[ident.Hall][]string
-	former map[ident.Hall][]string
+	// leaderSince is when the leader's first list arrived, formerLists are the entries of the leader before, until they
+	// no longer count.
+	leaderSince time.Time
+	lists       map[ident.Hall][]string
+	formerLists map[ident.Hall][]string
 }
 
 func newKnownEntries() *knownEntries {
 	return &knownEntries{lists: map[ident.Hall][]string{}}
 }
 
-// take puts changed lists of a leader in place and reports whether the entries may be others than before.
-func (c *knownEntries) take(now time.Time, leadership LeadershipID, changed []EntryList) bool {
-	different := len(changed) > 0
+// apply applies changed lists of a leader and reports whether the entries that count may differ from before.
+func (c *knownEntries) apply(now time.Time, leadership LeadershipID, changed []EntryList) bool {
+	differs := len(changed) > 0
 	if leadership != c.leadership {
-		c.former = c.all()
-		c.leadership, c.since = leadership, now
+		c.formerLists = c.all()
+		c.leadership, c.leaderSince = leadership, now
 	}
-	if c.former != nil && now.Sub(c.since) >= entryAway {
-		c.former = nil
-		different = true
+	if c.formerLists != nil && now.Sub(c.leaderSince) >= entryTimeout {
+		c.formerLists = nil
+		differs = true
 	}
 	for _, l := range changed {
 		c.lists[l.Hall] = l.Entries
@@ -43,22 +43,22 @@
 			delete(c.lists, l.Hall)
 		}
 	}
-	return different
+	return differs
 }
 
 // all returns the entries that count.
 func (c *knownEntries) all() map[ident.Hall][]string {
 	all := map[ident.Hall][]string{}
-	told := map[string]bool{}
+	listed := map[string]bool{}
 	for hall, list := range c.lists {
 		all[hall] = slices.Clone(list)
 		for _, name := range list {
-			told[name] = true
+			listed[name] = true
 		}
 	}
-	for hall, list := range c.former {
+	for hall, list := range c.formerLists {
 		for _, name := range list {
-			if !told[name] {
+			if !listed[name] {
 				all[hall] = append(all[hall], name)
 			}
 		}
--- a/site/limits.go
+++ b/site/limits.go
@@ -1,8 +1,8 @@
 package site
 
-// Entries tell each other of limits that upstreams name by datagrams. The leader
-// passes them on as well: an entry that has just started would send an upstream
-// what it likes until that tells it, and datagrams may be filtered.
+// Entries exchange the limits that upstreams set, by datagrams. The leader sends these limits as well: an entry that
+// has just started would send an upstream requests without bound until the upstream's first answer, and datagrams may
+// be filtered.
 
 import (
 	"cmp"
@@ -15,79 +15,83 @@
 	"github.com/dunlinquay/dunlinquay/sharing"
 )
 
-// limitTold is how old the word of an upstream may be that the leader passes on: an entry that has requests there hears it more often,
-// and the end of a limit is not told.
-const limitTold = 5 * time.Second
+// maxLimitAge is the age up to which the leader sends on a limit: an entry with requests at the upstream gets newer
+// answers itself, and the removal of a limit is not sent.
+const maxLimitAge = 5 * time.Second
 
-// LimitSummary is the limit of an upstream, how long ago it said so, and how many entries go by their own parts of it.
+// LimitSummary is the limit of an upstream, its age, and how many entries use their local share of it.
 type LimitSummary struct {
 	Rate  ratelimit.Rate
 	Age   time.Duration
 	Apart int
 }
 
-// applyLimits takes what upstreams told an entry of their limits.
+// applyLimits applies the limits that upstreams set in answers to an entry.
 func (c *Control) applyLimits(now time.Time, call *SyncCall) {
 	for i := range call.Seen {
-		// What an entry heard of others is not passed on: the time that it was on its way would make it look younger each time.
-		if l := call.Seen[i].Limit; l != nil && l.Own {
-			c.limits.Merge(call.Seen[i].ID, l.Rate, now.Add(-l.Said))
+		// A limit that the entry has from others is not sent on: the time in transit would make it look younger each
+		// time.
+		if limit := call.Seen[i].Limit; limit != nil && limit.Own {
+			c.limits.Merge(call.Seen[i].ID, limit.Rate, now.Add(-limit.Said))
 		}
 	}
 }
 
-// limitUpdates returns the limits of which the leader has heard lately, and those of which entries take their own parts; nil where there
-// are none.
-func (r *leadership) limitUpdates(now time.Time) map[ident.Incarnation]LimitSummary {
-	words := r.c.limits
-	if words.Count() == 0 {
+// limitSummaries returns the limits that upstreams set within maxLimitAge, and those of which entries use local shares;
+// nil where there are none.
+func (r *leadership) limitSummaries(now time.Time) map[ident.Incarnation]LimitSummary {
+	limits := r.control.limits
+	if limits.Count() == 0 {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := map[ident.Incarnation]LimitSummary{}
-	words.Each(func(id ident.Incarnation, w ratelimit.Limit) {
-		age, apart := now.Sub(w.LastSeen), r.apart[id]
-		if w.Limited() && (age < limitTold || apart > 0) {
-			list[id] = LimitSummary{w.Rate, age, apart}
+	summaries := map[ident.Incarnation]LimitSummary{}
+	limits.Each(func(id ident.Incarnation, limit ratelimit.Limit) {
+		age, localShares := now.Sub(limit.LastSeen), r.localShareEntries[id]
+		if limit.Limited() && (age < maxLimitAge || localShares > 0) {
+			summaries[id] = LimitSummary{limit.Rate, age, localShares}
 		}
 	})
-	return list
+	return summaries
 }
 
-// countApart counts the entries that go by their own parts of limits, by what one saw; the mutex is held.
-func (r *leadership) countApart(seen *relay.Observation, n int) {
+// countLocalShares adds delta to the number of entries on a local share if seen reports one; the mutex is held.
+func (r *leadership) countLocalShares(seen *relay.Observation, delta int) {
 	if seen.Limit == nil || !seen.Limit.Apart {
 		return
 	}
-	r.apart[seen.ID] += n
-	if r.apart[seen.ID] <= 0 {
-		delete(r.apart, seen.ID)
+	r.localShareEntries[seen.ID] += delta
+	if r.localShareEntries[seen.ID] <= 0 {
+		delete(r.localShareEntries, seen.ID)
 	}
 }
 
 // LimitState is the limit of an upstream, as operators see it.
 type LimitState struct {
-	// Limit is in requests a second, SinceMS is how long ago it was first named, SaidMS how long ago it was last.
+	// Limit is in requests a second, SinceMS is how long ago the upstream first set it, SaidMS how long ago it last
+	// did.
 	Limit   ratelimit.Rate `json:"limit"`
 	SinceMS int64          `json:"since-ms"`
 	SaidMS  int64          `json:"said-ms"`
-	// Coordinator is the entry that lets requests go there.
+	// Coordinator is the entry that grants permits for the upstream.
 	Coordinator string       `json:"coordinator"`
 	Entries     []LimitShare `json:"entries"`
 }
 
-// LimitShare is what one entry gets of a limit.
+// LimitShare is one entry's use of a limit.
 type LimitShare struct {
 	Entry string `json:"entry"`
-	// ToldMS is how long ago the upstream named the limit to this entry, -1 when others did.
+	// ToldMS is how long ago the upstream sent the limit to this entry, -1 when the entry has it from others.
 	ToldMS int64 `json:"told-ms"`
-	// Lately is how many requests were let go in the last ten seconds, the others are since the entry knows of the limit.
+	// Lately is how many permits were granted in the last ten seconds; the other counts are since the entry knows the
+	// limit.
 	Lately     int `json:"lately"`
 	Granted    int `json:"granted"`
 	Refused    int `json:"refused"`
 	Unanswered int `json:"unanswered"`
-	// Apart is set when it can't reach the coordinator and goes by its own part, Own is how many it has sent by that.
+	// Apart is set when the entry can't reach the coordinator and uses its local share, Own is how many requests it has
+	// sent within that share.
 	Apart bool `json:"apart"`
 	Own   int  `json:"own"`
 }
@@ -96,9 +100,9 @@
 func (r *leadership) limitStates(now time.Time) map[ident.Incarnation]*LimitState {
 	states := map[ident.Incarnation]*LimitState{}
 	for name, e := range r.entries {
-		for i := range e.seen {
-			if seen := &e.seen[i]; seen.Limit != nil {
-				states[seen.ID] = states[seen.ID].with(name, seen.Limit, now.Sub(e.at))
+		for i := range e.observed {
+			if seen := &e.observed[i]; seen.Limit != nil {
+				states[seen.ID] = states[seen.ID].withEntry(name, seen.Limit, now.Sub(e.calledAt))
 			}
 		}
 	}
@@ -110,46 +114,46 @@
 		halls[e.hall] = append(halls[e.hall], name)
 	}
 	entries := sharing.New("", halls)
-	for id, l := range states {
-		l.Coordinator = entries.Owner(string(id))
-		slices.SortFunc(l.Entries, func(a, b LimitShare) int { return cmp.Compare(a.Entry, b.Entry) })
+	for id, state := range states {
+		state.Coordinator = entries.Owner(string(id))
+		slices.SortFunc(state.Entries, func(a, b LimitShare) int { return cmp.Compare(a.Entry, b.Entry) })
 	}
 	return states
 }
 
-// with adds what an entry told of a limit so long ago.
-func (l *LimitState) with(entry string, seen *relay.LimitObservation, ago time.Duration) *LimitState {
-	said, since := (seen.Said + ago).Milliseconds(), (seen.Since + ago).Milliseconds()
+// withEntry adds what an entry reported of a limit callAge ago.
+func (l *LimitState) withEntry(entry string, seen *relay.LimitObservation, callAge time.Duration) *LimitState {
+	saidMS, sinceMS := (seen.Said + callAge).Milliseconds(), (seen.Since + callAge).Milliseconds()
 	if l == nil {
-		l = &LimitState{Limit: seen.Rate, SinceMS: since, SaidMS: said}
+		l = &LimitState{Limit: seen.Rate, SinceMS: sinceMS, SaidMS: saidMS}
 	}
-	if said < l.SaidMS {
-		l.Limit, l.SaidMS = seen.Rate, said
+	if saidMS < l.SaidMS {
+		l.Limit, l.SaidMS = seen.Rate, saidMS
 	}
-	l.SinceMS = max(l.SinceMS, since)
+	l.SinceMS = max(l.SinceMS, sinceMS)
 	share := LimitShare{
 		Entry: entry, ToldMS: -1, Lately: seen.Lately, Granted: seen.Granted, Refused: seen.Refused, Unanswered: seen.Unanswered,
 		Apart: seen.Apart, Own: seen.Counts.Own,
 	}
 	if seen.Own {
-		share.ToldMS = said
+		share.ToldMS = saidMS
 	}
 	l.Entries = append(l.Entries, share)
 	return l
 }
 
-// applyLimits takes what the leader has heard of limits.
-func (e *Entry) applyLimits(r *SyncReply) {
-	var apart map[ident.Incarnation]int
-	for id, l := range r.Limits {
-		e.relay.ApplyLimit(id, l.Rate, l.Age)
-		if l.Apart == 0 {
+// applyLimits applies the limits that the leader sends.
+func (e *Entry) applyLimits(reply *SyncReply) {
+	var localShares map[ident.Incarnation]int
+	for id, limit := range reply.Limits {
+		e.relay.ApplyLimit(id, limit.Rate, limit.Age)
+		if limit.Apart == 0 {
 			continue
 		}
-		if apart == nil {
-			apart = map[ident.Incarnation]int{}
+		if localShares == nil {
+			localShares = map[ident.Incarnation]int{}
 		}
-		apart[id] = l.Apart
+		localShares[id] = limit.Apart
 	}
-	e.relay.Limits.SetLocalShares(apart)
+	e.relay.Limits.SetLocalShares(localShares)
 }
--- /dev/null
+++ b/site/quarantine.go
@@ -0,0 +1,100 @@
+package site
+
+// Entries exchange quarantine reports, on request fingerprints under which upstreams crashed, by datagrams. The leader
+// distributes the same reports with its sync replies: datagrams may be filtered, while every serving entry has a
+// connection to the leader. Both sides compare digests of their reports and send nothing while these are equal.
+
+import (
+	"net/netip"
+	"time"
+
+	"github.com/dunlinquay/dunlinquay/ident"
+	"github.com/dunlinquay/dunlinquay/quarantine"
+	"github.com/dunlinquay/dunlinquay/relay"
+	"github.com/dunlinquay/dunlinquay/settings"
+)
+
+// maxSyncReports bounds the quarantine reports of one sync, 26 to 98 bytes each in CBOR with a short customer name.
+const maxSyncReports = 32
+
+// maxSavedReports bounds the quarantine reports that are saved to disk; those with the longest quarantine left are
+// kept.
+const maxSavedReports = 256
+
+// QuarantineState is a quarantined request fingerprint, as operators see it.
+type QuarantineState struct {
+	Customer ident.Customer `json:"customer"`
+	// Content is the digest of the request's path and body, as in the request log.
+	Content string `json:"content"`
+	// Ends is how many upstreams in a row crashed under such requests, ForMS how much longer they are refused.
+	Ends  int   `json:"ends"`
+	ForMS int64 `json:"for-ms"`
+}
+
+// mergeQuarantine applies the caller's quarantine reports, and adds the caller's missing ones to the reply. Followers
+// receive them too, so that a new leader knows them, as does a follower that has restarted.
+func (c *Control) mergeQuarantine(now time.Time, call *SyncCall, reply *SyncReply) {
+	c.applyQuarantine(now, call.Held)
+	reply.HeldSum = c.quarantine.Digest(now)
+	if reply.HeldSum != call.HeldSum {
+		reply.Held = c.quarantine.ToSend(now, maxSyncReports)
+	}
+}
+
+// applyQuarantine applies quarantine reports of other daemons.
+func (c *Control) applyQuarantine(now time.Time, list []quarantine.Report) {
+	for i := range list {
+		c.quarantine.Merge(now, &list[i])
+	}
+}
+
+// quarantineStates returns the fingerprints in quarantine now.
+func (c *Control) quarantineStates(now time.Time) []QuarantineState {
+	var list []QuarantineState
+	for _, report := range c.quarantine.Quarantined(now) {
+		list = append(list, QuarantineState{report.Customer, report.Content.String(), len(report.Ends), c.quarantine.Remaining(now, report.Fingerprint()).Milliseconds()})
+	}
+	return list
+}
+
+// fillQuarantine adds this entry's quarantine reports to a call.
+func (e *Entry) fillQuarantine(call *SyncCall) {
+	list, now := e.relay.Quarantine, e.relay.Now()
+	call.HeldSum = list.Digest(now)
+	if call.HeldSum != e.leaderQuarantineDigest {
+		// ToSend rotates over the reports, so it is called only when its result is sent.
+		call.Held = list.ToSend(now, maxSyncReports)
+	}
+	e.metrics.quarantined.Update(float64(list.QuarantinedLen(now)))
+}
+
+// applyQuarantine applies the leader's quarantine reports.
+func (e *Entry) applyQuarantine(reply *SyncReply) {
+	e.leaderQuarantineDigest = reply.HeldSum
+	e.relay.ApplyQuarantineReports(reply.Held, netip.AddrPort{})
+}
+
+// logQuarantineEvent logs a change of a fingerprint's quarantine.
+func (e *Entry) logQuarantineEvent(event *relay.QuarantineEvent) {
+	from := "this entry"
+	if event.From.IsValid() {
+		from = event.From.String()
+	}
+	e.Log.Info("work "+quarantineAction(event), "customer", event.Customer, "content", event.Content.String(), "ends", len(event.Ends), "for-ms", event.Remaining.Milliseconds(),
+		"newest-ms", event.AgeMS, "from", from)
+}
+
+func quarantineAction(event *relay.QuarantineEvent) string {
+	switch {
+	case event.Trying:
+		return "admitted for one attempt"
+	case len(event.Ends) == 0:
+		return "cleared"
+	}
+	return "held"
+}
+
+// quarantineRule returns the rule of the settings.
+func quarantineRule(cfg *settings.Quarantine) quarantine.Rule {
+	return quarantine.Rule{Crashes: cfg.Ends, InitialDuration: cfg.Hold.Std(), MaxRecords: cfg.Records}
+}
--- a/site/site_test.go
+++ b/site/site_test.go
@@ -25,8 +25,8 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// eventually is how long a condition may take on a busy machine; no verdict depends on how long it took.
-const eventually = 60 * time.Second
+// conditionTimeout is how long a condition may take on a busy machine; no verdict depends on how long it took.
+const conditionTimeout = 60 * time.Second
 
 // daemons are the processes of a site on loopback addresses, with one folder each.
 type daemons struct {
@@ -36,14 +36,14 @@
 	ports   map[string]int
 	seeds   []string
 	running map[string]*running
-	// dial opens the connections of daemons that are started, nil for the usual way.
+	// dial opens the connections of daemons that are started, nil for TCP.
 	dial transport.Dial
 }
 
 type running struct {
 	control *site.Control
 	entry   *site.Entry
-	end     context.CancelFunc
+	stop    context.CancelFunc
 	done    chan struct{}
 }
 
@@ -91,8 +91,8 @@
 }
 
 func (d *daemons) start(host string, run func(ctx context.Context) error) {
-	ctx, end := context.WithCancel(context.Background())
-	r := &running{end: end, done: make(chan struct{})}
+	ctx, stop := context.WithCancel(context.Background())
+	r := &running{stop: stop, done: make(chan struct{})}
 	d.running[host] = r
 	go func() {
 		defer close(r.done)
@@ -102,7 +102,7 @@
 	}()
 }
 
-func (d *daemons) control(host string, first bool) {
+func (d *daemons) startControl(host string, first bool) {
 	d.t.Helper()
 	cfg := d.settings(host, first)
 	cfg.Listen.Control = d.address(host)
@@ -111,7 +111,7 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	c.DecodeConfig = decode
+	c.DecodeConfig = decodeConfig
 	if d.dial != nil {
 		c.Dial = d.dial
 	}
@@ -122,13 +122,13 @@
 	d.running[host].control = c
 }
 
-// voters waits until a daemon knows of so many voters.
-func (d *daemons) voters(host string, n int) {
+// waitForVoters waits until a daemon knows n voters.
+func (d *daemons) waitForVoters(host string, n int) {
 	d.t.Helper()
-	d.until(fmt.Sprintf("%d voters", n), func() bool { return d.running[host].control.Voters() == n })
+	d.waitUntil(fmt.Sprintf("%d voters", n), func() bool { return d.running[host].control.Voters() == n })
 }
 
-func (d *daemons) entry(host string) {
+func (d *daemons) startEntry(host string) {
 	cfg := d.settings(host, false)
 	cfg.Listen.Callers = d.address(host)
 	dial := d.dial
@@ -136,23 +136,23 @@
 		dial = transport.TCP()
 	}
 	e := site.NewEntry(cfg, relay.HeaderNames{RequestID: "Request", Deadline: "Deadline", Key: "Key", Customer: "Customer", Incarnation: "Life"}, dial)
-	e.DecodeConfig = decode
+	e.DecodeConfig = decodeConfig
 	e.ReadyHandler = func(func() bool) http.Handler { return http.NotFoundHandler() }
 	e.LoadSettings = func() (*settings.Site, error) { return cfg, nil }
 	d.start(host, e.Run)
 	d.running[host].entry = e
 }
 
-// kill ends a daemon and waits until it is gone.
+// kill stops a daemon and waits for its end.
 func (d *daemons) kill(host string) {
 	if r := d.running[host]; r != nil {
-		r.end()
+		r.stop()
 		<-r.done
 		delete(d.running, host)
 	}
 }
 
-// get asks an entry for a path of the host of every route.
+// get requests a path of an entry, at the host of every route.
 func (d *daemons) get(host, path string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -173,31 +173,31 @@
 	return string(text)
 }
 
-// routed reports whether an entry has the route of a version: there is one, and nothing that serves it.
+// routed reports whether an entry has the route of a version, which has no upstream to serve it.
 func (d *daemons) routed(host string, version httproute.Version) bool {
 	return strings.Contains(d.get(host, fmt.Sprintf("/v%d/x", version)), `"result":"no-whole-group"`)
 }
 
-// until waits for a condition and ends the test when it never holds.
-func (d *daemons) until(what string, holds func() bool) {
+// waitUntil waits for a condition and fails the test when it never holds.
+func (d *daemons) waitUntil(condition string, holds func() bool) {
 	d.t.Helper()
-	for limit := time.Now().Add(eventually); time.Now().Before(limit); {
+	for deadline := time.Now().Add(conditionTimeout); time.Now().Before(deadline); {
 		if holds() {
 			return
 		}
 		wait := time.NewTimer(20 * time.Millisecond)
 		<-wait.C
 	}
-	d.t.Fatalf("never: %s", what)
+	d.t.Fatalf("never: %s", condition)
 }
 
-// configOf is the form of a configuration in these tests: its version in digits.
+// configOf encodes a configuration of these tests: its version in digits.
 func configOf(version httproute.Version) []byte {
 	return []byte(strconv.FormatUint(uint64(version), 10))
 }
 
-// decode reads that form: one public route that nothing serves.
-func decode(body []byte) (*httproute.Config, error) {
+// decodeConfig decodes that form: a configuration with one public route, which no upstream serves.
+func decodeConfig(body []byte) (*httproute.Config, error) {
 	version, err := strconv.ParseUint(string(body), 10, 64)
 	if err != nil {
 		return nil, err
@@ -219,34 +219,34 @@
 	return d.running[host].control.Replace(context.Background(), version, configOf(version))
 }
 
-func (d *daemons) replace(host string, version httproute.Version) {
+func (d *daemons) waitUntilReplaced(host string, version httproute.Version) {
 	d.t.Helper()
-	d.until(fmt.Sprintf("version %d is accepted", version), func() bool { return d.offer(host, version) == nil })
+	d.waitUntil(fmt.Sprintf("version %d is accepted", version), func() bool { return d.offer(host, version) == nil })
 }
 
-func (d *daemons) reads(host string, version httproute.Version) {
+func (d *daemons) waitUntilRead(host string, version httproute.Version) {
 	d.t.Helper()
-	d.until(fmt.Sprintf("version %d is read", version), func() bool {
+	d.waitUntil(fmt.Sprintf("version %d is read", version), func() bool {
 		body, err := d.running[host].control.Read(context.Background())
 		return err == nil && string(body) == string(configOf(version))
 	})
 }
 
-// A site forms itself from its seeds, grows, loses folders and members, and restarts as a whole, and what it accepted is
-// there after each.
-func TestControlFormsAndHealsItself(t *testing.T) {
+// A site forms from its seeds, grows, loses folders and members, and restarts as a whole; its accepted configuration
+// survives each of these.
+func TestControlQuorumFormsAndRecovers(t *testing.T) {
 	d := newDaemons(t)
-	// The last seed comes late, the others are not seeds.
+	// The last seed starts last, and two of the daemons are not seeds.
 	for _, host := range []string{"127.0.1.5", "127.0.1.2", "127.0.1.1", "127.0.1.4", "127.0.1.3"} {
-		d.control(host, true)
+		d.startControl(host, true)
 	}
-	d.replace("127.0.1.4", 3)
+	d.waitUntilReplaced("127.0.1.4", 3)
 	for host := range d.running {
-		d.reads(host, 3)
+		d.waitUntilRead(host, 3)
 	}
-	d.voters("127.0.1.5", 5)
-	d.entry("127.0.2.1")
-	d.until("the entry has the configuration", func() bool {
+	d.waitForVoters("127.0.1.5", 5)
+	d.startEntry("127.0.2.1")
+	d.waitUntil("the entry has the configuration", func() bool {
 		return d.routed("127.0.2.1", 3)
 	})
 
@@ -257,56 +257,56 @@
 			t.Fatal(err)
 		}
 	}
-	d.replace("127.0.1.5", 7)
+	d.waitUntilReplaced("127.0.1.5", 7)
 	for _, host := range []string{"127.0.1.1", "127.0.1.2"} {
-		d.control(host, false)
+		d.startControl(host, false)
 	}
-	d.reads("127.0.1.1", 7)
-	d.until("both vote in place of their old folders", func() bool {
+	d.waitUntilRead("127.0.1.1", 7)
+	d.waitUntil("both vote in place of their old folders", func() bool {
 		return d.running["127.0.1.1"].control.IsVoter() && d.running["127.0.1.2"].control.IsVoter() && d.running["127.0.1.5"].control.Voters() == 5
 	})
 
-	t.Log("two others are gone for good, one is replaced at another address")
+	t.Log("two others are lost for good, one is replaced at another address")
 	d.kill("127.0.1.3")
-	d.control("127.0.1.6", false)
-	d.replace("127.0.1.6", 9)
-	d.until("the replacement votes", func() bool { return d.running["127.0.1.6"].control.IsVoter() })
+	d.startControl("127.0.1.6", false)
+	d.waitUntilReplaced("127.0.1.6", 9)
+	d.waitUntil("the replacement votes", func() bool { return d.running["127.0.1.6"].control.IsVoter() })
 	d.kill("127.0.1.4")
-	d.replace("127.0.1.6", 12)
+	d.waitUntilReplaced("127.0.1.6", 12)
 
 	t.Log("all restart")
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.5", "127.0.1.6"}
 	var wg sync.WaitGroup
 	for _, host := range hosts {
 		r := d.running[host]
-		wg.Go(func() { r.end(); <-r.done })
+		wg.Go(func() { r.stop(); <-r.done })
 	}
 	wg.Wait()
 	for _, host := range hosts {
-		d.control(host, false)
+		d.startControl(host, false)
 	}
 	for _, host := range hosts {
-		d.reads(host, 12)
+		d.waitUntilRead(host, 12)
 	}
-	d.replace("127.0.1.2", 9) // An older version once more is acknowledged and changes nothing.
-	d.reads("127.0.1.5", 12)
-	d.until("the entry follows", func() bool {
+	d.waitUntilReplaced("127.0.1.2", 9) // An older version is acknowledged and changes nothing.
+	d.waitUntilRead("127.0.1.5", 12)
+	d.waitUntil("the entry follows", func() bool {
 		return d.routed("127.0.2.1", 12) && !d.routed("127.0.2.1", 3)
 	})
 }
 
-// An empty folder never forms a quorum of its own after the first start; another site that may form shows when there was
-// time enough to do so.
-func TestEmptyFoldersDoNotFormTwice(t *testing.T) {
+// An empty folder never forms a quorum of its own after the first start. Another site that may form shows when there
+// was time enough for that.
+func TestEmptyFoldersFormNoSecondQuorum(t *testing.T) {
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
 	d, other := newDaemons(t), newDaemons(t)
 	for _, host := range hosts {
-		d.control(host, false)
+		d.startControl(host, false)
 	}
 	for _, host := range hosts {
-		other.control(host, true)
+		other.startControl(host, true)
 	}
-	other.replace(hosts[0], 1)
+	other.waitUntilReplaced(hosts[0], 1)
 	for _, host := range hosts {
 		if n := d.running[host].control.Voters(); n != 0 {
 			t.Errorf("%s knows of %d voters", host, n)
@@ -317,20 +317,20 @@
 	}
 }
 
-// An upstream reports to any control daemon; one without a majority acknowledges nothing.
-func TestReports(t *testing.T) {
+// An upstream can report to any control daemon; a daemon without a majority acknowledges nothing.
+func TestReportsThroughAnyControlDaemon(t *testing.T) {
 	d := newDaemons(t)
 	for _, host := range []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"} {
-		d.control(host, true)
+		d.startControl(host, true)
 	}
-	d.replace("127.0.1.1", 1)
+	d.waitUntilReplaced("127.0.1.1", 1)
 	report := func(host string) (string, error) {
 		r := &roster.Report{Upstream: roster.Upstream{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Slots: 4}, Sequence: 1}
 		return d.running[host].control.Report(context.Background(), r)
 	}
 	leader := ""
 	for _, host := range []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"} {
-		d.until("a report is taken", func() bool {
+		d.waitUntil("a report is acknowledged", func() bool {
 			later, err := report(host)
 			if err == nil && later == "" {
 				leader = host
@@ -346,7 +346,7 @@
 			d.kill(host)
 		}
 	}
-	d.until("a daemon without a majority stops acknowledging", func() bool {
+	d.waitUntil("a daemon without a majority stops acknowledging", func() bool {
 		_, err := report(leader)
 		return result.CodeOf(err) == result.NoLeader
 	})
@@ -355,53 +355,54 @@
 	}
 }
 
-// An upstream that reported before its service was declared serves as soon as it is, not from its next report on.
-func TestUpstreamOfAnAddedServiceIsKnown(t *testing.T) {
+// An upstream that reported before its service was declared is in the roster as soon as the service is, not from its
+// next report on.
+func TestReportBeforeServiceIsDeclared(t *testing.T) {
 	d := newDaemons(t)
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
 	for _, host := range hosts {
-		d.control(host, true)
+		d.startControl(host, true)
 	}
-	d.replace(hosts[0], 1)
+	d.waitUntilReplaced(hosts[0], 1)
 	for i, host := range hosts {
 		r := &roster.Report{
 			Upstream: roster.Upstream{ID: ident.Incarnation(fmt.Sprintf("i-%d", i)), Service: "only-2", Address: fmt.Sprintf("127.0.0.1:%d", i+1), Slots: 4},
 			Sequence: 1,
 		}
-		d.until("the report is acknowledged", func() bool {
+		d.waitUntil("the report is acknowledged", func() bool {
 			_, err := d.running[host].control.Report(context.Background(), r)
 			return err == nil
 		})
 	}
-	d.replace(hosts[1], 2)
-	d.until("the upstreams are known", func() bool {
+	d.waitUntilReplaced(hosts[1], 2)
+	d.waitUntil("the upstreams are in the roster", func() bool {
 		s, err := site.Inspect(context.Background(), transport.TCP(), d.peers(hosts...))
 		return err == nil && len(s.Upstreams) == len(hosts)
 	})
 }
 
-// Any control daemon tells operators what the leader knows and decided; without a leader none does.
+// Any control daemon shows operators the leader's state and decisions; without a leader none does.
 func TestInspect(t *testing.T) {
 	d := newDaemons(t)
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
 	peers := func(host string) string { return fmt.Sprintf("%s:%d", host, d.port) }
 	for _, host := range hosts {
-		d.control(host, true)
+		d.startControl(host, true)
 	}
-	d.replace(hosts[0], 1)
-	d.until("an upstream is taken", func() bool {
+	d.waitUntilReplaced(hosts[0], 1)
+	d.waitUntil("an upstream's report is acknowledged", func() bool {
 		r := &roster.Report{Upstream: roster.Upstream{ID: "i-1", Service: "m", Address: "127.0.0.1:1", Domain: "d", Slots: 4}, Sequence: 1}
 		_, err := d.running[hosts[0]].control.Report(context.Background(), r)
 		return err == nil
 	})
-	// A report of another writer, for a service that nobody declared, takes the place of none.
+	// A report for a service that is not declared does not replace the upstream at the same address.
 	other := &roster.Report{Upstream: roster.Upstream{ID: "i-2", Service: "odd", Address: "127.0.0.1:1", Domain: "d", Slots: 4}, Sequence: 1}
 	if _, err := d.running[hosts[0]].control.Report(context.Background(), other); err != nil {
-		t.Errorf("a report of another writer: %v", err)
+		t.Errorf("a report for an undeclared service: %v", err)
 	}
 	for _, host := range hosts {
 		var s *site.State
-		d.until("a group is begun", func() bool {
+		d.waitUntil("a group is forming", func() bool {
 			var err error
 			s, err = site.Inspect(context.Background(), transport.TCP(), []string{peers("127.0.2.1"), peers(host)})
 			return err == nil && len(s.Groups) == 1 && len(s.Decisions) == 1
@@ -422,22 +423,23 @@
 	}
 	d.kill(hosts[1])
 	d.kill(hosts[2])
-	d.until("a daemon without a majority tells nothing", func() bool {
+	d.waitUntil("a daemon without a majority returns no state", func() bool {
 		_, err := site.Inspect(context.Background(), transport.TCP(), []string{peers(hosts[0])})
 		return result.CodeOf(err) == result.NoLeader
 	})
 }
 
-// A call that waits for news ends with the leadership: the daemon that made it asks the next leader, not after the time that calls are kept.
-func TestCallsForNewsEndWithTheLeadership(t *testing.T) {
+// A call that waits for updates is answered when the leadership ends, so that its caller calls the next leader without
+// waiting for the hold time.
+func TestSyncCallsEndWithLeadership(t *testing.T) {
 	d := newDaemons(t)
 	hosts := []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"}
 	for _, host := range hosts {
-		d.control(host, true)
+		d.startControl(host, true)
 	}
-	d.replace(hosts[0], 1)
+	d.waitUntilReplaced(hosts[0], 1)
 	var leader string
-	d.until("a leader is known", func() bool {
+	d.waitUntil("a leader is known", func() bool {
 		s, err := site.Inspect(context.Background(), transport.TCP(), d.peers(hosts...))
 		if err != nil {
 			return false
@@ -447,8 +449,8 @@
 	})
 	for i, address := range d.peers(hosts...) {
 		if address == leader {
-			if !d.running[hosts[i]].control.RenewedAtTheEnd() {
-				t.Error("calls that wait are not woken when the leadership ends")
+			if !d.running[hosts[i]].control.WaitersWokenAtLeadershipEnd() {
+				t.Error("waiting calls are not woken when the leadership ends")
 			}
 		}
 	}
--- a/site/totals.go
+++ b/site/totals.go
@@ -1,9 +1,8 @@
 package site
 
-// How many requests all entries together have at each upstream is told to each
-// entry several times a second. It is the same for all of them, so it is encoded
-// once, and each takes away what it told itself. An upstream takes about six
-// bytes: 32 bits of its id's digest and the number.
+// The leader sends each entry the requests in progress of all entries at each upstream, several times a second. The
+// totals are the same for all entries, so they are encoded once, and each entry subtracts its own requests. An upstream
+// takes about six bytes: 32 bits of its ID's digest and the number.
 
 import (
 	"encoding/binary"
@@ -14,59 +13,60 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// totalsFor is how long encoded totals are sent on.
-const totalsFor = 20 * time.Millisecond
+// totalsTTL is how long encoded totals are reused.
+const totalsTTL = 20 * time.Millisecond
 
-// shortID is a part of the digest of an upstream's id. Two upstreams with the same one count as one, which only rates them worse.
+// shortID is a part of the digest of an upstream's ID. Two upstreams with the same short ID count as one, which only
+// makes them look busier.
 type shortID uint32
 
-func shortOf(id ident.Incarnation) shortID {
+func shortIDOf(id ident.Incarnation) shortID {
 	return shortID(xxhash.Sum64String(string(id)))
 }
 
-// shortIDs returns upstreams by their short ids.
+// shortIDs returns upstreams by their short IDs.
 func shortIDs(list []ident.Incarnation) map[shortID]ident.Incarnation {
-	known := make(map[shortID]ident.Incarnation, len(list))
+	upstreams := make(map[shortID]ident.Incarnation, len(list))
 	for _, id := range list {
-		known[shortOf(id)] = id
+		upstreams[shortIDOf(id)] = id
 	}
-	return known
+	return upstreams
 }
 
-// encodeTotals encodes the requests at upstreams.
+// encodeTotals encodes the requests in progress at upstreams.
 func encodeTotals(totals map[ident.Incarnation]int) []byte {
 	var b []byte
 	for id, n := range totals {
-		b = binary.LittleEndian.AppendUint32(b, uint32(shortOf(id)))
+		b = binary.LittleEndian.AppendUint32(b, uint32(shortIDOf(id)))
 		b = binary.AppendUvarint(b, uint64(max(0, n)))
 	}
 	return b
 }
 
-// decodeTotals returns the requests at the upstreams that are known, less those of the caller's own; what can't be read is left out.
-func decodeTotals(b []byte, known map[shortID]ident.Incarnation, own map[ident.Incarnation]int) map[ident.Incarnation]int {
+// decodeTotals returns the requests at known upstreams less the caller's own; unreadable data is ignored.
+func decodeTotals(b []byte, upstreams map[shortID]ident.Incarnation, own map[ident.Incarnation]int) map[ident.Incarnation]int {
 	const width = 4
 	others := map[ident.Incarnation]int{}
 	for len(b) > width {
-		id, ok := known[shortID(binary.LittleEndian.Uint32(b))]
+		id, ok := upstreams[shortID(binary.LittleEndian.Uint32(b))]
 		n, read := binary.Uvarint(b[width:])
 		if read <= 0 {
 			return others
 		}
 		b = b[width+read:]
-		if rest := int(n) - own[id]; ok && rest > 0 {
-			others[id] = rest
+		if byOthers := int(n) - own[id]; ok && byOthers > 0 {
+			others[id] = byOthers
 		}
 	}
 	return others
 }
 
-// encodedTotals returns the requests of all entries at each upstream.
+// encodedTotals returns the encoded requests of all entries at each upstream.
 func (r *leadership) encodedTotals(now time.Time) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.totalsAt.IsZero() || now.Sub(r.totalsAt) >= totalsFor {
-		r.encoded, r.totalsAt = encodeTotals(r.totals), now
+	if r.totalsEncodedAt.IsZero() || now.Sub(r.totalsEncodedAt) >= totalsTTL {
+		r.totalsData, r.totalsEncodedAt = encodeTotals(r.totals), now
 	}
-	return r.encoded
+	return r.totalsData
 }
--- a/site/versions.go
+++ b/site/versions.go
@@ -8,52 +8,52 @@
 	"github.com/dunlinquay/dunlinquay/httproute"
 )
 
-// versionsKept is how many configurations a leader can send changes from: daemons that are called every half second at most are a
-// few behind while an operator makes several changes a second.
-const versionsKept = 8
+// maxPatchVersions is how many configurations a leader keeps to make patches from: followers call every half second at
+// least, and fall a few versions behind while an operator makes several changes a second.
+const maxPatchVersions = 8
 
-// versions keeps the newest configurations and the patches that lead from each of them to the newest.
+// versions keeps the newest configurations and the patches from each of them to the newest.
 type versions struct {
-	mu      sync.Mutex
-	list    []catalog.Document
-	patches map[httproute.Version][]byte
+	mu        sync.Mutex
+	documents []catalog.Document
+	patches   map[httproute.Version][]byte
 }
 
-// add takes the configuration that counts from now on.
+// add sets the newest configuration.
 func (v *versions) add(d catalog.Document) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.list = slices.DeleteFunc(v.list, func(old catalog.Document) bool { return old.Version >= d.Version })
-	v.list = append(v.list, d)
-	v.list = v.list[max(0, len(v.list)-versionsKept):]
+	v.documents = slices.DeleteFunc(v.documents, func(old catalog.Document) bool { return old.Version >= d.Version })
+	v.documents = append(v.documents, d)
+	v.documents = v.documents[max(0, len(v.documents)-maxPatchVersions):]
 	v.patches = map[httproute.Version][]byte{}
 }
 
-// patch returns what makes the newest configuration, if that has version to, of an earlier one; nothing when it is not known or not
-// worth it.
+// patch returns the patch from one version to the newest, if that is version to; nil when from is not known or a patch
+// is not smaller.
 func (v *versions) patch(from, to httproute.Version) []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if len(v.list) == 0 || v.list[len(v.list)-1].Version != to {
+	if len(v.documents) == 0 || v.documents[len(v.documents)-1].Version != to {
 		return nil
 	}
 	if patch, ok := v.patches[from]; ok {
 		return patch
 	}
-	i := slices.IndexFunc(v.list, func(d catalog.Document) bool { return d.Version == from })
+	i := slices.IndexFunc(v.documents, func(d catalog.Document) bool { return d.Version == from })
 	if i < 0 {
 		return nil
 	}
-	patch := makePatch(v.list[i].Packed, v.list[len(v.list)-1].Packed)
+	patch := makePatch(v.documents[i].Packed, v.documents[len(v.documents)-1].Packed)
 	v.patches[from] = patch
 	return patch
 }
 
-// makePatch returns the patch between two packed configurations, or nothing when the second one is as small.
+// makePatch returns the patch between two packed configurations, nil when the second one is not larger than the patch.
 func makePatch(base, next []byte) []byte {
 	from, err := catalog.Unpack(base)
 	if err != nil {
-		return nil // whoever gets the whole configuration instead tells of the damage
+		return nil // a receiver of the whole configuration reports the damage
 	}
 	to, err := catalog.Unpack(next)
 	if err != nil {
