--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -48,7 +48,7 @@
 }
 
 // Available reports whether it is worth asking.
-func (g Availability) Available() bool { return g.Remaining <= 0 && !g.Busy }
+func (a Availability) Available() bool { return a.Remaining <= 0 && !a.Busy }
 
 // Permit is whether a request may be sent to an upstream.
 type Permit struct {
@@ -73,15 +73,15 @@
 	Observe func(o Outcome)
 
 	mu sync.Mutex
-	// granted are the requests that were let go as coordinator, own those of this entry's own part.
-	granted *Pacer[K]
-	own     *Pacer[K]
-	states  map[K]*state
-	asked   map[uint64]chan *PermitReply[K]
-	// apart is how many entries go by their own parts of the limits that this one coordinates.
-	apart map[K]int
-	// apartOf are the limits of which each entry takes its own part.
-	apartOf map[string]map[K]bool
+	// coordinatorPacer are the requests that were let go as coordinator, own those of this entry's own part.
+	coordinatorPacer *Pacer[K]
+	localPacer       *Pacer[K]
+	states           map[K]*state
+	pendingReplies   map[uint64]chan *PermitReply[K]
+	// localShareCounts is how many entries go by their own parts of the limits that this one coordinates.
+	localShareCounts map[K]int
+	// localShareUsers are the limits of which each entry takes its own part.
+	localShareUsers map[string]map[K]bool
 }
 
 // Outcome is what became of one request that was meant for an upstream with a limit, or of a question.
@@ -100,13 +100,13 @@
 		Table: NewLimitTable[K](), Now: time.Now, Random: rand.Float64,
 		Coordinator: func(K) Coordinator { return Coordinator{Self: true, Entries: 1} },
 		Send:        func(string, *PermitRequest[K]) {}, Observe: func(Outcome) {},
-		states: map[K]*state{}, asked: map[uint64]chan *PermitReply[K]{}, apartOf: map[string]map[K]bool{},
+		states: map[K]*state{}, pendingReplies: map[uint64]chan *PermitReply[K]{}, localShareUsers: map[string]map[K]bool{},
 	}
-	draw := func() float64 { return l.Random() }
+	random := func() float64 { return l.Random() }
 	// A coordinator begins with a whole interval, whatever was sent before. Parts of many entries begin at random, so that they do not
 	// all send at the same moment.
-	l.granted = NewPacer[K](func() float64 { return 0 }, draw)
-	l.own = NewPacer[K](draw, draw)
+	l.coordinatorPacer = NewPacer[K](func() float64 { return 0 }, random)
+	l.localPacer = NewPacer[K](random, random)
 	return l
 }
 
@@ -120,122 +120,122 @@
 	if !l.HasLimits() {
 		return Availability{}
 	}
-	w := l.Table.Effective(k)
-	if !w.Limited() {
+	limit := l.Table.Effective(k)
+	if !limit.Limited() {
 		return Availability{}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.states[k]
 	if s == nil {
-		return Availability{Limited: true, Rate: w.Rate}
+		return Availability{Limited: true, Rate: limit.Rate}
 	}
-	return Availability{Limited: true, Remaining: max(0, s.until.Sub(now)), Busy: s.asking >= asksMost, Rate: w.Rate / Rate(max(1, s.sharers))}
+	return Availability{Limited: true, Remaining: max(0, s.retryAt.Sub(now)), Busy: s.inFlight >= maxInFlight, Rate: limit.Rate / Rate(max(1, s.sharers))}
 }
 
 // Acquire asks for one request at an upstream that can wait so long for its turn; it returns at once where there is no limit.
-func (l *Limiter[K]) Acquire(ctx context.Context, k K, patience time.Duration) Permit {
-	w := l.Table.Effective(k)
-	if !w.Limited() {
+func (l *Limiter[K]) Acquire(ctx context.Context, k K, maxWait time.Duration) Permit {
+	limit := l.Table.Effective(k)
+	if !limit.Limited() {
 		return Permit{OK: true}
 	}
-	seat := l.Coordinator(k)
-	if seat.Self {
-		return l.takeHere(k, w.Rate, seat, patience)
+	coordinator := l.Coordinator(k)
+	if coordinator.Self {
+		return l.acquireAsCoordinator(k, limit.Rate, coordinator, maxWait)
 	}
-	if seat.Name != "" {
-		if a, answered := l.ask(ctx, seat.Name, k, w, patience); answered {
-			return l.take(k, a)
+	if coordinator.Name != "" {
+		if reply, answered := l.requestPermit(ctx, coordinator.Name, k, limit, maxWait); answered {
+			return l.applyReply(k, reply)
 		}
 	}
-	return l.takeOwn(k, w.Rate, seat, patience)
+	return l.acquireLocalShare(k, limit.Rate, coordinator, maxWait)
 }
 
-// takeHere asks this entry as coordinator.
-func (l *Limiter[K]) takeHere(k K, rate Rate, seat Coordinator, patience time.Duration) Permit {
+// acquireAsCoordinator asks this entry as coordinator.
+func (l *Limiter[K]) acquireAsCoordinator(k K, rate Rate, coordinator Coordinator, maxWait time.Duration) Permit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.obey(k, rate, l.grant(k, rate, seat, "", patience))
+	return l.recordGrant(k, rate, l.grant(k, rate, coordinator, "", maxWait))
 }
 
 // grant answers who asks this entry as coordinator; the mutex is held.
-func (l *Limiter[K]) grant(k K, rate Rate, seat Coordinator, who string, patience time.Duration) Grant {
-	if apart := l.apart[k]; apart > 0 {
+func (l *Limiter[K]) grant(k K, rate Rate, coordinator Coordinator, requester string, maxWait time.Duration) Grant {
+	if localShares := l.localShareCounts[k]; localShares > 0 {
 		// Those that can't ask take their parts all the same: without this an upstream would get these beside its whole limit where
 		// datagrams between entries are filtered.
-		rate *= Rate(max(1, seat.Entries-apart)) / Rate(max(1, seat.Entries))
+		rate *= Rate(max(1, coordinator.Entries-localShares)) / Rate(max(1, coordinator.Entries))
 	}
-	if l.granted.Len() > sweepAt {
-		l.granted.Retain(l.isLimited)
+	if l.coordinatorPacer.Len() > sweepAt {
+		l.coordinatorPacer.Retain(l.isLimited)
 	}
 	now := l.Now()
-	if seat.HoldOff > 0 {
-		l.granted.HoldUntil(now, k, rate, now.Add(seat.HoldOff))
+	if coordinator.HoldOff > 0 {
+		l.coordinatorPacer.HoldUntil(now, k, rate, now.Add(coordinator.HoldOff))
 	}
-	return l.granted.Reserve(now, k, rate, who, patience)
+	return l.coordinatorPacer.Reserve(now, k, rate, requester, maxWait)
 }
 
 // SetLocalShares tells how many entries go by their own parts of limits.
-func (l *Limiter[K]) SetLocalShares(apart map[K]int) {
+func (l *Limiter[K]) SetLocalShares(counts map[K]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.apart = apart
+	l.localShareCounts = counts
 }
 
 // MergeLocalShares takes of which limits one entry takes its own part, where entries tell each other and nobody counts them.
-func (l *Limiter[K]) MergeLocalShares(entry string, of map[K]bool) {
+func (l *Limiter[K]) MergeLocalShares(entry string, upstreams map[K]bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.apartOf[entry] = of
-	if len(of) == 0 {
-		delete(l.apartOf, entry)
-	}
-	l.apart = nil
-	for _, of := range l.apartOf {
-		for k := range of {
-			if l.apart == nil {
-				l.apart = map[K]int{}
+	l.localShareUsers[entry] = upstreams
+	if len(upstreams) == 0 {
+		delete(l.localShareUsers, entry)
+	}
+	l.localShareCounts = nil
+	for _, upstreams := range l.localShareUsers {
+		for k := range upstreams {
+			if l.localShareCounts == nil {
+				l.localShareCounts = map[K]int{}
 			}
-			l.apart[k]++
+			l.localShareCounts[k]++
 		}
 	}
 }
 
 func (l *Limiter[K]) isLimited(k K) bool { return l.Table.Effective(k).Limited() }
 
-// obey notes what was granted, and makes a permit of it; the mutex is held.
-func (l *Limiter[K]) obey(k K, rate Rate, g Grant) Permit {
+// recordGrant notes what was granted, and makes a permit of it; the mutex is held.
+func (l *Limiter[K]) recordGrant(k K, rate Rate, grant Grant) Permit {
 	s := l.state(k)
-	s.sharers = g.Sharers
+	s.sharers = grant.Sharers
 	now := l.Now()
-	if !g.OK {
+	if !grant.OK {
 		s.Refused++
-		s.until = now.Add(g.After)
+		s.retryAt = now.Add(grant.After)
 		l.Observe(Refused)
 	} else {
 		s.Granted++
-		s.lately = append(s.since(now.Add(-latelyFor)), now)
+		s.recentGrants = append(s.grantsSince(now.Add(-recentPeriod)), now)
 		l.Observe(Granted)
 	}
-	return Permit{OK: g.OK, Limited: true, Rate: rate, After: g.After}
+	return Permit{OK: grant.OK, Limited: true, Rate: rate, After: grant.After}
 }
 
-// takeOwn takes a request of this entry's own part once nobody can be asked, or none meanwhile.
-func (l *Limiter[K]) takeOwn(k K, rate Rate, seat Coordinator, patience time.Duration) Permit {
+// acquireLocalShare takes a request of this entry's own part once nobody can be asked, or none meanwhile.
+func (l *Limiter[K]) acquireLocalShare(k K, rate Rate, coordinator Coordinator, maxWait time.Duration) Permit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now, s := l.Now(), l.state(k)
-	if seat.Name != "" && !s.deaf(now) {
-		s.until = later(s.until, s.asksAt)
-		return Permit{Limited: true, After: s.until.Sub(now)}
+	if coordinator.Name != "" && !s.usesLocalShare(now) {
+		s.retryAt = later(s.retryAt, s.nextRequestAt)
+		return Permit{Limited: true, After: s.retryAt.Sub(now)}
 	}
-	if l.own.Len() > sweepAt {
-		l.own.Retain(l.isLimited)
+	if l.localPacer.Len() > sweepAt {
+		l.localPacer.Retain(l.isLimited)
 	}
-	g := l.own.Reserve(now, k, rate/Rate(max(1, seat.Entries)), "", patience)
-	g.Sharers = seat.Entries
-	if g.OK {
+	grant := l.localPacer.Reserve(now, k, rate/Rate(max(1, coordinator.Entries)), "", maxWait)
+	grant.Sharers = coordinator.Entries
+	if grant.OK {
 		s.Own++
 	}
-	return l.obey(k, rate, g)
+	return l.recordGrant(k, rate, grant)
 }
--- a/ratelimit/rate.go
+++ b/ratelimit/rate.go
@@ -16,8 +16,8 @@
 // Header is the name by which engines and workers of our own interface name their limit; another platform may have another one.
 const Header = "Request-Rate-Limit"
 
-// textMost bounds the text of a rate.
-const textMost = 40
+// maxTextLength bounds the text of a rate.
+const maxTextLength = 40
 
 // Interval is the time from one request to the next at that rate, which is not 0.
 func (r Rate) Interval() time.Duration {
@@ -26,17 +26,17 @@
 
 // ParseHeader returns the rate that an answer names in a header, and whether it names any; of several the lowest counts. What can't be read is
 // an error, so that it is taken neither for a rate nor for none.
-func ParseHeader(h http.Header, name string) (lowest Rate, named bool, err error) {
+func ParseHeader(h http.Header, name string) (lowest Rate, found bool, err error) {
 	for _, text := range h.Values(name) {
-		r, err := read(strings.TrimSpace(text))
+		r, err := parseRate(strings.TrimSpace(text))
 		if err != nil {
 			return 0, false, err
 		}
-		if !named || r < lowest {
-			lowest, named = r, true
+		if !found || r < lowest {
+			lowest, found = r, true
 		}
 	}
-	return lowest, named, nil
+	return lowest, found, nil
 }
 
 // SetHeader names a rate in the header of an answer, none when it is 0.
@@ -46,9 +46,9 @@
 	}
 }
 
-// read reads digits with at most one point among them.
-func read(text string) (Rate, error) {
-	if len(text) > textMost {
+// parseRate reads digits with at most one point among them.
+func parseRate(text string) (Rate, error) {
+	if len(text) > maxTextLength {
 		return 0, result.New(result.LimitUnreadable, "%d bytes are too long for a rate", len(text))
 	}
 	n, err := strconv.ParseFloat(text, 64)
--- a/ratelimit/rate_test.go
+++ b/ratelimit/rate_test.go
@@ -10,8 +10,8 @@
 )
 
 // A decimal number is read and bounded; anything else is an error and never taken for no limit.
-func TestNamed(t *testing.T) {
-	for _, c := range []struct {
+func TestParseHeader(t *testing.T) {
+	for _, test := range []struct {
 		name string
 		text []string
 		want ratelimit.Rate
@@ -38,14 +38,14 @@
 		{name: "a list", text: []string{"1, 2"}, bad: true},
 		{name: "too long", text: []string{"00000000000000000000000000000000000000000000000000003"}, bad: true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			h := http.Header{}
-			if c.text != nil {
-				h["Limit"] = c.text
+			if test.text != nil {
+				h["Limit"] = test.text
 			}
-			got, named, err := ratelimit.ParseHeader(h, "limit")
-			if got != c.want || named != (!c.none && !c.bad) || (err != nil) != c.bad {
-				t.Errorf("%v, named %t, and %v, want %v, an error: %v", got, named, err, c.want, c.bad)
+			got, found, err := ratelimit.ParseHeader(h, "limit")
+			if got != test.want || found != (!test.none && !test.bad) || (err != nil) != test.bad {
+				t.Errorf("%v, named %t, and %v, want %v, an error: %v", got, found, err, test.want, test.bad)
 			}
 			if err != nil && result.CodeOf(err) != result.LimitUnreadable {
 				t.Errorf("code %d, want %d", result.CodeOf(err), result.LimitUnreadable)
@@ -54,15 +54,15 @@
 	}
 }
 
-// FuzzNamed holds that whatever an upstream says makes a finite rate that is not negative, or an error.
-func FuzzNamed(f *testing.F) {
+// FuzzParseHeader holds that whatever an upstream says makes a finite rate that is not negative, or an error.
+func FuzzParseHeader(f *testing.F) {
 	for _, text := range []string{"3", "0.25", "-1", "1e999", ".", "0", "99999999999999999999", "0x1p4", "1_0", "+3"} {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		got, named, err := ratelimit.ParseHeader(http.Header{"Limit": {text}}, "Limit")
-		if !(got >= 0 && got <= math.MaxFloat64) || named != (err == nil) {
-			t.Errorf("%v, named %t, and %v", got, named, err)
+		got, found, err := ratelimit.ParseHeader(http.Header{"Limit": {text}}, "Limit")
+		if !(got >= 0 && got <= math.MaxFloat64) || found != (err == nil) {
+			t.Errorf("%v, named %t, and %v", got, found, err)
 		}
 	})
 }
--- a/ratelimit/state.go
+++ b/ratelimit/state.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	// deafAfter is how long questions have had no answer until an entry takes its own part; deafAgain is when it then asks again.
-	deafAfter = 700 * time.Millisecond
-	deafAgain = time.Second
-	// latelyFor is how long a request counts as a late one for operators, latelyMost how many are kept.
-	latelyFor  = 10 * time.Second
-	latelyMost = 1000
+	// localShareAfter is how long questions have had no answer until an entry takes its own part; coordinatorRetry is when it then asks again.
+	localShareAfter  = 700 * time.Millisecond
+	coordinatorRetry = time.Second
+	// recentPeriod is how long a request counts as a late one for operators, maxRecentGrants how many are kept.
+	recentPeriod    = 10 * time.Second
+	maxRecentGrants = 1000
 )
 
 // state is what this entry knows of an upstream's limit.
 type state struct {
-	// until is when it is worth asking again, asking how many questions are out.
-	until  time.Time
-	asking int
-	// silent is since when no question was answered, asksAt when the coordinator is asked again then.
-	silent time.Time
-	asksAt time.Time
+	// retryAt is when it is worth asking again, asking how many questions are out.
+	retryAt  time.Time
+	inFlight int
+	// unansweredSince is since when no question was answered, nextRequestAt when the coordinator is asked again then.
+	unansweredSince time.Time
+	nextRequestAt   time.Time
 	// sharers is how many share the limit, and at how many requests this entry was let go, refused and not answered.
 	sharers int
-	// lately are the moments of the last requests that were granted.
-	lately []time.Time
+	// recentGrants are the moments of the last requests that were granted.
+	recentGrants []time.Time
 	Counts
 }
 
@@ -42,7 +42,7 @@
 	}
 	if len(l.states) > sweepAt {
 		for other := range l.states {
-			if l.states[other].asking == 0 && !l.isLimited(other) {
+			if l.states[other].inFlight == 0 && !l.isLimited(other) {
 				delete(l.states, other)
 			}
 		}
@@ -52,34 +52,34 @@
 	return s
 }
 
-// since returns the moments after a time, as many as are kept.
-func (s *state) since(from time.Time) []time.Time {
-	list := s.lately
-	for len(list) > 0 && (list[0].Before(from) || len(list) > latelyMost) {
-		list = list[1:]
+// grantsSince returns the moments after a time, as many as are kept.
+func (s *state) grantsSince(from time.Time) []time.Time {
+	grants := s.recentGrants
+	for len(grants) > 0 && (grants[0].Before(from) || len(grants) > maxRecentGrants) {
+		grants = grants[1:]
 	}
-	return list
+	return grants
 }
 
-// unanswered notes that a question had no answer.
-func (s *state) unanswered(now time.Time) {
+// recordUnanswered notes that a question had no answer.
+func (s *state) recordUnanswered(now time.Time) {
 	s.Unanswered++
-	if s.silent.IsZero() {
-		s.silent = now
+	if s.unansweredSince.IsZero() {
+		s.unansweredSince = now
 	}
-	s.asksAt = now.Add(answerTime)
-	if s.deaf(now) {
-		s.asksAt = now.Add(deafAgain)
+	s.nextRequestAt = now.Add(replyTimeout)
+	if s.usesLocalShare(now) {
+		s.nextRequestAt = now.Add(coordinatorRetry)
 	}
 }
 
-// deaf reports whether the coordinator has not answered for so long that this entry goes by its own part.
-func (s *state) deaf(now time.Time) bool {
-	return !s.silent.IsZero() && now.Sub(s.silent) >= deafAfter
+// usesLocalShare reports whether the coordinator has not answered for so long that this entry goes by its own part.
+func (s *state) usesLocalShare(now time.Time) bool {
+	return !s.unansweredSince.IsZero() && now.Sub(s.unansweredSince) >= localShareAfter
 }
 
 // Stats returns what became of this entry's questions on an upstream, and whether it goes by its own part of the limit.
-func (l *Limiter[K]) Stats(k K) (c Counts, apart bool) {
+func (l *Limiter[K]) Stats(k K) (counts Counts, usesLocalShare bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.states[k]
@@ -87,7 +87,7 @@
 		return Counts{}, false
 	}
 	now := l.Now()
-	s.lately = s.since(now.Add(-latelyFor))
-	s.Lately = len(s.lately)
-	return s.Counts, s.deaf(now)
+	s.recentGrants = s.grantsSince(now.Add(-recentPeriod))
+	s.Lately = len(s.recentGrants)
+	return s.Counts, s.usesLocalShare(now)
 }
