--- a/ratelimit/coordinators.go
+++ b/ratelimit/coordinators.go
@@ -7,26 +7,26 @@
 	"github.com/dunlinquay/dunlinquay/sharing"
 )
 
-// entryListDelay is how long after one entry another one may have the same list of entries: until it has asked for it again.
+// entryListDelay is how much later than one entry another one can receive a new list of entries, which it polls.
 const entryListDelay = time.Second
 
-// Coordinators say which entry coordinates an upstream, by the list of entries; exported fields are set before use.
+// Coordinators assigns each upstream a coordinator from the list of entries. Exported fields are set before use.
 type Coordinators struct {
 	Now func() time.Time
-	// MayCoordinate reports whether this entry may still coordinate upstreams: one that has lost control does not know whether others have taken
-	// its place.
+	// MayCoordinate reports whether this entry may still coordinate upstreams. An entry without contact to control does
+	// not know whether others have replaced it.
 	MayCoordinate func() bool
-	// TotalEntries is how many entries there are when the list has only those that are known to be alive, 0 when it has all.
+	// TotalEntries is the number of entries if the list holds only the live ones, 0 if the list holds all of them.
 	TotalEntries int
 
 	mu      sync.Mutex
 	entries *sharing.Entries
-	// previous are the entries as they were known before the list changed at changed.
+	// previous is the list of entries before the change at changedAt.
 	previous  *sharing.Entries
 	changedAt time.Time
 }
 
-// SetEntries takes another list of entries.
+// SetEntries replaces the list of entries.
 func (c *Coordinators) SetEntries(entries *sharing.Entries) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,7 +37,7 @@
 	c.entries = entries
 }
 
-// Of says which entry coordinates an upstream.
+// Of returns the coordinator of an upstream.
 func (c *Coordinators) Of(upstream string) Coordinator {
 	mayCoordinate := c.MayCoordinate()
 	c.mu.Lock()
@@ -56,8 +56,8 @@
 	return coordinator
 }
 
-// holdOff is how long this entry, which coordinates an upstream now, lets nothing go there yet: others whose list of entries is older may
-// still ask the former coordinator. The mutex is held.
+// holdOff returns how long this entry, as a new coordinator, must not grant yet. Entries with an older list can still
+// ask the former coordinator. The mutex is held.
 func (c *Coordinators) holdOff(upstream string) time.Duration {
 	remaining := c.changedAt.Add(entryListDelay).Sub(c.Now())
 	if remaining <= 0 || c.previous != nil && c.previous.Owner(upstream) == c.previous.Self() {
--- a/ratelimit/doc.go
+++ b/ratelimit/doc.go
@@ -1,2 +1,2 @@
-// Package ratelimit keeps all callers of an upstream together within the requests a second that it says it takes.
+// Package ratelimit keeps all entries together within the request rates that upstreams advertise as their limits.
 package ratelimit
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -1,22 +1,20 @@
 package ratelimit
 
-// All entries together must keep the limit of an upstream, and each sees its own
-// requests only. So one of them, the coordinator of that upstream, lets each
-// request go; whoever wants to send one asks it with a datagram and has the
-// answer within a round trip:
+// The limit of an upstream holds for all entries together, and each entry sees only its own requests. One entry per
+// upstream, its coordinator, therefore grants permits for single requests. An entry that wants to send a request asks
+// the coordinator with a datagram and has the reply within a round trip:
 //
 //	entry a            coordinator b              upstream u, 2 a second
 //	ask    ->          0.000 granted, at once
 //	request ------------------------------------> 0.002
-//	ask    ->          0.300 refused, again in 0.18 s; the request goes elsewhere
+//	ask    ->          0.300 refused, retry in 0.18 s; the request is sent elsewhere
 //	ask    ->          0.485 granted, in 15 ms
 //	request ------------------------------------> 0.502
 //
-// All entries know who coordinates an upstream by their list of entries. Two may
-// believe it of themselves for a moment when the list changes, so a new
-// coordinator first lets the old one hear of it. Whoever can't reach the
-// coordinator keeps its own part of the limit: the limit divided by the entries.
-// The control leader tells the coordinator how many do, which leaves that to them.
+// Each entry derives the coordinator of an upstream from its list of entries. After a change of the list two entries
+// can believe for a moment that they coordinate the same upstream, so a new coordinator grants nothing until the former
+// one has the new list. An entry that cannot reach the coordinator uses its local share, which is the limit divided by
+// the number of entries. The control leader counts such entries, and the coordinator grants that much less.
 
 import (
 	"context"
@@ -25,76 +23,78 @@
 	"time"
 )
 
-// Coordinator says who coordinates an upstream.
+// Coordinator is the entry that coordinates the limit of an upstream.
 type Coordinator struct {
-	// Name is the coordinator, nothing when this entry can't know it; Self is set when it is this entry.
+	// Name is the coordinating entry, empty if this entry cannot know it. Self is set if it is this entry.
 	Name string
 	Self bool
-	// Entries is how many entries there are.
+	// Entries is the number of entries.
 	Entries int
-	// HoldOff is how long this entry grants nothing yet, since another may still do.
+	// HoldOff is how long this entry must not grant yet, because the former coordinator may still grant.
 	HoldOff time.Duration
 }
 
-// Availability is whether a request may be meant for an upstream at a moment.
+// Availability says whether a permit for an upstream can be expected at a moment.
 type Availability struct {
-	// Limited is set when the upstream has named a limit.
+	// Limited is set if a limit or a cap is in force.
 	Limited bool
-	// Remaining is how long there is nothing to be had, Busy is set while it is being asked for.
+	// Remaining is the time until a permit can be requested again. Busy is set if this entry has the maximum number of
+	// permit requests in flight.
 	Remaining time.Duration
 	Busy      bool
-	// Rate is what this entry can expect of the limit.
+	// Rate is the share of the limit that this entry can expect.
 	Rate Rate
 }
 
-// Available reports whether it is worth asking.
+// Available reports whether a permit request is worth sending.
 func (a Availability) Available() bool { return a.Remaining <= 0 && !a.Busy }
 
-// Permit is whether a request may be sent to an upstream.
+// Permit says whether a request may be sent to an upstream.
 type Permit struct {
 	OK bool
-	// Limited is set when it counts against a limit, which was Rate; it is then to be sent After from now. Without one, After is when there
-	// may be a turn.
+	// Limited is set if the permit counts against a limit of the given Rate. After is the time until the request is to
+	// be sent or, if OK is not set, until a permit can be requested again.
 	Limited bool
 	Rate    Rate
 	After   time.Duration
 }
 
-// Limiter keeps one entry within the limits of upstreams, together with all others; exported fields are set before use.
+// Limiter keeps one entry within the limits of upstreams, together with all other entries. Exported fields are set
+// before use.
 type Limiter[K comparable] struct {
 	Table *LimitTable[K]
 	Now   func() time.Time
-	// Random returns a random number from 0 to 1.
+	// Random returns a random number in [0, 1).
 	Random func() float64
-	// Coordinator says who coordinates an upstream.
+	// Coordinator returns the coordinator of an upstream.
 	Coordinator func(k K) Coordinator
-	// Send sends a question to a coordinator, Observe takes each outcome; neither must block.
+	// Send sends a permit request to a coordinator, Observe receives each outcome; neither may block.
 	Send    func(to string, q *PermitRequest[K])
 	Observe func(o Outcome)
 
 	mu sync.Mutex
-	// coordinatorPacer are the requests that were let go as coordinator, own those of this entry's own part.
+	// coordinatorPacer schedules what this entry grants as coordinator, localPacer what it sends from its local shares.
 	coordinatorPacer *Pacer[K]
 	localPacer       *Pacer[K]
 	states           map[K]*state
 	pendingReplies   map[uint64]chan *PermitReply[K]
-	// localShareCounts is how many entries go by their own parts of the limits that this one coordinates.
+	// localShareCounts is the number of entries that use their local share, for upstreams that this entry coordinates.
 	localShareCounts map[K]int
-	// localShareUsers are the limits of which each entry takes its own part.
+	// localShareUsers holds, by entry, the upstreams for which that entry uses its local share.
 	localShareUsers map[string]map[K]bool
 }
 
-// Outcome is what became of one request that was meant for an upstream with a limit, or of a question.
+// Outcome is the result of an attempt to get a permit, or of a permit request.
 type Outcome string
 
-// The outcomes.
+// Outcomes of permit requests.
 const (
 	Granted    Outcome = "granted"
 	Refused    Outcome = "refused"
 	Unanswered Outcome = "unanswered"
 )
 
-// NewLimiter returns a limiter of an entry that is alone.
+// NewLimiter returns the limiter of a single entry, which coordinates every upstream.
 func NewLimiter[K comparable]() *Limiter[K] {
 	l := &Limiter[K]{
 		Table: NewLimitTable[K](), Now: time.Now, Random: rand.Float64,
@@ -103,8 +103,8 @@
 		states: map[K]*state{}, pendingReplies: map[uint64]chan *PermitReply[K]{}, localShareUsers: map[string]map[K]bool{},
 	}
 	random := func() float64 { return l.Random() }
-	// A coordinator begins with a whole interval, whatever was sent before. Parts of many entries begin at random, so that they do not
-	// all send at the same moment.
+	// A coordinator waits one whole interval before its first grant, since earlier requests are unknown. Local shares
+	// start at a random point of the interval, so that many entries do not send at the same moment.
 	l.coordinatorPacer = NewPacer[K](func() float64 { return 0 }, random)
 	l.localPacer = NewPacer[K](random, random)
 	return l
@@ -115,7 +115,7 @@
 	return l.Table.Count() > 0
 }
 
-// Availability returns whether a request may be meant for an upstream.
+// Availability returns whether a permit for k can be expected at now.
 func (l *Limiter[K]) Availability(now time.Time, k K) Availability {
 	if !l.HasLimits() {
 		return Availability{}
@@ -133,7 +133,8 @@
 	return Availability{Limited: true, Remaining: max(0, s.retryAt.Sub(now)), Busy: s.inFlight >= maxInFlight, Rate: limit.Rate / Rate(max(1, s.sharers))}
 }
 
-// Acquire asks for one request at an upstream that can wait so long for its turn; it returns at once where there is no limit.
+// Acquire requests a permit for one request that can wait for up to maxWait. It returns at once if the upstream has no
+// limit.
 func (l *Limiter[K]) Acquire(ctx context.Context, k K, maxWait time.Duration) Permit {
 	limit := l.Table.Effective(k)
 	if !limit.Limited() {
@@ -151,18 +152,18 @@
 	return l.acquireLocalShare(k, limit.Rate, coordinator, maxWait)
 }
 
-// acquireAsCoordinator asks this entry as coordinator.
+// acquireAsCoordinator grants a permit to this entry, which is the coordinator.
 func (l *Limiter[K]) acquireAsCoordinator(k K, rate Rate, coordinator Coordinator, maxWait time.Duration) Permit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.recordGrant(k, rate, l.grant(k, rate, coordinator, "", maxWait))
 }
 
-// grant answers who asks this entry as coordinator; the mutex is held.
+// grant decides as coordinator on a permit for requester; the mutex is held.
 func (l *Limiter[K]) grant(k K, rate Rate, coordinator Coordinator, requester string, maxWait time.Duration) Grant {
 	if localShares := l.localShareCounts[k]; localShares > 0 {
-		// Those that can't ask take their parts all the same: without this an upstream would get these beside its whole limit where
-		// datagrams between entries are filtered.
+		// Entries that cannot reach the coordinator send at their local shares in any case. Where datagrams between
+		// entries are filtered, the upstream would otherwise get these requests in addition to its whole limit.
 		rate *= Rate(max(1, coordinator.Entries-localShares)) / Rate(max(1, coordinator.Entries))
 	}
 	if l.coordinatorPacer.Len() > sweepAt {
@@ -175,14 +176,15 @@
 	return l.coordinatorPacer.Reserve(now, k, rate, requester, maxWait)
 }
 
-// SetLocalShares tells how many entries go by their own parts of limits.
+// SetLocalShares sets the number of entries that use their local share, by upstream.
 func (l *Limiter[K]) SetLocalShares(counts map[K]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.localShareCounts = counts
 }
 
-// MergeLocalShares takes of which limits one entry takes its own part, where entries tell each other and nobody counts them.
+// MergeLocalShares sets the upstreams for which one entry uses its local share. It is for entries that notify each
+// other, without a control leader that counts them.
 func (l *Limiter[K]) MergeLocalShares(entry string, upstreams map[K]bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -203,7 +205,7 @@
 
 func (l *Limiter[K]) isLimited(k K) bool { return l.Table.Effective(k).Limited() }
 
-// recordGrant notes what was granted, and makes a permit of it; the mutex is held.
+// recordGrant records a grant or refusal and returns it as a permit; the mutex is held.
 func (l *Limiter[K]) recordGrant(k K, rate Rate, grant Grant) Permit {
 	s := l.state(k)
 	s.sharers = grant.Sharers
@@ -220,7 +222,8 @@
 	return Permit{OK: grant.OK, Limited: true, Rate: rate, After: grant.After}
 }
 
-// acquireLocalShare takes a request of this entry's own part once nobody can be asked, or none meanwhile.
+// acquireLocalShare takes a permit from this entry's local share if the coordinator is unknown, or has not replied for
+// localShareAfter.
 func (l *Limiter[K]) acquireLocalShare(k K, rate Rate, coordinator Coordinator, maxWait time.Duration) Permit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/ratelimit/pacer.go
+++ b/ratelimit/pacer.go
@@ -3,76 +3,81 @@
 import "time"
 
 const (
-	// MaxWaitWithAlternatives is how long a request waits for its turn that could go elsewhere: without that the turns that nobody happens to ask for in
-	// time are lost, which at high rates is most of them.
+	// MaxWaitWithAlternatives is how long a request that could be sent to another upstream waits for its permit. If
+	// such requests did not wait at all, intervals in which no request happens to arrive would be lost, which at high
+	// rates are most of them.
 	MaxWaitWithAlternatives = 20 * time.Millisecond
-	// maxRequestsPerSecond is how often an upstream is asked for by entries whose requests wait there, all together: hundreds of them would
-	// otherwise all ask for each turn. Once half as many come, those that are refused are told to come at different times.
+	// maxRequestsPerSecond is the target for permit requests for one upstream from all entries together. Without a
+	// target hundreds of entries with waiting requests would all ask for each permit. Above half of the target, refused
+	// entries are told to retry at random times.
 	maxRequestsPerSecond = 200.0
-	// requestRateWindow is the time over which questions are counted: all that wait ask at the same moment when a limit begins.
+	// requestRateWindow is the period over which permit requests are counted; when a limit begins, all entries with
+	// waiting requests ask at the same moment.
 	requestRateWindow = 100 * time.Millisecond
-	// sharerRetention is how long one that asked counts among those that share a limit, sharerRetentionIntervals the same in turns.
+	// sharerRetention is how long an entry counts as a sharer of a limit after its last permit request. At low rates it
+	// is sharerRetentionIntervals intervals of the limit.
 	sharerRetention          = 2 * time.Second
 	sharerRetentionIntervals = 2
 )
 
-// Grant is the answer to who wants to send an upstream a request.
+// Grant is the coordinator's decision on a permit.
 type Grant struct {
-	// OK is set when it may, After from now; otherwise it may ask again then.
+	// OK grants the request, to be sent After from now. If it is not set, After is the time until the next attempt.
 	OK    bool          `cbor:"5,keyasint,omitempty"`
 	After time.Duration `cbor:"6,keyasint,omitempty"`
-	// Sharers is how many have asked lately, this one included.
+	// Sharers is the number of entries with recent permit requests, including this one.
 	Sharers int `cbor:"7,keyasint,omitempty"`
 }
 
-// Pacer let requests go to upstreams one after the other, each at least the interval of the limit after the one before. Nothing is
-// saved up while nobody asks. It is not safe for concurrent use.
+// Pacer spaces the requests to each upstream by at least the interval of its limit. Unused intervals are not saved up.
+// It is not safe for concurrent use.
 type Pacer[K comparable] struct {
-	// InitialElapsed is the part of the first interval that is over when an upstream is asked for the first time: what was sent before is not
-	// known.
+	// InitialElapsed returns the fraction of the first interval that counts as elapsed at the first permit request for
+	// an upstream, since earlier requests are unknown.
 	InitialElapsed func() float64
-	// Random returns a random number from 0 to 1.
+	// Random returns a random number in [0, 1).
 	Random func() float64
 
 	schedules map[K]*schedule
 }
 
-// schedule is where an upstream stands.
+// schedule is the state of one upstream.
 type schedule struct {
-	// lastGrant is the moment of the last request that was granted, to is whom it was.
+	// lastGrant is the time for which the last request was granted, lastRequester the entry that it was granted to.
 	lastGrant     time.Time
 	lastRequester string
-	// lastRate is the limit that it was granted by.
+	// lastRate is the limit at the last grant.
 	lastRate Rate
-	// requesters are when each one asked last, sharers is how many of them count as of counted.
+	// requesters holds the last permit request of each entry; sharers is their number at sharersCountedAt.
 	requesters       map[string]time.Time
 	sharers          int
 	sharersCountedAt time.Time
-	// windowRequests is how many have come since began, lately how many came in a second before that.
+	// windowRequests is the number of permit requests since windowStart, requestsPerSecond their rate in the window
+	// before.
 	windowRequests    int
 	windowStart       time.Time
 	requestsPerSecond float64
 }
 
-// NewPacer returns grants of nothing yet.
+// NewPacer returns a pacer without any grants.
 func NewPacer[K comparable](initialElapsed, random func() float64) *Pacer[K] {
 	return &Pacer[K]{InitialElapsed: initialElapsed, Random: random, schedules: map[K]*schedule{}}
 }
 
-// Reserve asks for a request at an upstream with a limit, on behalf of who, which can wait for its turn as long as its patience. One that has
-// nowhere else to go gets the next turn that is free within that time, or knows at once that there is none.
+// Reserve asks for the next permit at rate on behalf of requester, which can wait for up to maxWait. A request without
+// alternatives gets the next free time within maxWait, or is refused at once if there is none.
 func (p *Pacer[K]) Reserve(now time.Time, k K, rate Rate, requester string, maxWait time.Duration) Grant {
 	interval := rate.Interval()
 	s := p.schedule(now, k, interval)
 	s.recordRequest(now, requester, interval)
 	if rate < s.lastRate && s.lastGrant.After(now) {
-		// Turns that were given out at a higher limit are given up by those that have them.
+		// Entries give up reservations that were made at a higher limit.
 		s.lastGrant = now
 	}
 	next := s.lastGrant.Add(interval)
 	wait, maxEarly := next.Sub(now), min(maxWait, MaxWaitWithAlternatives)
 	if requester == s.lastRequester && s.sharers > 1 {
-		// Whoever got the last one is the first to know of the next, and would get all.
+		// The entry with the last permit is the first to know when the next one is free, and would get all of them.
 		maxEarly = 0
 	}
 	if wait <= maxEarly || wait <= maxWait && maxWait > MaxWaitWithAlternatives {
@@ -86,14 +91,14 @@
 	return Grant{After: wait - maxEarly + time.Duration(jitterSeconds*float64(time.Second)), Sharers: s.sharers}
 }
 
-// HoldUntil lets no request go to an upstream before a time.
+// HoldUntil grants nothing for an upstream before a time.
 func (p *Pacer[K]) HoldUntil(now time.Time, k K, rate Rate, until time.Time) {
 	interval := rate.Interval()
 	s := p.schedule(now, k, interval)
 	s.lastGrant = later(s.lastGrant, until.Add(-interval))
 }
 
-// schedule returns where an upstream stands.
+// schedule returns the state of an upstream.
 func (p *Pacer[K]) schedule(now time.Time, k K, interval time.Duration) *schedule {
 	s := p.schedules[k]
 	if s == nil {
@@ -110,7 +115,7 @@
 	return b
 }
 
-// recordRequest notes who asked, and counts all that have lately.
+// recordRequest updates the rate of permit requests and the number of sharers.
 func (s *schedule) recordRequest(now time.Time, requester string, interval time.Duration) {
 	s.windowRequests++
 	if elapsed := now.Sub(s.windowStart); elapsed >= requestRateWindow {
@@ -130,7 +135,7 @@
 	s.sharers, s.sharersCountedAt = len(s.requesters), now
 }
 
-// Retain drops what is known of upstreams that keep does not name.
+// Retain drops the state of upstreams for which keep returns false.
 func (p *Pacer[K]) Retain(keep func(k K) bool) {
 	for k := range p.schedules {
 		if !keep(k) {
@@ -139,7 +144,7 @@
 	}
 }
 
-// Len returns how many upstreams something is known of.
+// Len returns the number of upstreams with state.
 func (p *Pacer[K]) Len() int {
 	return len(p.schedules)
 }
--- a/ratelimit/pacer_test.go
+++ b/ratelimit/pacer_test.go
@@ -13,7 +13,7 @@
 	"github.com/dunlinquay/dunlinquay/ratelimit"
 )
 
-// The same draws in each run, so that a run says the same as the one before; -rapid.seed draws others.
+// Uses the same rapid seed in each run unless -rapid.seed sets another, so that runs are repeatable.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
@@ -26,7 +26,7 @@
 	return ratelimit.NewPacer[string](func() float64 { return initialElapsed }, rand.New(rand.NewPCG(seed, 1)).Float64)
 }
 
-// maxExcess returns by how many requests a list of moments is beyond the rate in the span where it is furthest beyond it.
+// maxExcess returns the largest excess over the rate, in requests, of any span of the sent times.
 func maxExcess(sent []time.Time, rate ratelimit.Rate) float64 {
 	excess, minBalance := 0.0, 0.0
 	for i, at := range sent {
@@ -37,21 +37,20 @@
 	return excess
 }
 
-// However many ask in whatever order, what is granted keeps the limit in every span of time, and what is refused is told to come
-// back when there is something to be had.
+// Whatever the order of requests, grants stay within the rate in every span, and a refusal names a retry time.
 func TestPacerNeverExceedsTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := ratelimit.Rate(rapid.Float64Range(0.02, 500).Draw(t, "rate"))
-		requesters := rapid.IntRange(1, 40).Draw(t, "askers")
+		requesters := rapid.IntRange(1, 40).Draw(t, "requesters")
 		pacer := newPacer(rapid.Uint64().Draw(t, "seed"), 0)
 		now := start
 		var sent []time.Time
-		for range rapid.IntRange(1, 300).Draw(t, "asks") {
-			now = now.Add(time.Duration(rapid.IntRange(0, 400_000).Draw(t, "pause")) * time.Microsecond)
-			got := pacer.Reserve(now, "u", rate, fmt.Sprint(rapid.IntRange(1, requesters).Draw(t, "who")),
-				time.Duration(rapid.IntRange(0, 3000).Draw(t, "patience"))*time.Millisecond)
+		for range rapid.IntRange(1, 300).Draw(t, "requests") {
+			now = now.Add(time.Duration(rapid.IntRange(0, 400_000).Draw(t, "gap")) * time.Microsecond)
+			got := pacer.Reserve(now, "u", rate, fmt.Sprint(rapid.IntRange(1, requesters).Draw(t, "requester")),
+				time.Duration(rapid.IntRange(0, 3000).Draw(t, "max wait"))*time.Millisecond)
 			if got.After < 0 || !got.OK && got.After == 0 {
-				t.Fatalf("%+v", got)
+				t.Fatalf("grant %+v is neither granted nor has a retry time", got)
 			}
 			if got.OK {
 				sent = append(sent, now.Add(got.After))
@@ -59,51 +58,51 @@
 		}
 		for i := 1; i < len(sent); i++ {
 			if sent[i].Before(sent[i-1]) {
-				t.Fatalf("granted out of order")
+				t.Fatalf("grants are out of order")
 			}
 		}
 		if excess := maxExcess(sent, rate); excess > 1.000001 {
-			t.Fatalf("%.3f beyond the limit", excess)
+			t.Fatalf("%.3f requests over the limit", excess)
 		}
 	})
 }
 
-// Nothing is saved up: not before the first request, and not while nobody asks.
+// Unused capacity is not saved up, neither before the first request nor while there are none.
 func TestPacerAllowsNoBursts(t *testing.T) {
 	pacer := newPacer(1, 0)
 	if got := pacer.Reserve(at(0), "u", 2, "a", ratelimit.MaxWaitWithAlternatives); got.OK || got.After != 480*time.Millisecond {
-		t.Errorf("at the start %+v", got)
+		t.Errorf("first request: %+v", got)
 	}
 	if got := pacer.Reserve(at(480), "u", 2, "a", ratelimit.MaxWaitWithAlternatives); !got.OK || got.After != 20*time.Millisecond {
-		t.Errorf("before its turn %+v", got)
+		t.Errorf("request shortly before its permit: %+v", got)
 	}
 	for n, want := range []bool{true, false, false} {
 		if got := pacer.Reserve(at(60_000), "u", 2, "a", ratelimit.MaxWaitWithAlternatives); got.OK != want {
-			t.Errorf("ask %d after a minute: %+v", n, got)
+			t.Errorf("request %d after a minute: %+v", n, got)
 		}
 	}
 }
 
-// The limit of the moment counts: a higher one does not wait for the turn of the lower one, nor a lower one use that of the higher.
+// Only the current limit counts: a higher limit ignores the longer interval before, a lower one the shorter interval.
 func TestPacerAppliesLimitChanges(t *testing.T) {
 	pacer := newPacer(1, 0)
 	pacer.Reserve(at(0), "u", 0.1, "a", ratelimit.MaxWaitWithAlternatives)
 	if got := pacer.Reserve(at(100), "u", 50, "a", ratelimit.MaxWaitWithAlternatives); !got.OK {
-		t.Errorf("a higher limit: %+v", got)
+		t.Errorf("after a higher limit: %+v", got)
 	}
 	if got := pacer.Reserve(at(200), "u", 0.5, "a", ratelimit.MaxWaitWithAlternatives); got.OK || got.After != 1880*time.Millisecond {
-		t.Errorf("a lower limit: %+v", got)
+		t.Errorf("after a lower limit: %+v", got)
 	}
 }
 
-// With as many askers as there are, each of which asks again when it is told, nearly all of the limit is used, nobody is left out, and
-// the coordinator is not overrun.
+// Many requesters that each retry when told to use nearly all of the limit, share it fairly and do not overload the
+// coordinator with permit requests.
 func TestPacerUsesTheLimitAndIsFair(t *testing.T) {
 	for _, requesters := range []int{1, 8, 100, 300} {
 		for _, rate := range []ratelimit.Rate{0.5, 2, 50} {
-			t.Run(fmt.Sprintf("%d askers, %v a second", requesters, rate), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d requesters, %v per second", requesters, rate), func(t *testing.T) {
 				pacer := newPacer(2, 0)
-				// due are the askers by the ms in which they ask.
+				// due holds the requesters by the millisecond of their next request.
 				due := map[int][]int{0: rand.New(rand.NewPCG(1, 1)).Perm(requesters)}
 				grants := make([]int, requesters)
 				var sent []time.Time
@@ -126,20 +125,20 @@
 					}
 				}
 				if excess := maxExcess(sent, rate); excess > 1.000001 {
-					t.Errorf("%.2f beyond the limit", excess)
+					t.Errorf("%.2f requests over the limit", excess)
 				}
 				if used := float64(len(sent)) / (float64(rate) * span.Seconds()); used < 0.9 {
-					t.Errorf("%.2f of the limit is used", used)
+					t.Errorf("fraction %.2f of the limit is used", used)
 				}
 				if perSecond := float64(requests) / span.Seconds(); perSecond > 500 {
-					t.Errorf("%.0f questions a second", perSecond)
+					t.Errorf("%.0f permit requests per second", perSecond)
 				}
 				fewest := len(sent)
 				for _, n := range grants {
 					fewest = min(fewest, n)
 				}
 				if mean := len(sent) / requesters; mean > 20 && fewest < mean/4 {
-					t.Errorf("one has %d where the mean is %d", fewest, mean)
+					t.Errorf("a requester got %d permits, the mean is %d", fewest, mean)
 				}
 			})
 		}
--- a/ratelimit/rate_test.go
+++ b/ratelimit/rate_test.go
@@ -9,7 +9,7 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// A decimal number is read and bounded; anything else is an error and never taken for no limit.
+// A decimal number is a rate; anything else is an error, never the absence of a limit.
 func TestParseHeader(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -19,22 +19,22 @@
 		bad  bool
 	}{
 		{name: "none", none: true},
-		{name: "whole", text: []string{"50"}, want: 50},
+		{name: "integer", text: []string{"50"}, want: 50},
 		{name: "a fraction", text: []string{" 3.6 "}, want: 3.6},
 		{name: "below one", text: []string{"0.5"}, want: 0.5},
-		{name: "nothing at all", text: []string{"0"}, want: 0},
-		{name: "next to nothing", text: []string{"0.000001"}, want: 0.000001},
+		{name: "zero", text: []string{"0"}, want: 0},
+		{name: "close to zero", text: []string{"0.000001"}, want: 0.000001},
 		{name: "huge", text: []string{"999999999999999999999999"}, want: 999999999999999999999999},
 		{name: "two", text: []string{"3.6", "1.8"}, want: 1.8},
 		{name: "two, the lower first", text: []string{"1.8", "3.6"}, want: 1.8},
-		{name: "one of two can't be read", text: []string{"1.8", "few"}, bad: true},
+		{name: "one of two not a number", text: []string{"1.8", "few"}, bad: true},
 		{name: "negative", text: []string{"-3"}, bad: true},
 		{name: "no number", text: []string{"NaN"}, bad: true},
 		{name: "not finite", text: []string{"Inf"}, bad: true},
-		{name: "a power", text: []string{"1e3"}, bad: true},
+		{name: "exponent", text: []string{"1e3"}, bad: true},
 		{name: "empty", text: []string{""}, bad: true},
-		{name: "only a point", text: []string{"."}, bad: true},
-		{name: "two points", text: []string{"1.2.3"}, bad: true},
+		{name: "only a decimal point", text: []string{"."}, bad: true},
+		{name: "two decimal points", text: []string{"1.2.3"}, bad: true},
 		{name: "a list", text: []string{"1, 2"}, bad: true},
 		{name: "too long", text: []string{"00000000000000000000000000000000000000000000000000003"}, bad: true},
 	} {
@@ -45,7 +45,7 @@
 			}
 			got, found, err := ratelimit.ParseHeader(h, "limit")
 			if got != test.want || found != (!test.none && !test.bad) || (err != nil) != test.bad {
-				t.Errorf("%v, named %t, and %v, want %v, an error: %v", got, found, err, test.want, test.bad)
+				t.Errorf("rate %v, found %t, error %v; want rate %v, error %t", got, found, err, test.want, test.bad)
 			}
 			if err != nil && result.CodeOf(err) != result.LimitUnreadable {
 				t.Errorf("code %d, want %d", result.CodeOf(err), result.LimitUnreadable)
@@ -54,7 +54,7 @@
 	}
 }
 
-// FuzzParseHeader holds that whatever an upstream says makes a finite rate that is not negative, or an error.
+// FuzzParseHeader checks that any header value gives a finite rate of at least 0, or an error.
 func FuzzParseHeader(f *testing.F) {
 	for _, text := range []string{"3", "0.25", "-1", "1e999", ".", "0", "99999999999999999999", "0x1p4", "1_0", "+3"} {
 		f.Add(text)
@@ -62,7 +62,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		got, found, err := ratelimit.ParseHeader(http.Header{"Limit": {text}}, "Limit")
 		if !(got >= 0 && got <= math.MaxFloat64) || found != (err == nil) {
-			t.Errorf("%v, named %t, and %v", got, found, err)
+			t.Errorf("rate %v, found %t, error %v", got, found, err)
 		}
 	})
 }
--- a/ratelimit/requests.go
+++ b/ratelimit/requests.go
@@ -1,7 +1,7 @@
 package ratelimit
 
-// Who wants to send to an upstream with a limit asks its coordinator with one
-// datagram and has the answer with another; either may be lost.
+// An entry requests a permit from the coordinator of an upstream with one datagram, and the coordinator replies with
+// another; either can be lost.
 
 import (
 	"cmp"
@@ -11,38 +11,39 @@
 )
 
 const (
-	// replyTimeout is how long an answer is waited for: several round trips between halls, with pauses of a busy VM.
+	// replyTimeout covers several round trips between halls and pauses of a busy VM.
 	replyTimeout = 60 * time.Millisecond
-	// coordinatorMovedRetry is when an entry asks again that has another list of entries than the one it asked.
+	// coordinatorMovedRetry is the retry time for an entry whose list of entries differs from the receiver's.
 	coordinatorMovedRetry = 200 * time.Millisecond
-	// maxInFlight is how many questions on one upstream may be out at an entry.
+	// maxInFlight bounds the permit requests that an entry has in flight for one upstream.
 	maxInFlight = 4
 )
 
-// PermitRequest asks the coordinator of an upstream for one request there, and tells it what the upstream said.
+// PermitRequest asks the coordinator of an upstream for a permit, and passes on the newest limit that the sender knows.
+// Age is the time since that limit was last seen.
 type PermitRequest[K comparable] struct {
 	ID   uint64        `cbor:"1,keyasint"`
 	Key  K             `cbor:"2,keyasint"`
 	Rate Rate          `cbor:"3,keyasint"`
 	Age  time.Duration `cbor:"4,keyasint,omitempty"`
-	// Patience is how long the request can wait for its turn.
+	// Patience is how long the request can wait for its permit.
 	Patience time.Duration `cbor:"5,keyasint,omitempty"`
-	// Capped is set when Rate is a cap, and not the upstream's word.
+	// Capped is set if Rate is a cap and not a limit that the upstream advertised.
 	Capped bool `cbor:"6,keyasint,omitempty"`
 }
 
-// PermitReply is the coordinator's answer, and the newest word of the upstream that it knows.
+// PermitReply is the coordinator's decision, with the newest limit of the upstream that the coordinator knows.
 type PermitReply[K comparable] struct {
 	ID   uint64        `cbor:"1,keyasint"`
 	Key  K             `cbor:"2,keyasint"`
 	Rate Rate          `cbor:"3,keyasint,omitempty"`
 	Age  time.Duration `cbor:"4,keyasint,omitempty"`
-	// Cap is the cap by which the answer was worked out, 0 when it was the upstream's word.
+	// Cap is the cap that the decision is based on, 0 if it is based on the advertised limit.
 	Cap Rate `cbor:"8,keyasint,omitempty"`
 	Grant
 }
 
-// requestPermit asks the coordinator and waits for its answer.
+// requestPermit sends a permit request to the coordinator and waits for the reply.
 func (l *Limiter[K]) requestPermit(ctx context.Context, to string, k K, limit Limit, maxWait time.Duration) (*PermitReply[K], bool) {
 	now := l.Now()
 	l.mu.Lock()
@@ -75,7 +76,7 @@
 	return reply, reply != nil
 }
 
-// applyReply does what the coordinator answered.
+// applyReply applies the limit and the decision of a reply.
 func (l *Limiter[K]) applyReply(k K, reply *PermitReply[K]) Permit {
 	l.Table.Merge(k, reply.Rate, l.Now().Add(-reply.Age))
 	l.mu.Lock()
@@ -85,7 +86,8 @@
 	return l.recordGrant(k, cmp.Or(reply.Cap, reply.Rate), reply.Grant)
 }
 
-// HandleRequest answers a question of another entry; there is no answer when this one can't know whether it coordinates the upstream.
+// HandleRequest decides on another entry's permit request. It returns false if this entry cannot know which entry
+// coordinates the upstream.
 func (l *Limiter[K]) HandleRequest(request *PermitRequest[K], from string) (*PermitReply[K], bool) {
 	coordinator := l.Coordinator(request.Key)
 	if !coordinator.Self && coordinator.Name == "" {
@@ -103,7 +105,7 @@
 		reply.Cap = lowestCap
 	}
 	if newest.Rate == request.Rate {
-		// It is no news to who asks, and must not look like that.
+		// The rate is not newer than what the requester sent, and must not appear so.
 		reply.Age = max(reply.Age, request.Age)
 	}
 	l.mu.Lock()
@@ -119,7 +121,7 @@
 	return reply, true
 }
 
-// lowerCap returns the lower of two caps, 0 standing for none.
+// lowerCap returns the lower of two caps, where 0 stands for no cap.
 func lowerCap(a, b Rate) Rate {
 	if a == 0 || b == 0 {
 		return max(a, b)
@@ -127,7 +129,7 @@
 	return min(a, b)
 }
 
-// HandleReply takes the answer to a question; one that is not waited for any more is dropped, and the request that it granted is lost.
+// HandleReply passes a reply to its waiting request. A reply after the timeout is dropped, and its permit is lost.
 func (l *Limiter[K]) HandleReply(reply *PermitReply[K]) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/ratelimit/state.go
+++ b/ratelimit/state.go
@@ -3,35 +3,37 @@
 import "time"
 
 const (
-	// localShareAfter is how long questions have had no answer until an entry takes its own part; coordinatorRetry is when it then asks again.
+	// localShareAfter is how long permit requests must go unanswered before an entry uses its local share, and
+	// coordinatorRetry how often it asks the coordinator from then on.
 	localShareAfter  = 700 * time.Millisecond
 	coordinatorRetry = time.Second
-	// recentPeriod is how long a request counts as a late one for operators, maxRecentGrants how many are kept.
+	// recentPeriod and maxRecentGrants bound the recent grants that operators are shown.
 	recentPeriod    = 10 * time.Second
 	maxRecentGrants = 1000
 )
 
-// state is what this entry knows of an upstream's limit.
+// state is what this entry knows about the limit of an upstream.
 type state struct {
-	// retryAt is when it is worth asking again, asking how many questions are out.
+	// retryAt is the earliest time for the next attempt, inFlight the number of permit requests in flight.
 	retryAt  time.Time
 	inFlight int
-	// unansweredSince is since when no question was answered, nextRequestAt when the coordinator is asked again then.
+	// unansweredSince is the time of the first permit request in a row without a reply, nextRequestAt the earliest time
+	// for the next one.
 	unansweredSince time.Time
 	nextRequestAt   time.Time
-	// sharers is how many share the limit, and at how many requests this entry was let go, refused and not answered.
+	// sharers is the number of entries that share the limit.
 	sharers int
-	// recentGrants are the moments of the last requests that were granted.
+	// recentGrants holds the times of the last grants.
 	recentGrants []time.Time
 	Counts
 }
 
-// Counts are what became of the requests of this entry that were meant for an upstream with a limit.
+// Counts are the outcomes of this entry's attempts to get permits for an upstream.
 type Counts struct {
-	// Granted and Refused are those that were let go and that were not, Own those of the granted that were of this entry's own part, and
-	// Unanswered the questions that had no answer.
+	// Granted and Refused count decisions, Own the grants from the local share, Unanswered the permit requests without
+	// a reply.
 	Granted, Refused, Own, Unanswered int
-	// Lately is how many were granted in the last seconds.
+	// Lately is the number of grants in the last seconds.
 	Lately int
 }
 
@@ -52,7 +54,7 @@
 	return s
 }
 
-// grantsSince returns the moments after a time, as many as are kept.
+// grantsSince returns the grants after a time, at most maxRecentGrants.
 func (s *state) grantsSince(from time.Time) []time.Time {
 	grants := s.recentGrants
 	for len(grants) > 0 && (grants[0].Before(from) || len(grants) > maxRecentGrants) {
@@ -61,7 +63,7 @@
 	return grants
 }
 
-// recordUnanswered notes that a question had no answer.
+// recordUnanswered records a permit request without a reply.
 func (s *state) recordUnanswered(now time.Time) {
 	s.Unanswered++
 	if s.unansweredSince.IsZero() {
@@ -73,12 +75,12 @@
 	}
 }
 
-// usesLocalShare reports whether the coordinator has not answered for so long that this entry goes by its own part.
+// usesLocalShare reports whether the coordinator has not replied for localShareAfter.
 func (s *state) usesLocalShare(now time.Time) bool {
 	return !s.unansweredSince.IsZero() && now.Sub(s.unansweredSince) >= localShareAfter
 }
 
-// Stats returns what became of this entry's questions on an upstream, and whether it goes by its own part of the limit.
+// Stats returns the outcomes for an upstream, and whether this entry uses its local share of the limit.
 func (l *Limiter[K]) Stats(k K) (counts Counts, usesLocalShare bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/ratelimit/table.go
+++ b/ratelimit/table.go
@@ -1,16 +1,15 @@
 package ratelimit
 
-// An upstream names its limit in each answer for as long as it has one, so the
-// newest answer counts. Answers overtake each other:
+// An upstream states its limit in every response while it has one, and the newest response counts. Responses can
+// overtake each other:
 //
 //	0.000   request 1 -> u
 //	0.010   request 2 -> u    200, limit 3
-//	0.090   200, no limit, for request 1: it was sent before u was known to have one
+//	0.090   200, no limit, for request 1: u had no limit when it was sent
 //	0.100   request 3 -> u
 //	0.190   200, no limit: the limit has ended
 //
-// So an answer without a limit ends it only if its request was sent after the
-// newest word that there is one.
+// A response without a limit therefore ends the limit only if its request was sent after the limit was last seen.
 
 import (
 	"sync"
@@ -18,16 +17,16 @@
 	"time"
 )
 
-// Limit is what an upstream said of its limit.
+// Limit is the newest limit that an upstream advertised, or the end of one.
 type Limit struct {
-	// Rate is the limit, 0 when it said that it has none any more.
+	// Rate is the limit, 0 once the upstream has none any more.
 	Rate Rate
-	// LastSeen is when it last said so, Since when it first did.
+	// LastSeen is when the limit was last advertised, Since when it was first.
 	LastSeen time.Time
 	Since    time.Time
-	// Direct is set when it said so to this entry, and not to another one that told.
+	// Direct is set if this entry saw the limit in a response, and did not learn of it from another entry.
 	Direct bool
-	// Capped is set when Rate is a cap, which is not the upstream's word.
+	// Capped is set if Rate is a cap and not a limit that the upstream advertised.
 	Capped bool
 }
 
@@ -35,54 +34,56 @@
 func (l Limit) Limited() bool { return l.Rate > 0 }
 
 const (
-	// maxTransitTime is how much newer than it is a word of others may look, since the time that it was on its way is not known. Without that a
-	// word would grow younger with each time that two entries tell it each other, and outlive its end.
+	// maxTransitTime is how much newer a limit from another entry can appear than it is, because its time in transit is
+	// unknown. Without this margin a limit would seem newer each time two entries exchange it, and would outlive its
+	// end.
 	maxTransitTime = 10 * time.Millisecond
-	// sweepAt is how many words are kept before old ones are looked for.
+	// sweepAt is the number of upstreams from which on state that is no longer needed is dropped.
 	sweepAt = 256
-	// endedRetention is how long the end of a limit is remembered: what others said before may come late.
+	// endedRetention is how long the end of a limit is kept; older updates from other entries can arrive late.
 	endedRetention = time.Minute
-	// limitRetention is how long a limit counts of which nothing more was heard: nobody has sent the upstream anything since, or it is gone.
+	// limitRetention is how long a limit stays in force after it was last seen. By then nobody sends requests to the
+	// upstream, or it is gone.
 	limitRetention = 10 * time.Minute
 )
 
-// defaultMinRate is one request a minute.
+// defaultMinRate is one request per minute.
 const defaultMinRate = Rate(1.0 / 60)
 
-// LimitTable are the newest words of upstreams on their limits, by their lives; exported fields are set before use.
+// LimitTable holds the newest limit of each upstream incarnation. Exported fields are set before use.
 type LimitTable[K comparable] struct {
-	// MinRate is the lowest limit that is kept: an upstream that takes nothing is tried at that rate all the same, since only an answer of
-	// its own says that it takes more again.
+	// MinRate is the lower bound of limits. An upstream that advertises a rate of 0 still gets requests at this rate,
+	// since only its own response can raise the limit again.
 	MinRate Rate
 
-	// count is how many upstreams have a limit: most of the time none has, and each choice asks for each upstream.
+	// count is the number of upstreams with a limit. It is usually 0, and each routing decision checks every upstream.
 	count atomic.Int64
 
 	mu     sync.Mutex
 	limits map[K]Limit
-	// caps bound what is sent to upstreams whatever they say.
+	// caps bounds the rates of upstreams whatever they advertise.
 	caps map[K]Rate
-	// nextSweep is how many words there may be until old ones are dropped.
+	// nextSweep is the number of limits at which old ones are dropped.
 	nextSweep int
 }
 
-// NewLimitTable returns words of nobody.
+// NewLimitTable returns an empty table.
 func NewLimitTable[K comparable]() *LimitTable[K] {
 	return &LimitTable[K]{MinRate: defaultMinRate, limits: map[K]Limit{}}
 }
 
-// Record takes the limit that an upstream named at a time, and returns its word before. It reports whether the limit has changed by it; an
-// older word than the newest one changes nothing.
+// Record records a limit that a response stated at a time, and returns the previous one and whether the rate has
+// changed. A limit older than the newest one changes nothing.
 func (t *LimitTable[K]) Record(k K, rate Rate, at time.Time) (previous Limit, changed bool) {
 	return t.update(k, Limit{Rate: max(t.MinRate, rate), LastSeen: at, Direct: true}, 0)
 }
 
-// Merge is Name for what others heard, also that there is no limit any more, which is a rate of 0.
+// Merge is Record for limits that another entry saw; a rate of 0 is the end of a limit.
 func (t *LimitTable[K]) Merge(k K, rate Rate, at time.Time) (previous Limit, changed bool) {
 	return t.update(k, Limit{Rate: rate, LastSeen: at}, maxTransitTime)
 }
 
-// update takes a word that counts if it is newer than the one before by more than a margin.
+// update replaces a limit if the new one is newer by more than margin.
 func (t *LimitTable[K]) update(k K, limit Limit, margin time.Duration) (previous Limit, changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,7 +99,8 @@
 	return previous, previous.Rate != limit.Rate
 }
 
-// RecordUnlimited takes an answer without a limit to a request that was sent at a time, and reports whether the limit has ended by it.
+// RecordUnlimited records a response at a time without a limit, to a request that was sent before, and reports whether
+// this ends the limit.
 func (t *LimitTable[K]) RecordUnlimited(k K, sent, at time.Time) (previous Limit, ended bool) {
 	if t.count.Load() == 0 {
 		return Limit{}, false
@@ -113,7 +115,7 @@
 	return previous, true
 }
 
-// put replaces a word; the mutex is held.
+// put replaces a limit; the mutex is held.
 func (t *LimitTable[K]) put(k K, previous, limit Limit, now time.Time) {
 	t.addToCount(previous, -1)
 	t.addToCount(limit, 1)
@@ -130,7 +132,7 @@
 	}
 }
 
-// dropExpired forgets words that nobody goes by any more; the mutex is held.
+// dropExpired drops limits after their retention time; the mutex is held.
 func (t *LimitTable[K]) dropExpired(now time.Time) {
 	for k, limit := range t.limits {
 		age := now.Sub(limit.LastSeen)
@@ -142,7 +144,7 @@
 	}
 }
 
-// Effective returns the limit of an upstream: its newest word, or the cap where that is lower.
+// Effective returns the limit in force: the newest one, or the cap if it is lower.
 func (t *LimitTable[K]) Effective(k K) Limit {
 	if t.count.Load() == 0 {
 		return Limit{}
@@ -156,7 +158,7 @@
 	return limit
 }
 
-// SetCaps replaces the limits that hold for upstreams whatever they say, as for those that have just started.
+// SetCaps replaces the caps, which hold whatever upstreams advertise, as for upstreams that have just started.
 func (t *LimitTable[K]) SetCaps(caps map[K]Rate) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -164,21 +166,21 @@
 	t.caps = caps
 }
 
-// Cap returns the cap of an upstream, 0 where there is none.
+// Cap returns the cap of an upstream, 0 if there is none.
 func (t *LimitTable[K]) Cap(k K) Rate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.caps[k]
 }
 
-// Newest returns the newest word of an upstream, also that there is no limit any more.
+// Newest returns the newest limit of an upstream, or the end of its limit, without the cap.
 func (t *LimitTable[K]) Newest(k K) Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.limits[k]
 }
 
-// Each calls visit for each upstream of which there is a word.
+// Each calls visit for each upstream with a limit or a recently ended one.
 func (t *LimitTable[K]) Each(visit func(k K, limit Limit)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -187,7 +189,7 @@
 	}
 }
 
-// Count returns how many upstreams have a limit; one with a cap as well counts twice.
+// Count returns the number of upstreams with a limit; one with both a limit and a cap counts twice.
 func (t *LimitTable[K]) Count() int {
 	return int(t.count.Load())
 }
