--- a/control/control_test.go
+++ b/control/control_test.go
@@ -22,7 +22,7 @@
 var start = time.Unix(1000, 0)
 
 // What is seen of a member, when, and what the leader concludes.
-func TestJudge(t *testing.T) {
+func TestFailureDetector(t *testing.T) {
 	answer := presence.Observation{VM: "w", Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 7}
 	refused := presence.Observation{VM: "w", Sight: presence.ProbeRefused}
 	silent := presence.Observation{VM: "w", Sight: presence.ProbeTimedOut}
@@ -51,83 +51,83 @@
 		{"a free VM that never answered", fleet.VMFree, []seen{{time.Second, refused}}, 2 * time.Second, planner.ConditionSuspect},
 	} {
 		table := presence.NewTable()
-		j := control.NewFailureDetector(table, time.Second, 2*time.Second)
+		detector := control.NewFailureDetector(table, time.Second, 2*time.Second)
 		s := fleet.NewState()
 		s.VMs["w"] = &fleet.VM{Name: "w", Phase: c.phase, Epoch: 7, Incarnation: "i"}
-		w := planner.NewSnapshot(s)
-		j.Assess(start, w)
-		for _, x := range c.seen {
-			table.Observe(start.Add(x.at), []presence.Observation{x.o})
+		input := planner.NewSnapshot(s)
+		detector.Assess(start, input)
+		for _, observation := range c.seen {
+			table.Observe(start.Add(observation.at), []presence.Observation{observation.o})
 		}
-		j.Assess(start.Add(c.at), w)
-		if got := w.VM("w").Condition; got != c.want {
+		detector.Assess(start.Add(c.at), input)
+		if got := input.VM("w").Condition; got != c.want {
 			t.Errorf("%s: %s, want %s", c.name, got, c.want)
 		}
 	}
 }
 
-func TestJudgeCountsFlaps(t *testing.T) {
+func TestFailureDetectorCountsFlaps(t *testing.T) {
 	table := presence.NewTable()
-	j := control.NewFailureDetector(table, time.Second, 2*time.Second)
+	detector := control.NewFailureDetector(table, time.Second, 2*time.Second)
 	s := fleet.NewState()
 	s.VMs["w"] = &fleet.VM{Name: "w"}
-	w := planner.NewSnapshot(s)
+	input := planner.NewSnapshot(s)
 	now := start
 	for range 3 {
 		table.Observe(now, []presence.Observation{{VM: "w", Sight: presence.ProbeAnswered}})
-		j.Assess(now, w)
+		detector.Assess(now, input)
 		now = now.Add(5 * time.Second)
 		table.Observe(now, []presence.Observation{{VM: "w", Sight: presence.ProbeRefused}})
-		j.Assess(now, w)
+		detector.Assess(now, input)
 	}
-	if got := w.VM("w").Flaps; got != 3 {
+	if got := input.VM("w").Flaps; got != 3 {
 		t.Errorf("%d flaps, want 3", got)
 	}
 	now = now.Add(11 * time.Minute)
-	j.Assess(now, w)
-	if got := w.VM("w").Flaps; got != 0 {
+	detector.Assess(now, input)
+	if got := input.VM("w").Flaps; got != 0 {
 		t.Errorf("%d flaps after eleven minutes, want 0", got)
 	}
 }
 
-// desk records the orders that are given; answers come from a function of the test.
-type desk struct {
+// orderRecorder records the orders that are given; answers come from a function of the test.
+type orderRecorder struct {
 	*control.Orders
 	mu        sync.Mutex
-	given     []string
+	sent      []string
 	fences    []engine.Fence
 	confirmed []fleet.Confirm
 	authority control.Authority
-	answer    func(o *engine.Order) (engine.OrderAnswer, error)
+	reply     func(o *engine.Order) (engine.OrderAnswer, error)
 }
 
-func newDesk() *desk {
-	d := &desk{Orders: control.NewOrders(), authority: control.Authority{Leads: true, Term: 3, MayOrderUnchecked: true, LeaseEnd: time.Now().Add(time.Hour)}}
-	d.Deadline = time.Second
-	d.answer = func(*engine.Order) (engine.OrderAnswer, error) {
+func newOrderRecorder() *orderRecorder {
+	r := &orderRecorder{Orders: control.NewOrders(), authority: control.Authority{Leads: true, Term: 3, MayOrderUnchecked: true, LeaseEnd: time.Now().Add(time.Hour)}}
+	r.Deadline = time.Second
+	r.reply = func(*engine.Order) (engine.OrderAnswer, error) {
 		return engine.OrderAnswer{Incarnation: "i", Done: true}, nil
 	}
-	d.Authority = func() control.Authority { return d.authority }
-	d.Confirmed = func(c fleet.Confirm) {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		d.confirmed = append(d.confirmed, c)
+	r.Authority = func() control.Authority { return r.authority }
+	r.Confirmed = func(c fleet.Confirm) {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.confirmed = append(r.confirmed, c)
 	}
-	d.Send = func(_ context.Context, address string, o *engine.Order) (engine.OrderAnswer, error) {
-		d.mu.Lock()
-		d.given = append(d.given, fmt.Sprintf("%s %s %d rank %d", address, o.Kind, o.Epoch, o.Rank))
-		d.fences = append(d.fences, o.Fence)
-		d.mu.Unlock()
-		return d.answer(o)
+	r.Send = func(_ context.Context, address string, o *engine.Order) (engine.OrderAnswer, error) {
+		r.mu.Lock()
+		r.sent = append(r.sent, fmt.Sprintf("%s %s %d rank %d", address, o.Kind, o.Epoch, o.Rank))
+		r.fences = append(r.fences, o.Fence)
+		r.mu.Unlock()
+		return r.reply(o)
 	}
-	return d
+	return r
 }
 
-// forming returns a state with a group of two VMs that join in epoch 7 and one VM that leaves epoch 5.
-func forming(checks bool) *fleet.State {
+// formingState returns a state with a group of two VMs that join in epoch 7 and one VM that leaves epoch 5.
+func formingState(checksOrders bool) *fleet.State {
 	s := fleet.NewState()
 	for i, name := range []ident.VM{"w0", "w1", "w2"} {
-		s.VMs[name] = &fleet.VM{Name: name, Address: string(name), ChecksOrders: checks, Group: "g", Epoch: 7, Phase: fleet.VMJoining}
+		s.VMs[name] = &fleet.VM{Name: name, Address: string(name), ChecksOrders: checksOrders, Group: "g", Epoch: 7, Phase: fleet.VMJoining}
 		if i == 2 {
 			s.VMs[name].Epoch, s.VMs[name].Phase = 5, fleet.VMLeaving
 		}
@@ -138,29 +138,29 @@
 
 func TestOrdersFollowFromTheState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk()
-		d.Reconcile(t.Context(), forming(true))
-		d.Wait()
+		r := newOrderRecorder()
+		r.Reconcile(t.Context(), formingState(true))
+		r.Wait()
 		want := map[string]bool{"w2 leave 5 rank 0": true, "w0 join 7 rank 1": true, "w1 join 7 rank 0": true}
 		got := map[string]bool{}
-		for _, g := range d.given {
-			got[g] = true
+		for _, order := range r.sent {
+			got[order] = true
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Errorf("orders (-want +got):\n%s", diff)
 		}
-		if len(d.confirmed) != 3 {
-			t.Errorf("confirmed: %v", d.confirmed)
+		if len(r.confirmed) != 3 {
+			t.Errorf("confirmed: %v", r.confirmed)
 		}
-		for i := 1; i < len(d.fences); i++ {
-			if d.fences[i].Term != 3 || d.fences[i] == d.fences[i-1] {
-				t.Errorf("fences %v", d.fences)
+		for i := 1; i < len(r.fences); i++ {
+			if r.fences[i].Term != 3 || r.fences[i] == r.fences[i-1] {
+				t.Errorf("fences %v", r.fences)
 			}
 		}
 	})
 }
 
-func TestWhoMayOrderWhom(t *testing.T) {
+func TestOrdersRequireAuthority(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		authority control.Authority
@@ -173,12 +173,12 @@
 		{"leader with a lease, engines do not check", control.Authority{Leads: true, MayOrderUnchecked: true, LeaseEnd: start.Add(time.Second)}, false, 3},
 		{"leader whose lease has just ended, engines do not check", control.Authority{Leads: true, MayOrderUnchecked: true, LeaseEnd: start}, false, 0},
 	} {
-		d := newDesk()
-		d.Now = func() time.Time { return start }
-		d.authority = c.authority
-		d.Reconcile(t.Context(), forming(c.checks))
-		d.Wait()
-		if got := len(d.given); got != c.want {
+		r := newOrderRecorder()
+		r.Now = func() time.Time { return start }
+		r.authority = c.authority
+		r.Reconcile(t.Context(), formingState(c.checks))
+		r.Wait()
+		if got := len(r.sent); got != c.want {
 			t.Errorf("%s: %d orders, want %d", c.name, got, c.want)
 		}
 	}
@@ -187,19 +187,19 @@
 // An order to an engine that does not check must not be on its way when the lease ends.
 func TestOrdersEndWithTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk()
-		d.authority.LeaseEnd = time.Now().Add(300 * time.Millisecond)
-		began := time.Now()
+		r := newOrderRecorder()
+		r.authority.LeaseEnd = time.Now().Add(300 * time.Millisecond)
+		started := time.Now()
 		var took time.Duration
-		d.Send = func(ctx context.Context, _ string, _ *engine.Order) (engine.OrderAnswer, error) {
+		r.Send = func(ctx context.Context, _ string, _ *engine.Order) (engine.OrderAnswer, error) {
 			<-ctx.Done()
-			d.mu.Lock()
-			took = time.Since(began)
-			d.mu.Unlock()
+			r.mu.Lock()
+			took = time.Since(started)
+			r.mu.Unlock()
 			return engine.OrderAnswer{}, ctx.Err()
 		}
-		d.Reconcile(t.Context(), forming(false))
-		d.Wait()
+		r.Reconcile(t.Context(), formingState(false))
+		r.Wait()
 		if took > 300*time.Millisecond {
 			t.Errorf("an order was on its way for %s, the lease ended after 300ms", took)
 		}
@@ -208,42 +208,42 @@
 
 func TestOrdersAreRepeatedUntilConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk()
-		tries := 0
-		d.answer = func(*engine.Order) (engine.OrderAnswer, error) {
-			d.mu.Lock()
-			defer d.mu.Unlock()
-			switch tries++; {
-			case tries < 3:
+		r := newOrderRecorder()
+		attempts := 0
+		r.reply = func(*engine.Order) (engine.OrderAnswer, error) {
+			r.mu.Lock()
+			defer r.mu.Unlock()
+			switch attempts++; {
+			case attempts < 3:
 				return engine.OrderAnswer{}, result.New(result.TimedOut, "lost")
-			case tries < 6:
+			case attempts < 6:
 				return engine.OrderAnswer{}, nil
 			}
 			return engine.OrderAnswer{Incarnation: "i", Done: true}, nil
 		}
-		s := forming(true)
+		s := formingState(true)
 		delete(s.VMs, "w2")
 		s.VMs["w0"].Phase = fleet.VMJoined
 		for range 100 {
-			if len(d.confirmed) > 0 {
+			if len(r.confirmed) > 0 {
 				break
 			}
-			d.Reconcile(t.Context(), s)
-			d.Wait()
+			r.Reconcile(t.Context(), s)
+			r.Wait()
 			time.Sleep(50 * time.Millisecond)
 		}
-		if diff := cmp.Diff([]fleet.Confirm{{VM: "w1", Epoch: 7, Incarnation: "i"}}, d.confirmed); diff != "" {
-			t.Errorf("confirmed after %d tries (-want +got):\n%s", tries, diff)
+		if diff := cmp.Diff([]fleet.Confirm{{VM: "w1", Epoch: 7, Incarnation: "i"}}, r.confirmed); diff != "" {
+			t.Errorf("confirmed after %d tries (-want +got):\n%s", attempts, diff)
 		}
 	})
 }
 
 // The weight store feeds four VMs at full rate; groups load one after another, and a dead VM holds nobody up.
-func TestLoadsComeInTurn(t *testing.T) {
+func TestGroupsLoadOneAfterAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk()
-		d.ConcurrentLoads = 4
-		d.answer = func(*engine.Order) (engine.OrderAnswer, error) { return engine.OrderAnswer{}, nil }
+		r := newOrderRecorder()
+		r.ConcurrentLoads = 4
+		r.reply = func(*engine.Order) (engine.OrderAnswer, error) { return engine.OrderAnswer{}, nil }
 		s := fleet.NewState()
 		add := func(name ident.Group, epoch ident.Epoch, vms ...ident.VM) {
 			s.Groups[name] = &fleet.Group{Spec: fleet.GroupSpec{Name: name, Size: len(vms)}, Epoch: epoch, Phase: fleet.GroupForming, Members: vms}
@@ -254,32 +254,32 @@
 		add("large", 1, "l1", "l2", "l3", "l4")
 		add("small", 2, "s1", "s2", "s3")
 		ordered := func() map[string]bool {
-			d.mu.Lock()
-			defer d.mu.Unlock()
+			r.mu.Lock()
+			defer r.mu.Unlock()
 			got := map[string]bool{}
-			for _, g := range d.given {
-				got[g[:2]] = true
+			for _, order := range r.sent {
+				got[order[:2]] = true
 			}
 			return got
 		}
 		for range 5 {
-			d.Reconcile(t.Context(), s)
-			d.Wait()
+			r.Reconcile(t.Context(), s)
+			r.Wait()
 			time.Sleep(200 * time.Millisecond)
 		}
 		if diff := cmp.Diff(map[string]bool{"s1": true, "s2": true, "s3": true}, ordered()); diff != "" {
 			t.Errorf("while the small group loads (-want +got):\n%s", diff)
 		}
 		// One of the small group's VMs dies: what is left of it does not load, and the large group gets its turn.
-		d.answer = func(o *engine.Order) (engine.OrderAnswer, error) {
+		r.reply = func(o *engine.Order) (engine.OrderAnswer, error) {
 			if o.Group == "small" {
 				return engine.OrderAnswer{}, result.New(result.NeverSent, "dead")
 			}
 			return engine.OrderAnswer{}, nil
 		}
 		for range 5 {
-			d.Reconcile(t.Context(), s)
-			d.Wait()
+			r.Reconcile(t.Context(), s)
+			r.Wait()
 			time.Sleep(3 * time.Second)
 		}
 		if !ordered()["l4"] {
@@ -288,7 +288,7 @@
 	})
 }
 
-func TestStartNow(t *testing.T) {
+func TestShouldStartLoad(t *testing.T) {
 	for _, c := range []struct {
 		vms, groups, more, limit int
 		want                     bool
@@ -307,10 +307,10 @@
 }
 
 // A drain waits for every daemon that may still have a request in progress.
-func TestDrainWaitsForWhoMayStillServe(t *testing.T) {
+func TestDrainWaitsForDaemonsThatMayStillServe(t *testing.T) {
 	const bound = 8 * time.Second
-	beat := func(heard time.Duration, revision ident.Revision, inFlight int) *presence.Peer {
-		return &presence.Peer{Name: "b", LastContact: start.Add(heard), Revision: revision, InFlight: map[ident.Group]int{"g": inFlight}}
+	peerState := func(lastContact time.Duration, revision ident.Revision, inFlight int) *presence.Peer {
+		return &presence.Peer{Name: "b", LastContact: start.Add(lastContact), Revision: revision, InFlight: map[ident.Group]int{"g": inFlight}}
 	}
 	for _, c := range []struct {
 		name string
@@ -318,14 +318,14 @@
 		at   time.Duration
 		want bool
 	}{
-		{"it knows of the drain and has none", beat(0, 9, 0), time.Second, true},
-		{"it has one in progress", beat(0, 9, 1), time.Second, false},
-		{"it does not know of the drain yet", beat(0, 8, 0), time.Second, false},
-		{"it has been silent, not yet for the bound", beat(0, 8, 1), bound, false},
-		{"it has been silent for so long that it refuses", beat(0, 8, 1), bound + 1, true},
+		{"it knows of the drain and has none", peerState(0, 9, 0), time.Second, true},
+		{"it has one in progress", peerState(0, 9, 1), time.Second, false},
+		{"it does not know of the drain yet", peerState(0, 8, 0), time.Second, false},
+		{"it has been silent, not yet for the bound", peerState(0, 8, 1), bound, false},
+		{"it has been silent for so long that it refuses", peerState(0, 8, 1), bound + 1, true},
 		{"this leader has never heard of it", nil, bound, false},
 		{"never heard of, for longer than it may serve", nil, bound + 1, true},
-		{"the drain's own bound has passed", beat(time.Hour, 9, 1), time.Hour + time.Minute, true},
+		{"the drain's own bound has passed", peerState(time.Hour, 9, 1), time.Hour + time.Minute, true},
 	} {
 		l := control.NewLeader()
 		l.Machine, l.Members = fleet.NewMachine(), presence.NewMembers(time.Second)
@@ -356,7 +356,7 @@
 }
 
 // The platform's last word stays when the platform cannot be read, also for a leader that has only just started.
-func TestListingsFollowWhoSaidThem(t *testing.T) {
+func TestListingsFollowPlatformAndEngine(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		before      fleet.Listing
--- a/control/leader.go
+++ b/control/leader.go
@@ -40,17 +40,17 @@
 	HasPlatform bool
 	Log         logr.Logger
 
-	mu       sync.Mutex
-	confirms []fleet.Confirm
-	down     map[ident.Group]time.Time
-	drains   map[ident.Group]drainWatch
-	// world is the planner's view of revision laid; planned is what of it the last plan had seen.
-	world   *planner.Snapshot
-	laid    ident.Revision
-	planned []uint8
+	mu        sync.Mutex
+	confirms  []fleet.Confirm
+	downSince map[ident.Group]time.Time
+	drains    map[ident.Group]drainStart
+	// input is the planner's view of revision laid; planned is what of it the last plan had seen.
+	input              *planner.Snapshot
+	inputRevision      ident.Revision
+	plannedFingerprint []uint8
 }
 
-type drainWatch struct {
+type drainStart struct {
 	epoch ident.Epoch
 	since time.Time
 }
@@ -63,8 +63,8 @@
 		Registered: func() []fleet.VM { return nil },
 		Listings:   func() map[ident.VM]fleet.Listing { return nil },
 		Log:        logr.Discard(),
-		down:       map[ident.Group]time.Time{},
-		drains:     map[ident.Group]drainWatch{},
+		downSince:  map[ident.Group]time.Time{},
+		drains:     map[ident.Group]drainStart{},
 	}
 }
 
@@ -91,7 +91,7 @@
 	if err := l.register(ctx); err != nil {
 		return err
 	}
-	if err := l.list(ctx); err != nil {
+	if err := l.writeListings(ctx); err != nil {
 		return err
 	}
 	if err := l.plan(ctx); err != nil {
@@ -115,7 +115,7 @@
 	var changed []fleet.VM
 	l.Machine.Read(func(s *fleet.State) {
 		for _, v := range l.Registered() {
-			if old := s.VMs[v.Name]; old == nil || !sameMachine(old, &v) {
+			if old := s.VMs[v.Name]; old == nil || !sameVM(old, &v) {
 				changed = append(changed, v)
 			}
 		}
@@ -127,18 +127,18 @@
 	return err
 }
 
-func sameMachine(a, b *fleet.VM) bool {
+func sameVM(a, b *fleet.VM) bool {
 	return a.Address == b.Address && a.Hall == b.Hall && a.Domain == b.Domain &&
 		a.Accelerators == b.Accelerators && a.Speed == b.Speed && a.ChecksOrders == b.ChecksOrders
 }
 
-// list writes what the platform and the engines say of VMs that stay or leave, where it has changed.
-func (l *Leader) list(ctx context.Context) error {
-	said := l.Listings()
+// writeListings writes what the platform and the engines say of VMs that stay or leave, where it has changed.
+func (l *Leader) writeListings(ctx context.Context) error {
+	listings := l.Listings()
 	var changed []fleet.VMListing
 	l.Machine.Read(func(s *fleet.State) {
 		for _, v := range s.SortedVMs() {
-			listing, ok := said[v.Name]
+			listing, ok := listings[v.Name]
 			if !ok {
 				listing = v.Listing
 			}
@@ -162,50 +162,50 @@
 
 // View calls fn with the planner's view at this moment, which fn must not keep. Laying a fleet out costs far more than
 // judging it, so that is done once for each revision.
-func (l *Leader) View(fn func(w *planner.Snapshot)) {
+func (l *Leader) View(fn func(input *planner.Snapshot)) {
 	now := l.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if revision := l.Machine.Revision(); l.world == nil || revision != l.laid {
+	if revision := l.Machine.Revision(); l.input == nil || revision != l.inputRevision {
 		l.Machine.Read(func(s *fleet.State) {
-			l.laid = s.Revision
-			l.world = planner.NewSnapshot(s.Clone())
+			l.inputRevision = s.Revision
+			l.input = planner.NewSnapshot(s.Clone())
 		})
 		// A name that is declared again later starts without the past of the one before.
-		maps.DeleteFunc(l.down, func(name ident.Group, _ time.Time) bool { return l.world.Group(name) == nil })
-		maps.DeleteFunc(l.drains, func(name ident.Group, _ drainWatch) bool { return l.world.Group(name) == nil })
+		maps.DeleteFunc(l.downSince, func(name ident.Group, _ time.Time) bool { return l.input.Group(name) == nil })
+		maps.DeleteFunc(l.drains, func(name ident.Group, _ drainStart) bool { return l.input.Group(name) == nil })
 	}
-	l.Detector.Assess(now, l.world)
-	l.judgeGroups(now, l.world)
-	fn(l.world)
+	l.Detector.Assess(now, l.input)
+	l.assessGroups(now, l.input)
+	fn(l.input)
 }
 
 // Actions returns what the planner wants, or nothing when all that it decides by is as it was at the last plan.
 func (l *Leader) Actions() (actions []planner.Action) {
-	l.View(func(w *planner.Snapshot) {
-		seen := fingerprint(w, l.Policy.RecoveryWait, l.laid)
-		if slices.Equal(seen, l.planned) {
+	l.View(func(input *planner.Snapshot) {
+		current := fingerprint(input, l.Policy.RecoveryWait, l.inputRevision)
+		if slices.Equal(current, l.plannedFingerprint) {
 			return
 		}
-		actions = planner.Plan(w, l.Policy)
-		l.planned = seen
+		actions = planner.Plan(input, l.Policy)
+		l.plannedFingerprint = current
 	})
 	return actions
 }
 
 // fingerprint notes everything that a plan depends on beside the state: conditions, drains, and the passing of times.
-func fingerprint(w *planner.Snapshot, patience time.Duration, revision ident.Revision) []uint8 {
-	seen := binary.LittleEndian.AppendUint64(make([]uint8, 0, len(w.VMs)+len(w.Groups)), uint64(revision))
-	for i := range w.VMs {
-		v := &w.VMs[i]
+func fingerprint(input *planner.Snapshot, patience time.Duration, revision ident.Revision) []uint8 {
+	marks := binary.LittleEndian.AppendUint64(make([]uint8, 0, len(input.VMs)+len(input.Groups)), uint64(revision))
+	for i := range input.VMs {
+		v := &input.VMs[i]
 		mark := uint8(v.Condition) << 1
 		if v.Steady() {
 			mark |= 1
 		}
-		seen = append(seen, mark)
+		marks = append(marks, mark)
 	}
-	for i := range w.Groups {
-		g := &w.Groups[i]
+	for i := range input.Groups {
+		g := &input.Groups[i]
 		mark := uint8(0)
 		if g.Drained {
 			mark |= 1
@@ -213,32 +213,32 @@
 		if g.DownFor >= patience {
 			mark |= 2
 		}
-		seen = append(seen, mark)
+		marks = append(marks, mark)
 	}
-	return seen
+	return marks
 }
 
-func (l *Leader) judgeGroups(now time.Time, w *planner.Snapshot) {
-	for i := range w.Groups {
-		g := &w.Groups[i]
+func (l *Leader) assessGroups(now time.Time, input *planner.Snapshot) {
+	for i := range input.Groups {
+		g := &input.Groups[i]
 		g.Drained = l.drained(now, g)
-		if g.Phase == fleet.GroupServing && l.allPresent(w, g) {
-			delete(l.down, g.Spec.Name)
+		if g.Phase == fleet.GroupServing && l.allPresent(input, g) {
+			delete(l.downSince, g.Spec.Name)
 			g.DownFor = 0
 			continue
 		}
-		since, ok := l.down[g.Spec.Name]
+		since, ok := l.downSince[g.Spec.Name]
 		if !ok {
 			since = now
-			l.down[g.Spec.Name] = now
+			l.downSince[g.Spec.Name] = now
 		}
 		g.DownFor = now.Sub(since)
 	}
 }
 
-func (l *Leader) allPresent(w *planner.Snapshot, g *planner.Group) bool {
+func (l *Leader) allPresent(input *planner.Snapshot, g *planner.Group) bool {
 	for _, name := range g.Members {
-		if w.VM(name).Condition != planner.ConditionPresent {
+		if input.VM(name).Condition != planner.ConditionPresent {
 			return false
 		}
 	}
@@ -252,33 +252,33 @@
 		delete(l.drains, g.Spec.Name)
 		return false
 	}
-	d := l.drains[g.Spec.Name]
-	if d.epoch != g.Epoch {
-		d = drainWatch{g.Epoch, now}
-		l.drains[g.Spec.Name] = d
+	start := l.drains[g.Spec.Name]
+	if start.epoch != g.Epoch {
+		start = drainStart{g.Epoch, now}
+		l.drains[g.Spec.Name] = start
 	}
-	if now.Sub(d.since) > l.DrainBound {
+	if now.Sub(start.since) > l.DrainBound {
 		return true
 	}
 	for _, name := range l.Daemons {
-		if !l.done(now, name, g) {
+		if !l.daemonFinished(now, name, g) {
 			return false
 		}
 	}
 	return true
 }
 
-// done reports whether one daemon can have no request in progress at g. One that this process has not heard of yet may
+// daemonFinished reports whether one daemon can have no request in progress at g. One that this process has not heard of yet may
 // be serving all the same, for as long as it may without control.
-func (l *Leader) done(now time.Time, name ident.Daemon, g *planner.Group) bool {
-	p, heard := l.Members.Get(name)
-	if !heard {
+func (l *Leader) daemonFinished(now time.Time, name ident.Daemon, g *planner.Group) bool {
+	peer, known := l.Members.Get(name)
+	if !known {
 		return now.Sub(l.Started) > l.ControlBound
 	}
-	if now.Sub(p.LastContact) > l.ControlBound {
+	if now.Sub(peer.LastContact) > l.ControlBound {
 		return true
 	}
-	return p.Revision >= g.DrainedFrom && p.InFlight[g.Spec.Name] == 0
+	return peer.Revision >= g.DrainedFrom && peer.InFlight[g.Spec.Name] == 0
 }
 
 func (l *Leader) plan(ctx context.Context) error {
@@ -286,7 +286,7 @@
 		answer, err := l.Propose(ctx, commandFor(&a))
 		if err != nil {
 			// What was not written has to be planned again.
-			l.forgetPlan()
+			l.resetPlan()
 			return err
 		}
 		l.Log.Info("planned", "group", a.Group, "members", a.Members, "reason", a.Reason,
@@ -295,10 +295,10 @@
 	return nil
 }
 
-func (l *Leader) forgetPlan() {
+func (l *Leader) resetPlan() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.planned = nil
+	l.plannedFingerprint = nil
 }
 
 func commandFor(a *planner.Action) *fleet.Command {
--- a/control/orders.go
+++ b/control/orders.go
@@ -66,23 +66,23 @@
 	epoch   ident.Epoch
 	kind    engine.OrderKind
 	running bool
-	// loads is set while the engine says that it loads, failed after an order that was not obeyed.
-	loads   bool
+	// loading is set while the engine says that it loads, failed after an order that was not obeyed.
+	loading bool
 	failed  bool
-	next    time.Time
+	nextAt  time.Time
 	backoff time.Duration
 }
 
 const (
-	maxRunning   = 256
-	defaultLoads = 16
-	firstWait    = 100 * time.Millisecond
-	longestGap   = 2 * time.Second
+	maxOrdersInFlight      = 256
+	defaultConcurrentLoads = 16
+	initialBackoff         = 100 * time.Millisecond
+	maxBackoff             = 2 * time.Second
 )
 
 // NewOrders returns an idle order giver.
 func NewOrders() *Orders {
-	return &Orders{Now: clock.Now, ConcurrentLoads: defaultLoads, pending: map[ident.VM]*attempt{}, Failed: func(ident.VM, engine.OrderKind, error) {}}
+	return &Orders{Now: clock.Now, ConcurrentLoads: defaultConcurrentLoads, pending: map[ident.VM]*attempt{}, Failed: func(ident.VM, engine.OrderKind, error) {}}
 }
 
 // Wait returns when no order is on its way.
@@ -95,20 +95,20 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.Now()
-	running, loading := o.forget(s)
-	list, missing := inTurn(s)
-	for _, v := range list {
+	running, loads := o.dropStale(s)
+	vms, joining := orderQueue(s)
+	for _, v := range vms {
 		order := orderFor(s, v)
 		if order == nil {
 			continue
 		}
 		a := o.attempt(v.Name, order)
-		if a.running || now.Before(a.next) || running >= maxRunning {
+		if a.running || now.Before(a.nextAt) || running >= maxOrdersInFlight {
 			continue
 		}
 		// A VM whose last order failed is asked again without a turn: it does not load, and must not keep others from it.
-		turn := order.Kind == engine.OrderJoin && !a.failed
-		if turn && !loading.admit(v.Group, missing[v.Group], o.ConcurrentLoads) || !o.mayOrder(v, order, now) {
+		needsLoadSlot := order.Kind == engine.OrderJoin && !a.failed
+		if needsLoadSlot && !loads.admit(v.Group, joining[v.Group], o.ConcurrentLoads) || !o.mayOrder(v, order, now) {
 			continue
 		}
 		running++
@@ -117,59 +117,59 @@
 	}
 }
 
-// loading counts, for each group that loads, the VMs that do.
-type loading map[ident.Group]int
+// groupLoads counts, for each group that loads, the VMs that do.
+type groupLoads map[ident.Group]int
 
 // admit reports whether a group may load now, and counts it when it may.
-func (l loading) admit(name ident.Group, missing, limit int) bool {
-	if _, ok := l[name]; ok {
+func (l groupLoads) admit(group ident.Group, joining, limit int) bool {
+	if _, ok := l[group]; ok {
 		return true
 	}
 	vms := 0
 	for _, n := range l {
 		vms += n
 	}
-	if !ShouldStartLoad(vms, len(l), missing, limit) {
+	if !ShouldStartLoad(vms, len(l), joining, limit) {
 		return false
 	}
-	l[name] = missing
+	l[group] = joining
 	return true
 }
 
 // ShouldStartLoad reports whether starting more loads beside those of the given number of VMs and groups lowers the sum of all
 // groups' waiting, when limit VMs can load at full rate and more of them share it evenly.
-func ShouldStartLoad(vms, groups, more, limit int) bool {
+func ShouldStartLoad(vms, groups, additional, limit int) bool {
 	if groups == 0 {
 		return true
 	}
-	rounds := func(n int) float64 { return max(1, float64(n)/float64(limit)) }
-	together := float64(groups+1) * rounds(vms+more)
-	inTurn := float64(groups)*rounds(vms) + rounds(vms) + rounds(more)
-	return together <= inTurn
+	duration := func(n int) float64 { return max(1, float64(n)/float64(limit)) }
+	concurrent := float64(groups+1) * duration(vms+additional)
+	sequential := float64(groups)*duration(vms) + duration(vms) + duration(additional)
+	return concurrent <= sequential
 }
 
-// inTurn returns the VMs that join or leave, in the order in which they are to be ordered, and what each group lacks.
-func inTurn(s *fleet.State) (list []*fleet.VM, missing map[ident.Group]int) {
-	missing = map[ident.Group]int{}
+// orderQueue returns the VMs that join or leave, in the order in which they are to be ordered, and what each group lacks.
+func orderQueue(s *fleet.State) (queue []*fleet.VM, joining map[ident.Group]int) {
+	joining = map[ident.Group]int{}
 	for _, v := range s.VMs {
 		switch v.Phase {
 		case fleet.VMJoining:
-			missing[v.Group]++
-			list = append(list, v)
+			joining[v.Group]++
+			queue = append(queue, v)
 		case fleet.VMLeaving:
-			list = append(list, v)
+			queue = append(queue, v)
 		}
 	}
-	slices.SortFunc(list, func(a, b *fleet.VM) int {
+	slices.SortFunc(queue, func(a, b *fleet.VM) int {
 		// Leaving costs nothing and frees a VM for others.
 		if a.Phase != b.Phase {
 			return cmp.Compare(b.Phase, a.Phase)
 		}
 		return cmp.Or(
-			cmp.Compare(priority(s, a), priority(s, b)), cmp.Compare(missing[a.Group], missing[b.Group]),
+			cmp.Compare(priority(s, a), priority(s, b)), cmp.Compare(joining[a.Group], joining[b.Group]),
 			cmp.Compare(a.Epoch, b.Epoch), cmp.Compare(a.Name, b.Name))
 	})
-	return list, missing
+	return queue, joining
 }
 
 func priority(s *fleet.State, v *fleet.VM) int {
@@ -179,20 +179,20 @@
 	return 0
 }
 
-// forget drops attempts that the state no longer calls for and counts those on their way and, by group, those that load.
-func (o *Orders) forget(s *fleet.State) (running int, loads loading) {
-	loads = loading{}
+// dropStale drops attempts that the state no longer calls for and counts those on their way and, by group, those that load.
+func (o *Orders) dropStale(s *fleet.State) (running int, loads groupLoads) {
+	loads = groupLoads{}
 	for name, a := range o.pending {
 		v := s.VMs[name]
-		called := v != nil && v.Epoch == a.epoch && (v.Phase == fleet.VMJoining || v.Phase == fleet.VMLeaving)
-		if !a.running && !called {
+		wanted := v != nil && v.Epoch == a.epoch && (v.Phase == fleet.VMJoining || v.Phase == fleet.VMLeaving)
+		if !a.running && !wanted {
 			delete(o.pending, name)
 			continue
 		}
 		if a.running {
 			running++
 		}
-		if called && (a.loads || a.running && !a.failed && a.kind == engine.OrderJoin) {
+		if wanted && (a.loading || a.running && !a.failed && a.kind == engine.OrderJoin) {
 			loads[v.Group]++
 		}
 	}
@@ -202,7 +202,7 @@
 func (o *Orders) attempt(name ident.VM, order *engine.Order) *attempt {
 	a := o.pending[name]
 	if a == nil || !a.running && (a.epoch != order.Epoch || a.kind != order.Kind) {
-		a = &attempt{epoch: order.Epoch, kind: order.Kind, backoff: firstWait}
+		a = &attempt{epoch: order.Epoch, kind: order.Kind, backoff: initialBackoff}
 		o.pending[name] = a
 	}
 	return a
@@ -269,13 +269,13 @@
 	a.running = false
 	// A VM that cannot be reached must not keep others from loading.
 	a.failed = err != nil
-	a.loads = err == nil && !answer.Done && order.Kind == engine.OrderJoin
+	a.loading = err == nil && !answer.Done && order.Kind == engine.OrderJoin
 	if err == nil && !answer.Done {
 		// Loading takes its time; the question is repeated at an even pace.
-		a.backoff = firstWait
+		a.backoff = initialBackoff
 	}
-	a.next = o.Now().Add(a.backoff)
-	a.backoff = min(2*a.backoff, longestGap)
+	a.nextAt = o.Now().Add(a.backoff)
+	a.backoff = min(2*a.backoff, maxBackoff)
 	o.mu.Unlock()
 	switch {
 	case err != nil:
