--- a/control/control_test.go
+++ b/control/control_test.go
@@ -21,7 +21,7 @@
 
 var start = time.Unix(1000, 0)
 
-// What is seen of a member, when, and what the leader concludes.
+// Each case lists the observations of a member and the condition that follows.
 func TestFailureDetector(t *testing.T) {
 	answer := presence.Observation{VM: "w", Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 7}
 	refused := presence.Observation{VM: "w", Sight: presence.ProbeRefused}
@@ -37,18 +37,18 @@
 		at    time.Duration
 		want  planner.Condition
 	}{
-		{"nobody has looked", fleet.VMJoined, nil, time.Hour, planner.ConditionUnknown},
+		{"no observation", fleet.VMJoined, nil, time.Hour, planner.ConditionUnknown},
 		{"present", fleet.VMJoined, []seen{{time.Second, answer}}, 2 * time.Second, planner.ConditionPresent},
-		{"silent, not yet for the loss bound", fleet.VMJoined, []seen{{time.Second, answer}, {3 * time.Second, silent}}, 3 * time.Second, planner.ConditionPresent},
-		{"silent for the loss bound, and somebody looks", fleet.VMJoined, []seen{{time.Second, answer}, {4 * time.Second, silent}}, 4 * time.Second, planner.ConditionLost},
-		{"silent for the loss bound, and nobody looks", fleet.VMJoined, []seen{{time.Second, answer}}, time.Minute, planner.ConditionUnknown},
-		{"refused a moment ago", fleet.VMJoined, []seen{{time.Second, answer}, {2 * time.Second, refused}}, 2 * time.Second, planner.ConditionSuspect},
+		{"silent for less than the loss bound", fleet.VMJoined, []seen{{time.Second, answer}, {3 * time.Second, silent}}, 3 * time.Second, planner.ConditionPresent},
+		{"silent for the loss bound, with an observer", fleet.VMJoined, []seen{{time.Second, answer}, {4 * time.Second, silent}}, 4 * time.Second, planner.ConditionLost},
+		{"silent for the loss bound, without an observer", fleet.VMJoined, []seen{{time.Second, answer}}, time.Minute, planner.ConditionUnknown},
+		{"refused for less than the loss bound", fleet.VMJoined, []seen{{time.Second, answer}, {2 * time.Second, refused}}, 2 * time.Second, planner.ConditionSuspect},
 		{"refused for the loss bound", fleet.VMJoined, []seen{{time.Second, answer}, {4 * time.Second, refused}}, 4 * time.Second, planner.ConditionLost},
-		{"one watcher is cut off, the other one sees it", fleet.VMJoined, []seen{{3 * time.Second, answer}, {4 * time.Second, silent}}, 4 * time.Second, planner.ConditionPresent},
+		{"seen by one of two observers", fleet.VMJoined, []seen{{3 * time.Second, answer}, {4 * time.Second, silent}}, 4 * time.Second, planner.ConditionPresent},
 		{"another incarnation", fleet.VMJoined, []seen{{time.Second, presence.Observation{VM: "w", Sight: presence.ProbeAnswered, Incarnation: "j", Epoch: 7}}}, 2 * time.Second, planner.ConditionRestarted},
-		{"the old epoch, seen after it joined", fleet.VMJoined, []seen{{time.Second, presence.Observation{VM: "w", Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 6}}}, 2 * time.Second, planner.ConditionRestarted},
-		{"the old epoch, seen before it joined", fleet.VMJoined, []seen{{0, presence.Observation{VM: "w", Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 6}}}, time.Second, planner.ConditionPresent},
-		{"a free VM that never answered", fleet.VMFree, []seen{{time.Second, refused}}, 2 * time.Second, planner.ConditionSuspect},
+		{"old epoch, observed after joining", fleet.VMJoined, []seen{{time.Second, presence.Observation{VM: "w", Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 6}}}, 2 * time.Second, planner.ConditionRestarted},
+		{"old epoch, observed before joining", fleet.VMJoined, []seen{{0, presence.Observation{VM: "w", Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 6}}}, time.Second, planner.ConditionPresent},
+		{"free VM that never answered", fleet.VMFree, []seen{{time.Second, refused}}, 2 * time.Second, planner.ConditionSuspect},
 	} {
 		table := presence.NewTable()
 		detector := control.NewFailureDetector(table, time.Second, 2*time.Second)
@@ -61,7 +61,7 @@
 		}
 		detector.Assess(start.Add(c.at), input)
 		if got := input.VM("w").Condition; got != c.want {
-			t.Errorf("%s: %s, want %s", c.name, got, c.want)
+			t.Errorf("%s: got %s, want %s", c.name, got, c.want)
 		}
 	}
 }
@@ -86,11 +86,11 @@
 	now = now.Add(11 * time.Minute)
 	detector.Assess(now, input)
 	if got := input.VM("w").Flaps; got != 0 {
-		t.Errorf("%d flaps after eleven minutes, want 0", got)
+		t.Errorf("%d flaps after the flap window, want 0", got)
 	}
 }
 
-// orderRecorder records the orders that are given; answers come from a function of the test.
+// orderRecorder records orders and replies with a function of the test.
 type orderRecorder struct {
 	*control.Orders
 	mu        sync.Mutex
@@ -123,7 +123,7 @@
 	return r
 }
 
-// formingState returns a state with a group of two VMs that join in epoch 7 and one VM that leaves epoch 5.
+// formingState returns a group of two VMs that join in epoch 7, and a VM that leaves epoch 5.
 func formingState(checksOrders bool) *fleet.State {
 	s := fleet.NewState()
 	for i, name := range []ident.VM{"w0", "w1", "w2"} {
@@ -150,11 +150,11 @@
 			t.Errorf("orders (-want +got):\n%s", diff)
 		}
 		if len(r.confirmed) != 3 {
-			t.Errorf("confirmed: %v", r.confirmed)
+			t.Errorf("confirmations %v, want 3", r.confirmed)
 		}
 		for i := 1; i < len(r.fences); i++ {
 			if r.fences[i].Term != 3 || r.fences[i] == r.fences[i-1] {
-				t.Errorf("fences %v", r.fences)
+				t.Errorf("fences %v, want term 3 and no two equal in a row", r.fences)
 			}
 		}
 	})
@@ -167,11 +167,11 @@
 		checks    bool
 		want      int
 	}{
-		{"no leader, engines check", control.Authority{}, true, 0},
-		{"leader without a lease, engines check", control.Authority{Leads: true}, true, 3},
-		{"leader without a lease, engines do not check", control.Authority{Leads: true}, false, 0},
-		{"leader with a lease, engines do not check", control.Authority{Leads: true, MayOrderUnchecked: true, LeaseEnd: start.Add(time.Second)}, false, 3},
-		{"leader whose lease has just ended, engines do not check", control.Authority{Leads: true, MayOrderUnchecked: true, LeaseEnd: start}, false, 0},
+		{"no leader, engines check fences", control.Authority{}, true, 0},
+		{"leader without a lease, engines check fences", control.Authority{Leads: true}, true, 3},
+		{"leader without a lease, engines do not check fences", control.Authority{Leads: true}, false, 0},
+		{"leader with a lease, engines do not check fences", control.Authority{Leads: true, MayOrderUnchecked: true, LeaseEnd: start.Add(time.Second)}, false, 3},
+		{"leader whose lease has just ended, engines do not check fences", control.Authority{Leads: true, MayOrderUnchecked: true, LeaseEnd: start}, false, 0},
 	} {
 		r := newOrderRecorder()
 		r.Now = func() time.Time { return start }
@@ -184,7 +184,7 @@
 	}
 }
 
-// An order to an engine that does not check must not be on its way when the lease ends.
+// An order to an engine that does not check fences must not be in flight after the end of the lease.
 func TestOrdersEndWithTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newOrderRecorder()
@@ -201,7 +201,7 @@
 		r.Reconcile(t.Context(), formingState(false))
 		r.Wait()
 		if took > 300*time.Millisecond {
-			t.Errorf("an order was on its way for %s, the lease ended after 300ms", took)
+			t.Errorf("an order was in flight for %s, the lease ended after 300ms", took)
 		}
 	})
 }
@@ -233,12 +233,12 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		if diff := cmp.Diff([]fleet.Confirm{{VM: "w1", Epoch: 7, Incarnation: "i"}}, r.confirmed); diff != "" {
-			t.Errorf("confirmed after %d tries (-want +got):\n%s", attempts, diff)
+			t.Errorf("confirmed after %d attempts (-want +got):\n%s", attempts, diff)
 		}
 	})
 }
 
-// The weight store feeds four VMs at full rate; groups load one after another, and a dead VM holds nobody up.
+// Four VMs load at full rate. Groups load one after another, and a dead VM does not block the next group.
 func TestGroupsLoadOneAfterAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newOrderRecorder()
@@ -270,7 +270,7 @@
 		if diff := cmp.Diff(map[string]bool{"s1": true, "s2": true, "s3": true}, ordered()); diff != "" {
 			t.Errorf("while the small group loads (-want +got):\n%s", diff)
 		}
-		// One of the small group's VMs dies: what is left of it does not load, and the large group gets its turn.
+		// The VMs of the small group die: their failed orders no longer hold a slot, and the large group loads.
 		r.reply = func(o *engine.Order) (engine.OrderAnswer, error) {
 			if o.Group == "small" {
 				return engine.OrderAnswer{}, result.New(result.NeverSent, "dead")
@@ -283,7 +283,7 @@
 			time.Sleep(3 * time.Second)
 		}
 		if !ordered()["l4"] {
-			t.Errorf("the large group never had its turn: %v", ordered())
+			t.Errorf("the large group never loaded: %v", ordered())
 		}
 	})
 }
@@ -301,12 +301,12 @@
 		{8, 1, 8, 8, false},
 	} {
 		if got := control.ShouldStartLoad(c.vms, c.groups, c.more, c.limit); got != c.want {
-			t.Errorf("%d VMs of %d groups load, %d more with room for %d: %t, want %t", c.vms, c.groups, c.more, c.limit, got, c.want)
+			t.Errorf("%d loading VMs of %d groups, %d additional, limit %d: %t, want %t", c.vms, c.groups, c.more, c.limit, got, c.want)
 		}
 	}
 }
 
-// A drain waits for every daemon that may still have a request in progress.
+// A drain waits for each daemon that can still have a request in progress.
 func TestDrainWaitsForDaemonsThatMayStillServe(t *testing.T) {
 	const bound = 8 * time.Second
 	peerState := func(lastContact time.Duration, revision ident.Revision, inFlight int) *presence.Peer {
@@ -318,14 +318,14 @@
 		at   time.Duration
 		want bool
 	}{
-		{"it knows of the drain and has none", peerState(0, 9, 0), time.Second, true},
-		{"it has one in progress", peerState(0, 9, 1), time.Second, false},
-		{"it does not know of the drain yet", peerState(0, 8, 0), time.Second, false},
-		{"it has been silent, not yet for the bound", peerState(0, 8, 1), bound, false},
-		{"it has been silent for so long that it refuses", peerState(0, 8, 1), bound + 1, true},
-		{"this leader has never heard of it", nil, bound, false},
-		{"never heard of, for longer than it may serve", nil, bound + 1, true},
-		{"the drain's own bound has passed", peerState(time.Hour, 9, 1), time.Hour + time.Minute, true},
+		{"knows of the drain, nothing in progress", peerState(0, 9, 0), time.Second, true},
+		{"one request in progress", peerState(0, 9, 1), time.Second, false},
+		{"does not know of the drain yet", peerState(0, 8, 0), time.Second, false},
+		{"silent for less than the bound", peerState(0, 8, 1), bound, false},
+		{"silent for so long that it refuses requests", peerState(0, 8, 1), bound + 1, true},
+		{"unknown to this leader", nil, bound, false},
+		{"unknown for longer than it may serve", nil, bound + 1, true},
+		{"drain bound has passed", peerState(time.Hour, 9, 1), time.Hour + time.Minute, true},
 	} {
 		l := control.NewLeader()
 		l.Machine, l.Members = fleet.NewMachine(), presence.NewMembers(time.Second)
@@ -355,7 +355,7 @@
 	}
 }
 
-// The platform's last word stays when the platform cannot be read, also for a leader that has only just started.
+// The platform's last listing stays in force while the platform cannot be read, also under a new leader.
 func TestListingsFollowPlatformAndEngine(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -365,11 +365,11 @@
 		leaving     bool
 		want        fleet.Listing
 	}{
-		{"the engine says that it leaves", fleet.ListingLive, nil, true, true, fleet.ListingLeaving},
-		{"the platform says live, the engine that it leaves", fleet.ListingLive, map[ident.VM]fleet.Listing{"w": fleet.ListingLive}, true, true, fleet.ListingLeaving},
-		{"listed as leaving, and the platform cannot be read", fleet.ListingLeaving, nil, true, false, fleet.ListingLeaving},
-		{"listed as leaving, and the platform says live", fleet.ListingLeaving, map[ident.VM]fleet.Listing{"w": fleet.ListingLive}, true, false, fleet.ListingLive},
-		{"without a platform the engine takes its word back", fleet.ListingLeaving, nil, false, false, fleet.ListingLive},
+		{"engine leaves", fleet.ListingLive, nil, true, true, fleet.ListingLeaving},
+		{"platform lists it as live, engine leaves", fleet.ListingLive, map[ident.VM]fleet.Listing{"w": fleet.ListingLive}, true, true, fleet.ListingLeaving},
+		{"leaving, platform cannot be read", fleet.ListingLeaving, nil, true, false, fleet.ListingLeaving},
+		{"leaving, platform lists it as live", fleet.ListingLeaving, map[ident.VM]fleet.Listing{"w": fleet.ListingLive}, true, false, fleet.ListingLive},
+		{"without a platform, engine no longer leaves", fleet.ListingLeaving, nil, false, false, fleet.ListingLive},
 	} {
 		l := control.NewLeader()
 		l.Machine, l.Members, l.Orders = fleet.NewMachine(), presence.NewMembers(time.Second), control.NewOrders()
@@ -402,7 +402,7 @@
 		}
 		l.Machine.Read(func(s *fleet.State) {
 			if got := s.VMs["w"].Listing; got != c.want {
-				t.Errorf("%s: %s, want %s", c.name, got, c.want)
+				t.Errorf("%s: got %s, want %s", c.name, got, c.want)
 			}
 		})
 	}
--- a/control/detector.go
+++ b/control/detector.go
@@ -9,11 +9,9 @@
 	"github.com/dunlinquay/dunlinquay/presence"
 )
 
-// FailureDetector turns observations into conditions that the planner acts on. It is
-// slower to condemn than dispatch is to look away: a member that is silent for
-// the presence bound gets no requests, and only one that stays silent for the
-// loss bound, while somebody does report on it, is lost. Silence of all
-// watchers means that nothing is known, and nothing is done.
+// FailureDetector derives the VM conditions that the planner acts on from observations. A member that is silent for the
+// presence bound gets no requests from dispatch; a member counts as lost only after the longer loss bound, and only if
+// an observer still reports on it. If all observers are silent, the condition is unknown and the planner does nothing.
 type FailureDetector struct {
 	Table         *presence.Table
 	PresenceBound time.Duration
@@ -26,7 +24,7 @@
 	condition planner.Condition
 	since     time.Time
 	losses    []time.Time
-	// joined is when the VM was first found joined in epoch; what was seen before says nothing about it.
+	// joinedAt is when the VM was first found joined in epoch; earlier observations do not count for that epoch.
 	epoch    ident.Epoch
 	joinedAt time.Time
 }
@@ -34,12 +32,12 @@
 // flapWindow is how long a loss counts as recent.
 const flapWindow = 10 * time.Minute
 
-// NewFailureDetector returns a judge that has seen nothing yet.
+// NewFailureDetector returns a detector without observations.
 func NewFailureDetector(table *presence.Table, presenceBound, lossBound time.Duration) *FailureDetector {
 	return &FailureDetector{Table: table, PresenceBound: presenceBound, LossBound: lossBound, histories: map[ident.VM]*vmHistory{}}
 }
 
-// Assess fills in the condition of every VM of w.
+// Assess sets the condition of each VM of the planner's input.
 func (d *FailureDetector) Assess(now time.Time, input *planner.Snapshot) {
 	for i := range input.VMs {
 		v := &input.VMs[i]
@@ -51,7 +49,7 @@
 	}
 }
 
-// Absent reports whether v is silent beyond the presence bound, which makes the leader look itself.
+// Absent reports whether v has been silent for longer than the presence bound; the leader then probes it itself.
 func (d *FailureDetector) Absent(now time.Time, v *fleet.VM) bool {
 	age, ok := d.Table.Cell(v.Name).PositiveAge(now)
 	return !ok || age > d.PresenceBound
@@ -68,13 +66,13 @@
 		return planner.ConditionUnknown
 	}
 	if !ok && v.Phase == fleet.VMFree {
-		// Watched and never seen: it cannot be used, and nothing is lost.
+		// A VM that has never answered cannot be used, but nothing is lost with it.
 		return planner.ConditionSuspect
 	}
 	return planner.ConditionLost
 }
 
-// conditionOnContact tells a member that is as it was confirmed from one that has started anew or forgotten its group since.
+// conditionOnContact distinguishes a member that is as it was confirmed from one that has restarted or lost its group.
 func conditionOnContact(s *presence.DatedObservation, v *fleet.VM, history *vmHistory) planner.Condition {
 	if s == nil || s.Sight != presence.ProbeAnswered {
 		return planner.ConditionSuspect
@@ -97,7 +95,7 @@
 	return history
 }
 
-// update notes the newest condition and forgets losses that are no longer recent.
+// update records the newest condition and drops losses outside flapWindow.
 func (h *vmHistory) update(now time.Time, c planner.Condition) {
 	if h.condition != c {
 		if c == planner.ConditionLost {
--- a/control/doc.go
+++ b/control/doc.go
@@ -1,2 +1,2 @@
-// Package control is the work of the control leader: judging VMs, planning groups, giving fenced orders.
+// Package control does the work of the control leader: assessing VMs, planning groups and sending fenced orders.
 package control
--- a/control/leader.go
+++ b/control/leader.go
@@ -17,26 +17,27 @@
 	"github.com/dunlinquay/dunlinquay/presence"
 )
 
-// Leader does the leader's work once in every tick, when this member leads; exported fields are set before use.
+// Leader does the control leader's work on each tick. Exported fields are set before use.
 type Leader struct {
 	Now      func() time.Time
 	Machine  *fleet.Machine
 	Detector *FailureDetector
 	Members  *presence.Members
-	// Daemons names every daemon that may serve, Started is when this process began to hear of them.
+	// Daemons names every daemon that may serve. Started is when this process began to receive their heartbeats.
 	Daemons []ident.Daemon
 	Started time.Time
 	Orders  *Orders
 	Policy  planner.Policy
-	// DrainBound is how long a drain waits for requests in progress, ControlBound how long a silent daemon may still serve.
+	// DrainBound is how long a drain waits for requests in progress, ControlBound how long a daemon may serve without
+	// contact to control.
 	DrainBound   time.Duration
 	ControlBound time.Duration
-	// Propose writes one command to the log.
+	// Propose writes a command to the log.
 	Propose func(ctx context.Context, c *fleet.Command) (fleet.Answer, error)
-	// Registered returns the VMs that settings and platform name, Listings what is said of their stay.
+	// Registered returns the VMs that settings and platform name, Listings whether they are live, leaving or gone.
 	Registered func() []fleet.VM
 	Listings   func() map[ident.VM]fleet.Listing
-	// HasPlatform is set when a platform lists VMs; without one only the engines themselves do.
+	// HasPlatform is set if a platform lists VMs; without a platform only engines announce that they leave.
 	HasPlatform bool
 	Log         logr.Logger
 
@@ -44,7 +45,7 @@
 	confirms  []fleet.Confirm
 	downSince map[ident.Group]time.Time
 	drains    map[ident.Group]drainStart
-	// input is the planner's view of revision laid; planned is what of it the last plan had seen.
+	// input is the planner's input for inputRevision, plannedFingerprint the fingerprint of the input of the last plan.
 	input              *planner.Snapshot
 	inputRevision      ident.Revision
 	plannedFingerprint []uint8
@@ -55,7 +56,7 @@
 	since time.Time
 }
 
-// NewLeader returns a leader without work.
+// NewLeader returns a leader with default settings.
 func NewLeader() *Leader {
 	return &Leader{
 		Now:        clock.Now,
@@ -68,7 +69,7 @@
 	}
 }
 
-// Confirm takes an engine's confirmation, which the next tick writes to the log together with others.
+// Confirm queues an engine's confirmation, which the next tick writes to the log together with others.
 func (l *Leader) Confirm(c fleet.Confirm) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,7 +84,7 @@
 	return c
 }
 
-// Tick does everything that is due; an error means that the log took no commands, and the next tick tries again.
+// Tick does everything that is due. An error means that the log accepted no commands; the next tick retries.
 func (l *Leader) Tick(ctx context.Context) error {
 	if err := l.writeConfirms(ctx); err != nil {
 		return err
@@ -110,7 +111,7 @@
 	return err
 }
 
-// register writes the VMs that are new or have moved.
+// register writes VMs that are new or have changed.
 func (l *Leader) register(ctx context.Context) error {
 	var changed []fleet.VM
 	l.Machine.Read(func(s *fleet.State) {
@@ -132,7 +133,7 @@
 		a.Accelerators == b.Accelerators && a.Speed == b.Speed && a.ChecksOrders == b.ChecksOrders
 }
 
-// writeListings writes what the platform and the engines say of VMs that stay or leave, where it has changed.
+// writeListings writes changes in what the platform and the engines say about VMs that stay or leave.
 func (l *Leader) writeListings(ctx context.Context) error {
 	listings := l.Listings()
 	var changed []fleet.VMListing
@@ -145,7 +146,8 @@
 			if seen := l.Detector.Table.Cell(v.Name).Latest(); seen != nil && seen.Leaving && listing == fleet.ListingLive {
 				listing = fleet.ListingLeaving
 			} else if !ok && !l.HasPlatform && seen != nil && !seen.Leaving && listing == fleet.ListingLeaving {
-				// With a platform its silence proves nothing: a leader that has not read the list yet must not take its word back.
+				// With a platform, the absence of a VM proves nothing: a leader that has not read the list yet must not
+				// revoke what the platform said before.
 				listing = fleet.ListingLive
 			}
 			if listing != v.Listing {
@@ -160,8 +162,8 @@
 	return err
 }
 
-// View calls fn with the planner's view at this moment, which fn must not keep. Laying a fleet out costs far more than
-// judging it, so that is done once for each revision.
+// View calls fn with the planner's current input, which fn must not keep. The input is built once per revision, because
+// building it costs far more than assessing it.
 func (l *Leader) View(fn func(input *planner.Snapshot)) {
 	now := l.Now()
 	l.mu.Lock()
@@ -171,7 +173,7 @@
 			l.inputRevision = s.Revision
 			l.input = planner.NewSnapshot(s.Clone())
 		})
-		// A name that is declared again later starts without the past of the one before.
+		// A group that is declared again under the same name starts without the history of the former one.
 		maps.DeleteFunc(l.downSince, func(name ident.Group, _ time.Time) bool { return l.input.Group(name) == nil })
 		maps.DeleteFunc(l.drains, func(name ident.Group, _ drainStart) bool { return l.input.Group(name) == nil })
 	}
@@ -180,7 +182,7 @@
 	fn(l.input)
 }
 
-// Actions returns what the planner wants, or nothing when all that it decides by is as it was at the last plan.
+// Actions returns the planner's actions, or none if its input has not changed since the last plan.
 func (l *Leader) Actions() (actions []planner.Action) {
 	l.View(func(input *planner.Snapshot) {
 		current := fingerprint(input, l.Policy.RecoveryWait, l.inputRevision)
@@ -193,7 +195,7 @@
 	return actions
 }
 
-// fingerprint notes everything that a plan depends on beside the state: conditions, drains, and the passing of times.
+// fingerprint covers everything that a plan depends on: the revision, VM conditions, finished drains and elapsed times.
 func fingerprint(input *planner.Snapshot, patience time.Duration, revision ident.Revision) []uint8 {
 	marks := binary.LittleEndian.AppendUint64(make([]uint8, 0, len(input.VMs)+len(input.Groups)), uint64(revision))
 	for i := range input.VMs {
@@ -245,8 +247,8 @@
 	return true
 }
 
-// drained reports whether no daemon can have a request in progress at g: each one knows of the drain and has none,
-// or has been silent for so long that it refuses requests; or the bound has passed.
+// drained reports whether no daemon can have a request in progress at g: each one knows of the drain and has none, or
+// has been silent for so long that it refuses requests. It is also true once the drain bound has passed.
 func (l *Leader) drained(now time.Time, g *planner.Group) bool {
 	if g.Phase != fleet.GroupDraining {
 		delete(l.drains, g.Spec.Name)
@@ -268,8 +270,8 @@
 	return true
 }
 
-// daemonFinished reports whether one daemon can have no request in progress at g. One that this process has not heard of yet may
-// be serving all the same, for as long as it may without control.
+// daemonFinished reports whether a daemon can have no request in progress at g. A daemon that this process has not
+// heard from can still be serving for up to ControlBound.
 func (l *Leader) daemonFinished(now time.Time, name ident.Daemon, g *planner.Group) bool {
 	peer, known := l.Members.Get(name)
 	if !known {
@@ -285,7 +287,7 @@
 	for _, a := range l.Actions() {
 		answer, err := l.Propose(ctx, commandFor(&a))
 		if err != nil {
-			// What was not written has to be planned again.
+			// Actions that were not written must be planned again.
 			l.resetPlan()
 			return err
 		}
--- a/control/orders.go
+++ b/control/orders.go
@@ -14,45 +14,41 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// Orders follow from the state alone: a VM that is joining is told to join
-// until it confirms, one that is leaving is told to leave. A leader that takes
-// over gives the same orders again, which engines take as done already.
+// Orders follow from the state alone: a joining VM gets join orders until it confirms, a leaving VM gets leave orders.
+// A new leader sends the same orders again, which engines treat as done.
 //
-// The weight store has a limited rate. A group serves only when its last member
-// has loaded, so loads that share the rate evenly all end late. Groups are
-// therefore started one after the other, the important one first, then the one
-// that lacks the fewest members, and a further one is started beside those that
-// load only when that lowers the sum of their waiting; see ShouldStartLoad.
+// The weight store has a limited rate. A group serves only once its last member has loaded, so loads that share the
+// rate evenly all finish late. Groups therefore load one after another, by priority and then by the fewest joining
+// members. A further group loads at the same time only if that lowers the sum of the waiting times; see
+// ShouldStartLoad.
 //
-// Two leaders must not steer the same engine. An engine that checks orders
-// compares the fence, the leader's term and a running number. For one that does
-// not, the leader gives orders only while it holds its lease, only after every
-// earlier leader's lease has run out, and with a deadline no later than its
-// own lease's end. What remains is a leader that is paused between the check
-// and the write for longer than the drift allowance: its order is bounded by
-// the deadline on the connection, not by the engine.
+// Two leaders must not control the same engine. An engine that checks orders compares the fence, which is the leader's
+// term and a sequence number. To an engine that does not, the leader sends orders only while it holds its lease, only
+// after every earlier leader's lease has expired, and with a deadline no later than the end of its own lease. One gap
+// remains: a leader that is paused between the check and the write for longer than the drift allowance can still send
+// an order, which is bounded by the deadline on the connection only.
 
-// Authority is what a leader may do at one moment.
+// Authority says which orders a leader may send at a moment.
 type Authority struct {
-	// Leads is set while this member believes it leads, in Term.
+	// Leads is set while this member believes that it leads, in Term.
 	Leads bool
 	Term  uint64
-	// MayOrderUnchecked is set while it may also order engines that check nothing; Until is the end of its lease.
+	// MayOrderUnchecked is set if the leader may also order engines that do not check fences, until LeaseEnd.
 	MayOrderUnchecked bool
 	LeaseEnd          time.Time
 }
 
-// Orders gives the orders that a state calls for; exported fields are set before use.
+// Orders sends the orders that a state requires. Exported fields are set before use.
 type Orders struct {
 	Now      func() time.Time
 	Deadline time.Duration
-	// ConcurrentLoads is how many VMs the weight store feeds at full rate.
+	// ConcurrentLoads is the number of VMs that the weight store serves at full rate.
 	ConcurrentLoads int
 	Authority       func() Authority
 	Send            func(ctx context.Context, address string, o *engine.Order) (engine.OrderAnswer, error)
-	// Confirmed receives what engines confirmed.
+	// Confirmed receives the confirmations of engines.
 	Confirmed func(c fleet.Confirm)
-	// Failed is told of every order that was not obeyed.
+	// Failed is called for each order that failed.
 	Failed func(vm ident.VM, kind engine.OrderKind, err error)
 
 	mu       sync.Mutex
@@ -61,12 +57,12 @@
 	wg       sync.WaitGroup
 }
 
-// attempt is the state of ordering one VM in one epoch.
+// attempt is the progress of the order for one VM in one epoch.
 type attempt struct {
 	epoch   ident.Epoch
 	kind    engine.OrderKind
 	running bool
-	// loading is set while the engine says that it loads, failed after an order that was not obeyed.
+	// loading is set while the engine reports that it loads weights, failed after an order that failed.
 	loading bool
 	failed  bool
 	nextAt  time.Time
@@ -80,17 +76,17 @@
 	maxBackoff             = 2 * time.Second
 )
 
-// NewOrders returns an idle order giver.
+// NewOrders returns Orders without any in flight.
 func NewOrders() *Orders {
 	return &Orders{Now: clock.Now, ConcurrentLoads: defaultConcurrentLoads, pending: map[ident.VM]*attempt{}, Failed: func(ident.VM, engine.OrderKind, error) {}}
 }
 
-// Wait returns when no order is on its way.
+// Wait returns when no order is in flight.
 func (o *Orders) Wait() {
 	o.wg.Wait()
 }
 
-// Reconcile starts every order that s calls for and that is due.
+// Reconcile sends every order that s requires and that is due.
 func (o *Orders) Reconcile(ctx context.Context, s *fleet.State) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -106,7 +102,7 @@
 		if a.running || now.Before(a.nextAt) || running >= maxOrdersInFlight {
 			continue
 		}
-		// A VM whose last order failed is asked again without a turn: it does not load, and must not keep others from it.
+		// A VM whose last order failed is not loading, so its retry needs no slot and blocks no other VM.
 		needsLoadSlot := order.Kind == engine.OrderJoin && !a.failed
 		if needsLoadSlot && !loads.admit(v.Group, joining[v.Group], o.ConcurrentLoads) || !o.mayOrder(v, order, now) {
 			continue
@@ -117,10 +113,10 @@
 	}
 }
 
-// groupLoads counts, for each group that loads, the VMs that do.
+// groupLoads counts the loading VMs of each loading group.
 type groupLoads map[ident.Group]int
 
-// admit reports whether a group may load now, and counts it when it may.
+// admit reports whether a group may load now, and if so counts its VMs.
 func (l groupLoads) admit(group ident.Group, joining, limit int) bool {
 	if _, ok := l[group]; ok {
 		return true
@@ -136,8 +132,8 @@
 	return true
 }
 
-// ShouldStartLoad reports whether starting more loads beside those of the given number of VMs and groups lowers the sum of all
-// groups' waiting, when limit VMs can load at full rate and more of them share it evenly.
+// ShouldStartLoad reports whether loading additional VMs now, beside the given number of loading VMs and groups, lowers
+// the sum of the waiting times of all groups. Up to limit VMs load at full rate; more of them share it evenly.
 func ShouldStartLoad(vms, groups, additional, limit int) bool {
 	if groups == 0 {
 		return true
@@ -148,7 +144,7 @@
 	return concurrent <= sequential
 }
 
-// orderQueue returns the VMs that join or leave, in the order in which they are to be ordered, and what each group lacks.
+// orderQueue returns the joining and leaving VMs in the order in which they get orders, and the joining VMs per group.
 func orderQueue(s *fleet.State) (queue []*fleet.VM, joining map[ident.Group]int) {
 	joining = map[ident.Group]int{}
 	for _, v := range s.VMs {
@@ -161,7 +157,7 @@
 		}
 	}
 	slices.SortFunc(queue, func(a, b *fleet.VM) int {
-		// Leaving costs nothing and frees a VM for others.
+		// Leave orders cost nothing and free a VM for other groups.
 		if a.Phase != b.Phase {
 			return cmp.Compare(b.Phase, a.Phase)
 		}
@@ -179,7 +175,7 @@
 	return 0
 }
 
-// dropStale drops attempts that the state no longer calls for and counts those on their way and, by group, those that load.
+// dropStale drops attempts that the state no longer requires. It returns the orders in flight and the loads by group.
 func (o *Orders) dropStale(s *fleet.State) (running int, loads groupLoads) {
 	loads = groupLoads{}
 	for name, a := range o.pending {
@@ -222,7 +218,7 @@
 	return true
 }
 
-// orderFor returns the order that the state of v calls for, or nil.
+// orderFor returns the order that the state of v requires, or nil.
 func orderFor(s *fleet.State, v *fleet.VM) *engine.Order {
 	switch v.Phase {
 	case fleet.VMLeaving:
@@ -271,7 +267,7 @@
 	a.failed = err != nil
 	a.loading = err == nil && !answer.Done && order.Kind == engine.OrderJoin
 	if err == nil && !answer.Done {
-		// Loading takes its time; the question is repeated at an even pace.
+		// Loading takes long, so the engine is asked for its state at a constant interval.
 		a.backoff = initialBackoff
 	}
 	a.nextAt = o.Now().Add(a.backoff)
@@ -285,7 +281,7 @@
 	}
 }
 
-// IsFenced reports whether an engine refused because it has seen a newer leader.
+// IsFenced reports whether an engine refused an order because it has seen a newer fence.
 func IsFenced(err error) bool {
 	return result.CodeOf(err) == result.OrderFenced
 }
