--- a/control/control_test.go
+++ b/control/control_test.go
@@ -26,29 +26,29 @@
 	answer := presence.Observation{VM: "w", Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 7}
 	refused := presence.Observation{VM: "w", Sight: presence.ProbeRefused}
 	silent := presence.Observation{VM: "w", Sight: presence.ProbeTimedOut}
-	type seen struct {
-		at time.Duration
-		o  presence.Observation
+	type timedObservation struct {
+		at          time.Duration
+		observation presence.Observation
 	}
 	for _, c := range []struct {
-		name  string
-		phase fleet.VMPhase
-		seen  []seen
-		at    time.Duration
-		want  planner.Condition
+		name         string
+		phase        fleet.VMPhase
+		observations []timedObservation
+		at           time.Duration
+		want         planner.Condition
 	}{
 		{"no observation", fleet.VMJoined, nil, time.Hour, planner.ConditionUnknown},
-		{"present", fleet.VMJoined, []seen{{time.Second, answer}}, 2 * time.Second, planner.ConditionPresent},
-		{"silent for less than the loss bound", fleet.VMJoined, []seen{{time.Second, answer}, {3 * time.Second, silent}}, 3 * time.Second, planner.ConditionPresent},
-		{"silent for the loss bound, with an observer", fleet.VMJoined, []seen{{time.Second, answer}, {4 * time.Second, silent}}, 4 * time.Second, planner.ConditionLost},
-		{"silent for the loss bound, without an observer", fleet.VMJoined, []seen{{time.Second, answer}}, time.Minute, planner.ConditionUnknown},
-		{"refused for less than the loss bound", fleet.VMJoined, []seen{{time.Second, answer}, {2 * time.Second, refused}}, 2 * time.Second, planner.ConditionSuspect},
-		{"refused for the loss bound", fleet.VMJoined, []seen{{time.Second, answer}, {4 * time.Second, refused}}, 4 * time.Second, planner.ConditionLost},
-		{"seen by one of two observers", fleet.VMJoined, []seen{{3 * time.Second, answer}, {4 * time.Second, silent}}, 4 * time.Second, planner.ConditionPresent},
-		{"another incarnation", fleet.VMJoined, []seen{{time.Second, presence.Observation{VM: "w", Sight: presence.ProbeAnswered, Incarnation: "j", Epoch: 7}}}, 2 * time.Second, planner.ConditionRestarted},
-		{"old epoch, observed after joining", fleet.VMJoined, []seen{{time.Second, presence.Observation{VM: "w", Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 6}}}, 2 * time.Second, planner.ConditionRestarted},
-		{"old epoch, observed before joining", fleet.VMJoined, []seen{{0, presence.Observation{VM: "w", Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 6}}}, time.Second, planner.ConditionPresent},
-		{"free VM that never answered", fleet.VMFree, []seen{{time.Second, refused}}, 2 * time.Second, planner.ConditionSuspect},
+		{"present", fleet.VMJoined, []timedObservation{{time.Second, answer}}, 2 * time.Second, planner.ConditionPresent},
+		{"silent for less than the loss bound", fleet.VMJoined, []timedObservation{{time.Second, answer}, {3 * time.Second, silent}}, 3 * time.Second, planner.ConditionPresent},
+		{"silent for the loss bound, with an observer", fleet.VMJoined, []timedObservation{{time.Second, answer}, {4 * time.Second, silent}}, 4 * time.Second, planner.ConditionLost},
+		{"silent for the loss bound, without an observer", fleet.VMJoined, []timedObservation{{time.Second, answer}}, time.Minute, planner.ConditionUnknown},
+		{"refused for less than the loss bound", fleet.VMJoined, []timedObservation{{time.Second, answer}, {2 * time.Second, refused}}, 2 * time.Second, planner.ConditionSuspect},
+		{"refused for the loss bound", fleet.VMJoined, []timedObservation{{time.Second, answer}, {4 * time.Second, refused}}, 4 * time.Second, planner.ConditionLost},
+		{"seen by one of two observers", fleet.VMJoined, []timedObservation{{3 * time.Second, answer}, {4 * time.Second, silent}}, 4 * time.Second, planner.ConditionPresent},
+		{"another incarnation", fleet.VMJoined, []timedObservation{{time.Second, presence.Observation{VM: "w", Sight: presence.ProbeAnswered, Incarnation: "j", Epoch: 7}}}, 2 * time.Second, planner.ConditionRestarted},
+		{"old epoch, observed after joining", fleet.VMJoined, []timedObservation{{time.Second, presence.Observation{VM: "w", Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 6}}}, 2 * time.Second, planner.ConditionRestarted},
+		{"old epoch, observed before joining", fleet.VMJoined, []timedObservation{{0, presence.Observation{VM: "w", Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 6}}}, time.Second, planner.ConditionPresent},
+		{"free VM that never answered", fleet.VMFree, []timedObservation{{time.Second, refused}}, 2 * time.Second, planner.ConditionSuspect},
 	} {
 		table := presence.NewTable()
 		detector := control.NewFailureDetector(table, time.Second, 2*time.Second)
@@ -56,8 +56,8 @@
 		s.VMs["w"] = &fleet.VM{Name: "w", Phase: c.phase, Epoch: 7, Incarnation: "i"}
 		input := planner.NewSnapshot(s)
 		detector.Assess(start, input)
-		for _, observation := range c.seen {
-			table.Observe(start.Add(observation.at), []presence.Observation{observation.o})
+		for _, timed := range c.observations {
+			table.Observe(start.Add(timed.at), []presence.Observation{timed.observation})
 		}
 		detector.Assess(start.Add(c.at), input)
 		if got := input.VM("w").Condition; got != c.want {
@@ -162,10 +162,10 @@
 
 func TestOrdersRequireAuthority(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		authority control.Authority
-		checks    bool
-		want      int
+		name         string
+		authority    control.Authority
+		checksOrders bool
+		want         int
 	}{
 		{"no leader, engines check fences", control.Authority{}, true, 0},
 		{"leader without a lease, engines check fences", control.Authority{Leads: true}, true, 3},
@@ -176,7 +176,7 @@
 		r := newOrderRecorder()
 		r.Now = func() time.Time { return start }
 		r.authority = c.authority
-		r.Reconcile(t.Context(), formingState(c.checks))
+		r.Reconcile(t.Context(), formingState(c.checksOrders))
 		r.Wait()
 		if got := len(r.sent); got != c.want {
 			t.Errorf("%s: %d orders, want %d", c.name, got, c.want)
@@ -190,18 +190,18 @@
 		r := newOrderRecorder()
 		r.authority.LeaseEnd = time.Now().Add(300 * time.Millisecond)
 		started := time.Now()
-		var took time.Duration
+		var elapsed time.Duration
 		r.Send = func(ctx context.Context, _ string, _ *engine.Order) (engine.OrderAnswer, error) {
 			<-ctx.Done()
 			r.mu.Lock()
-			took = time.Since(started)
+			elapsed = time.Since(started)
 			r.mu.Unlock()
 			return engine.OrderAnswer{}, ctx.Err()
 		}
 		r.Reconcile(t.Context(), formingState(false))
 		r.Wait()
-		if took > 300*time.Millisecond {
-			t.Errorf("an order was in flight for %s, the lease ended after 300ms", took)
+		if elapsed > 300*time.Millisecond {
+			t.Errorf("an order was in flight for %s, the lease ended after 300ms", elapsed)
 		}
 	})
 }
@@ -290,8 +290,8 @@
 
 func TestShouldStartLoad(t *testing.T) {
 	for _, c := range []struct {
-		vms, groups, more, limit int
-		want                     bool
+		vms, groups, additional, limit int
+		want                           bool
 	}{
 		{0, 0, 100, 8, true},
 		{4, 1, 4, 8, true},
@@ -300,8 +300,8 @@
 		{8, 1, 1, 8, true},
 		{8, 1, 8, 8, false},
 	} {
-		if got := control.ShouldStartLoad(c.vms, c.groups, c.more, c.limit); got != c.want {
-			t.Errorf("%d loading VMs of %d groups, %d additional, limit %d: %t, want %t", c.vms, c.groups, c.more, c.limit, got, c.want)
+		if got := control.ShouldStartLoad(c.vms, c.groups, c.additional, c.limit); got != c.want {
+			t.Errorf("%d loading VMs of %d groups, %d additional, limit %d: %t, want %t", c.vms, c.groups, c.additional, c.limit, got, c.want)
 		}
 	}
 }
@@ -347,8 +347,8 @@
 		l.Now = func() time.Time { return start }
 		l.View(func(*planner.Snapshot) {})
 		l.Now = func() time.Time { return start.Add(c.at) }
-		l.View(func(w *planner.Snapshot) {
-			if got := w.Group("g").Drained; got != c.want {
+		l.View(func(input *planner.Snapshot) {
+			if got := input.Group("g").Drained; got != c.want {
 				t.Errorf("%s: drained %t, want %t", c.name, got, c.want)
 			}
 		})
@@ -360,7 +360,7 @@
 	for _, c := range []struct {
 		name        string
 		before      fleet.Listing
-		said        map[ident.VM]fleet.Listing
+		listings    map[ident.VM]fleet.Listing
 		hasPlatform bool
 		leaving     bool
 		want        fleet.Listing
@@ -378,7 +378,7 @@
 		table := presence.NewTable()
 		table.Observe(time.Now(), []presence.Observation{{VM: "w", Sight: presence.ProbeAnswered, Leaving: c.leaving}})
 		l.Detector = control.NewFailureDetector(table, time.Second, 2*time.Second)
-		l.Listings = func() map[ident.VM]fleet.Listing { return c.said }
+		l.Listings = func() map[ident.VM]fleet.Listing { return c.listings }
 		s := fleet.NewState()
 		s.VMs["w"] = &fleet.VM{Name: "w", Listing: c.before, Accelerators: 1}
 		data, err := s.Marshal()
--- a/control/leader.go
+++ b/control/leader.go
@@ -143,9 +143,9 @@
 			if !ok {
 				listing = v.Listing
 			}
-			if seen := l.Detector.Table.Cell(v.Name).Latest(); seen != nil && seen.Leaving && listing == fleet.ListingLive {
+			if latest := l.Detector.Table.Cell(v.Name).Latest(); latest != nil && latest.Leaving && listing == fleet.ListingLive {
 				listing = fleet.ListingLeaving
-			} else if !ok && !l.HasPlatform && seen != nil && !seen.Leaving && listing == fleet.ListingLeaving {
+			} else if !ok && !l.HasPlatform && latest != nil && !latest.Leaving && listing == fleet.ListingLeaving {
 				// With a platform, the absence of a VM proves nothing: a leader that has not read the list yet must not
 				// revoke what the platform said before.
 				listing = fleet.ListingLive
@@ -196,7 +196,7 @@
 }
 
 // fingerprint covers everything that a plan depends on: the revision, VM conditions, finished drains and elapsed times.
-func fingerprint(input *planner.Snapshot, patience time.Duration, revision ident.Revision) []uint8 {
+func fingerprint(input *planner.Snapshot, recoveryWait time.Duration, revision ident.Revision) []uint8 {
 	marks := binary.LittleEndian.AppendUint64(make([]uint8, 0, len(input.VMs)+len(input.Groups)), uint64(revision))
 	for i := range input.VMs {
 		v := &input.VMs[i]
@@ -212,7 +212,7 @@
 		if g.Drained {
 			mark |= 1
 		}
-		if g.DownFor >= patience {
+		if g.DownFor >= recoveryWait {
 			mark |= 2
 		}
 		marks = append(marks, mark)
