--- a/roster/copy.go
+++ b/roster/copy.go
@@ -23,7 +23,7 @@
 		c.Groups = map[ident.Group]Group{}
 	}
 	if d.Replaces != 0 {
-		c.replace(d.Replaces)
+		c.dropPartitions(d.Replaces)
 	}
 	for _, id := range d.Gone {
 		delete(c.Upstreams, id)
--- a/roster/sums_test.go
+++ b/roster/digests_test.go
@@ -13,8 +13,8 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// seeded returns a roster of so many upstreams, every eighth of which heads a group.
-func seeded(n int) *roster.Roster {
+// seededRoster returns a roster of so many upstreams, every eighth of which heads a group.
+func seededRoster(n int) *roster.Roster {
 	var upstreams []roster.Upstream
 	var groups []roster.Group
 	for i := range n {
@@ -39,13 +39,13 @@
 }
 
 // A new leader that knows what a copy holds sends nothing of it, and of what has changed no more than the parts that it stands in.
-func TestANewLeaderSendsWhatDiffers(t *testing.T) {
-	c := copyOf(seeded(800))
-	next := seeded(800)
+func TestNewLeaderSendsDifferingPartitions(t *testing.T) {
+	c := copyOf(seededRoster(800))
+	next := seededRoster(800)
 	if d := next.Diff(c.Digests()); !d.Empty() {
 		t.Errorf("%d upstreams and %d groups are sent where nothing differs", len(d.Upstreams), len(d.Groups))
 	}
-	next.ApplyReport(start, report("i-0007", "10.0.0.7:80", 1))
+	next.ApplyReport(start, newReport("i-0007", "10.0.0.7:80", 1))
 	next.DropGroup("g-0016")
 	d := next.Diff(c.Digests())
 	if len(d.Upstreams) == 0 || len(d.Upstreams) > 2*800/64*3 {
@@ -58,13 +58,13 @@
 }
 
 // Whatever a copy holds, it holds what the roster does once it has applied what differs.
-func TestDifferingBringsAnyCopyUpToDate(t *testing.T) {
+func TestDiffBringsAnyCopyUpToDate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func(label string) *roster.Roster {
+		drawRoster := func(label string) *roster.Roster {
 			r := newRoster()
 			for i := range rapid.IntRange(0, 40).Draw(t, label) {
 				id := ident.Incarnation(fmt.Sprintf("i-%d", rapid.IntRange(0, 60).Draw(t, "id")))
-				r.ApplyReport(start, report(id, string(id), uint64(i+1)))
+				r.ApplyReport(start, newReport(id, string(id), uint64(i+1)))
 				if rapid.Bool().Draw(t, "group") {
 					r.PutGroup(&roster.Group{
 						Name: ident.Group("g" + id), Epoch: ident.Epoch(rapid.IntRange(0, 2).Draw(t, "epoch")), Members: []ident.Incarnation{id},
@@ -73,7 +73,7 @@
 			}
 			return r
 		}
-		c, next := copyOf(draw("former")), draw("next")
+		c, next := copyOf(drawRoster("former")), drawRoster("next")
 		d := next.Diff(c.Digests())
 		c.Apply(&d)
 		if diff := cmp.Diff(copyOf(next), c); diff != "" {
@@ -83,14 +83,14 @@
 }
 
 // Each field of an upstream and of a group counts, but for the leader's own time.
-func TestEachFieldCounts(t *testing.T) {
-	sums := func(u *roster.Upstream, g *roster.Group) roster.Digests {
+func TestDigestsCoverEachField(t *testing.T) {
+	digestsOf := func(u *roster.Upstream, g *roster.Group) roster.Digests {
 		c := roster.NewCopy()
 		c.Upstreams[u.ID], c.Groups[g.Name] = *u, *g
 		return *c.Digests()
 	}
-	base := sums(&roster.Upstream{}, &roster.Group{})
-	check := func(name string, v reflect.Value, other func() roster.Digests) {
+	base := digestsOf(&roster.Upstream{}, &roster.Group{})
+	check := func(name string, v reflect.Value, digestsNow func() roster.Digests) {
 		for i := range v.NumField() {
 			f, field := v.Field(i), v.Type().Field(i)
 			if field.Type == reflect.TypeFor[time.Time]() {
@@ -98,16 +98,16 @@
 			}
 			if field.Type == reflect.TypeFor[roster.Membership]() {
 				for j := range f.NumField() {
-					setOther(f.Field(j))
-					if other() == base {
+					setNonZero(f.Field(j))
+					if digestsNow() == base {
 						t.Errorf("%s.%s.%s does not count", name, field.Name, field.Type.Field(j).Name)
 					}
 					f.Field(j).SetZero()
 				}
 				continue
 			}
-			setOther(f)
-			if other() == base {
+			setNonZero(f)
+			if digestsNow() == base {
 				t.Errorf("%s.%s does not count", name, field.Name)
 			}
 			f.SetZero()
@@ -115,12 +115,12 @@
 	}
 	var u roster.Upstream
 	var g roster.Group
-	check("Upstream", reflect.ValueOf(&u).Elem(), func() roster.Digests { return sums(&u, &g) })
-	check("Group", reflect.ValueOf(&g).Elem(), func() roster.Digests { return sums(&u, &g) })
+	check("Upstream", reflect.ValueOf(&u).Elem(), func() roster.Digests { return digestsOf(&u, &g) })
+	check("Group", reflect.ValueOf(&g).Elem(), func() roster.Digests { return digestsOf(&u, &g) })
 }
 
-// setOther gives a field another value than its zero.
-func setOther(f reflect.Value) {
+// setNonZero gives a field another value than its zero.
+func setNonZero(f reflect.Value) {
 	switch f.Kind() {
 	case reflect.String:
 		f.SetString("x")
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -18,26 +18,26 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// rememberGone is how long an ended id is remembered; reports arrive seconds late at most.
-const rememberGone = 2 * time.Minute
+// endedRetention is how long an ended id is remembered; reports arrive seconds late at most.
+const endedRetention = 2 * time.Minute
 
-// forgetLeft is how long an upstream that has signed off is kept; it finishes within ten seconds.
-const forgetLeft = 15 * time.Second
+// signedOffRetention is how long an upstream that has signed off is kept; it finishes within ten seconds.
+const signedOffRetention = 15 * time.Second
 
-// coldUnheard is how long an upstream counts as cold by what is known from elsewhere than its own reports; these come sooner.
-const coldUnheard = 10 * time.Second
+// coldWithoutReport is how long an upstream counts as cold by what is known from elsewhere than its own reports; these come sooner.
+const coldWithoutReport = 10 * time.Second
 
-// reportsToReturn is how many newer reports bring back a life that another one at its address had replaced.
-const reportsToReturn = 2
+// reportsToRestore is how many newer reports bring back a life that another one at its address had replaced.
+const reportsToRestore = 2
 
 type upstreamRecord struct {
 	Upstream
-	sequence uint64
-	heard    time.Time
+	sequence    uint64
+	lastContact time.Time
 	// coldUntil is when it is warm by its last report.
 	coldUntil time.Time
-	// left is set when it has signed off and will not report again.
-	left bool
+	// signedOff is set when it has signed off and will not report again.
+	signedOff bool
 	// reported is set once it has reported to this roster, and not only to one that this one was seeded from.
 	reported bool
 }
@@ -51,13 +51,13 @@
 // journalLength is the number of changes that are kept; a copy that is further behind gets everything.
 const journalLength = 8192
 
-type goneRecord struct {
-	at time.Time
+type endedRecord struct {
+	endedAt time.Time
 	// replaced is set when another life reported from the same address, sequence is then the last one seen.
 	replaced bool
 	sequence uint64
-	// again counts newer reports of a replaced life.
-	again int
+	// newerReports counts newer reports of a replaced life.
+	newerReports int
 }
 
 // Roster is the leader's state; its methods may be called concurrently.
@@ -71,37 +71,37 @@
 	revision  Revision
 	upstreams map[ident.Incarnation]*upstreamRecord
 	byAddress map[string]ident.Incarnation
-	// newest is the last life of each upstream by its id.
-	newest map[string]ident.Incarnation
-	groups map[ident.Group]Group
-	gone   map[ident.Incarnation]goneRecord
+	// newestByID is the last life of each upstream by its id.
+	newestByID map[string]ident.Incarnation
+	groups     map[ident.Group]Group
+	ended      map[ident.Incarnation]endedRecord
 	// journal holds the changes after revision base, one for each revision.
-	journal []change
-	base    Revision
-	changed chan struct{}
-	// sums are the digests of the parts at revision sumsOf.
-	sums   Digests
-	sumsOf Revision
+	journal     []change
+	journalBase Revision
+	changed     chan struct{}
+	// digests are the digests of the parts at revision digestsRevision.
+	digests         Digests
+	digestsRevision Revision
 }
 
 // New returns an empty roster.
 func New() *Roster {
 	return &Roster{
-		upstreams: map[ident.Incarnation]*upstreamRecord{},
-		byAddress: map[string]ident.Incarnation{},
-		newest:    map[string]ident.Incarnation{},
-		groups:    map[ident.Group]Group{},
-		gone:      map[ident.Incarnation]goneRecord{},
-		changed:   make(chan struct{}),
+		upstreams:  map[ident.Incarnation]*upstreamRecord{},
+		byAddress:  map[string]ident.Incarnation{},
+		newestByID: map[string]ident.Incarnation{},
+		groups:     map[ident.Group]Group{},
+		ended:      map[ident.Incarnation]endedRecord{},
+		changed:    make(chan struct{}),
 	}
 }
 
-// touch notes a change and wakes everyone who waits.
-func (r *Roster) touch(c change) {
+// recordChange notes a change and wakes everyone who waits.
+func (r *Roster) recordChange(c change) {
 	r.revision++
 	r.journal = append(r.journal, c)
 	if len(r.journal) >= 2*journalLength {
-		r.base += journalLength
+		r.journalBase += journalLength
 		r.journal = append([]change(nil), r.journal[journalLength:]...)
 	}
 	close(r.changed)
@@ -113,15 +113,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, u := range upstreams {
-		r.upstreams[u.ID] = &upstreamRecord{Upstream: u, heard: now, coldUntil: now.Add(coldUnheard)}
+		r.upstreams[u.ID] = &upstreamRecord{Upstream: u, lastContact: now, coldUntil: now.Add(coldWithoutReport)}
 		r.byAddress[u.Address] = u.ID
-		r.newest[u.ID.UpstreamID()] = u.ID
-		r.touch(change{upstream: u.ID})
+		r.newestByID[u.ID.UpstreamID()] = u.ID
+		r.recordChange(change{upstream: u.ID})
 	}
 	for _, g := range groups {
 		g.Since = now
 		r.groups[g.Name] = g
-		r.touch(change{group: g.Name})
+		r.recordChange(change{group: g.Name})
 	}
 }
 
@@ -129,41 +129,41 @@
 func (r *Roster) ApplyReport(now time.Time, report *Report) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.outlived(now, report) || r.stays(report) {
+	if r.fromEarlierIncarnation(now, report) || r.fromEndedIncarnation(report) {
 		return false
 	}
-	rec := r.upstreams[report.ID]
-	if rec != nil && report.Sequence <= rec.sequence {
+	record := r.upstreams[report.ID]
+	if record != nil && report.Sequence <= record.sequence {
 		return false
 	}
-	r.supersede(now, report)
+	r.replaceAtAddress(now, report)
 	next := report.Upstream
 	next.Cold = report.ColdFor > 0
 	if len(next.Loaded) > 0 {
 		next.Last = next.Loaded[0]
 	}
-	if rec != nil {
+	if record != nil {
 		if next.Last == "" {
-			next.Last = rec.Last
+			next.Last = record.Last
 		}
-		rec.heard = now
-		rec.reported = true
-		rec.sequence = report.Sequence
-		rec.coldUntil = now.Add(report.ColdFor)
+		record.lastContact = now
+		record.reported = true
+		record.sequence = report.Sequence
+		record.coldUntil = now.Add(report.ColdFor)
 		// An upstream that has announced its end does not take it back.
-		next.Draining = next.Draining || rec.Draining
-		next.Bound = rec.Bound
-		if reflect.DeepEqual(rec.Upstream, next) {
+		next.Draining = next.Draining || record.Draining
+		next.Bound = record.Bound
+		if reflect.DeepEqual(record.Upstream, next) {
 			return false
 		}
-		rec.Upstream = next
-		r.touch(change{upstream: report.ID})
+		record.Upstream = next
+		r.recordChange(change{upstream: report.ID})
 		return true
 	}
 	r.upstreams[report.ID] = &upstreamRecord{
-		Upstream: next, sequence: report.Sequence, heard: now, coldUntil: now.Add(report.ColdFor), reported: true,
+		Upstream: next, sequence: report.Sequence, lastContact: now, coldUntil: now.Add(report.ColdFor), reported: true,
 	}
-	r.touch(change{upstream: report.ID})
+	r.recordChange(change{upstream: report.ID})
 	return true
 }
 
@@ -171,14 +171,14 @@
 func (r *Roster) MarkHallCold(now time.Time, hall ident.Hall) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for id, rec := range r.upstreams {
-		if rec.Hall != hall {
+	for id, record := range r.upstreams {
+		if record.Hall != hall {
 			continue
 		}
-		rec.coldUntil = now.Add(coldUnheard)
-		if !rec.Cold {
-			rec.Cold = true
-			r.touch(change{upstream: id})
+		record.coldUntil = now.Add(coldWithoutReport)
+		if !record.Cold {
+			record.Cold = true
+			r.recordChange(change{upstream: id})
 		}
 	}
 }
@@ -187,75 +187,75 @@
 func (r *Roster) SetBound(id ident.Incarnation, bound bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec := r.upstreams[id]
-	if rec == nil || rec.Bound == bound {
+	record := r.upstreams[id]
+	if record == nil || record.Bound == bound {
 		return
 	}
-	rec.Bound = bound
-	r.touch(change{upstream: id})
+	record.Bound = bound
+	r.recordChange(change{upstream: id})
 }
 
-// outlived reports whether report comes from an earlier life of an upstream that has started again under its id. Of one that has, the
+// fromEarlierIncarnation reports whether report comes from an earlier life of an upstream that has started again under its id. Of one that has, the
 // earlier life is over, and so are its groups.
-func (r *Roster) outlived(now time.Time, report *Report) bool {
+func (r *Roster) fromEarlierIncarnation(now time.Time, report *Report) bool {
 	id := report.ID.UpstreamID()
-	last, known := r.newest[id]
-	if known && last != report.ID {
-		if report.ID.StartTime() <= last.StartTime() {
+	newest, known := r.newestByID[id]
+	if known && newest != report.ID {
+		if report.ID.StartTime() <= newest.StartTime() {
 			return true
 		}
-		r.endLife(now, last)
+		r.endIncarnation(now, newest)
 	}
-	r.newest[id] = report.ID
+	r.newestByID[id] = report.ID
 	return false
 }
 
-// endLife ends a life for good and frees its address.
-func (r *Roster) endLife(now time.Time, id ident.Incarnation) {
-	rec := r.upstreams[id]
-	if rec == nil {
+// endIncarnation ends a life for good and frees its address.
+func (r *Roster) endIncarnation(now time.Time, id ident.Incarnation) {
+	record := r.upstreams[id]
+	if record == nil {
 		return
 	}
-	if r.byAddress[rec.Address] == id {
-		delete(r.byAddress, rec.Address)
+	if r.byAddress[record.Address] == id {
+		delete(r.byAddress, record.Address)
 	}
-	r.end(now, id)
+	r.markEnded(now, id)
 }
 
-// stays reports whether report comes from a life that has ended for good. A life that was taken for ended only because
+// fromEndedIncarnation reports whether report comes from a life that has ended for good. A life that was taken for ended only because
 // a late report of its predecessor came from the same address goes on reporting, which the predecessor does not.
-func (r *Roster) stays(report *Report) bool {
-	ended, ok := r.gone[report.ID]
+func (r *Roster) fromEndedIncarnation(report *Report) bool {
+	ended, ok := r.ended[report.ID]
 	if !ok {
 		return false
 	}
 	if !ended.replaced || report.Sequence <= ended.sequence {
 		return true
 	}
-	ended.again++
+	ended.newerReports++
 	ended.sequence = report.Sequence
-	r.gone[report.ID] = ended
-	if ended.again < reportsToReturn {
+	r.ended[report.ID] = ended
+	if ended.newerReports < reportsToRestore {
 		return true
 	}
-	delete(r.gone, report.ID)
+	delete(r.ended, report.ID)
 	return false
 }
 
-// supersede ends the life that had the address before.
-func (r *Roster) supersede(now time.Time, report *Report) {
-	old, taken := r.byAddress[report.Address]
+// replaceAtAddress ends the life that had the address before.
+func (r *Roster) replaceAtAddress(now time.Time, report *Report) {
+	previous, occupied := r.byAddress[report.Address]
 	r.byAddress[report.Address] = report.ID
-	if !taken || old == report.ID {
+	if !occupied || previous == report.ID {
 		return
 	}
-	ended := goneRecord{at: now, replaced: true}
-	if rec := r.upstreams[old]; rec != nil {
-		ended.sequence = rec.sequence
+	ended := endedRecord{endedAt: now, replaced: true}
+	if record := r.upstreams[previous]; record != nil {
+		ended.sequence = record.sequence
 	}
-	delete(r.upstreams, old)
-	r.gone[old] = ended
-	r.touch(change{upstream: old})
+	delete(r.upstreams, previous)
+	r.ended[previous] = ended
+	r.recordChange(change{upstream: previous})
 }
 
 // SignOff notes that an upstream has signed off. It may go on with what it has for a while, so it stays, as one that gets
@@ -263,19 +263,19 @@
 func (r *Roster) SignOff(now time.Time, id ident.Incarnation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if last, known := r.newest[id.UpstreamID()]; known && id.StartTime() == 0 {
-		id = last
+	if newest, known := r.newestByID[id.UpstreamID()]; known && id.StartTime() == 0 {
+		id = newest
 	}
-	rec := r.upstreams[id]
-	if rec == nil {
-		r.end(now, id)
+	record := r.upstreams[id]
+	if record == nil {
+		r.markEnded(now, id)
 		return
 	}
-	rec.left = true
-	rec.heard = now
-	if !rec.Draining {
-		rec.Draining = true
-		r.touch(change{upstream: id})
+	record.signedOff = true
+	record.lastContact = now
+	if !record.Draining {
+		record.Draining = true
+		r.recordChange(change{upstream: id})
 	}
 }
 
@@ -284,45 +284,45 @@
 func (r *Roster) MarkDraining(id ident.Incarnation) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec := r.upstreams[id]
-	if rec == nil || rec.Draining {
+	record := r.upstreams[id]
+	if record == nil || record.Draining {
 		return false
 	}
-	rec.Draining = true
-	r.touch(change{upstream: id})
+	record.Draining = true
+	r.recordChange(change{upstream: id})
 	return true
 }
 
-func (r *Roster) end(now time.Time, id ident.Incarnation) {
+func (r *Roster) markEnded(now time.Time, id ident.Incarnation) {
 	delete(r.upstreams, id)
-	r.gone[id] = goneRecord{at: now}
-	r.touch(change{upstream: id})
+	r.ended[id] = endedRecord{endedAt: now}
+	r.recordChange(change{upstream: id})
 }
 
 // Expire marks silent upstreams, drops those that were silent for long, and forgets old ends.
 func (r *Roster) Expire(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for id, rec := range r.upstreams {
-		age := now.Sub(rec.heard)
-		if age >= r.ForgetAfter || rec.left && age >= forgetLeft {
-			r.endLife(now, id)
+	for id, record := range r.upstreams {
+		age := now.Sub(record.lastContact)
+		if age >= r.ForgetAfter || record.signedOff && age >= signedOffRetention {
+			r.endIncarnation(now, id)
 			continue
 		}
-		if rec.Cold && !now.Before(rec.coldUntil) {
-			rec.Cold = false
-			r.touch(change{upstream: id})
+		if record.Cold && !now.Before(record.coldUntil) {
+			record.Cold = false
+			r.recordChange(change{upstream: id})
 		}
-		if silent := age >= r.SilentAfter; silent != rec.Silent {
-			rec.Silent = silent
-			r.touch(change{upstream: id})
+		if silent := age >= r.SilentAfter; silent != record.Silent {
+			record.Silent = silent
+			r.recordChange(change{upstream: id})
 		}
 	}
-	for id, rec := range r.gone {
-		if now.Sub(rec.at) >= rememberGone {
-			delete(r.gone, id)
-			if r.newest[id.UpstreamID()] == id {
-				delete(r.newest, id.UpstreamID())
+	for id, record := range r.ended {
+		if now.Sub(record.endedAt) >= endedRetention {
+			delete(r.ended, id)
+			if r.newestByID[id.UpstreamID()] == id {
+				delete(r.newestByID, id.UpstreamID())
 			}
 		}
 	}
@@ -333,7 +333,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.groups[g.Name] = *g
-	r.touch(change{group: g.Name})
+	r.recordChange(change{group: g.Name})
 }
 
 // DropGroup forgets a group.
@@ -341,11 +341,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.groups, name)
-	r.touch(change{group: name})
+	r.recordChange(change{group: name})
 }
 
-// unreported is the least age of a report that only an earlier roster has seen; things may have changed since.
-const unreported = 2 * time.Second
+// minUnreportedAge is the least age of a report that only an earlier roster has seen; things may have changed since.
+const minUnreportedAge = 2 * time.Second
 
 // Upstreams returns every upstream in the order of ids, and the age of each one's last report.
 func (r *Roster) Upstreams(now time.Time) ([]Upstream, map[ident.Incarnation]time.Duration) {
@@ -353,11 +353,11 @@
 	defer r.mu.Unlock()
 	list := make([]Upstream, 0, len(r.upstreams))
 	ages := make(map[ident.Incarnation]time.Duration, len(r.upstreams))
-	for id, rec := range r.upstreams {
-		list = append(list, rec.Upstream)
-		ages[id] = now.Sub(rec.heard)
-		if !rec.reported {
-			ages[id] = max(ages[id], unreported)
+	for id, record := range r.upstreams {
+		list = append(list, record.Upstream)
+		ages[id] = now.Sub(record.lastContact)
+		if !record.reported {
+			ages[id] = max(ages[id], minUnreportedAge)
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
@@ -375,8 +375,8 @@
 func (r *Roster) Upstream(id ident.Incarnation) (Upstream, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if rec := r.upstreams[id]; rec != nil {
-		return rec.Upstream, true
+	if record := r.upstreams[id]; record != nil {
+		return record.Upstream, true
 	}
 	return Upstream{}, false
 }
@@ -404,22 +404,22 @@
 func (r *Roster) Since(revision Revision) Delta {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if revision == 0 || revision < r.base || revision > r.revision {
-		return r.whole()
+	if revision == 0 || revision < r.journalBase || revision > r.revision {
+		return r.fullDelta()
 	}
 	d := Delta{Revision: r.revision}
-	told := map[change]bool{}
-	for _, c := range r.journal[revision-r.base:] {
-		if !told[c] {
-			told[c] = true
-			r.tell(&d, c)
+	added := map[change]bool{}
+	for _, c := range r.journal[revision-r.journalBase:] {
+		if !added[c] {
+			added[c] = true
+			r.addState(&d, c)
 		}
 	}
 	return d
 }
 
-// tell adds the present state of what c changed.
-func (r *Roster) tell(d *Delta, c change) {
+// addState adds the present state of what c changed.
+func (r *Roster) addState(d *Delta, c change) {
 	if c.group != "" {
 		if g, ok := r.groups[c.group]; ok {
 			d.Groups = append(d.Groups, g)
@@ -428,17 +428,17 @@
 		d.Dropped = append(d.Dropped, c.group)
 		return
 	}
-	if rec := r.upstreams[c.upstream]; rec != nil {
-		d.Upstreams = append(d.Upstreams, rec.Upstream)
+	if record := r.upstreams[c.upstream]; record != nil {
+		d.Upstreams = append(d.Upstreams, record.Upstream)
 		return
 	}
 	d.Gone = append(d.Gone, c.upstream)
 }
 
-func (r *Roster) whole() Delta {
+func (r *Roster) fullDelta() Delta {
 	d := Delta{Full: true, Revision: r.revision}
-	for _, rec := range r.upstreams {
-		d.Upstreams = append(d.Upstreams, rec.Upstream)
+	for _, record := range r.upstreams {
+		d.Upstreams = append(d.Upstreams, record.Upstream)
 	}
 	for _, g := range r.groups {
 		d.Groups = append(d.Groups, g)
--- a/roster/view.go
+++ b/roster/view.go
@@ -14,45 +14,45 @@
 type View struct {
 	*Roster
 
-	of   *Roster
-	seen Revision
-	// headed is the group that an upstream in the view is there for.
-	headed map[ident.Incarnation]ident.Group
+	source       *Roster
+	seenRevision Revision
+	// groupOfHead is the group that an upstream in the view is there for.
+	groupOfHead map[ident.Incarnation]ident.Group
 }
 
 // NewView returns a view of a roster; Follow brings it up to date.
-func NewView(of *Roster) *View {
-	return &View{Roster: New(), of: of, headed: map[ident.Incarnation]ident.Group{}}
+func NewView(source *Roster) *View {
+	return &View{Roster: New(), source: source, groupOfHead: map[ident.Incarnation]ident.Group{}}
 }
 
 // Update takes over what has changed; plain tells which services have no engines.
-func (v *View) Update(plain func(service ident.Service) bool) {
-	d := v.of.Since(v.seen)
-	v.seen = d.Revision
+func (v *View) Update(isPlain func(service ident.Service) bool) {
+	d := v.source.Since(v.seenRevision)
+	v.seenRevision = d.Revision
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if d.Full {
-		v.forgetOthers(&d)
+		v.removeMissing(&d)
 	}
 	for _, id := range d.Gone {
-		v.remove(id)
+		v.removeUpstream(id)
 	}
 	for i := range d.Upstreams {
 		u := &d.Upstreams[i]
-		if _, heads := v.headed[u.ID]; heads || plain(u.Service) {
-			v.put(u)
+		if _, isHead := v.groupOfHead[u.ID]; isHead || isPlain(u.Service) {
+			v.putUpstream(u)
 		}
 	}
 	for _, name := range d.Dropped {
 		v.dropGroup(name)
 	}
 	for i := range d.Groups {
-		v.followGroup(&d.Groups[i])
+		v.updateGroup(&d.Groups[i])
 	}
 }
 
-// forgetOthers drops what a whole roster does not name.
-func (v *View) forgetOthers(d *Delta) {
+// removeMissing drops what a whole roster does not name.
+func (v *View) removeMissing(d *Delta) {
 	groups, upstreams := map[ident.Group]bool{}, map[ident.Incarnation]bool{}
 	for i := range d.Groups {
 		groups[d.Groups[i].Name] = true
@@ -67,12 +67,12 @@
 	}
 	for _, id := range slices.Collect(maps.Keys(v.upstreams)) {
 		if !upstreams[id] {
-			v.remove(id)
+			v.removeUpstream(id)
 		}
 	}
 }
 
-func (v *View) followGroup(g *Group) {
+func (v *View) updateGroup(g *Group) {
 	if g.Phase != PhaseOpen {
 		v.dropGroup(g.Name)
 		return
@@ -82,33 +82,33 @@
 	if old, ok := v.groups[g.Name]; ok && reflect.DeepEqual(old, out) {
 		return
 	}
-	v.headed[g.Head()] = g.Name
-	if head, ok := v.of.Upstream(g.Head()); ok {
-		v.put(&head)
+	v.groupOfHead[g.Head()] = g.Name
+	if head, ok := v.source.Upstream(g.Head()); ok {
+		v.putUpstream(&head)
 	}
 	v.groups[g.Name] = out
-	v.touch(change{group: g.Name})
+	v.recordChange(change{group: g.Name})
 }
 
-// put adds or replaces an upstream without what entries do not need.
-func (v *View) put(u *Upstream) {
+// putUpstream adds or replaces an upstream without what entries do not need.
+func (v *View) putUpstream(u *Upstream) {
 	out := Upstream{ID: u.ID, Service: u.Service, Address: u.Address, Hall: u.Hall, Slots: u.Slots, Draining: u.Draining, Silent: u.Silent, Cold: u.Cold}
-	if rec := v.upstreams[u.ID]; rec != nil {
-		if reflect.DeepEqual(rec.Upstream, out) {
+	if record := v.upstreams[u.ID]; record != nil {
+		if reflect.DeepEqual(record.Upstream, out) {
 			return
 		}
 	}
 	v.upstreams[u.ID] = &upstreamRecord{Upstream: out}
-	v.touch(change{upstream: u.ID})
+	v.recordChange(change{upstream: u.ID})
 }
 
-func (v *View) remove(id ident.Incarnation) {
+func (v *View) removeUpstream(id ident.Incarnation) {
 	if v.upstreams[id] == nil {
 		return
 	}
 	delete(v.upstreams, id)
-	delete(v.headed, id)
-	v.touch(change{upstream: id})
+	delete(v.groupOfHead, id)
+	v.recordChange(change{upstream: id})
 }
 
 func (v *View) dropGroup(name ident.Group) {
@@ -117,8 +117,8 @@
 		return
 	}
 	delete(v.groups, name)
-	v.touch(change{group: name})
-	if v.headed[g.Head()] == name {
-		v.remove(g.Head())
+	v.recordChange(change{group: name})
+	if v.groupOfHead[g.Head()] == name {
+		v.removeUpstream(g.Head())
 	}
 }
--- a/roster/view_test.go
+++ b/roster/view_test.go
@@ -14,10 +14,10 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-func plain(service ident.Service) bool { return service == "plain" }
+func isPlain(service ident.Service) bool { return service == "plain" }
 
-// shown is what a view ought to have of a roster.
-func shown(r *roster.Roster) (upstreams []ident.Incarnation, groups []ident.Group) {
+// expectedView is what a view ought to have of a roster.
+func expectedView(r *roster.Roster) (upstreams []ident.Incarnation, groups []ident.Group) {
 	for _, g := range r.Groups() {
 		if g.Phase == roster.PhaseOpen {
 			groups = append(groups, g.Name)
@@ -28,7 +28,7 @@
 	}
 	all, _ := r.Upstreams(start)
 	for i := range all {
-		if plain(all[i].Service) {
+		if isPlain(all[i].Service) {
 			upstreams = append(upstreams, all[i].ID)
 		}
 	}
@@ -38,20 +38,20 @@
 
 // An entry's copy has the plain upstreams and the heads of open groups, whatever happens in whatever order, also when the view
 // was not looked at for long.
-func TestTheViewOfEntries(t *testing.T) {
+func TestViewHoldsPlainUpstreamsAndHeads(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	r := newRoster()
 	v := roster.NewView(r)
 	copied := roster.NewCopy()
 	for i := range 30000 {
-		change(r, random, i)
+		randomChange(r, random, i)
 		if random.IntN(40) != 0 && i%2500 != 0 || i > 2600 && i < 28000 {
 			continue // for a while nobody looks
 		}
-		v.Update(plain)
+		v.Update(isPlain)
 		d := v.Since(copied.Revision)
 		copied.Apply(&d)
-		wantUpstreams, wantGroups := shown(r)
+		wantUpstreams, wantGroups := expectedView(r)
 		var upstreams []ident.Incarnation
 		for id := range copied.Upstreams {
 			upstreams = append(upstreams, id)
@@ -74,19 +74,19 @@
 	}
 }
 
-// change does one random thing to a roster.
-func change(r *roster.Roster, random *rand.Rand, i int) {
+// randomChange does one random thing to a roster.
+func randomChange(r *roster.Roster, random *rand.Rand, i int) {
 	id := ident.Incarnation("u" + strconv.Itoa(random.IntN(30)))
 	name := ident.Group("g" + strconv.Itoa(random.IntN(10)))
 	switch random.IntN(4) {
 	case 0, 1:
-		rep := report(id, string(id), uint64(i+1))
-		rep.Service = "plain"
+		report := newReport(id, string(id), uint64(i+1))
+		report.Service = "plain"
 		if id[1] != '1' {
-			rep.Service = "model"
+			report.Service = "model"
 		}
-		rep.Slots = random.IntN(3)
-		r.ApplyReport(start.Add(time.Duration(i)*time.Millisecond), rep)
+		report.Slots = random.IntN(3)
+		r.ApplyReport(start.Add(time.Duration(i)*time.Millisecond), report)
 	case 2:
 		phase := []roster.Phase{roster.PhaseForming, roster.PhaseOpen, roster.PhaseOpen, roster.PhaseClosing}[random.IntN(4)]
 		r.PutGroup(&roster.Group{Name: name, Service: "model", Phase: phase, Members: []ident.Incarnation{"u2" + ident.Incarnation(name[1:]), id}})
@@ -96,20 +96,20 @@
 }
 
 // What members of a group do is no news for entries.
-func TestMembersAreNoNewsForEntries(t *testing.T) {
+func TestViewIgnoresMemberChanges(t *testing.T) {
 	r := newRoster()
 	v := roster.NewView(r)
 	for _, id := range []ident.Incarnation{"a", "b"} {
-		r.ApplyReport(start, report(id, string(id), 1))
+		r.ApplyReport(start, newReport(id, string(id), 1))
 	}
 	r.PutGroup(&roster.Group{Name: "g", Service: "s", Phase: roster.PhaseOpen, Members: []ident.Incarnation{"a", "b"}})
-	v.Update(plain)
+	v.Update(isPlain)
 	before, _ := v.Changed()
-	member := report("b", "b", 2)
+	member := newReport("b", "b", 2)
 	member.Staged = []ident.Model{"m"}
 	r.ApplyReport(start, member)
 	r.PutGroup(&roster.Group{Name: "h", Service: "s", Phase: roster.PhaseForming, Members: []ident.Incarnation{"b"}})
-	v.Update(plain)
+	v.Update(isPlain)
 	if after, _ := v.Changed(); after != before {
 		t.Errorf("revision %d after %d", after, before)
 	}
