--- a/roster/copy.go
+++ b/roster/copy.go
@@ -4,7 +4,7 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// Copy is a daemon's copy of the leader's roster; it is not safe for concurrent use.
+// Copy is a daemon's copy of the leader's roster. It is not safe for concurrent use.
 type Copy struct {
 	Revision  Revision
 	Upstreams map[ident.Incarnation]Upstream
@@ -16,7 +16,7 @@
 	return &Copy{Upstreams: map[ident.Incarnation]Upstream{}, Groups: map[ident.Group]Group{}}
 }
 
-// Apply brings the copy to d's revision.
+// Apply applies d, which sets the copy's revision to that of d.
 func (c *Copy) Apply(d *Delta) {
 	if d.Full {
 		c.Upstreams = map[ident.Incarnation]Upstream{}
--- a/roster/digests.go
+++ b/roster/digests.go
@@ -1,12 +1,11 @@
 package roster
 
-// After a change of leaders nearly everything that a copy holds is still as the
-// new leader knows it, but revisions of two leaders can't be compared. So a copy
-// tells the new leader digests of its parts, and gets those that differ:
+// After a change of leaders a copy still matches the new leader's roster almost entirely, but revisions of two leaders
+// cannot be compared. A copy therefore sends digests of its partitions and receives the partitions that differ:
 //
 //	copy of the former leader     1: 4f   2: 81   3: c2   ...
-//	roster of the new one         1: 4f   2: 90   3: c2   ...
-//	what it sends                 all of part 2
+//	roster of the new leader      1: 4f   2: 90   3: c2   ...
+//	the new leader sends          all of partition 2
 
 import (
 	"encoding/binary"
@@ -15,10 +14,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// partitions is how many parts a roster has; their numbers are the bits of Delta.Replaces.
+// partitions is the number of partitions of a roster; their numbers are the bits of Delta.Replaces.
 const partitions = 64
 
-// Digests are the digests of the parts of a roster; a part without upstreams and groups has 0.
+// Digests are the digests of a roster's partitions; an empty partition has 0.
 type Digests [partitions]uint64
 
 func partitionOf[K ~string](k K) uint64 {
@@ -33,7 +32,7 @@
 	s[partitionOf(g.Name)] += digestGroup(g)
 }
 
-// differingPartitions returns the parts that two rosters have not alike, as bits.
+// differingPartitions returns the bit set of the partitions that differ.
 func (s *Digests) differingPartitions(other *Digests) uint64 {
 	var mask uint64
 	for i := range s {
@@ -58,7 +57,7 @@
 	return &s
 }
 
-// Diff returns all of the parts of which a copy has other digests.
+// Diff returns a delta with the whole content of each partition whose digest differs from the copy's.
 func (r *Roster) Diff(copyDigests *Digests) Delta {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,7 +93,7 @@
 	return s
 }
 
-// dropPartitions drops the parts that a delta replaces.
+// dropPartitions removes the content of the partitions in mask.
 func (c *Copy) dropPartitions(mask uint64) {
 	for id := range c.Upstreams {
 		if mask>>partitionOf(id)&1 == 1 {
@@ -108,13 +107,13 @@
 	}
 }
 
-// fieldHasher is a hash that is written field by field; each text is closed by a byte that no text holds.
+// fieldHasher hashes a record field by field. Strings end with a byte that does not occur in them.
 type fieldHasher struct{ *xxhash.Digest }
 
 func newFieldHasher() fieldHasher { return fieldHasher{xxhash.New()} }
 
 func (h fieldHasher) writeText(s string) {
-	_, _ = h.WriteString(s) // a hash takes everything
+	_, _ = h.WriteString(s) // writes to a hash never fail
 	_, _ = h.Write([]byte{0xff})
 }
 
@@ -132,7 +131,7 @@
 	h.writeNumber(n)
 }
 
-// writeSet writes a list whose order does not matter.
+// writeSet writes a list independent of its order.
 func writeSet[K ~string](h fieldHasher, set []K) {
 	sorted := slices.Sorted(slices.Values(set))
 	h.writeNumber(uint64(len(sorted)))
--- a/roster/digests_test.go
+++ b/roster/digests_test.go
@@ -13,7 +13,7 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// seededRoster returns a roster of so many upstreams, every eighth of which heads a group.
+// seededRoster returns a roster of n upstreams, every eighth of which is the head of a group.
 func seededRoster(n int) *roster.Roster {
 	var upstreams []roster.Upstream
 	var groups []roster.Group
@@ -38,26 +38,26 @@
 	return c
 }
 
-// A new leader that knows what a copy holds sends nothing of it, and of what has changed no more than the parts that it stands in.
+// A new leader sends nothing if the copy matches its roster, and else only the partitions with changes.
 func TestNewLeaderSendsDifferingPartitions(t *testing.T) {
 	c := copyOf(seededRoster(800))
 	next := seededRoster(800)
 	if d := next.Diff(c.Digests()); !d.Empty() {
-		t.Errorf("%d upstreams and %d groups are sent where nothing differs", len(d.Upstreams), len(d.Groups))
+		t.Errorf("%d upstreams and %d groups sent although nothing differs", len(d.Upstreams), len(d.Groups))
 	}
 	next.ApplyReport(start, newReport("i-0007", "10.0.0.7:80", 1))
 	next.DropGroup("g-0016")
 	d := next.Diff(c.Digests())
 	if len(d.Upstreams) == 0 || len(d.Upstreams) > 2*800/64*3 {
-		t.Errorf("%d upstreams are sent for two changes", len(d.Upstreams))
+		t.Errorf("%d upstreams sent for two changes", len(d.Upstreams))
 	}
 	c.Apply(&d)
 	if diff := cmp.Diff(copyOf(next), c); diff != "" {
-		t.Errorf("the copy afterwards (-want +got):\n%s", diff)
+		t.Errorf("copy after the diff (-want +got):\n%s", diff)
 	}
 }
 
-// Whatever a copy holds, it holds what the roster does once it has applied what differs.
+// Any copy matches the roster after it has applied its diff.
 func TestDiffBringsAnyCopyUpToDate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drawRoster := func(label string) *roster.Roster {
@@ -77,12 +77,12 @@
 		d := next.Diff(c.Digests())
 		c.Apply(&d)
 		if diff := cmp.Diff(copyOf(next), c); diff != "" {
-			t.Fatalf("the copy (-want +got):\n%s", diff)
+			t.Fatalf("copy after the diff (-want +got):\n%s", diff)
 		}
 	})
 }
 
-// Each field of an upstream and of a group counts, but for the leader's own time.
+// Each field of an upstream and a group is part of the digest, except for the leader's own time.
 func TestDigestsCoverEachField(t *testing.T) {
 	digestsOf := func(u *roster.Upstream, g *roster.Group) roster.Digests {
 		c := roster.NewCopy()
@@ -100,7 +100,7 @@
 				for j := range f.NumField() {
 					setNonZero(f.Field(j))
 					if digestsNow() == base {
-						t.Errorf("%s.%s.%s does not count", name, field.Name, field.Type.Field(j).Name)
+						t.Errorf("%s.%s.%s is not part of the digest", name, field.Name, field.Type.Field(j).Name)
 					}
 					f.Field(j).SetZero()
 				}
@@ -108,7 +108,7 @@
 			}
 			setNonZero(f)
 			if digestsNow() == base {
-				t.Errorf("%s.%s does not count", name, field.Name)
+				t.Errorf("%s.%s is not part of the digest", name, field.Name)
 			}
 			f.SetZero()
 		}
@@ -119,7 +119,7 @@
 	check("Group", reflect.ValueOf(&g).Elem(), func() roster.Digests { return digestsOf(&u, &g) })
 }
 
-// setNonZero gives a field another value than its zero.
+// setNonZero sets a field to a value other than zero.
 func setNonZero(f reflect.Value) {
 	switch f.Kind() {
 	case reflect.String:
--- a/roster/doc.go
+++ b/roster/doc.go
@@ -1,2 +1,3 @@
-// Package roster is the soft state of upstreams and groups: what upstreams report, what the leader formed, and copies of both.
+// Package roster holds the soft state of upstreams and groups: the reports of upstreams, the groups that the leader
+// formed, and copies of both.
 package roster
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -1,13 +1,11 @@
 package roster
 
-// The leader's roster is rebuilt from reports after every election, so nothing
-// of it goes through the log. Two things keep late messages from reviving what
-// has ended: an incarnation that has left is remembered, and of two at one
-// address, or of one id, only one counts.
+// A new leader rebuilds the roster from reports, so nothing of it goes through the log. Two rules keep late messages
+// from reviving what has ended: ended incarnations are remembered, and at one address, or of one upstream id, only one
+// incarnation counts.
 //
-// Every change has a revision and stands in a journal. A copy asks for what
-// changed after the revision that it has, so a change costs the same however
-// large the roster is.
+// Each change gets a revision and is kept in a journal. A copy requests the changes after its own revision, so that the
+// cost of a change does not grow with the roster.
 
 import (
 	"reflect"
@@ -18,68 +16,68 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// endedRetention is how long an ended id is remembered; reports arrive seconds late at most.
+// endedRetention is how long an ended incarnation is remembered; reports arrive at most seconds late.
 const endedRetention = 2 * time.Minute
 
-// signedOffRetention is how long an upstream that has signed off is kept; it finishes within ten seconds.
+// signedOffRetention is how long an upstream is kept after it has signed off; it finishes within ten seconds.
 const signedOffRetention = 15 * time.Second
 
-// coldWithoutReport is how long an upstream counts as cold by what is known from elsewhere than its own reports; these come sooner.
+// coldWithoutReport is how long an upstream counts as cold without a report of its own; reports arrive sooner.
 const coldWithoutReport = 10 * time.Second
 
-// reportsToRestore is how many newer reports bring back a life that another one at its address had replaced.
+// reportsToRestore is the number of newer reports that restore an incarnation replaced at its address.
 const reportsToRestore = 2
 
 type upstreamRecord struct {
 	Upstream
 	sequence    uint64
 	lastContact time.Time
-	// coldUntil is when it is warm by its last report.
+	// coldUntil is the end of the cold phase by the last report.
 	coldUntil time.Time
-	// signedOff is set when it has signed off and will not report again.
+	// signedOff upstreams do not report again.
 	signedOff bool
-	// reported is set once it has reported to this roster, and not only to one that this one was seeded from.
+	// reported is set once the upstream has reported to this roster and not only to the one that it was seeded from.
 	reported bool
 }
 
-// change is what one revision changed: an upstream or a group.
+// change is the upstream or group that one revision changed.
 type change struct {
 	upstream ident.Incarnation
 	group    ident.Group
 }
 
-// journalLength is the number of changes that are kept; a copy that is further behind gets everything.
+// journalLength is the number of changes that are kept; a copy that is further behind gets a full delta.
 const journalLength = 8192
 
 type endedRecord struct {
 	endedAt time.Time
-	// replaced is set when another life reported from the same address, sequence is then the last one seen.
+	// replaced is set if another incarnation reported from the same address; sequence is then that of the last report.
 	replaced bool
 	sequence uint64
-	// newerReports counts newer reports of a replaced life.
+	// newerReports counts later reports of a replaced incarnation.
 	newerReports int
 }
 
-// Roster is the leader's state; its methods may be called concurrently.
+// Roster is the leader's state of upstreams and groups. Its methods can be called concurrently.
 type Roster struct {
-	// SilentAfter is how long after its last report an upstream counts as silent.
+	// SilentAfter is the time after its last report at which an upstream counts as silent.
 	SilentAfter time.Duration
-	// ForgetAfter is how long after its last report an upstream is dropped.
+	// ForgetAfter is the time after its last report at which an upstream is dropped.
 	ForgetAfter time.Duration
 
 	mu        sync.Mutex
 	revision  Revision
 	upstreams map[ident.Incarnation]*upstreamRecord
 	byAddress map[string]ident.Incarnation
-	// newestByID is the last life of each upstream by its id.
+	// newestByID holds the newest incarnation of each upstream id.
 	newestByID map[string]ident.Incarnation
 	groups     map[ident.Group]Group
 	ended      map[ident.Incarnation]endedRecord
-	// journal holds the changes after revision base, one for each revision.
+	// journal holds the changes after revision journalBase, one for each revision.
 	journal     []change
 	journalBase Revision
 	changed     chan struct{}
-	// digests are the digests of the parts at revision digestsRevision.
+	// digests are the partitions' digests at revision digestsRevision.
 	digests         Digests
 	digestsRevision Revision
 }
@@ -96,7 +94,7 @@
 	}
 }
 
-// recordChange notes a change and wakes everyone who waits.
+// recordChange adds a change to the journal and wakes the waiters.
 func (r *Roster) recordChange(c change) {
 	r.revision++
 	r.journal = append(r.journal, c)
@@ -108,7 +106,7 @@
 	r.changed = make(chan struct{})
 }
 
-// Seed fills an empty roster from a copy, as a new leader does; the upstreams count as heard at now.
+// Seed fills an empty roster from a copy, for a new leader. The upstreams count as in contact at now.
 func (r *Roster) Seed(now time.Time, upstreams []Upstream, groups []Group) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,7 +123,7 @@
 	}
 }
 
-// ApplyReport accepts a report and tells whether it changed anything but the time of the last report.
+// ApplyReport applies a report and returns whether it changed anything but the time of the last report.
 func (r *Roster) ApplyReport(now time.Time, report *Report) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -150,7 +148,7 @@
 		record.reported = true
 		record.sequence = report.Sequence
 		record.coldUntil = now.Add(report.ColdFor)
-		// An upstream that has announced its end does not take it back.
+		// An upstream that has announced its shutdown does not revoke that.
 		next.Draining = next.Draining || record.Draining
 		next.Bound = record.Bound
 		if reflect.DeepEqual(record.Upstream, next) {
@@ -167,7 +165,8 @@
 	return true
 }
 
-// MarkHallCold counts the upstreams of a hall as cold until they report: they may have turned cold while nothing was sent there.
+// MarkHallCold marks the upstreams of a hall as cold until they report: they may have become cold while no requests
+// were sent to the hall.
 func (r *Roster) MarkHallCold(now time.Time, hall ident.Hall) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -183,7 +182,7 @@
 	}
 }
 
-// SetBound marks an upstream as bound, or takes the mark away.
+// SetBound sets the Bound flag of an upstream.
 func (r *Roster) SetBound(id ident.Incarnation, bound bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -195,8 +194,8 @@
 	r.recordChange(change{upstream: id})
 }
 
-// fromEarlierIncarnation reports whether report comes from an earlier life of an upstream that has started again under its id. Of one that has, the
-// earlier life is over, and so are its groups.
+// fromEarlierIncarnation reports whether report is from an incarnation before the newest one of its upstream id. The
+// report of a newer incarnation ends the earlier one.
 func (r *Roster) fromEarlierIncarnation(now time.Time, report *Report) bool {
 	id := report.ID.UpstreamID()
 	newest, known := r.newestByID[id]
@@ -210,7 +209,7 @@
 	return false
 }
 
-// endIncarnation ends a life for good and frees its address.
+// endIncarnation ends an incarnation for good and frees its address.
 func (r *Roster) endIncarnation(now time.Time, id ident.Incarnation) {
 	record := r.upstreams[id]
 	if record == nil {
@@ -222,8 +221,9 @@
 	r.markEnded(now, id)
 }
 
-// fromEndedIncarnation reports whether report comes from a life that has ended for good. A life that was taken for ended only because
-// a late report of its predecessor came from the same address goes on reporting, which the predecessor does not.
+// fromEndedIncarnation reports whether report is from an incarnation that has ended. An incarnation that was ended in
+// error, by a late report of its predecessor from the same address, keeps reporting and is restored; the predecessor
+// does not report again.
 func (r *Roster) fromEndedIncarnation(report *Report) bool {
 	ended, ok := r.ended[report.ID]
 	if !ok {
@@ -242,7 +242,7 @@
 	return false
 }
 
-// replaceAtAddress ends the life that had the address before.
+// replaceAtAddress ends the incarnation that had the address before.
 func (r *Roster) replaceAtAddress(now time.Time, report *Report) {
 	previous, occupied := r.byAddress[report.Address]
 	r.byAddress[report.Address] = report.ID
@@ -258,8 +258,8 @@
 	r.recordChange(change{upstream: previous})
 }
 
-// SignOff notes that an upstream has signed off. It may go on with what it has for a while, so it stays, as one that gets
-// nothing new, until it is silent. One that does not say when it started is taken for its newest life.
+// SignOff records that an upstream has signed off. The upstream may still finish its requests, so it stays as draining
+// until it is dropped. An id without a start time stands for the newest incarnation.
 func (r *Roster) SignOff(now time.Time, id ident.Incarnation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -279,8 +279,8 @@
 	}
 }
 
-// MarkDraining notes that an upstream has told an entry that it leaves, and reports whether that is new. It may not reach control: one that
-// was cut off from it left its group as it was until it ended.
+// MarkDraining records that an upstream has announced its shutdown to an entry, and reports whether that is new. An
+// upstream that cannot reach control would otherwise keep its group until it ends.
 func (r *Roster) MarkDraining(id ident.Incarnation) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -299,7 +299,7 @@
 	r.recordChange(change{upstream: id})
 }
 
-// Expire marks silent upstreams, drops those that were silent for long, and forgets old ends.
+// Expire marks silent upstreams, drops those that were silent for long, and forgets old ended incarnations.
 func (r *Roster) Expire(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -336,7 +336,7 @@
 	r.recordChange(change{group: g.Name})
 }
 
-// DropGroup forgets a group.
+// DropGroup removes a group.
 func (r *Roster) DropGroup(name ident.Group) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -344,10 +344,11 @@
 	r.recordChange(change{group: name})
 }
 
-// minUnreportedAge is the least age of a report that only an earlier roster has seen; things may have changed since.
+// minUnreportedAge is the minimum age of the last report of an upstream that has not reported to this roster; its state
+// may have changed since.
 const minUnreportedAge = 2 * time.Second
 
-// Upstreams returns every upstream in the order of ids, and the age of each one's last report.
+// Upstreams returns all upstreams ordered by id, and the age of each one's last report.
 func (r *Roster) Upstreams(now time.Time) ([]Upstream, map[ident.Incarnation]time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -371,7 +372,7 @@
 	return len(r.upstreams)
 }
 
-// Upstream returns the upstream called id.
+// Upstream returns the upstream with an id.
 func (r *Roster) Upstream(id ident.Incarnation) (Upstream, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -381,7 +382,7 @@
 	return Upstream{}, false
 }
 
-// Groups returns every group in the order of names.
+// Groups returns all groups ordered by name.
 func (r *Roster) Groups() []Group {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -400,7 +401,7 @@
 	return r.revision, r.changed
 }
 
-// Since returns what changed after revision; 0 asks for everything.
+// Since returns the changes after a revision; 0 requests a full delta.
 func (r *Roster) Since(revision Revision) Delta {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -418,7 +419,7 @@
 	return d
 }
 
-// addState adds the present state of what c changed.
+// addState adds the current state of the changed upstream or group to a delta.
 func (r *Roster) addState(d *Delta, c change) {
 	if c.group != "" {
 		if g, ok := r.groups[c.group]; ok {
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1000, 0)
 
-// older and second are two lives of one upstream.
+// older and newer are two incarnations of one upstream.
 var older, newer = ident.IncarnationOf("i-1", 1_000), ident.IncarnationOf("i-1", 2_000)
 
 func newRoster() *roster.Roster {
@@ -33,7 +33,7 @@
 	return r
 }
 
-// upstreamStates tells of each upstream whether it is silent or leaving.
+// upstreamStates lists the upstreams, with a mark for those that are silent or draining.
 func upstreamStates(r *roster.Roster, now time.Time) []string {
 	upstreams, _ := r.Upstreams(now)
 	var list []string
@@ -41,7 +41,7 @@
 		u := &upstreams[i]
 		text := string(u.ID)
 		if u.Draining {
-			text += " leaving"
+			text += " draining"
 		}
 		if u.Silent {
 			text += " silent"
@@ -58,29 +58,29 @@
 		do   func(r *roster.Roster)
 		want []string
 	}{
-		{"a first report", func(r *roster.Roster) { r.ApplyReport(start, newReport("a", "x", 1)) }, []string{"a"}},
-		{"a late report changes nothing", func(r *roster.Roster) {
+		{"first report", func(r *roster.Roster) { r.ApplyReport(start, newReport("a", "x", 1)) }, []string{"a"}},
+		{"late report changes nothing", func(r *roster.Roster) {
 			r.ApplyReport(start, withDraining(newReport("a", "x", 5)))
 			r.ApplyReport(start, newReport("a", "x", 4))
-		}, []string{"a leaving"}},
-		{"leaving is not taken back", func(r *roster.Roster) {
+		}, []string{"a draining"}},
+		{"draining is not revoked", func(r *roster.Roster) {
 			r.ApplyReport(start, withDraining(newReport("a", "x", 5)))
 			r.ApplyReport(start, newReport("a", "x", 6))
-		}, []string{"a leaving"}},
-		{"one that signed off stays as leaving", func(r *roster.Roster) {
+		}, []string{"a draining"}},
+		{"signed off", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport("a", "x", 1))
 			r.SignOff(start, "a")
-		}, []string{"a leaving"}},
-		{"a late report after signing off", func(r *roster.Roster) {
+		}, []string{"a draining"}},
+		{"late report after signing off", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport("a", "x", 1))
 			r.SignOff(start, "a")
 			r.ApplyReport(at(time.Second), newReport("a", "x", 2))
-		}, []string{"a leaving"}},
+		}, []string{"a draining"}},
 		{"signing off before any report", func(r *roster.Roster) {
 			r.SignOff(start, "a")
 			r.ApplyReport(start, newReport("a", "x", 1))
 		}, nil},
-		{"one that signed off is forgotten", func(r *roster.Roster) {
+		{"signed off and dropped", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport("a", "x", 1))
 			r.SignOff(start, "a")
 			r.Expire(at(20 * time.Second))
@@ -89,76 +89,76 @@
 			r.ApplyReport(start, newReport("a", "x", 1))
 			r.Expire(at(4 * time.Second))
 		}, []string{"a silent"}},
-		{"silent and back", func(r *roster.Roster) {
+		{"silent, then reports again", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport("a", "x", 1))
 			r.Expire(at(4 * time.Second))
 			r.ApplyReport(at(4*time.Second), newReport("a", "x", 2))
 		}, []string{"a"}},
-		{"forgotten", func(r *roster.Roster) {
+		{"dropped", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport("a", "x", 1))
 			r.Expire(at(40 * time.Second))
 		}, nil},
-		{"forgotten, and a report from before", func(r *roster.Roster) {
+		{"dropped, then a late report", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport("a", "x", 1))
 			r.Expire(at(40 * time.Second))
 			r.ApplyReport(at(40*time.Second), newReport("a", "x", 2))
 		}, nil},
-		{"another life at the address", func(r *roster.Roster) {
+		{"another incarnation at the address", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport("a", "x", 7))
 			r.ApplyReport(start, newReport("b", "x", 1))
 		}, []string{"b"}},
-		{"another life, and a late report of the first", func(r *roster.Roster) {
+		{"another incarnation at the address, then a late report of the first", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport("a", "x", 7))
 			r.ApplyReport(start, newReport("b", "x", 1))
 			r.ApplyReport(start, newReport("a", "x", 8))
 		}, []string{"b"}},
-		{"a late first report of an earlier life, and the newer one goes on", func(r *roster.Roster) {
+		{"late first report of an earlier incarnation, the newer one keeps reporting", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport("b", "x", 1))
 			r.ApplyReport(start, newReport("a", "x", 9))
 			r.ApplyReport(start, newReport("b", "x", 2))
 			r.ApplyReport(start, newReport("b", "x", 3))
 		}, []string{"b"}},
-		{"started again under its id, counts from one", func(r *roster.Roster) {
+		{"restarted under its id with sequence 1", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport(older, "x", 70))
 			r.ApplyReport(start, newReport(newer, "x", 1))
 		}, []string{string(newer)}},
-		{"started again elsewhere", func(r *roster.Roster) {
+		{"restarted at another address", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport(older, "x", 70))
 			r.ApplyReport(start, newReport(newer, "y", 1))
 		}, []string{string(newer)}},
-		{"started again after it was leaving", func(r *roster.Roster) {
+		{"restarted after draining", func(r *roster.Roster) {
 			r.ApplyReport(start, withDraining(newReport(older, "x", 70)))
 			r.SignOff(start, "i-1")
 			r.ApplyReport(start, newReport(newer, "x", 1))
 		}, []string{string(newer)}},
-		{"started again after its end was known", func(r *roster.Roster) {
+		{"restarted after being dropped", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport(older, "x", 70))
 			r.Expire(at(40 * time.Second))
 			r.ApplyReport(at(40*time.Second), newReport(newer, "x", 1))
 		}, []string{string(newer)}},
-		{"started again, and late reports of the life before", func(r *roster.Roster) {
+		{"restarted, then late reports of the earlier incarnation", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport(older, "x", 70))
 			r.ApplyReport(start, newReport(newer, "x", 1))
 			for i := range uint64(5) {
 				r.ApplyReport(start, withDraining(newReport(older, "x", 71+i)))
 			}
 		}, []string{string(newer)}},
-		{"a late report of a life before that was never heard", func(r *roster.Roster) {
+		{"late reports of an unknown earlier incarnation", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport(newer, "x", 1))
 			for i := range uint64(5) {
 				r.ApplyReport(start, newReport(older, "x", 71+i))
 			}
 		}, []string{string(newer)}},
-		{"the life before signs off late", func(r *roster.Roster) {
+		{"earlier incarnation signs off late", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport(older, "x", 70))
 			r.ApplyReport(start, newReport(newer, "x", 1))
 			r.SignOff(start, older)
 		}, []string{string(newer)}},
-		{"signing off without a birth is of the newest life", func(r *roster.Roster) {
+		{"sign-off without a start time applies to the newest incarnation", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport(newer, "x", 1))
 			r.SignOff(start, "i-1")
-		}, []string{string(newer) + " leaving"}},
-		{"another upstream comes to the address of one that started again", func(r *roster.Roster) {
+		}, []string{string(newer) + " draining"}},
+		{"another upstream at the former address of a restarted one", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport(older, "x", 70))
 			r.ApplyReport(start, newReport(newer, "y", 1))
 			r.ApplyReport(start, newReport("b", "x", 1))
@@ -184,7 +184,7 @@
 	}
 }
 
-// A copy that follows by deltas is the same as one that starts anew, whatever happened in between.
+// A copy that applies deltas matches one that starts from a full delta.
 func TestCopyFollowsByDeltas(t *testing.T) {
 	r := newRoster()
 	c := roster.NewCopy()
@@ -217,7 +217,7 @@
 			continue
 		}
 		if diff := cmp.Diff(fresh, c); diff != "" {
-			t.Fatalf("after step %d the copy differs (-fresh +following):\n%s", i, diff)
+			t.Fatalf("after step %d the copy differs (-full +by deltas):\n%s", i, diff)
 		}
 	}
 }
@@ -229,13 +229,13 @@
 	d := r.Since(0)
 	c.Apply(&d)
 	if d = r.Since(c.Revision); !d.Empty() {
-		t.Errorf("delta %+v after nothing happened", d)
+		t.Errorf("delta %+v without any change", d)
 	}
 	if !r.ApplyReport(start, withDraining(newReport("a", "x", 2))) {
-		t.Error("a report that changes the state is not told as a change")
+		t.Error("a report that changes the state is not reported as a change")
 	}
 	if r.ApplyReport(start, withDraining(newReport("a", "x", 3))) {
-		t.Error("a report that changes nothing is told as a change")
+		t.Error("a report that changes nothing is reported as a change")
 	}
 	d = r.Since(c.Revision)
 	var ids []string
@@ -248,7 +248,7 @@
 	}
 }
 
-// A copy that is further behind than the journal reaches gets everything.
+// A copy that is behind the start of the journal gets a full delta.
 func TestCopyBehindTheJournalGetsEverything(t *testing.T) {
 	r := newRoster()
 	r.ApplyReport(start, newReport("a", "x", 1))
@@ -260,14 +260,14 @@
 	}
 	d = r.Since(c.Revision)
 	if !d.Full {
-		t.Error("a delta over a journal that was cut")
+		t.Error("delta for a revision before the journal is not full")
 	}
 	c.Apply(&d)
 	if c.Groups["g"].Epoch != 39999 || len(c.Upstreams) != 1 {
-		t.Errorf("copy %+v", c)
+		t.Errorf("copy %+v, want group epoch 39999 and one upstream", c)
 	}
 	if d = r.Since(c.Revision); !d.Empty() {
-		t.Errorf("delta %+v after nothing happened", d)
+		t.Errorf("delta %+v without any change", d)
 	}
 }
 
@@ -287,7 +287,7 @@
 	}
 }
 
-// The model of an upstream's last group outlives the group: a spare joins at once what it was in before.
+// An upstream keeps the model of its last group after the group has ended, so that a spare can rejoin quickly.
 func TestLastModelIsKept(t *testing.T) {
 	r := newRoster()
 	withModel := newReport("a", "x", 1)
@@ -305,7 +305,8 @@
 	}
 }
 
-// An upstream is cold for as long as its newest report says, whatever late reports say, and after its hall was taken back until it reports.
+// An upstream is cold as its newest report states, whatever late reports state. After its hall is taken back into
+// service it is cold until it reports.
 func TestColdUpstreams(t *testing.T) {
 	at := start.Add
 	cold := func(r *roster.Report, d time.Duration) *roster.Report {
@@ -319,15 +320,15 @@
 	}{
 		{"warm", func(r *roster.Roster) { r.ApplyReport(start, newReport("a", "x", 1)) }, false},
 		{"cold", func(r *roster.Roster) { r.ApplyReport(start, cold(newReport("a", "x", 1), 3*time.Second)) }, true},
-		{"cold until it is over", func(r *roster.Roster) {
+		{"cold until the end of the phase", func(r *roster.Roster) {
 			r.ApplyReport(start, cold(newReport("a", "x", 1), 3*time.Second))
 			r.Expire(at(2900 * time.Millisecond))
 		}, true},
-		{"over", func(r *roster.Roster) {
+		{"end of the cold phase", func(r *roster.Roster) {
 			r.ApplyReport(start, cold(newReport("a", "x", 1), 3*time.Second))
 			r.Expire(at(3 * time.Second))
 		}, false},
-		{"warm sooner", func(r *roster.Roster) {
+		{"warm before the end of the phase", func(r *roster.Roster) {
 			r.ApplyReport(start, cold(newReport("a", "x", 1), 3*time.Second))
 			r.ApplyReport(at(time.Second), newReport("a", "x", 2))
 		}, false},
@@ -335,29 +336,29 @@
 			r.ApplyReport(start, newReport("a", "x", 1))
 			r.ApplyReport(at(time.Second), cold(newReport("a", "x", 2), time.Second))
 		}, true},
-		{"a late report", func(r *roster.Roster) {
+		{"late report", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport("a", "x", 2))
 			r.ApplyReport(at(time.Second), cold(newReport("a", "x", 1), 9*time.Second))
 		}, false},
-		{"its hall was taken back", func(r *roster.Roster) {
+		{"hall taken back into service", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport("a", "x", 1))
 			r.MarkHallCold(at(time.Second), "")
 			r.Expire(at(2 * time.Second))
 		}, true},
-		{"another hall was taken back", func(r *roster.Roster) {
+		{"other hall taken back into service", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport("a", "x", 1))
 			r.MarkHallCold(at(time.Second), "other")
 		}, false},
-		{"its hall was taken back and it reports", func(r *roster.Roster) {
+		{"hall taken back into service, then a report", func(r *roster.Roster) {
 			r.ApplyReport(start, newReport("a", "x", 1))
 			r.MarkHallCold(at(time.Second), "")
 			r.ApplyReport(at(2*time.Second), newReport("a", "x", 2))
 		}, false},
-		{"a new leader's copy says cold", func(r *roster.Roster) {
+		{"cold in the copy of a new leader", func(r *roster.Roster) {
 			r.Seed(start, []roster.Upstream{{ID: "a", Cold: true}}, nil)
 			r.Expire(at(time.Second))
 		}, true},
-		{"a new leader has heard that it is warm", func(r *roster.Roster) {
+		{"warm by a report to a new leader", func(r *roster.Roster) {
 			r.Seed(start, []roster.Upstream{{ID: "a", Cold: true}}, nil)
 			r.ApplyReport(at(time.Second), newReport("a", "x", 7))
 		}, false},
@@ -366,7 +367,7 @@
 			r := newRoster()
 			c.do(r)
 			if u, _ := r.Upstream("a"); u.Cold != c.want {
-				t.Errorf("cold %v, want %v", u.Cold, c.want)
+				t.Errorf("cold is %v, want %v", u.Cold, c.want)
 			}
 		})
 	}
--- a/roster/types.go
+++ b/roster/types.go
@@ -6,10 +6,10 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// MemberState is what an engine says of its place in a group.
+// MemberState is the state of an engine in its group, as the engine reports it.
 type MemberState string
 
-// The states of a member; an engine outside any group has none.
+// States of a member; an engine outside any group has none.
 const (
 	MemberNone    MemberState = ""
 	MemberJoining MemberState = "joining"
@@ -19,7 +19,7 @@
 	MemberBroken  MemberState = "broken"
 )
 
-// Membership is an engine's place in a group; rank 0 is the head.
+// Membership is an engine's place in a group. Rank 0 is the head.
 type Membership struct {
 	Group ident.Group
 	Epoch ident.Epoch
@@ -27,7 +27,7 @@
 	State MemberState
 }
 
-// Upstream is one life of a worker, as its reports describe it.
+// Upstream is one incarnation of a worker, as its reports describe it.
 type Upstream struct {
 	ID      ident.Incarnation
 	Service ident.Service
@@ -36,19 +36,20 @@
 	Hall    ident.Hall
 	Domain  ident.Domain
 	Slots   int
-	// Draining upstreams get no new work.
+	// Draining upstreams get no new requests.
 	Draining bool
-	// Cold upstreams have started lately and take few requests yet.
+	// Cold upstreams have just started and get few requests.
 	Cold bool
 	// Silent upstreams have not reported for longer than SilentAfter.
 	Silent bool
-	// Loaded are the models in use, Staged those on the host.
+	// Loaded holds the models in use, Staged those stored on the host.
 	Loaded []ident.Model
 	Staged []ident.Model
-	// Last is the model of its newest group in this life; the roster keeps it when a report names none.
+	// Last is the model of the newest group of this incarnation. The roster keeps it if a report names no model.
 	Last   ident.Model
 	Member Membership
-	// Bound is the leader's mark of an upstream that late orders may put back into a group that has ended; reports do not change it.
+	// Bound is set by the leader for an upstream that late orders could put back into an ended group. Reports do not
+	// change it.
 	Bound bool
 }
 
@@ -62,7 +63,7 @@
 	return false
 }
 
-// Report is what an upstream says of itself; a higher Sequence is newer.
+// Report is what an upstream reports about itself; a higher Sequence is newer.
 type Report struct {
 	Upstream
 	Sequence uint64
@@ -70,21 +71,21 @@
 	ColdFor time.Duration
 }
 
-// Phase is how far the leader has brought a group.
+// Phase is the stage of a group in its life cycle.
 type Phase string
 
-// The phases of a group, in order.
+// Phases of a group, in order.
 const (
 	PhaseForming Phase = "forming"
 	PhaseOpening Phase = "opening"
 	PhaseOpen    Phase = "open"
-	// PhaseClosing groups finish what they have and get nothing new.
+	// PhaseClosing groups finish their requests and get no new ones.
 	PhaseClosing Phase = "closing"
-	// PhaseLeaving groups are broken or given up; their head has been told to leave.
+	// PhaseLeaving groups are broken or given up; their head has been ordered to leave.
 	PhaseLeaving Phase = "leaving"
 )
 
-// Group is one replica: its members, head first, and how far it is.
+// Group is one replica. Members lists its head first.
 type Group struct {
 	Name    ident.Group
 	Epoch   ident.Epoch
@@ -92,36 +93,37 @@
 	Model   ident.Model
 	Members []ident.Incarnation
 	Phase   Phase
-	// Far groups span domains and are slower, Slow ones have a member that says that it is slow.
+	// Far groups span domains and are slower. Slow groups have a member that reports itself slow.
 	Far  bool
 	Slow bool
-	// WarmUp groups are never opened: their only member gets weights ready.
+	// WarmUp groups are never opened: they make their only member stage weights.
 	WarmUp bool
-	// Doubtful groups were formed by orders some of which had no known outcome: these may be carried out late, also after a change of leaders.
+	// Doubtful groups were formed by orders of which some have an unknown outcome. Such orders can still be carried
+	// out, even after a change of leaders.
 	Doubtful bool
-	// Since is when the phase began, on the leader's clock; it is not passed on.
+	// Since is when the phase began, on the leader's clock. It is not sent to others.
 	Since time.Time
 }
 
-// Head returns the member that takes requests.
+// Head returns the member that serves requests.
 func (g *Group) Head() ident.Incarnation {
 	return g.Members[0]
 }
 
-// Inheritable reports whether a new leader may start from g as it stands in a copy. Its predecessor may have opened a group
-// that the copy shows as forming, and of one that was to be left not every member may be known; reports tell of those.
+// Inheritable reports whether a new leader can adopt g from a copy. A group that the copy shows as forming may have
+// been opened since, and the members of a group that is to leave may not all be known; reports show both.
 func (g *Group) Inheritable() bool {
 	return g.Phase == PhaseOpen || g.Phase == PhaseClosing
 }
 
-// Revision numbers changes of a roster within one leader's term.
+// Revision numbers the changes of a roster within one leader's term.
 type Revision uint64
 
-// Delta is what changed after a revision; a Full delta replaces the copy.
+// Delta is what changed after a revision; a Full delta replaces the whole copy.
 type Delta struct {
 	Full     bool
 	Revision Revision
-	// Replaces are the parts of the copy that the delta replaces, as bits.
+	// Replaces is the bit set of the partitions of the copy that the delta replaces.
 	Replaces  uint64
 	Upstreams []Upstream
 	Groups    []Group
--- a/roster/view.go
+++ b/roster/view.go
@@ -8,24 +8,24 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// View is the part of a roster that entries route by: the workers of plain services, and the heads of groups that serve.
-// Members of groups change state all the time, which concerns nobody but the leader; telling
-// every entry of it would fill the leader's link at a large site.
+// View is the part of a roster that entries route by: the upstreams of plain services and the heads of open groups.
+// Other members of groups often change state, which matters only to the leader; sending that to every entry would fill
+// the leader's link at a large site.
 type View struct {
 	*Roster
 
 	source       *Roster
 	seenRevision Revision
-	// groupOfHead is the group that an upstream in the view is there for.
+	// groupOfHead holds the group of each upstream that is in the view as its head.
 	groupOfHead map[ident.Incarnation]ident.Group
 }
 
-// NewView returns a view of a roster; Follow brings it up to date.
+// NewView returns an empty view of a roster; Update fills it.
 func NewView(source *Roster) *View {
 	return &View{Roster: New(), source: source, groupOfHead: map[ident.Incarnation]ident.Group{}}
 }
 
-// Update takes over what has changed; plain tells which services have no engines.
+// Update applies the roster's changes; isPlain reports whether a service has no engines.
 func (v *View) Update(isPlain func(service ident.Service) bool) {
 	d := v.source.Since(v.seenRevision)
 	v.seenRevision = d.Revision
@@ -51,7 +51,7 @@
 	}
 }
 
-// removeMissing drops what a whole roster does not name.
+// removeMissing drops what a full delta does not contain.
 func (v *View) removeMissing(d *Delta) {
 	groups, upstreams := map[ident.Group]bool{}, map[ident.Incarnation]bool{}
 	for i := range d.Groups {
@@ -90,7 +90,7 @@
 	v.recordChange(change{group: g.Name})
 }
 
-// putUpstream adds or replaces an upstream without what entries do not need.
+// putUpstream adds or replaces an upstream, with only the fields that entries need.
 func (v *View) putUpstream(u *Upstream) {
 	out := Upstream{ID: u.ID, Service: u.Service, Address: u.Address, Hall: u.Hall, Slots: u.Slots, Draining: u.Draining, Silent: u.Silent, Cold: u.Cold}
 	if record := v.upstreams[u.ID]; record != nil {
--- a/roster/view_test.go
+++ b/roster/view_test.go
@@ -16,7 +16,7 @@
 
 func isPlain(service ident.Service) bool { return service == "plain" }
 
-// expectedView is what a view ought to have of a roster.
+// expectedView returns the upstreams and groups that a view of r should contain.
 func expectedView(r *roster.Roster) (upstreams []ident.Incarnation, groups []ident.Group) {
 	for _, g := range r.Groups() {
 		if g.Phase == roster.PhaseOpen {
@@ -36,8 +36,8 @@
 	return slices.Compact(upstreams), groups
 }
 
-// An entry's copy has the plain upstreams and the heads of open groups, whatever happens in whatever order, also when the view
-// was not looked at for long.
+// After any sequence of changes, also after long periods without updates, a view holds the plain upstreams and the
+// heads of open groups.
 func TestViewHoldsPlainUpstreamsAndHeads(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	r := newRoster()
@@ -46,7 +46,7 @@
 	for i := range 30000 {
 		randomChange(r, random, i)
 		if random.IntN(40) != 0 && i%2500 != 0 || i > 2600 && i < 28000 {
-			continue // for a while nobody looks
+			continue // the view is not updated for a while
 		}
 		v.Update(isPlain)
 		d := v.Since(copied.Revision)
@@ -61,20 +61,20 @@
 		for name, g := range copied.Groups {
 			groups = append(groups, name)
 			if len(g.Members) != 1 {
-				t.Fatalf("%s has %d members in the view", name, len(g.Members))
+				t.Fatalf("group %s has %d members in the view, want 1", name, len(g.Members))
 			}
 		}
 		sort.Slice(groups, func(i, j int) bool { return groups[i] < groups[j] })
 		if diff := cmp.Diff(wantUpstreams, upstreams); diff != "" {
-			t.Fatalf("after %d changes, upstreams (-want +got):\n%s", i, diff)
+			t.Fatalf("upstreams after %d changes (-want +got):\n%s", i, diff)
 		}
 		if diff := cmp.Diff(wantGroups, groups); diff != "" {
-			t.Fatalf("after %d changes, groups (-want +got):\n%s", i, diff)
+			t.Fatalf("groups after %d changes (-want +got):\n%s", i, diff)
 		}
 	}
 }
 
-// randomChange does one random thing to a roster.
+// randomChange makes one random change to a roster.
 func randomChange(r *roster.Roster, random *rand.Rand, i int) {
 	id := ident.Incarnation("u" + strconv.Itoa(random.IntN(30)))
 	name := ident.Group("g" + strconv.Itoa(random.IntN(10)))
@@ -95,7 +95,7 @@
 	}
 }
 
-// What members of a group do is no news for entries.
+// State changes of group members other than the head do not change the view.
 func TestViewIgnoresMemberChanges(t *testing.T) {
 	r := newRoster()
 	v := roster.NewView(r)
@@ -111,6 +111,6 @@
 	r.PutGroup(&roster.Group{Name: "h", Service: "s", Phase: roster.PhaseForming, Members: []ident.Incarnation{"b"}})
 	v.Update(isPlain)
 	if after, _ := v.Changed(); after != before {
-		t.Errorf("revision %d after %d", after, before)
+		t.Errorf("view has revision %d after member changes, want %d", after, before)
 	}
 }
