--- a/roster/digests.go
+++ b/roster/digests.go
@@ -24,19 +24,19 @@
 	return xxhash.Sum64String(string(k)) % partitions
 }
 
-func (s *Digests) addUpstream(u *Upstream) {
-	s[partitionOf(u.ID)] += digestUpstream(u)
+func (d *Digests) addUpstream(u *Upstream) {
+	d[partitionOf(u.ID)] += digestUpstream(u)
 }
 
-func (s *Digests) addGroup(g *Group) {
-	s[partitionOf(g.Name)] += digestGroup(g)
+func (d *Digests) addGroup(g *Group) {
+	d[partitionOf(g.Name)] += digestGroup(g)
 }
 
 // differingPartitions returns the bit set of the partitions that differ.
-func (s *Digests) differingPartitions(other *Digests) uint64 {
+func (d *Digests) differingPartitions(other *Digests) uint64 {
 	var mask uint64
-	for i := range s {
-		if s[i] != other[i] {
+	for i := range d {
+		if d[i] != other[i] {
 			mask |= 1 << i
 		}
 	}
@@ -45,16 +45,16 @@
 
 // Digests returns the digests of the copy.
 func (c *Copy) Digests() *Digests {
-	var s Digests
+	var digests Digests
 	for id := range c.Upstreams {
 		u := c.Upstreams[id]
-		s.addUpstream(&u)
+		digests.addUpstream(&u)
 	}
 	for name := range c.Groups {
 		g := c.Groups[name]
-		s.addGroup(&g)
+		digests.addGroup(&g)
 	}
-	return &s
+	return &digests
 }
 
 // Diff returns a delta with the whole content of each partition whose digest differs from the copy's.
@@ -83,14 +83,14 @@
 
 // computeDigests returns the digests; the mutex is held.
 func (r *Roster) computeDigests() Digests {
-	var s Digests
+	var digests Digests
 	for _, record := range r.upstreams {
-		s.addUpstream(&record.Upstream)
+		digests.addUpstream(&record.Upstream)
 	}
 	for _, g := range r.groups {
-		s.addGroup(&g)
+		digests.addGroup(&g)
 	}
-	return s
+	return digests
 }
 
 // dropPartitions removes the content of the partitions in mask.
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -70,9 +70,9 @@
 	upstreams map[ident.Incarnation]*upstreamRecord
 	byAddress map[string]ident.Incarnation
 	// newestByID holds the newest incarnation of each upstream id.
-	newestByID map[string]ident.Incarnation
-	groups     map[ident.Group]Group
-	ended      map[ident.Incarnation]endedRecord
+	newestByID        map[string]ident.Incarnation
+	groups            map[ident.Group]Group
+	endedIncarnations map[ident.Incarnation]endedRecord
 	// journal holds the changes after revision journalBase, one for each revision.
 	journal     []change
 	journalBase Revision
@@ -85,12 +85,12 @@
 // New returns an empty roster.
 func New() *Roster {
 	return &Roster{
-		upstreams:  map[ident.Incarnation]*upstreamRecord{},
-		byAddress:  map[string]ident.Incarnation{},
-		newestByID: map[string]ident.Incarnation{},
-		groups:     map[ident.Group]Group{},
-		ended:      map[ident.Incarnation]endedRecord{},
-		changed:    make(chan struct{}),
+		upstreams:         map[ident.Incarnation]*upstreamRecord{},
+		byAddress:         map[string]ident.Incarnation{},
+		newestByID:        map[string]ident.Incarnation{},
+		groups:            map[ident.Group]Group{},
+		endedIncarnations: map[ident.Incarnation]endedRecord{},
+		changed:           make(chan struct{}),
 	}
 }
 
@@ -225,7 +225,7 @@
 // error, by a late report of its predecessor from the same address, keeps reporting and is restored; the predecessor
 // does not report again.
 func (r *Roster) fromEndedIncarnation(report *Report) bool {
-	ended, ok := r.ended[report.ID]
+	ended, ok := r.endedIncarnations[report.ID]
 	if !ok {
 		return false
 	}
@@ -234,11 +234,11 @@
 	}
 	ended.newerReports++
 	ended.sequence = report.Sequence
-	r.ended[report.ID] = ended
+	r.endedIncarnations[report.ID] = ended
 	if ended.newerReports < reportsToRestore {
 		return true
 	}
-	delete(r.ended, report.ID)
+	delete(r.endedIncarnations, report.ID)
 	return false
 }
 
@@ -254,7 +254,7 @@
 		ended.sequence = record.sequence
 	}
 	delete(r.upstreams, previous)
-	r.ended[previous] = ended
+	r.endedIncarnations[previous] = ended
 	r.recordChange(change{upstream: previous})
 }
 
@@ -295,7 +295,7 @@
 
 func (r *Roster) markEnded(now time.Time, id ident.Incarnation) {
 	delete(r.upstreams, id)
-	r.ended[id] = endedRecord{endedAt: now}
+	r.endedIncarnations[id] = endedRecord{endedAt: now}
 	r.recordChange(change{upstream: id})
 }
 
@@ -318,9 +318,9 @@
 			r.recordChange(change{upstream: id})
 		}
 	}
-	for id, record := range r.ended {
+	for id, record := range r.endedIncarnations {
 		if now.Sub(record.endedAt) >= endedRetention {
-			delete(r.ended, id)
+			delete(r.endedIncarnations, id)
 			if r.newestByID[id.UpstreamID()] == id {
 				delete(r.newestByID, id.UpstreamID())
 			}
--- a/roster/view.go
+++ b/roster/view.go
@@ -77,28 +77,28 @@
 		v.dropGroup(g.Name)
 		return
 	}
-	out := *g
-	out.Members = g.Members[:1]
-	if old, ok := v.groups[g.Name]; ok && reflect.DeepEqual(old, out) {
+	visible := *g
+	visible.Members = g.Members[:1]
+	if old, ok := v.groups[g.Name]; ok && reflect.DeepEqual(old, visible) {
 		return
 	}
 	v.groupOfHead[g.Head()] = g.Name
 	if head, ok := v.source.Upstream(g.Head()); ok {
 		v.putUpstream(&head)
 	}
-	v.groups[g.Name] = out
+	v.groups[g.Name] = visible
 	v.recordChange(change{group: g.Name})
 }
 
 // putUpstream adds or replaces an upstream, with only the fields that entries need.
 func (v *View) putUpstream(u *Upstream) {
-	out := Upstream{ID: u.ID, Service: u.Service, Address: u.Address, Hall: u.Hall, Slots: u.Slots, Draining: u.Draining, Silent: u.Silent, Cold: u.Cold}
+	visible := Upstream{ID: u.ID, Service: u.Service, Address: u.Address, Hall: u.Hall, Slots: u.Slots, Draining: u.Draining, Silent: u.Silent, Cold: u.Cold}
 	if record := v.upstreams[u.ID]; record != nil {
-		if reflect.DeepEqual(record.Upstream, out) {
+		if reflect.DeepEqual(record.Upstream, visible) {
 			return
 		}
 	}
-	v.upstreams[u.ID] = &upstreamRecord{Upstream: out}
+	v.upstreams[u.ID] = &upstreamRecord{Upstream: visible}
 	v.recordChange(change{upstream: u.ID})
 }
 
