--- a/quorum/bench_test.go
+++ b/quorum/bench_test.go
@@ -14,17 +14,17 @@
 	"github.com/dunlinquay/dunlinquay/quorum"
 )
 
-// trio is three members on synced folders; messages pass in memory, so that the disk is what is measured.
-type trio struct {
+// benchCluster is three members on synced folders; messages pass in memory, so that the disk is what is measured.
+type benchCluster struct {
 	nodes map[ident.Daemon]*quorum.Node
 	stop  func()
 	// silent names a member whose messages are lost.
 	silent atomic.Value
 }
 
-func newTrio(b *testing.B, root string, every quorum.Index) *trio {
+func newBenchCluster(b *testing.B, root string, snapshotEvery quorum.Index) *benchCluster {
 	b.Helper()
-	t := &trio{nodes: map[ident.Daemon]*quorum.Node{}}
+	t := &benchCluster{nodes: map[ident.Daemon]*quorum.Node{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	var members []quorum.Member
@@ -40,10 +40,10 @@
 			b.Fatal(err)
 		}
 		n := quorum.NewNode(store)
-		n.Timing, n.SnapshotEvery, n.Seed = timing, every, uint64(name[0])
+		n.Timing, n.SnapshotEvery, n.Seed = timing, snapshotEvery, uint64(name[0])
 		n.Send = func(messages []quorum.Message) {
 			for i := range messages {
-				if quiet, _ := t.silent.Load().(string); quiet == string(name) {
+				if silent, _ := t.silent.Load().(string); silent == string(name) {
 					return
 				}
 				t.nodes[messages[i].To.Name].Deliver(messages[i : i+1])
@@ -72,7 +72,7 @@
 	return t
 }
 
-func (t *trio) leader() *quorum.Node {
+func (t *benchCluster) leader() *quorum.Node {
 	for {
 		for _, n := range t.nodes {
 			if n.Status().Role == quorum.RoleLeader {
@@ -86,15 +86,15 @@
 func BenchmarkChanges(b *testing.B) {
 	for _, writers := range []int{1, 64, 1024} {
 		b.Run(fmt.Sprint(writers, "-at-once"), func(b *testing.B) {
-			t := newTrio(b, b.TempDir(), 1<<30)
+			t := newBenchCluster(b, b.TempDir(), 1<<30)
 			defer t.stop()
 			leader := t.leader()
 			data := make([]byte, 200)
 			var wg sync.WaitGroup
-			work := make(chan struct{})
+			proposals := make(chan struct{})
 			for range writers {
 				wg.Go(func() {
-					for range work {
+					for range proposals {
 						if _, _, err := leader.Propose(context.Background(), data); err != nil {
 							b.Error(err)
 						}
@@ -102,9 +102,9 @@
 				})
 			}
 			for b.Loop() {
-				work <- struct{}{}
+				proposals <- struct{}{}
 			}
-			close(work)
+			close(proposals)
 			wg.Wait()
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "changes/s")
 		})
@@ -118,7 +118,7 @@
 	}{{"with-snapshot", 4096}, {"without-snapshot", 1 << 30}} {
 		b.Run(c.name, func(b *testing.B) {
 			root := b.TempDir()
-			t := newTrio(b, root, c.every)
+			t := newBenchCluster(b, root, c.every)
 			leader := t.leader()
 			var wg sync.WaitGroup
 			for range 100 {
@@ -152,19 +152,19 @@
 func BenchmarkLeaderLoss(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
-		t := newTrio(b, b.TempDir(), 1<<30)
+		t := newBenchCluster(b, b.TempDir(), 1<<30)
 		leader := t.leader()
 		_, _, _ = leader.Propose(context.Background(), []byte{1})
 		b.StartTimer()
 		t.silent.Store(string(leader.Status().ID.Name))
-		t.changeThroughOther(leader)
+		t.proposeThroughSuccessor(leader)
 		b.StopTimer()
 		t.stop()
 		b.StartTimer()
 	}
 }
 
-func (t *trio) changeThroughOther(old *quorum.Node) {
+func (t *benchCluster) proposeThroughSuccessor(old *quorum.Node) {
 	for {
 		for _, n := range t.nodes {
 			if n == old || n.Status().Role != quorum.RoleLeader {
--- a/quorum/core.go
+++ b/quorum/core.go
@@ -29,14 +29,14 @@
 const (
 	maxEntriesPerMessage = 512
 	maxBytesPerMessage   = 1 << 20
-	driftFactor          = 1.1
-	// quickTries is how many times a member that starts tries after the part 1/quickPart of the election time, past which a
+	clockDriftFactor     = 1.1
+	// startupAttempts is how many times a member that starts tries after the part 1/startupElectionDivisor of the election time, past which a
 	// vote with its syncs and answers is usually decided; after that disks may be slow, and it waits as long as any other.
-	quickTries = 3
-	quickPart  = 3
-	// turnPart is the part 1/turnPart of the election time by which members that start ask for votes after each other: some
+	startupAttempts        = 3
+	startupElectionDivisor = 3
+	// staggerDivisor is the part 1/staggerDivisor of the election time by which members that start ask for votes after each other: some
 	// times the time that a vote takes.
-	turnPart = 12
+	staggerDivisor = 12
 )
 
 // Timing holds the intervals of one instance.
@@ -46,10 +46,10 @@
 	Lease     time.Duration
 }
 
-// promised is how long a member that has just started withholds its vote: it may have supported a leader's lease right
+// voteHoldOff is how long a member that has just started withholds its vote: it may have supported a leader's lease right
 // before, and has forgotten that.
-func (t Timing) promised() time.Duration {
-	return min(t.Election, time.Duration(driftFactor*float64(t.Lease)))
+func (t Timing) voteHoldOff() time.Duration {
+	return min(t.Election, time.Duration(clockDriftFactor*float64(t.Lease)))
 }
 
 // Ready is what the driver has to do after a step, in the order of its fields.
@@ -63,15 +63,15 @@
 }
 
 type progress struct {
-	match     Index
-	next      Index
-	acked     time.Time
-	ackedSent time.Time
-	// suspect is when the member first refused what it had acknowledged before.
-	suspect time.Time
-	lost    bool
-	// snapshotAt limits how often a snapshot is sent to a member that does not answer.
-	snapshotAt time.Time
+	match          Index
+	next           Index
+	lastAck        time.Time
+	ackedBroadcast time.Time
+	// refusingSince is when the member first refused what it had acknowledged before.
+	refusingSince time.Time
+	lostData      bool
+	// snapshotRequestedAt limits how often a snapshot is sent to a member that does not answer.
+	snapshotRequestedAt time.Time
 }
 
 // Core is one member of one instance; its methods must not be called concurrently.
@@ -81,65 +81,65 @@
 	timing   Timing
 	random   *rand.Rand
 
-	hard     HardState
-	snapshot Snapshot // Data is left out; the driver keeps it.
-	entries  []Entry  // entries[0].Index == snapshot.Index+1
-	formed   bool
-	members  []Member
-	memberAt Index
-	commit   Index
-	handed   Index // up to here Ready has handed out committed entries
-	// currentFrom is the first commit of a leader's own term that was seen since the start; applying it makes this
+	hardState    HardState
+	snapshot     Snapshot // Data is left out; the driver keeps it.
+	entries      []Entry  // entries[0].Index == snapshot.Index+1
+	formed       bool
+	members      []Member
+	membersIndex Index
+	commit       Index
+	handedOut    Index // up to here Ready has handed out committed entries
+	// firstCurrentTermCommit is the first commit of a leader's own term that was seen since the start; applying it makes this
 	// member know everything that was committed before.
-	currentFrom Index
-	persisted   Index
-
-	role     Role
-	leader   MemberID
-	heard    time.Time // when a leader was heard last, or the start
-	deadline time.Time
-	// quick counts the short deadlines that are left to a member that has not heard of a leader since its start.
-	quick    int
-	votes    map[MemberID]bool
-	transfer bool
-	elected  time.Time
-	lease    time.Time
-	nextBeat time.Time
-	lastSent time.Time
-	progress map[MemberID]*progress
-	needSnap []MemberID
-
-	appends    []Message
-	messages   []Message
-	install    *Snapshot
-	hardDirty  bool
-	firstDirty Index
+	firstCurrentTermCommit Index
+	persisted              Index
+
+	role             Role
+	leader           MemberID
+	lastContact      time.Time // when a leader was heard last, or the start
+	electionDeadline time.Time
+	// startupAttemptsLeft counts the short deadlines that are left to a member that has not heard of a leader since its start.
+	startupAttemptsLeft int
+	votes               map[MemberID]bool
+	transferring        bool
+	electedAt           time.Time
+	leaseEnd            time.Time
+	nextHeartbeat       time.Time
+	lastBroadcast       time.Time
+	progress            map[MemberID]*progress
+	snapshotRequests    []MemberID
+
+	appends        []Message
+	messages       []Message
+	install        *Snapshot
+	hardStateDirty bool
+	firstUnsaved   Index
 }
 
 // NewCore returns a member that has read snapshot (nil when never formed), hard and entries from its disk; seed varies election times.
-func NewCore(id MemberID, instance Instance, timing Timing, seed uint64, now time.Time, snapshot *Snapshot, hard HardState, entries []Entry) *Core {
+func NewCore(id MemberID, instance Instance, timing Timing, seed uint64, now time.Time, snapshot *Snapshot, hardState HardState, entries []Entry) *Core {
 	c := &Core{
-		id:       id,
-		instance: instance,
-		timing:   timing,
-		random:   rand.New(rand.NewPCG(seed, uint64(instance))),
-		hard:     hard,
-		heard:    now.Add(timing.promised() - timing.Election),
-		votes:    map[MemberID]bool{},
-		progress: map[MemberID]*progress{},
+		id:          id,
+		instance:    instance,
+		timing:      timing,
+		random:      rand.New(rand.NewPCG(seed, uint64(instance))),
+		hardState:   hardState,
+		lastContact: now.Add(timing.voteHoldOff() - timing.Election),
+		votes:       map[MemberID]bool{},
+		progress:    map[MemberID]*progress{},
 	}
 	if snapshot != nil {
 		c.formed = true
 		c.snapshot = Snapshot{Index: snapshot.Index, Term: snapshot.Term, Members: snapshot.Members}
 		c.commit = snapshot.Index
-		c.handed = snapshot.Index
+		c.handedOut = snapshot.Index
 		c.entries = append(c.entries, entries...)
 	}
 	c.persisted = c.lastIndex()
-	c.findMembers()
+	c.updateMembers()
 	// Members that all start anew have nobody to wait for but the lease that they may have supported.
-	c.quick = quickTries
-	c.deadline = now.Add(timing.promised() + c.turn())
+	c.startupAttemptsLeft = startupAttempts
+	c.electionDeadline = now.Add(timing.voteHoldOff() + c.staggerDelay())
 	return c
 }
 
@@ -147,18 +147,18 @@
 func (c *Core) Ready() Ready {
 	rd := Ready{Appends: c.appends, Install: c.install, Messages: c.messages}
 	c.appends, c.messages, c.install = nil, nil, nil
-	if c.hardDirty {
-		hard := c.hard
-		rd.HardState = &hard
-		c.hardDirty = false
+	if c.hardStateDirty {
+		hardState := c.hardState
+		rd.HardState = &hardState
+		c.hardStateDirty = false
 	}
-	if c.firstDirty != 0 {
-		rd.Entries = c.slice(c.firstDirty, c.lastIndex())
-		c.firstDirty = 0
+	if c.firstUnsaved != 0 {
+		rd.Entries = c.slice(c.firstUnsaved, c.lastIndex())
+		c.firstUnsaved = 0
 	}
-	if until := min(c.commit, c.lastIndex()); until > c.handed {
-		rd.Committed = c.slice(c.handed+1, until)
-		c.handed = until
+	if until := min(c.commit, c.lastIndex()); until > c.handedOut {
+		rd.Committed = c.slice(c.handedOut+1, until)
+		c.handedOut = until
 	}
 	return rd
 }
@@ -166,8 +166,8 @@
 // Status returns the member's view; Applied is the driver's to fill in.
 func (c *Core) Status() Status {
 	return Status{
-		ID: c.id, Formed: c.formed, Role: c.role, Term: c.hard.Term, Leader: c.leader.Name, Commit: c.commit,
-		Members: c.members, KnowsCommitted: c.currentFrom > 0, Expelled: c.hard.Expelled, LeaseEnd: c.lease, ElectedAt: c.elected, LastContact: c.heard,
+		ID: c.id, Formed: c.formed, Role: c.role, Term: c.hardState.Term, Leader: c.leader.Name, Commit: c.commit,
+		Members: c.members, KnowsCommitted: c.firstCurrentTermCommit > 0, Expelled: c.hardState.Expelled, LeaseEnd: c.leaseEnd, ElectedAt: c.electedAt, LastContact: c.lastContact,
 		Followers: c.followers(),
 	}
 }
@@ -180,7 +180,7 @@
 	list := make([]Follower, 0, len(c.members))
 	for _, m := range c.members {
 		if p := c.progress[m.ID]; m.ID != c.id && p != nil {
-			list = append(list, Follower{ID: m.ID, LastAck: p.acked, LostData: p.lost})
+			list = append(list, Follower{ID: m.ID, LastAck: p.lastAck, LostData: p.lostData})
 		}
 	}
 	return list
@@ -189,7 +189,7 @@
 // CaughtUpVoter returns a voter other than this leader that holds the whole log.
 func (c *Core) CaughtUpVoter() (MemberID, bool) {
 	for _, m := range c.members {
-		if p := c.progress[m.ID]; m.Voter && m.ID != c.id && p != nil && !p.lost && p.match == c.lastIndex() {
+		if p := c.progress[m.ID]; m.Voter && m.ID != c.id && p != nil && !p.lostData && p.match == c.lastIndex() {
 			return m.ID, true
 		}
 	}
@@ -210,16 +210,16 @@
 		c.tickLeader(now)
 		return
 	}
-	if now.Before(c.deadline) {
+	if now.Before(c.electionDeadline) {
 		return
 	}
-	c.resetDeadline(now)
-	if c.quick > 0 {
-		c.quick--
+	c.resetElectionDeadline(now)
+	if c.startupAttemptsLeft > 0 {
+		c.startupAttemptsLeft--
 		// Everyone keeps its turn: some may have started a moment later and withheld their votes.
-		c.deadline = now.Add(c.allTurns())
+		c.electionDeadline = now.Add(c.staggerPeriod())
 	}
-	c.transfer = false
+	c.transferring = false
 	if c.mayLead() {
 		c.campaign(now, RolePreCandidate)
 	}
@@ -227,22 +227,22 @@
 
 func (c *Core) tickLeader(now time.Time) {
 	// After a failed transfer the receiver may still campaign past this leader's lease, so its leadership ends.
-	if !c.heardMajority(now) || c.transfer && !now.Before(c.deadline) {
-		c.becomeFollower(now, c.hard.Term, MemberID{})
+	if !c.hasMajorityContact(now) || c.transferring && !now.Before(c.electionDeadline) {
+		c.becomeFollower(now, c.hardState.Term, MemberID{})
 		return
 	}
-	if !now.Before(c.nextBeat) {
+	if !now.Before(c.nextHeartbeat) {
 		c.broadcast(now)
 	}
 }
 
-func (c *Core) heardMajority(now time.Time) bool {
+func (c *Core) hasMajorityContact(now time.Time) bool {
 	count := 0
 	for _, m := range c.members {
 		if !m.Voter {
 			continue
 		}
-		if m.ID == c.id || now.Sub(c.progress[m.ID].acked) < c.timing.Election {
+		if m.ID == c.id || now.Sub(c.progress[m.ID].lastAck) < c.timing.Election {
 			count++
 		}
 	}
@@ -251,10 +251,10 @@
 
 // Propose appends a command as leader and returns its index, or false when this member does not lead.
 func (c *Core) Propose(now time.Time, kind EntryKind, data []byte) (Index, bool) {
-	if c.role != RoleLeader || c.transfer {
+	if c.role != RoleLeader || c.transferring {
 		return 0, false
 	}
-	c.append(Entry{Index: c.lastIndex() + 1, Term: c.hard.Term, Kind: kind, Data: data})
+	c.append(Entry{Index: c.lastIndex() + 1, Term: c.hardState.Term, Kind: kind, Data: data})
 	if kind == EntryMembers {
 		c.trackMembers(now)
 	}
@@ -270,7 +270,7 @@
 
 // ProposeMembers replaces the members when this member leads, the last change is committed and at most one voter differs.
 func (c *Core) ProposeMembers(now time.Time, members []Member) (Index, bool) {
-	if c.role != RoleLeader || c.memberAt > c.commit || c.termAt(c.commit) != c.hard.Term {
+	if c.role != RoleLeader || c.membersIndex > c.commit || c.termAt(c.commit) != c.hardState.Term {
 		return 0, false
 	}
 	if votersChanged(c.members, members) > 1 {
@@ -284,24 +284,24 @@
 }
 
 func votersChanged(a, b []Member) int {
-	in := map[MemberID]int{}
+	difference := map[MemberID]int{}
 	for _, m := range a {
 		if m.Voter {
-			in[m.ID]++
+			difference[m.ID]++
 		}
 	}
 	for _, m := range b {
 		if m.Voter {
-			in[m.ID]--
+			difference[m.ID]--
 		}
 	}
-	n := 0
-	for _, v := range in {
-		if v != 0 {
-			n++
+	changed := 0
+	for _, count := range difference {
+		if count != 0 {
+			changed++
 		}
 	}
-	return n
+	return changed
 }
 
 // Form gives a member that was never formed its first members; later calls change nothing.
@@ -312,7 +312,7 @@
 	c.formed = true
 	c.snapshot = Snapshot{Members: members}
 	c.install = &Snapshot{Format: snapshotFormat, Members: members}
-	c.findMembers()
+	c.updateMembers()
 	return true
 }
 
@@ -322,16 +322,16 @@
 	if c.role != RoleLeader || p == nil || p.match != c.lastIndex() || !c.isVoter(to) {
 		return false
 	}
-	c.lease = time.Time{}
-	c.transfer = true
-	c.deadline = now.Add(c.timing.Election)
+	c.leaseEnd = time.Time{}
+	c.transferring = true
+	c.electionDeadline = now.Add(c.timing.Election)
 	c.send(Message{Kind: MessageTransfer, To: to})
 	return true
 }
 
 // Step handles one message.
 func (c *Core) Step(now time.Time, m *Message) {
-	if m.To != c.id || c.hard.Expelled {
+	if m.To != c.id || c.hardState.Expelled {
 		return
 	}
 	if m.Kind == MessageForm {
@@ -340,16 +340,16 @@
 		}
 		return
 	}
-	if c.ignoresVote(now, m) {
+	if c.ignoresVoteRequest(now, m) {
 		return
 	}
 	// A pre-vote asks about a term that nobody has entered yet, and so does its consent.
 	proposed := m.Kind == MessagePreVote || m.Kind == MessagePreVoteReply && m.Granted
-	if m.Term > c.hard.Term && !proposed {
+	if m.Term > c.hardState.Term && !proposed {
 		c.becomeFollower(now, m.Term, MemberID{})
 	}
-	if m.Term < c.hard.Term {
-		c.answerOld(m)
+	if m.Term < c.hardState.Term {
+		c.answerStaleTerm(m)
 		return
 	}
 	c.dispatch(now, m)
@@ -369,13 +369,13 @@
 		c.stepSnapshot(now, m)
 	case MessageTransfer:
 		if c.mayLead() {
-			c.transfer = true
+			c.transferring = true
 			c.campaign(now, RoleCandidate)
 		}
 	case MessageExpel:
 		// The leader has proof that this folder lost what it had synced.
-		c.hard.Expelled = true
-		c.hardDirty = true
+		c.hardState.Expelled = true
+		c.hardStateDirty = true
 		c.role = RoleFollower
 	}
 }
@@ -383,7 +383,7 @@
 func (c *Core) trackMembers(now time.Time) {
 	for _, m := range c.members {
 		if _, ok := c.progress[m.ID]; !ok {
-			c.progress[m.ID] = &progress{next: c.lastIndex() + 1, acked: now}
+			c.progress[m.ID] = &progress{next: c.lastIndex() + 1, lastAck: now}
 		}
 	}
 }
@@ -410,7 +410,7 @@
 func (c *Core) send(m Message) {
 	m.Instance = c.instance
 	m.From = c.id
-	m.Term = c.hard.Term
+	m.Term = c.hardState.Term
 	if m.Kind == MessageAppend {
 		c.appends = append(c.appends, m)
 		return
@@ -426,7 +426,7 @@
 		case !m.Voter:
 		case m.ID == c.id:
 			matches = append(matches, c.persisted)
-		case c.progress[m.ID].lost:
+		case c.progress[m.ID].lostData:
 			matches = append(matches, 0)
 		default:
 			matches = append(matches, c.progress[m.ID].match)
@@ -440,23 +440,23 @@
 }
 
 func (c *Core) advanceCommit() {
-	if i := c.majorityMatch(); i > c.commit && c.termAt(i) == c.hard.Term {
+	if i := c.majorityMatch(); i > c.commit && c.termAt(i) == c.hardState.Term {
 		c.commit = i
-		c.noteCurrent()
+		c.recordCurrentTermCommit()
 	}
 }
 
-// noteCurrent remembers the first commit of the present term. A leader commits an entry of its own term only after
+// recordCurrentTermCommit remembers the first commit of the present term. A leader commits an entry of its own term only after
 // everything that was committed before it.
-func (c *Core) noteCurrent() {
-	if c.currentFrom == 0 && c.termAt(c.commit) == c.hard.Term {
-		c.currentFrom = c.commit
+func (c *Core) recordCurrentTermCommit() {
+	if c.firstCurrentTermCommit == 0 && c.termAt(c.commit) == c.hardState.Term {
+		c.firstCurrentTermCommit = c.commit
 	}
 }
 
-// promote gives a learner its vote once it holds everything that is committed.
-func (c *Core) promote(now time.Time) {
-	if c.role != RoleLeader || c.memberAt > c.commit || c.termAt(c.commit) != c.hard.Term {
+// promoteLearner gives a learner its vote once it holds everything that is committed.
+func (c *Core) promoteLearner(now time.Time) {
+	if c.role != RoleLeader || c.membersIndex > c.commit || c.termAt(c.commit) != c.hardState.Term {
 		return
 	}
 	for i, m := range c.members {
--- a/quorum/core_test.go
+++ b/quorum/core_test.go
@@ -14,46 +14,46 @@
 
 var timing = quorum.Timing{Heartbeat: 50 * time.Millisecond, Election: 500 * time.Millisecond, Lease: 400 * time.Millisecond}
 
-// machine is one member with its disk, clock and applied commands.
-type machine struct {
-	core     *quorum.Core
-	id       quorum.MemberID
-	up       bool
-	rate     float64
-	snapshot *quorum.Snapshot
-	hard     quorum.HardState
-	entries  []quorum.Entry
-	applied  []quorum.Entry
-	boots    uint64
+// simMember is one member with its disk, clock and applied commands.
+type simMember struct {
+	core      *quorum.Core
+	id        quorum.MemberID
+	up        bool
+	clockRate float64
+	snapshot  *quorum.Snapshot
+	hardState quorum.HardState
+	entries   []quorum.Entry
+	applied   []quorum.Entry
+	starts    uint64
 }
 
-// group drives cores by hand: every message, tick, kill and loss is one step of the test.
-type group struct {
-	t       testing.TB
-	base    time.Time
-	elapsed time.Duration
-	members []*machine
-	wire    []quorum.Message
-	leaders map[quorum.Term]quorum.MemberID
-	chosen  map[quorum.Index]string
-	acked   map[quorum.Index]string
-	cut     map[quorum.MemberID]bool
+// simCluster drives cores by hand: every message, tick, kill and loss is one step of the test.
+type simCluster struct {
+	t         testing.TB
+	base      time.Time
+	elapsed   time.Duration
+	members   []*simMember
+	network   []quorum.Message
+	leaders   map[quorum.Term]quorum.MemberID
+	committed map[quorum.Index]string
+	acked     map[quorum.Index]string
+	isolated  map[quorum.MemberID]bool
 	// oneWay holds links that lose everything in one direction only.
-	oneWay map[[2]quorum.MemberID]bool
-	count  int
+	oneWay    map[[2]quorum.MemberID]bool
+	proposals int
 }
 
-func newGroup(t testing.TB, n int) *group {
-	g := &group{
-		t: t, base: time.Unix(1000, 0), leaders: map[quorum.Term]quorum.MemberID{}, chosen: map[quorum.Index]string{},
-		acked: map[quorum.Index]string{}, cut: map[quorum.MemberID]bool{},
+func newSimCluster(t testing.TB, n int) *simCluster {
+	g := &simCluster{
+		t: t, base: time.Unix(1000, 0), leaders: map[quorum.Term]quorum.MemberID{}, committed: map[quorum.Index]string{},
+		acked: map[quorum.Index]string{}, isolated: map[quorum.MemberID]bool{},
 		oneWay: map[[2]quorum.MemberID]bool{},
 	}
 	var members []quorum.Member
 	for i := range n {
 		id := quorum.MemberID{Name: ident.Daemon(fmt.Sprintf("m%d", i)), Folder: quorum.FolderID(fmt.Sprintf("f%d", i))}
 		// Clocks differ by less than the drift that the lease allows for.
-		g.members = append(g.members, &machine{id: id, rate: 1 + 0.02*float64(i%3-1)})
+		g.members = append(g.members, &simMember{id: id, clockRate: 1 + 0.02*float64(i%3-1)})
 		members = append(members, quorum.Member{ID: id, Voter: true})
 	}
 	for _, m := range g.members {
@@ -64,12 +64,12 @@
 	return g
 }
 
-func (g *group) now(m *machine) time.Time {
-	return g.base.Add(time.Duration(float64(g.elapsed) * m.rate))
+func (g *simCluster) now(m *simMember) time.Time {
+	return g.base.Add(time.Duration(float64(g.elapsed) * m.clockRate))
 }
 
-func (g *group) start(m *machine) {
-	m.boots++
+func (g *simCluster) start(m *simMember) {
+	m.starts++
 	m.up = true
 	m.applied = nil
 	var tail []quorum.Entry
@@ -80,24 +80,24 @@
 			}
 		}
 	}
-	m.core = quorum.NewCore(m.id, 0, timing, m.boots*31+uint64(len(m.id.Name)), g.now(m), m.snapshot, m.hard, tail)
+	m.core = quorum.NewCore(m.id, 0, timing, m.starts*31+uint64(len(m.id.Name)), g.now(m), m.snapshot, m.hardState, tail)
 }
 
 // drain does what the core asks for; with torn the member dies after its appends left and before anything was synced.
-func (g *group) drain(m *machine, torn bool) {
+func (g *simCluster) drain(m *simMember, crashBeforeSync bool) {
 	for m.up {
 		for _, to := range m.core.TakeSnapshotRequests() {
 			s := m.core.Status()
 			m.core.SendSnapshot(to, &quorum.Snapshot{Format: 1, Index: s.Commit, Term: g.termOf(m, s.Commit), Members: s.Members})
 		}
 		rd := m.core.Ready()
-		g.wire = append(g.wire, rd.Appends...)
-		if torn {
+		g.network = append(g.network, rd.Appends...)
+		if crashBeforeSync {
 			m.up = false
 			return
 		}
 		g.persist(m, &rd)
-		g.wire = append(g.wire, rd.Messages...)
+		g.network = append(g.network, rd.Messages...)
 		for _, e := range rd.Committed {
 			g.apply(m, e)
 		}
@@ -107,7 +107,7 @@
 	}
 }
 
-func (g *group) termOf(m *machine, i quorum.Index) quorum.Term {
+func (g *simCluster) termOf(m *simMember, i quorum.Index) quorum.Term {
 	for _, e := range m.entries {
 		if e.Index == i {
 			return e.Term
@@ -119,35 +119,35 @@
 	return 0
 }
 
-func (g *group) persist(m *machine, rd *quorum.Ready) {
+func (g *simCluster) persist(m *simMember, rd *quorum.Ready) {
 	if rd.Install != nil {
 		m.snapshot = rd.Install
 		m.entries = nil
 	}
 	if rd.HardState != nil {
-		m.hard = *rd.HardState
+		m.hardState = *rd.HardState
 	}
 	if len(rd.Entries) == 0 {
 		return
 	}
-	keep := 0
-	for keep < len(m.entries) && m.entries[keep].Index < rd.Entries[0].Index {
-		keep++
+	kept := 0
+	for kept < len(m.entries) && m.entries[kept].Index < rd.Entries[0].Index {
+		kept++
 	}
-	m.entries = append(m.entries[:keep:keep], rd.Entries...)
+	m.entries = append(m.entries[:kept:kept], rd.Entries...)
 	m.core.Persisted(rd.Entries[len(rd.Entries)-1].Index)
 }
 
-func (g *group) apply(m *machine, e quorum.Entry) {
+func (g *simCluster) apply(m *simMember, e quorum.Entry) {
 	text := fmt.Sprint(e.Term, " ", e.Kind, " ", string(e.Data))
-	if old, ok := g.chosen[e.Index]; ok && old != text {
+	if old, ok := g.committed[e.Index]; ok && old != text {
 		g.t.Fatalf("entry %d was chosen as %q and as %q (by %s)", e.Index, old, text, m.id.Name)
 	}
-	g.chosen[e.Index] = text
+	g.committed[e.Index] = text
 	m.applied = append(m.applied, e)
 }
 
-func (g *group) check() {
+func (g *simCluster) checkInvariants() {
 	holders := 0
 	for _, m := range g.members {
 		if !m.up {
@@ -169,7 +169,7 @@
 	}
 }
 
-func (g *group) pass(d time.Duration) {
+func (g *simCluster) advance(d time.Duration) {
 	g.elapsed += d
 	for _, m := range g.members {
 		if m.up {
@@ -179,36 +179,36 @@
 	}
 }
 
-func (g *group) deliver(i int, keep, torn bool) {
-	msg := g.wire[i]
-	if !keep {
-		g.wire = append(g.wire[:i:i], g.wire[i+1:]...)
+func (g *simCluster) deliver(i int, duplicate, crashBeforeSync bool) {
+	msg := g.network[i]
+	if !duplicate {
+		g.network = append(g.network[:i:i], g.network[i+1:]...)
 	}
-	if g.cut[msg.From] || g.cut[msg.To] || g.oneWay[[2]quorum.MemberID{msg.From, msg.To}] {
+	if g.isolated[msg.From] || g.isolated[msg.To] || g.oneWay[[2]quorum.MemberID{msg.From, msg.To}] {
 		return
 	}
 	for _, m := range g.members {
 		if m.up && m.id.Name == msg.To.Name {
 			m.core.Step(g.now(m), &msg)
-			g.drain(m, torn)
+			g.drain(m, crashBeforeSync)
 		}
 	}
 }
 
-func (g *group) propose(m *machine) {
+func (g *simCluster) propose(m *simMember) {
 	if !m.up {
 		return
 	}
-	g.count++
-	if _, ok := m.core.Propose(g.now(m), quorum.EntryCommand, []byte(fmt.Sprint("c", g.count))); ok {
+	g.proposals++
+	if _, ok := m.core.Propose(g.now(m), quorum.EntryCommand, []byte(fmt.Sprint("c", g.proposals))); ok {
 		m.core.Flush(g.now(m))
 		g.drain(m, false)
 	}
 }
 
 // settle heals everything and lets the members agree.
-func (g *group) settle() *machine {
-	g.cut = map[quorum.MemberID]bool{}
+func (g *simCluster) settle() *simMember {
+	g.isolated = map[quorum.MemberID]bool{}
 	g.oneWay = map[[2]quorum.MemberID]bool{}
 	for _, m := range g.members {
 		if !m.up {
@@ -217,14 +217,14 @@
 		}
 	}
 	for range 400 {
-		g.pass(timing.Heartbeat)
+		g.advance(timing.Heartbeat)
 		for range 200 {
-			if len(g.wire) == 0 {
+			if len(g.network) == 0 {
 				break
 			}
 			g.deliver(0, false, false)
 		}
-		g.check()
+		g.checkInvariants()
 	}
 	for _, m := range g.members {
 		if m.core.Status().Role == quorum.RoleLeader {
@@ -236,23 +236,23 @@
 
 // history is a random sequence of faults over stretches of ordinary work; the same seed gives the same history.
 type history struct {
-	*group
+	*simCluster
 	random *rand.Rand
 }
 
 const (
-	histories = 800
-	stretches = 60
+	historyCount     = 800
+	phasesPerHistory = 60
 )
 
-func TestRandomHistoriesKeepThePromises(t *testing.T) {
-	for seed := range uint64(histories) {
+func TestRandomHistoriesKeepInvariants(t *testing.T) {
+	for seed := range uint64(historyCount) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			h := &history{newGroup(t, []int{1, 3, 3, 5}[seed%4]), rand.New(rand.NewPCG(seed, 7))}
-			for range stretches {
-				h.fault()
-				h.work()
+			h := &history{newSimCluster(t, []int{1, 3, 3, 5}[seed%4]), rand.New(rand.NewPCG(seed, 7))}
+			for range phasesPerHistory {
+				h.injectFault()
+				h.runTraffic()
 			}
 			leader := h.settle()
 			if leader == nil {
@@ -268,12 +268,12 @@
 	}
 }
 
-func (h *history) any() *machine {
+func (h *history) randomMember() *simMember {
 	return h.members[h.random.IntN(len(h.members))]
 }
 
-func (h *history) fault() {
-	m := h.any()
+func (h *history) injectFault() {
+	m := h.randomMember()
 	switch h.random.IntN(12) {
 	case 0:
 		m.up = false
@@ -283,14 +283,14 @@
 			h.drain(m, false)
 		}
 	case 3:
-		h.cut[m.id] = true
+		h.isolated[m.id] = true
 	case 4, 5:
-		h.cut = map[quorum.MemberID]bool{}
+		h.isolated = map[quorum.MemberID]bool{}
 	case 6:
 		// The leader, cut off silently.
 		for _, m := range h.members {
 			if m.up && m.core.Status().Role == quorum.RoleLeader {
-				h.cut[m.id] = true
+				h.isolated[m.id] = true
 			}
 		}
 	case 7:
@@ -301,14 +301,14 @@
 	case 8:
 		h.compact(m)
 	case 9, 10:
-		h.oneWay[[2]quorum.MemberID{m.id, h.any().id}] = true
+		h.oneWay[[2]quorum.MemberID{m.id, h.randomMember().id}] = true
 	case 11:
 		h.oneWay = map[[2]quorum.MemberID]bool{}
 	}
 }
 
 // compact takes a snapshot of what a member has committed and drops the entries before it.
-func (h *history) compact(m *machine) {
+func (h *history) compact(m *simMember) {
 	s := m.core.Status()
 	if !m.up || s.Commit < 4 || m.snapshot != nil && s.Commit <= m.snapshot.Index {
 		return
@@ -317,37 +317,37 @@
 	m.core.Compact(s.Commit, 1)
 }
 
-// work lets time pass in small steps; messages are lost, doubled, late and out of order, and members die between
+// runTraffic lets time pass in small steps; messages are lost, doubled, late and out of order, and members die between
 // sending and syncing.
-func (h *history) work() {
+func (h *history) runTraffic() {
 	loss := []int{0, 0, 10, 40}[h.random.IntN(4)]
 	for range h.random.IntN(40) {
-		h.pass(time.Duration(1+h.random.IntN(60)) * time.Millisecond)
+		h.advance(time.Duration(1+h.random.IntN(60)) * time.Millisecond)
 		if h.random.IntN(3) == 0 {
-			h.propose(h.any())
+			h.propose(h.randomMember())
 		}
 		for range h.random.IntN(12) {
-			if len(h.wire) == 0 {
+			if len(h.network) == 0 {
 				break
 			}
 			i := 0
 			if h.random.IntN(5) == 0 {
-				i = h.random.IntN(len(h.wire))
+				i = h.random.IntN(len(h.network))
 			}
 			if h.random.IntN(100) < loss {
-				h.wire = append(h.wire[:i:i], h.wire[i+1:]...)
+				h.network = append(h.network[:i:i], h.network[i+1:]...)
 				continue
 			}
 			h.deliver(i, h.random.IntN(20) == 0, h.random.IntN(60) == 0)
-			h.check()
+			h.checkInvariants()
 		}
-		h.check()
+		h.checkInvariants()
 	}
 }
 
-// lead returns a group of n whose members agree on a leader and have committed something.
-func lead(t testing.TB, n int) (*group, *machine) {
-	g := newGroup(t, n)
+// clusterWithLeader returns a group of n whose members agree on a leader and have committed something.
+func clusterWithLeader(t testing.TB, n int) (*simCluster, *simMember) {
+	g := newSimCluster(t, n)
 	leader := g.settle()
 	if leader == nil {
 		t.Fatal("no leader")
@@ -357,24 +357,24 @@
 	return g, leader
 }
 
-func TestAMemberWithANewFolderHasNoVote(t *testing.T) {
-	g, leader := lead(t, 3)
-	var lost *machine
+func TestMemberWithNewFolderHasNoVote(t *testing.T) {
+	g, leader := clusterWithLeader(t, 3)
+	var replaced *simMember
 	for _, m := range g.members {
 		if m != leader {
-			lost = m
+			replaced = m
 		}
 	}
 	// The folder is lost: same name, new folder id, nothing on disk.
-	lost.id.Folder = "new"
-	lost.snapshot, lost.hard, lost.entries = nil, quorum.HardState{}, nil
-	g.start(lost)
+	replaced.id.Folder = "new"
+	replaced.snapshot, replaced.hardState, replaced.entries = nil, quorum.HardState{}, nil
+	g.start(replaced)
 	// The leader dies too: one old member is left, which must not win with the help of the new folder.
 	leader.up = false
 	for range 100 {
-		g.pass(timing.Heartbeat)
+		g.advance(timing.Heartbeat)
 		for range 50 {
-			if len(g.wire) > 0 {
+			if len(g.network) > 0 {
 				g.deliver(0, false, false)
 			}
 		}
@@ -388,53 +388,53 @@
 	leader = g.settle()
 	var members []quorum.Member
 	for _, old := range leader.core.Status().Members {
-		if old.ID.Name != lost.id.Name {
+		if old.ID.Name != replaced.id.Name {
 			members = append(members, old)
 		}
 	}
-	members = append(members, quorum.Member{ID: lost.id})
+	members = append(members, quorum.Member{ID: replaced.id})
 	if _, ok := leader.core.ProposeMembers(g.now(leader), members); !ok {
 		t.Fatal("the leader does not take the new folder")
 	}
 	g.drain(leader, false)
 	g.settle()
 	voter := false
-	for _, m := range lost.core.Status().Members {
-		voter = voter || m.ID == lost.id && m.Voter
+	for _, m := range replaced.core.Status().Members {
+		voter = voter || m.ID == replaced.id && m.Voter
 	}
 	if !voter {
-		t.Fatalf("the admitted member has no vote: %v", lost.core.Status().Members)
+		t.Fatalf("the admitted member has no vote: %v", replaced.core.Status().Members)
 	}
-	if diff := cmp.Diff(leader.core.Status().Commit, lost.core.Status().Commit); diff != "" {
+	if diff := cmp.Diff(leader.core.Status().Commit, replaced.core.Status().Commit); diff != "" {
 		t.Fatalf("commit of leader and admitted member (-leader +member):\n%s", diff)
 	}
 }
 
-func TestAMemberWithAnOlderFolderIsExpelled(t *testing.T) {
-	g, leader := lead(t, 3)
-	var old *machine
+func TestMemberWithOlderFolderIsExpelled(t *testing.T) {
+	g, leader := clusterWithLeader(t, 3)
+	var restored *simMember
 	for _, m := range g.members {
 		if m != leader {
-			old = m
+			restored = m
 		}
 	}
-	hard, entries := old.hard, append([]quorum.Entry(nil), old.entries...)
+	hardState, entries := restored.hardState, append([]quorum.Entry(nil), restored.entries...)
 	for range 5 {
 		g.propose(leader)
 	}
 	g.settle()
 	// A copy of the folder from before those changes is put back.
-	old.up = false
-	old.hard, old.entries = hard, entries
-	g.start(old)
+	restored.up = false
+	restored.hardState, restored.entries = hardState, entries
+	g.start(restored)
 	g.settle()
-	if !old.core.Status().Expelled {
+	if !restored.core.Status().Expelled {
 		t.Fatal("a member that lost what it had acknowledged still takes part")
 	}
 }
 
 // One late reply from before a member had its first snapshot does not expel it; a member that goes on saying so has lost its folder.
-func TestALateReplyDoesNotExpelAMember(t *testing.T) {
+func TestLateReplyDoesNotExpelMember(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		replies int
@@ -444,22 +444,22 @@
 		{"one after the other for longer than the election time", 15, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g, leader := lead(t, 3)
-			var m *machine
+			g, leader := clusterWithLeader(t, 3)
+			var m *simMember
 			for _, other := range g.members {
 				if other != leader {
 					m = other
 				}
 			}
 			if c.replies > 1 {
-				g.cut[m.id] = true
+				g.isolated[m.id] = true
 			}
 			for range c.replies {
 				late := quorum.Message{Kind: quorum.MessageAppendReply, From: m.id, To: leader.id, Term: leader.core.Status().Term, Unformed: true}
 				leader.core.Step(g.now(leader), &late)
 				g.drain(leader, false)
-				g.pass(timing.Heartbeat)
-				for len(g.wire) > 0 {
+				g.advance(timing.Heartbeat)
+				for len(g.network) > 0 {
 					g.deliver(0, false, false)
 				}
 			}
--- a/quorum/election.go
+++ b/quorum/election.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// ignoresVote withholds votes while a leader may hold a lease that this member supports.
-func (c *Core) ignoresVote(now time.Time, m *Message) bool {
+// ignoresVoteRequest withholds votes while a leader may hold a lease that this member supports.
+func (c *Core) ignoresVoteRequest(now time.Time, m *Message) bool {
 	if m.Kind != MessagePreVote && m.Kind != MessageVote {
 		return false
 	}
@@ -19,13 +19,13 @@
 		return false
 	}
 	if c.role == RoleLeader {
-		return c.heardMajority(now)
+		return c.hasMajorityContact(now)
 	}
-	return now.Sub(c.heard) < c.timing.Election
+	return now.Sub(c.lastContact) < c.timing.Election
 }
 
-// answerOld tells a stale sender the newer term, so that a returned leader steps down at once.
-func (c *Core) answerOld(m *Message) {
+// answerStaleTerm tells a stale sender the newer term, so that a returned leader steps down at once.
+func (c *Core) answerStaleTerm(m *Message) {
 	switch m.Kind {
 	case MessageAppend, MessageSnapshot:
 		c.send(Message{Kind: MessageAppendReply, To: m.From})
@@ -35,30 +35,30 @@
 }
 
 func (c *Core) stepVote(now time.Time, m *Message) {
-	pre := m.Kind == MessagePreVote
-	free := pre && m.Term > c.hard.Term || c.hard.Vote == (MemberID{}) || c.hard.Vote == m.From
-	grant := free && c.upToDate(m)
-	reply := Message{Kind: MessageVoteReply, To: m.From, Granted: grant}
-	if pre {
+	preVote := m.Kind == MessagePreVote
+	mayVote := preVote && m.Term > c.hardState.Term || c.hardState.Vote == (MemberID{}) || c.hardState.Vote == m.From
+	granted := mayVote && c.upToDate(m)
+	reply := Message{Kind: MessageVoteReply, To: m.From, Granted: granted}
+	if preVote {
 		reply.Kind = MessagePreVoteReply
-		c.giveWay(now, m.From, grant)
-	} else if grant {
-		c.hard.Vote = m.From
-		c.hardDirty = true
-		c.resetDeadline(now)
+		c.yieldTo(now, m.From, granted)
+	} else if granted {
+		c.hardState.Vote = m.From
+		c.hardStateDirty = true
+		c.resetElectionDeadline(now)
 	}
 	c.send(reply)
-	if pre && grant {
+	if preVote && granted {
 		c.messages[len(c.messages)-1].Term = m.Term
 	}
 }
 
-// giveWay ends the candidacy of a member that has just started for one before it in the list: if both went on, they would
+// yieldTo ends the candidacy of a member that has just started for one before it in the list: if both went on, they would
 // split the votes.
-func (c *Core) giveWay(now time.Time, to MemberID, granted bool) {
-	if granted && c.quick > 0 && c.role == RolePreCandidate && c.rank(to) < c.rank(c.id) {
+func (c *Core) yieldTo(now time.Time, to MemberID, granted bool) {
+	if granted && c.startupAttemptsLeft > 0 && c.role == RolePreCandidate && c.position(to) < c.position(c.id) {
 		c.role = RoleFollower
-		c.deadline = now.Add(c.allTurns())
+		c.electionDeadline = now.Add(c.staggerPeriod())
 	}
 }
 
@@ -71,17 +71,17 @@
 	c.role = role
 	c.leader = MemberID{}
 	c.votes = map[MemberID]bool{c.id: true}
-	kind, term := MessagePreVote, c.hard.Term+1
+	kind, term := MessagePreVote, c.hardState.Term+1
 	if role == RoleCandidate {
 		kind = MessageVote
-		c.hard.Term++
-		c.hard.Vote = c.id
-		c.hardDirty = true
-		c.resetDeadline(now)
+		c.hardState.Term++
+		c.hardState.Vote = c.id
+		c.hardStateDirty = true
+		c.resetElectionDeadline(now)
 	}
 	for _, m := range c.members {
 		if m.Voter && m.ID != c.id {
-			c.send(Message{Kind: kind, To: m.ID, LastIndex: c.lastIndex(), LastTerm: c.termAt(c.lastIndex()), Transfer: c.transfer})
+			c.send(Message{Kind: kind, To: m.ID, LastIndex: c.lastIndex(), LastTerm: c.termAt(c.lastIndex()), Transfer: c.transferring})
 			c.messages[len(c.messages)-1].Term = term
 		}
 	}
@@ -89,11 +89,11 @@
 }
 
 func (c *Core) stepVoteReply(now time.Time, m *Message) {
-	wanted := map[Role]MessageKind{RolePreCandidate: MessagePreVoteReply, RoleCandidate: MessageVoteReply}
-	if kind, ok := wanted[c.role]; !ok || kind != m.Kind {
+	expected := map[Role]MessageKind{RolePreCandidate: MessagePreVoteReply, RoleCandidate: MessageVoteReply}
+	if kind, ok := expected[c.role]; !ok || kind != m.Kind {
 		return
 	}
-	if m.Kind == MessagePreVoteReply && m.Term != c.hard.Term+1 {
+	if m.Kind == MessagePreVoteReply && m.Term != c.hardState.Term+1 {
 		return
 	}
 	c.votes[m.From] = m.Granted
@@ -120,61 +120,61 @@
 func (c *Core) becomeLeader(now time.Time) {
 	c.role = RoleLeader
 	c.leader = c.id
-	c.transfer = false
-	c.elected = now
-	c.lease = time.Time{}
+	c.transferring = false
+	c.electedAt = now
+	c.leaseEnd = time.Time{}
 	// What its predecessors have committed is known with the first commit of its own.
-	c.currentFrom = 0
+	c.firstCurrentTermCommit = 0
 	c.progress = map[MemberID]*progress{}
 	c.trackMembers(now)
 	// An entry of the own term lets the entries of earlier terms commit.
-	c.append(Entry{Index: c.lastIndex() + 1, Term: c.hard.Term, Kind: EntryNoop})
+	c.append(Entry{Index: c.lastIndex() + 1, Term: c.hardState.Term, Kind: EntryNoop})
 	c.broadcast(now)
 }
 
 func (c *Core) becomeFollower(now time.Time, term Term, leader MemberID) {
-	if term > c.hard.Term {
-		c.hard.Term = term
-		c.hard.Vote = MemberID{}
-		c.hardDirty = true
+	if term > c.hardState.Term {
+		c.hardState.Term = term
+		c.hardState.Vote = MemberID{}
+		c.hardStateDirty = true
 	}
 	if c.role == RoleLeader {
-		c.heard = now
+		c.lastContact = now
 	}
 	c.role = RoleFollower
-	c.transfer = false
-	c.lease = time.Time{}
+	c.transferring = false
+	c.leaseEnd = time.Time{}
 	c.leader = leader
-	c.resetDeadline(now)
+	c.resetElectionDeadline(now)
 }
 
-// resetDeadline sets the time of the next election: at random after the loss of a leader that all heard until the same moment,
+// resetElectionDeadline sets the time of the next election: at random after the loss of a leader that all heard until the same moment,
 // and in turn after a start, where random times often met and each such vote was lost by all.
-func (c *Core) resetDeadline(now time.Time) {
-	if c.quick > 0 {
-		c.deadline = now.Add(c.timing.Election/quickPart + c.turn())
+func (c *Core) resetElectionDeadline(now time.Time) {
+	if c.startupAttemptsLeft > 0 {
+		c.electionDeadline = now.Add(c.timing.Election/startupElectionDivisor + c.staggerDelay())
 		return
 	}
-	spread := c.random.Int64N(int64(c.timing.Election))
-	c.deadline = now.Add(c.timing.Election + time.Duration(spread))
+	jitter := c.random.Int64N(int64(c.timing.Election))
+	c.electionDeadline = now.Add(c.timing.Election + time.Duration(jitter))
 }
 
-// turn is how long this member lets those before it in the list of members ask for votes first.
-func (c *Core) turn() time.Duration {
-	return time.Duration(max(0, c.rank(c.id))) * c.timing.Election / turnPart
+// staggerDelay is how long this member lets those before it in the list of members ask for votes first.
+func (c *Core) staggerDelay() time.Duration {
+	return time.Duration(max(0, c.position(c.id))) * c.timing.Election / staggerDivisor
 }
 
-// allTurns is the time in which every member has its turn.
-func (c *Core) allTurns() time.Duration {
-	return time.Duration(len(c.members)) * c.timing.Election / turnPart
+// staggerPeriod is the time in which every member has its turn.
+func (c *Core) staggerPeriod() time.Duration {
+	return time.Duration(len(c.members)) * c.timing.Election / staggerDivisor
 }
 
-// rank is the place of a member in the list, which all members have in the same order.
-func (c *Core) rank(id MemberID) int {
+// position is the place of a member in the list, which all members have in the same order.
+func (c *Core) position(id MemberID) int {
 	return slices.IndexFunc(c.members, func(m Member) bool { return m.ID == id })
 }
 
 // mayLead is false for a member that has no vote, or that cannot yet know whether it promised it away.
 func (c *Core) mayLead() bool {
-	return c.formed && !c.hard.Expelled && c.isVoter(c.id)
+	return c.formed && !c.hardState.Expelled && c.isVoter(c.id)
 }
--- a/quorum/lease_test.go
+++ b/quorum/lease_test.go
@@ -10,10 +10,10 @@
 	"github.com/dunlinquay/dunlinquay/quorum"
 )
 
-// idle returns three members with a leader, everything committed and nothing on its way, and the two followers.
-func idle(t *testing.T) (g *group, leader, b, c *machine) {
+// idleCluster returns three members with a leader, everything committed and nothing on its way, and the two followers.
+func idleCluster(t *testing.T) (g *simCluster, leader, b, c *simMember) {
 	t.Helper()
-	g, leader = lead(t, 3)
+	g, leader = clusterWithLeader(t, 3)
 	g.settle()
 	for _, m := range g.members {
 		switch {
@@ -27,24 +27,24 @@
 	return g, leader, b, c
 }
 
-// run lets time pass and delivers everything in order.
-func (g *group) run(d time.Duration, each func()) {
+// runFor lets time pass and delivers everything in order.
+func (g *simCluster) runFor(d time.Duration, afterStep func()) {
 	const step = 10 * time.Millisecond
 	for range int(d / step) {
-		g.pass(step)
+		g.advance(step)
 		for range 20 {
-			if len(g.wire) == 0 {
+			if len(g.network) == 0 {
 				break
 			}
 			g.deliver(0, false, false)
-			g.check()
+			g.checkInvariants()
 		}
-		each()
+		afterStep()
 	}
 }
 
 // A member that the leader does not reach asks for votes all the time; the others have promised theirs away.
-func TestVotesAreWithheldWhileALeaderIsHeard(t *testing.T) {
+func TestVotesAreWithheldDuringLeaderContact(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		restarts bool
@@ -53,11 +53,11 @@
 		{"a follower that starts anew and has forgotten its promise", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g, leader, b, other := idle(t)
+			g, leader, b, other := idleCluster(t)
 			term := leader.core.Status().Term
 			g.oneWay[[2]quorum.MemberID{leader.id, b.id}] = true
 			steps := 0
-			g.run(10*timing.Election, func() {
+			g.runFor(10*timing.Election, func() {
 				steps++
 				if c.restarts && steps%20 == 0 {
 					other.up = false
@@ -73,60 +73,60 @@
 	}
 }
 
-func TestALeaseIsCountedFromSending(t *testing.T) {
-	g, leader, _, _ := idle(t)
-	g.run(timing.Heartbeat, func() {})
+func TestLeaseStartsAtSending(t *testing.T) {
+	g, leader, _, _ := idleCluster(t)
+	g.runFor(timing.Heartbeat, func() {})
 	// Whatever is sent from here on is answered late.
 	before := g.now(leader)
-	g.pass(timing.Heartbeat)
+	g.advance(timing.Heartbeat)
 	sent := g.now(leader)
 	g.elapsed += timing.Lease / 2
 	for range 20 {
-		if len(g.wire) > 0 {
+		if len(g.network) > 0 {
 			g.deliver(0, false, false)
 		}
 	}
-	lease := leader.core.Status().LeaseEnd
-	if lease.After(sent.Add(timing.Lease)) || !lease.After(before) {
-		t.Errorf("lease ends %s after the sending, want at most %s", lease.Sub(sent), timing.Lease)
+	leaseEnd := leader.core.Status().LeaseEnd
+	if leaseEnd.After(sent.Add(timing.Lease)) || !leaseEnd.After(before) {
+		t.Errorf("lease ends %s after the sending, want at most %s", leaseEnd.Sub(sent), timing.Lease)
 	}
 }
 
-func TestATransferEndsTheLease(t *testing.T) {
-	g, leader, b, _ := idle(t)
-	g.run(timing.Heartbeat, func() {})
+func TestTransferEndsLease(t *testing.T) {
+	g, leader, b, _ := idleCluster(t)
+	g.runFor(timing.Heartbeat, func() {})
 	if !leader.core.TransferTo(g.now(leader), b.id) {
 		t.Fatal("no transfer")
 	}
-	if lease := leader.core.Status().LeaseEnd; !lease.IsZero() {
-		t.Errorf("lease until %s after the transfer", lease)
+	if leaseEnd := leader.core.Status().LeaseEnd; !leaseEnd.IsZero() {
+		t.Errorf("lease until %s after the transfer", leaseEnd)
 	}
 	// The receiver is silent: the old leader may not take its lease up again in this term.
-	g.cut[b.id] = true
+	g.isolated[b.id] = true
 	term := leader.core.Status().Term
-	g.run(2*timing.Election, func() {
+	g.runFor(2*timing.Election, func() {
 		if s := leader.core.Status(); s.Term == term && !s.LeaseEnd.IsZero() {
 			t.Fatalf("lease until %s after the transfer", s.LeaseEnd)
 		}
 	})
 }
 
-// direct returns a member of three with a log of its own, driven without the others.
-func direct(hard quorum.HardState, entries []quorum.Entry, now time.Time) (*quorum.Core, []quorum.MemberID) {
+// newDirectCore returns a member of three with a log of its own, driven without the others.
+func newDirectCore(hardState quorum.HardState, entries []quorum.Entry, now time.Time) (*quorum.Core, []quorum.MemberID) {
 	ids := []quorum.MemberID{{Name: "a", Folder: "1"}, {Name: "b", Folder: "2"}, {Name: "c", Folder: "3"}}
 	snapshot := &quorum.Snapshot{Format: 1}
 	for _, id := range ids {
 		snapshot.Members = append(snapshot.Members, quorum.Member{ID: id, Voter: true})
 	}
-	return quorum.NewCore(ids[0], 0, timing, 1, now, snapshot, hard, entries), ids
+	return quorum.NewCore(ids[0], 0, timing, 1, now, snapshot, hardState, entries), ids
 }
 
-func TestAVoteSurvivesARestart(t *testing.T) {
+func TestVoteSurvivesRestart(t *testing.T) {
 	now := time.Unix(1000, 0)
 	late := now.Add(time.Hour)
 	// The term is known already, so that only the vote itself has to be synced.
-	core, ids := direct(quorum.HardState{Term: 5}, nil, now)
-	ask := func(core *quorum.Core, from quorum.MemberID, at time.Time) bool {
+	core, ids := newDirectCore(quorum.HardState{Term: 5}, nil, now)
+	requestVote := func(core *quorum.Core, from quorum.MemberID, at time.Time) bool {
 		core.Step(at, &quorum.Message{Kind: quorum.MessageVote, From: from, To: ids[0], Term: 5})
 		for _, m := range core.Ready().Messages {
 			if m.Kind == quorum.MessageVoteReply {
@@ -143,19 +143,19 @@
 	if diff := cmp.Diff(quorum.HardState{Term: 5, Vote: ids[1]}, *rd.HardState); diff != "" {
 		t.Fatalf("hard state (-want +got):\n%s", diff)
 	}
-	again, _ := direct(*rd.HardState, nil, late)
-	if ask(again, ids[2], late.Add(time.Hour)) {
+	again, _ := newDirectCore(*rd.HardState, nil, late)
+	if requestVote(again, ids[2], late.Add(time.Hour)) {
 		t.Error("a second vote in the same term after a restart")
 	}
-	if !ask(again, ids[1], late.Add(time.Hour)) {
+	if !requestVote(again, ids[1], late.Add(time.Hour)) {
 		t.Error("the first vote is not repeated")
 	}
 }
 
 // The entry of an earlier term that a majority holds may still be replaced (Raft, figure 8).
-func TestOnlyEntriesOfTheOwnTermCommitByCounting(t *testing.T) {
+func TestOnlyCurrentTermEntriesCommitByCounting(t *testing.T) {
 	now := time.Unix(1000, 0)
-	core, ids := direct(quorum.HardState{Term: 3}, []quorum.Entry{{Index: 1, Term: 1}, {Index: 2, Term: 2}}, now)
+	core, ids := newDirectCore(quorum.HardState{Term: 3}, []quorum.Entry{{Index: 1, Term: 1}, {Index: 2, Term: 2}}, now)
 	now = now.Add(3 * timing.Election)
 	core.Tick(now)
 	core.Step(now, &quorum.Message{Kind: quorum.MessagePreVoteReply, From: ids[1], To: ids[0], Term: 4, Granted: true})
@@ -172,9 +172,9 @@
 	}
 }
 
-func TestUnsyncedEntriesOfTheLeaderDoNotCount(t *testing.T) {
+func TestUnsyncedLeaderEntriesDoNotCount(t *testing.T) {
 	now := time.Unix(1000, 0)
-	core, ids := direct(quorum.HardState{Term: 3}, nil, now)
+	core, ids := newDirectCore(quorum.HardState{Term: 3}, nil, now)
 	now = now.Add(3 * timing.Election)
 	core.Tick(now)
 	core.Step(now, &quorum.Message{Kind: quorum.MessagePreVoteReply, From: ids[1], To: ids[0], Term: 4, Granted: true})
@@ -191,7 +191,7 @@
 }
 
 // A member that starts does not know how much of its log was committed, until a leader's own entry is.
-func TestWhenAMemberIsCurrent(t *testing.T) {
+func TestWhenMemberKnowsCommitted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	log := []quorum.Entry{{Index: 1, Term: 3}, {Index: 2, Term: 3}, {Index: 3, Term: 3}}
 	for _, c := range []struct {
@@ -205,7 +205,7 @@
 		{"the same leader's commit", quorum.Message{Term: 3, LastIndex: 3, LastTerm: 3, Commit: 3}, true},
 		{"a new leader's commit of its own entry", quorum.Message{Term: 4, LastIndex: 3, LastTerm: 3, Entries: []quorum.Entry{{Index: 4, Term: 4}}, Commit: 4}, true},
 	} {
-		core, ids := direct(quorum.HardState{Term: 3}, log, now)
+		core, ids := newDirectCore(quorum.HardState{Term: 3}, log, now)
 		c.m.Kind, c.m.From, c.m.To = quorum.MessageAppend, ids[1], ids[0]
 		core.Step(now, &c.m)
 		if got := core.Status().KnowsCommitted; got != c.want {
@@ -216,30 +216,30 @@
 
 // A leader whose VM was suspended for longer than its lease wakes after another one was elected. By a steady clock, which does not
 // count the time, it would still hold its lease and serve reads that are out of date; by the clock that counts it, it does not.
-func TestASuspendedLeaderHoldsNoLease(t *testing.T) {
-	g, leader, _, _ := idle(t)
-	g.run(timing.Heartbeat, func() {})
-	away := time.Duration(0)
-	steady := func() time.Duration { return time.Duration(float64(g.elapsed-away) * leader.rate) }
+func TestSuspendedLeaderHoldsNoLease(t *testing.T) {
+	g, leader, _, _ := idleCluster(t)
+	g.runFor(timing.Heartbeat, func() {})
+	suspended := time.Duration(0)
+	steady := func() time.Duration { return time.Duration(float64(g.elapsed-suspended) * leader.clockRate) }
 	read := func() clock.Reading {
 		return clock.Reading{Time: g.base.Add(steady()), Steady: steady(), Day: g.base.Add(g.elapsed)}
 	}
-	c := clock.New(read, func() time.Duration { return away })
+	c := clock.New(read, func() time.Duration { return suspended })
 	before := c.Now().Sub(g.base)
-	lease := leader.core.Status().LeaseEnd.Sub(g.base)
+	leaseEnd := leader.core.Status().LeaseEnd.Sub(g.base)
 	leader.up = false
-	slept := g.elapsed
-	g.run(5*timing.Election, func() {})
-	away = g.elapsed - slept
+	suspendedAt := g.elapsed
+	g.runFor(5*timing.Election, func() {})
+	suspended = g.elapsed - suspendedAt
 	leader.up = true
 	successor := false
 	for _, m := range g.members {
 		successor = successor || m != leader && m.core.Status().Role == quorum.RoleLeader
 	}
-	if !successor || steady() >= lease {
-		t.Fatalf("the play shows nothing: successor %v, steady clock at %v, lease until %v", successor, steady(), lease)
+	if !successor || steady() >= leaseEnd {
+		t.Fatalf("the play shows nothing: successor %v, steady clock at %v, lease until %v", successor, steady(), leaseEnd)
 	}
-	if now := c.Now().Sub(g.base); now < lease || now < before {
-		t.Errorf("the clock says %v after the suspension, the lease ended at %v", now, lease)
+	if now := c.Now().Sub(g.base); now < leaseEnd || now < before {
+		t.Errorf("the clock says %v after the suspension, the lease ended at %v", now, leaseEnd)
 	}
 }
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	inboxLength      = 1024
-	proposalsLength  = 4096
-	drainLimit       = 2048
-	ticksPerBeat     = 2
-	fullDiskRetry    = 500 * time.Millisecond
-	defaultSnapEvery = 4096
-	maxProposal      = 4 << 20
-	catchUpEntries   = 1024
+	inboxLength          = 1024
+	proposalsLength      = 4096
+	maxDrained           = 2048
+	ticksPerHeartbeat    = 2
+	fullDiskRetry        = 500 * time.Millisecond
+	defaultSnapshotEvery = 4096
+	maxProposalBytes     = 4 << 20
+	catchUpEntries       = 1024
 )
 
 // Status is a member's view at one moment.
@@ -62,10 +62,10 @@
 	kind    EntryKind
 	data    []byte
 	members []Member
-	done    chan outcome
+	done    chan proposalResult
 }
 
-type outcome struct {
+type proposalResult struct {
 	value any
 	index Index
 	err   error
@@ -73,7 +73,7 @@
 
 type waiter struct {
 	term Term
-	done chan outcome
+	done chan proposalResult
 }
 
 // Node drives one Core: it persists, sends and applies; exported fields are set before Run.
@@ -106,16 +106,16 @@
 	ready     chan struct{}
 	readyOnce sync.Once
 
-	core    *Core
-	applied Index
-	snapped Index
-	waiting map[Index]waiter
+	core          *Core
+	applied       Index
+	snapshotIndex Index
+	waiters       map[Index]waiter
 }
 
 // NewNode returns a node on store; its goroutine is parked until Run.
 func NewNode(store *Store) *Node {
 	n := &Node{
-		SnapshotEvery: defaultSnapEvery,
+		SnapshotEvery: defaultSnapshotEvery,
 		Now:           clock.Now,
 		Applied:       func(Index) {},
 		Log:           logr.Discard(),
@@ -126,7 +126,7 @@
 		transfers:     make(chan chan bool),
 		forms:         make(chan []Member),
 		ready:         make(chan struct{}),
-		waiting:       map[Index]waiter{},
+		waiters:       map[Index]waiter{},
 	}
 	n.status.Store(&Status{})
 	n.tasks.Go(func(ctx context.Context) { n.loop(ctx) })
@@ -163,8 +163,8 @@
 
 // Propose returns what Apply returned and the command's index, or NoLeader when it is not known whether the command will be applied.
 func (n *Node) Propose(ctx context.Context, data []byte) (any, Index, error) {
-	if len(data) > maxProposal {
-		return nil, 0, result.New(result.ProposalTooLarge, "%d bytes are over %d", len(data), maxProposal)
+	if len(data) > maxProposalBytes {
+		return nil, 0, result.New(result.ProposalTooLarge, "%d bytes are over %d", len(data), maxProposalBytes)
 	}
 	return n.propose(ctx, proposal{kind: EntryCommand, data: data})
 }
@@ -176,7 +176,7 @@
 }
 
 func (n *Node) propose(ctx context.Context, p proposal) (any, Index, error) {
-	p.done = make(chan outcome, 1)
+	p.done = make(chan proposalResult, 1)
 	select {
 	case n.proposals <- p:
 	case <-ctx.Done():
@@ -210,54 +210,54 @@
 }
 
 func (n *Node) loop(ctx context.Context) {
-	if err := n.open(); err != nil {
+	if err := n.restoreState(); err != nil {
 		n.Fatal(err)
 		return
 	}
 	n.publish()
 	n.readyOnce.Do(func() { close(n.ready) })
-	ticker := time.NewTicker(max(n.Timing.Heartbeat/ticksPerBeat, time.Millisecond))
+	ticker := time.NewTicker(max(n.Timing.Heartbeat/ticksPerHeartbeat, time.Millisecond))
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			n.failWaiting(result.New(result.Stopping, "the member stops"))
+			n.failWaiters(result.New(result.Stopping, "the member stops"))
 			return
 		case <-ticker.C:
 			n.core.Tick(n.Now())
 		case messages := <-n.inbox:
 			n.step(messages)
 		case p := <-n.proposals:
-			n.take(p)
+			n.acceptProposal(p)
 			n.drainProposals()
 			n.core.Flush(n.Now())
 		case members := <-n.forms:
 			n.core.Form(members)
 		case done := <-n.transfers:
-			done <- n.transfer()
+			done <- n.transferLeadership()
 		}
 		n.drainInbox()
 		if err := n.process(ctx); err != nil {
 			if ctx.Err() == nil {
 				n.Fatal(err)
 			}
-			n.failWaiting(err)
+			n.failWaiters(err)
 			return
 		}
 	}
 }
 
-func (n *Node) open() error {
-	snap, hard, entries, err := n.store.Load(n.Instance)
+func (n *Node) restoreState() error {
+	snapshot, hardState, entries, err := n.store.Load(n.Instance)
 	if err != nil {
 		return err
 	}
-	n.core = NewCore(n.store.ID(), n.Instance, n.Timing, n.Seed, n.Now(), snap, hard, entries)
-	if snap == nil {
+	n.core = NewCore(n.store.ID(), n.Instance, n.Timing, n.Seed, n.Now(), snapshot, hardState, entries)
+	if snapshot == nil {
 		return nil
 	}
-	n.applied, n.snapped = snap.Index, snap.Index
-	return n.Restore(snap.Index, snap.Data)
+	n.applied, n.snapshotIndex = snapshot.Index, snapshot.Index
+	return n.Restore(snapshot.Index, snapshot.Data)
 }
 
 func (n *Node) step(messages []Message) {
@@ -268,7 +268,7 @@
 }
 
 func (n *Node) drainInbox() {
-	for range drainLimit {
+	for range maxDrained {
 		select {
 		case messages := <-n.inbox:
 			n.step(messages)
@@ -279,17 +279,17 @@
 }
 
 func (n *Node) drainProposals() {
-	for range drainLimit {
+	for range maxDrained {
 		select {
 		case p := <-n.proposals:
-			n.take(p)
+			n.acceptProposal(p)
 		default:
 			return
 		}
 	}
 }
 
-func (n *Node) take(p proposal) {
+func (n *Node) acceptProposal(p proposal) {
 	var index Index
 	var ok bool
 	if p.kind == EntryMembers {
@@ -298,18 +298,18 @@
 		index, ok = n.core.Propose(n.Now(), p.kind, p.data)
 	}
 	if !ok {
-		p.done <- outcome{err: result.New(result.NoLeader, "this member does not lead, or its last change of members is not yet committed")}
+		p.done <- proposalResult{err: result.New(result.NoLeader, "this member does not lead, or its last change of members is not yet committed")}
 		return
 	}
-	n.waiting[index] = waiter{term: n.core.Status().Term, done: p.done}
+	n.waiters[index] = waiter{term: n.core.Status().Term, done: p.done}
 }
 
-func (n *Node) transfer() bool {
-	best, ok := n.core.CaughtUpVoter()
-	asked := ok && n.core.TransferTo(n.Now(), best)
+func (n *Node) transferLeadership() bool {
+	voter, ok := n.core.CaughtUpVoter()
+	started := ok && n.core.TransferTo(n.Now(), voter)
 	// Readers must not see the lease any more when the other member learns that it may lead.
 	n.publish()
-	return asked
+	return started
 }
 
 // process does what the core asks for, in the order that makes its promises true.
@@ -337,31 +337,31 @@
 	if err := n.applyAll(ctx, rd.Committed); err != nil {
 		return err
 	}
-	n.afterStep()
-	if more := n.core.commit > n.core.handed; more {
+	n.afterProcess()
+	if more := n.core.commit > n.core.handedOut; more {
 		return n.process(ctx)
 	}
 	return nil
 }
 
-func (n *Node) afterStep() {
-	if n.core.role != RoleLeader && len(n.waiting) > 0 {
-		n.failWaiting(result.New(result.NoLeader, "this member lost the lead; the change may still be accepted"))
+func (n *Node) afterProcess() {
+	if n.core.role != RoleLeader && len(n.waiters) > 0 {
+		n.failWaiters(result.New(result.NoLeader, "this member lost the lead; the change may still be accepted"))
 	}
 	n.publish()
 }
 
-func (n *Node) failWaiting(err error) {
-	for i, w := range n.waiting {
-		w.done <- outcome{err: err}
-		delete(n.waiting, i)
+func (n *Node) failWaiters(err error) {
+	for i, w := range n.waiters {
+		w.done <- proposalResult{err: err}
+		delete(n.waiters, i)
 	}
 }
 
 func (n *Node) publish() {
 	s := n.core.Status()
 	s.Applied = n.applied
-	s.KnowsCommitted = s.KnowsCommitted && n.applied >= n.core.currentFrom
+	s.KnowsCommitted = s.KnowsCommitted && n.applied >= n.core.firstCurrentTermCommit
 	n.status.Store(&s)
 }
 
@@ -374,6 +374,6 @@
 // PriorLeasesExpired reports whether every lease of an earlier leader has run out, clock drift included.
 func (n *Node) PriorLeasesExpired(now time.Time) bool {
 	s := n.status.Load()
-	wait := time.Duration(float64(n.Timing.Lease) * driftFactor)
+	wait := time.Duration(float64(n.Timing.Lease) * clockDriftFactor)
 	return s.Role == RoleLeader && now.Sub(s.ElectedAt) > wait
 }
--- a/quorum/node_test.go
+++ b/quorum/node_test.go
@@ -21,32 +21,32 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// site is a few nodes in one synctest bubble, on real folders and with messages passed by hand.
-type site struct {
+// testCluster is a few nodes in one synctest bubble, on real folders and with messages passed by hand.
+type testCluster struct {
 	t     *testing.T
-	nodes map[ident.Daemon]*member
+	nodes map[ident.Daemon]*testMember
 	names []ident.Daemon
 
-	mu   sync.Mutex
-	live map[ident.Daemon]*quorum.Node
-	// watch sees each message as it is sent; nil where nobody looks.
-	watch func(m *quorum.Message)
+	mu      sync.Mutex
+	running map[ident.Daemon]*quorum.Node
+	// onSend sees each message as it is sent; nil where nobody looks.
+	onSend func(m *quorum.Message)
 }
 
-type member struct {
-	node   *quorum.Node
-	folder *disk.Folder
-	cancel context.CancelFunc
-	done   chan struct{}
-	fatal  error
-	full   atomic.Bool
+type testMember struct {
+	node     *quorum.Node
+	folder   *disk.Folder
+	cancel   context.CancelFunc
+	done     chan struct{}
+	fatal    error
+	diskFull atomic.Bool
 
-	mu    sync.Mutex
-	state []string
+	mu      sync.Mutex
+	applied []string
 }
 
-func newSite(t *testing.T, n int) *site {
-	s := &site{t: t, nodes: map[ident.Daemon]*member{}, live: map[ident.Daemon]*quorum.Node{}}
+func newTestCluster(t *testing.T, n int) *testCluster {
+	s := &testCluster{t: t, nodes: map[ident.Daemon]*testMember{}, running: map[ident.Daemon]*quorum.Node{}}
 	root := t.TempDir()
 	for i := range n {
 		name := ident.Daemon(fmt.Sprintf("m%d", i))
@@ -55,10 +55,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := &member{folder: folder}
+		m := &testMember{folder: folder}
 		write := folder.WriteAt
 		folder.WriteAt = func(f *os.File, b []byte, offset int64) (int, error) {
-			if m.full.Load() {
+			if m.diskFull.Load() {
 				return 0, syscall.ENOSPC
 			}
 			return write(f, b, offset)
@@ -76,13 +76,13 @@
 	return s
 }
 
-func (s *site) start(name ident.Daemon) {
+func (s *testCluster) start(name ident.Daemon) {
 	m := s.nodes[name]
 	store, err := quorum.OpenStore(m.folder, name)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	m.state, m.fatal = nil, nil
+	m.applied, m.fatal = nil, nil
 	n := quorum.NewNode(store)
 	n.Timing, n.SnapshotEvery = timing, 50
 	n.Seed = uint64(len(name)) * uint64(name[1])
@@ -91,18 +91,18 @@
 	n.Apply = func(index quorum.Index, data []byte) any {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.state = append(m.state, string(data))
+		m.applied = append(m.applied, string(data))
 		return fmt.Sprint(index, ":", string(data))
 	}
 	n.TakeSnapshot = func() ([]byte, error) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		return []byte(fmt.Sprintf("%q", m.state)), nil
+		return []byte(fmt.Sprintf("%q", m.applied)), nil
 	}
 	n.Restore = func(_ quorum.Index, data []byte) error {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.state = parse(string(data))
+		m.applied = parseQuotedList(string(data))
 		return nil
 	}
 	ctx, cancel := context.WithCancel(s.t.Context())
@@ -117,11 +117,11 @@
 	<-n.Ready()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.live[name] = n
+	s.running[name] = n
 }
 
-// parse reads a list of quoted strings.
-func parse(s string) []string {
+// parseQuotedList reads a list of quoted strings.
+func parseQuotedList(s string) []string {
 	var list []string
 	for len(s) > 1 {
 		s = s[1:]
@@ -135,22 +135,22 @@
 	return list
 }
 
-func (s *site) stop(name ident.Daemon) {
+func (s *testCluster) stop(name ident.Daemon) {
 	m := s.nodes[name]
 	m.cancel()
 	<-m.done
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.live, name)
+	delete(s.running, name)
 }
 
-func (s *site) send(messages []quorum.Message) {
+func (s *testCluster) send(messages []quorum.Message) {
 	for i := range messages {
 		s.mu.Lock()
-		n, watch := s.live[messages[i].To.Name], s.watch
+		n, onSend := s.running[messages[i].To.Name], s.onSend
 		s.mu.Unlock()
-		if watch != nil {
-			watch(&messages[i])
+		if onSend != nil {
+			onSend(&messages[i])
 		}
 		if n != nil {
 			n.Deliver(messages[i : i+1])
@@ -158,7 +158,7 @@
 	}
 }
 
-func (s *site) leader() *member {
+func (s *testCluster) leader() *testMember {
 	for range 200 {
 		for _, m := range s.nodes {
 			if m.node.Status().Role == quorum.RoleLeader {
@@ -171,19 +171,19 @@
 	return nil
 }
 
-func (m *member) commands() []string {
+func (m *testMember) commands() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.Clone(m.state)
+	return slices.Clone(m.applied)
 }
 
-func (s *site) stopAll() {
+func (s *testCluster) stopAll() {
 	for _, name := range s.names {
 		s.stop(name)
 	}
 }
 
-func (s *site) proposeMany(m *member, from, n int) {
+func (s *testCluster) proposeMany(m *testMember, from, n int) {
 	for i := from; i < from+n; i++ {
 		if _, _, err := m.node.Propose(s.t.Context(), []byte(fmt.Sprint("c", i))); err != nil {
 			s.t.Fatal(err)
@@ -202,7 +202,7 @@
 // Hundreds of changes, a kill of every member, and all of them are back.
 func TestRestartAfterHundredsOfChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 3)
+		s := newTestCluster(t, 3)
 		s.proposeMany(s.leader(), 0, 300)
 		s.stopAll()
 		for _, name := range s.names {
@@ -220,28 +220,28 @@
 }
 
 // A member that was away while the others compacted their logs gets a snapshot.
-func TestAMemberThatWasAwayForLongCatchesUp(t *testing.T) {
+func TestMemberBehindCompactionCatchesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 3)
+		s := newTestCluster(t, 3)
 		leader := s.leader()
-		var away ident.Daemon
+		var stopped ident.Daemon
 		for _, name := range s.names {
 			if s.nodes[name] != leader {
-				away = name
+				stopped = name
 			}
 		}
-		s.stop(away)
+		s.stop(stopped)
 		s.proposeMany(leader, 0, 300)
-		s.start(away)
+		s.start(stopped)
 		time.Sleep(3 * time.Second)
-		if diff := cmp.Diff(commands(300), s.nodes[away].commands()); diff != "" {
+		if diff := cmp.Diff(commands(300), s.nodes[stopped].commands()); diff != "" {
 			t.Errorf("after its return (-want +got):\n%s", diff)
 		}
 		s.stopAll()
 	})
 }
 
-func TestFolderFaultsAtTheStart(t *testing.T) {
+func TestStartDetectsFolderFaults(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		damage func(t *testing.T, path string)
@@ -250,14 +250,14 @@
 	}{
 		{"untouched", func(*testing.T, string) {}, "m0", result.OK},
 		{"another member's folder", func(*testing.T, string) {}, "m9", result.WrongFolder},
-		{"snapshot with one wrong byte", func(t *testing.T, path string) { flip(t, filepath.Join(path, "snapshot-0"), 3) }, "m0", result.StorageDamaged},
-		{"identity with one wrong byte", func(t *testing.T, path string) { flip(t, filepath.Join(path, "identity"), 3) }, "m0", result.StorageDamaged},
-		{"log damaged before its tail", func(t *testing.T, path string) { flip(t, filepath.Join(path, "log"), 30) }, "m0", result.StorageDamaged},
+		{"snapshot with one wrong byte", func(t *testing.T, path string) { flipByte(t, filepath.Join(path, "snapshot-0"), 3) }, "m0", result.StorageDamaged},
+		{"identity with one wrong byte", func(t *testing.T, path string) { flipByte(t, filepath.Join(path, "identity"), 3) }, "m0", result.StorageDamaged},
+		{"log damaged before its tail", func(t *testing.T, path string) { flipByte(t, filepath.Join(path, "log"), 30) }, "m0", result.StorageDamaged},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var path string
 			synctest.Test(t, func(t *testing.T) {
-				s := newSite(t, 1)
+				s := newTestCluster(t, 1)
 				s.proposeMany(s.leader(), 0, 60)
 				s.stopAll()
 				path = s.nodes["m0"].folder.Path
@@ -275,7 +275,7 @@
 	}
 }
 
-func flip(t *testing.T, path string, at int) {
+func flipByte(t *testing.T, path string, at int) {
 	t.Helper()
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -288,9 +288,9 @@
 }
 
 // A disk that fails to sync ends the member; the others go on.
-func TestAFailedSyncEndsTheMember(t *testing.T) {
+func TestFailedSyncStopsMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 3)
+		s := newTestCluster(t, 3)
 		leader := s.leader()
 		leader.folder.Sync = func(*os.File) error { return os.ErrPermission }
 		_, _, err := leader.node.Propose(t.Context(), []byte("lost"))
@@ -314,12 +314,12 @@
 }
 
 // A full disk refuses changes as certainly not accepted, the member stays, and accepts again when there is space.
-func TestAFullDiskRefusesAndRecovers(t *testing.T) {
+func TestFullDiskRefusesAndRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 1)
+		s := newTestCluster(t, 1)
 		m := s.leader()
 		s.proposeMany(m, 0, 5)
-		m.full.Store(true)
+		m.diskFull.Store(true)
 		// The first change is in the log already when the disk turns out to be full: its fate is not known.
 		_, _, err := m.node.Propose(t.Context(), []byte("c5"))
 		if code := result.CodeOf(err); code != result.NoLeader {
@@ -332,7 +332,7 @@
 		if m.fatal != nil {
 			t.Errorf("the member ended: %v", m.fatal)
 		}
-		m.full.Store(false)
+		m.diskFull.Store(false)
 		time.Sleep(2 * time.Second)
 		s.proposeMany(s.leader(), 6, 1)
 		s.stopAll()
--- a/quorum/persist.go
+++ b/quorum/persist.go
@@ -12,9 +12,9 @@
 )
 
 // save persists, and waits out a full disk: nothing is promised meanwhile.
-func (n *Node) save(ctx context.Context, hard *HardState, entries []Entry) error {
+func (n *Node) save(ctx context.Context, hardState *HardState, entries []Entry) error {
 	for {
-		err := n.store.Save(ctx, n.Instance, hard, entries)
+		err := n.store.Save(ctx, n.Instance, hardState, entries)
 		if err == nil {
 			break
 		}
@@ -23,7 +23,7 @@
 		}
 		n.Log.Error(err, "disk full, changes are refused", "instance", n.Instance)
 		// These are in the log already and will be written once there is space.
-		n.failWaiting(result.Wrap(err, result.NoLeader, "the change may be accepted when the disk has space"))
+		n.failWaiters(result.Wrap(err, result.NoLeader, "the change may be accepted when the disk has space"))
 		if err := n.waitForSpace(ctx); err != nil {
 			return err
 		}
@@ -41,7 +41,7 @@
 	for {
 		select {
 		case p := <-n.proposals:
-			p.done <- outcome{err: result.New(result.StorageFull, "the disk of the data folder is full")}
+			p.done <- proposalResult{err: result.New(result.StorageFull, "the disk of the data folder is full")}
 		case <-timer.C:
 			return nil
 		case <-ctx.Done():
@@ -50,21 +50,21 @@
 	}
 }
 
-func (n *Node) install(ctx context.Context, snap *Snapshot) error {
-	if err := n.saveSnapshot(ctx, snap, snap.Index, true); err != nil {
+func (n *Node) install(ctx context.Context, snapshot *Snapshot) error {
+	if err := n.saveSnapshot(ctx, snapshot, snapshot.Index, true); err != nil {
 		return err
 	}
-	n.applied, n.snapped = snap.Index, snap.Index
-	if err := n.Restore(snap.Index, snap.Data); err != nil {
+	n.applied, n.snapshotIndex = snapshot.Index, snapshot.Index
+	if err := n.Restore(snapshot.Index, snapshot.Data); err != nil {
 		return err
 	}
-	n.Applied(snap.Index)
+	n.Applied(snapshot.Index)
 	return nil
 }
 
-func (n *Node) saveSnapshot(ctx context.Context, snap *Snapshot, drop Index, replaces bool) error {
+func (n *Node) saveSnapshot(ctx context.Context, snapshot *Snapshot, dropThrough Index, replaces bool) error {
 	for {
-		err := n.store.SaveSnapshot(n.Instance, snap, drop, replaces)
+		err := n.store.SaveSnapshot(n.Instance, snapshot, dropThrough, replaces)
 		if result.CodeOf(err) != result.StorageFull {
 			return err
 		}
@@ -86,7 +86,7 @@
 	if len(entries) > 0 {
 		n.Applied(n.applied)
 	}
-	if n.applied-n.snapped < n.SnapshotEvery {
+	if n.applied-n.snapshotIndex < n.SnapshotEvery {
 		return nil
 	}
 	return n.compact(ctx)
@@ -98,33 +98,33 @@
 		value = n.Apply(e.Index, e.Data)
 	}
 	n.applied = e.Index
-	w, ok := n.waiting[e.Index]
+	w, ok := n.waiters[e.Index]
 	if !ok {
 		return
 	}
-	delete(n.waiting, e.Index)
+	delete(n.waiters, e.Index)
 	if w.term != e.Term {
-		w.done <- outcome{err: result.New(result.NoLeader, "another leader replaced the change")}
+		w.done <- proposalResult{err: result.New(result.NoLeader, "another leader replaced the change")}
 		return
 	}
-	w.done <- outcome{value: value, index: e.Index}
+	w.done <- proposalResult{value: value, index: e.Index}
 }
 
 func (n *Node) compact(ctx context.Context) error {
-	snap, err := n.current()
+	snapshot, err := n.currentSnapshot()
 	if err != nil {
 		return err
 	}
 	keep := min(Index(catchUpEntries), n.SnapshotEvery)
-	if err := n.saveSnapshot(ctx, snap, snap.Index-min(keep, snap.Index), false); err != nil {
+	if err := n.saveSnapshot(ctx, snapshot, snapshot.Index-min(keep, snapshot.Index), false); err != nil {
 		return err
 	}
-	n.snapped = n.applied
-	n.core.Compact(snap.Index, keep)
+	n.snapshotIndex = n.applied
+	n.core.Compact(snapshot.Index, keep)
 	return nil
 }
 
-func (n *Node) current() (*Snapshot, error) {
+func (n *Node) currentSnapshot() (*Snapshot, error) {
 	data, err := n.TakeSnapshot()
 	if err != nil {
 		return nil, err
@@ -139,10 +139,10 @@
 }
 
 func (n *Node) sendSnapshot(to MemberID) {
-	snap, err := n.current()
+	snapshot, err := n.currentSnapshot()
 	if err != nil {
 		n.Log.Error(err, "snapshot failed", "instance", n.Instance)
 		return
 	}
-	n.core.SendSnapshot(to, snap)
+	n.core.SendSnapshot(to, snapshot)
 }
--- a/quorum/reads_test.go
+++ b/quorum/reads_test.go
@@ -13,48 +13,48 @@
 	"github.com/dunlinquay/dunlinquay/quorum"
 )
 
-// orders are configurations that operators send, and what each member and entry makes of them.
-type orders struct {
+// readCheck are configurations that operators send, and what each member and entry makes of them.
+type readCheck struct {
 	*history
 	newest httproute.Version
-	// acked is the highest version that was acknowledged.
-	acked httproute.Version
+	// acknowledged is the highest version that was acknowledged.
+	acknowledged httproute.Version
 	// pending are versions by the place in the log that a leader gave them.
-	pending map[quorum.Index]pendingOrder
-	// noted is how many applied entries of each member were looked at.
-	noted map[*machine]noted
-	// folders counts those that were lost.
-	folders int
+	pending map[quorum.Index]pendingVersion
+	// scanned is how many applied entries of each member were looked at.
+	scanned map[*simMember]scanPosition
+	// lostFolders counts those that were lost.
+	lostFolders int
 	// versions are those of the log, by their place.
 	versions map[quorum.Index]httproute.Version
-	// entries are the versions that entries have in force, each told by any leader that holds a lease.
-	entries []httproute.Version
+	// entryVersions are the versions that entries have in force, each told by any leader that holds a lease.
+	entryVersions []httproute.Version
 }
 
-// noted is how many entries were looked at that a member has applied since a start.
-type noted struct {
-	boots   uint64
+// scanPosition is how many entries were looked at that a member has applied since a start.
+type scanPosition struct {
+	starts  uint64
 	entries int
 }
 
-type pendingOrder struct {
-	by      *machine
+type pendingVersion struct {
+	by      *simMember
 	term    quorum.Term
 	version httproute.Version
 }
 
-// held is the version that a member's state machine has: what was committed up to its commit, of its snapshot or its log.
-func (o *orders) held(m *machine) httproute.Version {
+// versionOf is the version that a member's state machine has: what was committed up to its commit, of its snapshot or its log.
+func (o *readCheck) versionOf(m *simMember) httproute.Version {
 	for _, m := range o.members {
-		seen := o.noted[m]
-		if seen.boots != m.boots {
-			seen = noted{boots: m.boots}
+		position := o.scanned[m]
+		if position.starts != m.starts {
+			position = scanPosition{starts: m.starts}
 		}
-		for _, e := range m.applied[seen.entries:] {
-			o.note(e)
+		for _, e := range m.applied[position.entries:] {
+			o.recordVersion(e)
 		}
-		seen.entries = len(m.applied)
-		o.noted[m] = seen
+		position.entries = len(m.applied)
+		o.scanned[m] = position
 	}
 	newest := httproute.Version(0)
 	for index, version := range o.versions {
@@ -65,8 +65,8 @@
 	return newest
 }
 
-// note remembers what stands at a place of the log.
-func (o *orders) note(e quorum.Entry) {
+// recordVersion remembers what stands at a place of the log.
+func (o *readCheck) recordVersion(e quorum.Entry) {
 	if _, known := o.versions[e.Index]; known || e.Kind != quorum.EntryCommand {
 		return
 	}
@@ -74,8 +74,8 @@
 	o.versions[e.Index] = c.Apply(e.Data).Held
 }
 
-// order sends a version to a member, sometimes an older one.
-func (o *orders) order(m *machine) {
+// proposeVersion sends a version to a member, sometimes an older one.
+func (o *readCheck) proposeVersion(m *simMember) {
 	version := o.newest + 1
 	if o.newest > 3 && o.random.IntN(3) == 0 {
 		version -= httproute.Version(o.random.IntN(4))
@@ -89,14 +89,14 @@
 		return
 	}
 	if index, ok := m.core.Propose(o.now(m), quorum.EntryCommand, data); ok {
-		o.pending[index] = pendingOrder{m, m.core.Status().Term, version}
+		o.pending[index] = pendingVersion{m, m.core.Status().Term, version}
 		m.core.Flush(o.now(m))
 		o.drain(m, false)
 	}
 }
 
 // acknowledge answers the orders that their leader has applied.
-func (o *orders) acknowledge() {
+func (o *readCheck) acknowledge() {
 	for index, p := range o.pending {
 		if !p.by.up {
 			delete(o.pending, index)
@@ -104,85 +104,85 @@
 		}
 		for _, e := range p.by.applied {
 			if e.Index == index && e.Term == p.term {
-				o.acked = max(o.acked, p.version)
+				o.acknowledged = max(o.acknowledged, p.version)
 				delete(o.pending, index)
 			}
 		}
 	}
 }
 
-// reads looks at every member that would answer a read, and lets an entry follow one of them.
-func (o *orders) reads() {
+// checkReads looks at every member that would answer a read, and lets an entry follow one of them.
+func (o *readCheck) checkReads() {
 	o.acknowledge()
 	for _, m := range o.members {
 		s := m.core.Status()
 		if !m.up || s.Role != quorum.RoleLeader || !o.now(m).Before(s.LeaseEnd) || !s.KnowsCommitted {
 			continue
 		}
-		got := o.held(m)
-		if got < o.acked {
-			o.t.Fatalf("%s answers a read with version %d, and %d was acknowledged", m.id.Name, got, o.acked)
+		got := o.versionOf(m)
+		if got < o.acknowledged {
+			o.t.Fatalf("%s answers a read with version %d, and %d was acknowledged", m.id.Name, got, o.acknowledged)
 		}
-		i := o.random.IntN(len(o.entries))
-		if got < o.entries[i] {
-			o.t.Fatalf("an entry that has version %d is told of version %d as the newest by %s", o.entries[i], got, m.id.Name)
+		i := o.random.IntN(len(o.entryVersions))
+		if got < o.entryVersions[i] {
+			o.t.Fatalf("an entry that has version %d is told of version %d as the newest by %s", o.entryVersions[i], got, m.id.Name)
 		}
-		o.entries[i] = got
+		o.entryVersions[i] = got
 	}
 }
 
 // No member that may answer reads has an older version than was acknowledged, whatever is lost, folders among it, cut, killed or handed over.
-func TestReadsAreNeverOlderThanWhatWasAcknowledged(t *testing.T) {
+func TestReadsIncludeAcknowledgedChanges(t *testing.T) {
 	var acknowledged, folders atomic.Uint64
 	t.Cleanup(func() {
-		if acknowledged.Load() < histories || folders.Load() < histories/20 {
-			t.Errorf("%d versions acknowledged and %d folders lost in %d histories", acknowledged.Load(), folders.Load(), histories)
+		if acknowledged.Load() < historyCount || folders.Load() < historyCount/20 {
+			t.Errorf("%d versions acknowledged and %d folders lost in %d histories", acknowledged.Load(), folders.Load(), historyCount)
 		}
 	})
-	for seed := range uint64(histories) {
+	for seed := range uint64(historyCount) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			h := &history{newGroup(t, []int{3, 5}[seed%2]), rand.New(rand.NewPCG(seed, 11))}
-			o := &orders{history: h, pending: map[quorum.Index]pendingOrder{}, versions: map[quorum.Index]httproute.Version{}, noted: map[*machine]noted{}, entries: make([]httproute.Version, 3)}
-			for range stretches / 2 {
-				h.fault()
+			h := &history{newSimCluster(t, []int{3, 5}[seed%2]), rand.New(rand.NewPCG(seed, 11))}
+			check := &readCheck{history: h, pending: map[quorum.Index]pendingVersion{}, versions: map[quorum.Index]httproute.Version{}, scanned: map[*simMember]scanPosition{}, entryVersions: make([]httproute.Version, 3)}
+			for range phasesPerHistory / 2 {
+				h.injectFault()
 				if h.random.IntN(6) == 0 {
-					o.lose(h.any())
+					check.loseFolder(h.randomMember())
 				}
 				for range h.random.IntN(30) {
-					o.order(h.any())
-					o.turn()
+					check.proposeVersion(h.randomMember())
+					check.step()
 				}
 			}
 			for range 3 {
 				if h.settle() == nil {
 					t.Fatal("healed members have no leader")
 				}
-				o.admit()
+				check.admitMembers()
 			}
-			o.reads()
-			folders.Add(uint64(o.folders))
-			acknowledged.Add(uint64(o.acked))
+			check.checkReads()
+			folders.Add(uint64(check.lostFolders))
+			acknowledged.Add(uint64(check.acknowledged))
 		})
 	}
 }
 
-// lose takes a member's folder while all others are there and in touch, and starts it again with an empty one.
-func (o *orders) lose(m *machine) {
+// loseFolder takes a member's folder while all others are there and in touch, and starts it again with an empty one.
+func (o *readCheck) loseFolder(m *simMember) {
 	for _, other := range o.members {
-		if !other.up || o.cut[other.id] || !o.admitted(other) {
+		if !other.up || o.isolated[other.id] || !o.hasVote(other) {
 			return
 		}
 	}
-	o.folders++
-	m.id.Folder = quorum.FolderID(fmt.Sprint("new-", o.folders))
-	m.snapshot, m.hard, m.entries = nil, quorum.HardState{}, nil
+	o.lostFolders++
+	m.id.Folder = quorum.FolderID(fmt.Sprint("new-", o.lostFolders))
+	m.snapshot, m.hardState, m.entries = nil, quorum.HardState{}, nil
 	o.start(m)
 	o.drain(m, false)
 }
 
-// admitted reports whether a member has a vote, as any leader knows.
-func (o *orders) admitted(m *machine) bool {
+// hasVote reports whether a member has a vote, as any leader knows.
+func (o *readCheck) hasVote(m *simMember) bool {
 	for _, l := range o.members {
 		s := l.core.Status()
 		if !l.up || s.Role != quorum.RoleLeader || !s.KnowsCommitted {
@@ -193,8 +193,8 @@
 	return false
 }
 
-// admit lets a leader take in members with new folders, and drop their old ones once the new ones have their vote.
-func (o *orders) admit() {
+// admitMembers lets a leader take in members with new folders, and drop their old ones once the new ones have their vote.
+func (o *readCheck) admitMembers() {
 	for _, l := range o.members {
 		s := l.core.Status()
 		if !l.up || s.Role != quorum.RoleLeader {
@@ -208,55 +208,55 @@
 	}
 }
 
-func (o *orders) nextMembers(now []quorum.Member) []quorum.Member {
+func (o *readCheck) nextMembers(current []quorum.Member) []quorum.Member {
 	present := func(id quorum.MemberID) bool {
-		return slices.ContainsFunc(o.members, func(m *machine) bool { return m.id == id })
+		return slices.ContainsFunc(o.members, func(m *simMember) bool { return m.id == id })
 	}
-	if slices.ContainsFunc(now, func(m quorum.Member) bool { return !m.Voter }) {
+	if slices.ContainsFunc(current, func(m quorum.Member) bool { return !m.Voter }) {
 		return nil
 	}
-	if len(now) > len(o.members) {
-		return slices.DeleteFunc(slices.Clone(now), func(m quorum.Member) bool { return !present(m.ID) })
+	if len(current) > len(o.members) {
+		return slices.DeleteFunc(slices.Clone(current), func(m quorum.Member) bool { return !present(m.ID) })
 	}
 	for _, m := range o.members {
-		if m.up && !slices.ContainsFunc(now, func(o quorum.Member) bool { return o.ID == m.id }) {
-			return append(slices.Clone(now), quorum.Member{ID: m.id})
+		if m.up && !slices.ContainsFunc(current, func(o quorum.Member) bool { return o.ID == m.id }) {
+			return append(slices.Clone(current), quorum.Member{ID: m.id})
 		}
 	}
 	return nil
 }
 
-// turn lets some time pass and some messages arrive, in any order.
-func (o *orders) turn() {
-	o.admit()
-	o.pass(time.Duration(1+o.random.IntN(60)) * time.Millisecond)
+// step lets some time pass and some messages arrive, in any order.
+func (o *readCheck) step() {
+	o.admitMembers()
+	o.advance(time.Duration(1+o.random.IntN(60)) * time.Millisecond)
 	for range o.random.IntN(14) {
-		if len(o.wire) == 0 {
+		if len(o.network) == 0 {
 			break
 		}
-		i := o.random.IntN(min(len(o.wire), 6))
+		i := o.random.IntN(min(len(o.network), 6))
 		if o.random.IntN(12) == 0 {
-			o.wire = append(o.wire[:i:i], o.wire[i+1:]...)
+			o.network = append(o.network[:i:i], o.network[i+1:]...)
 			continue
 		}
 		o.deliver(i, o.random.IntN(20) == 0, o.random.IntN(80) == 0)
-		o.check()
-		o.reads()
+		o.checkInvariants()
+		o.checkReads()
 	}
 }
 
 // A new leader whose lease rests on members that lack the last change does not answer reads before it has committed an entry of its own.
-func TestANewLeaderReadsWhatItsPredecessorAcknowledged(t *testing.T) {
-	g, leader := lead(t, 5)
-	var others []*machine
+func TestNewLeaderReadsIncludeAcknowledgedChanges(t *testing.T) {
+	g, leader := clusterWithLeader(t, 5)
+	var others []*simMember
 	for _, m := range g.members {
 		if m != leader {
 			others = append(others, m)
 		}
 	}
-	holder, behind := others[:2], others[2:]
+	holders, behind := others[:2], others[2:]
 	for _, m := range behind {
-		g.cut[m.id] = true
+		g.isolated[m.id] = true
 	}
 	g.propose(leader)
 	last := leader.core.Status().Commit + 1
@@ -267,33 +267,33 @@
 		}
 		g.deliver(0, false, false)
 	}
-	if leader.core.Status().Commit != last || holder[0].core.Status().Commit >= last {
-		t.Fatalf("commit %d at the leader, %d at a follower, want %d and less", leader.core.Status().Commit, holder[0].core.Status().Commit, last)
+	if leader.core.Status().Commit != last || holders[0].core.Status().Commit >= last {
+		t.Fatalf("commit %d at the leader, %d at a follower, want %d and less", leader.core.Status().Commit, holders[0].core.Status().Commit, last)
 	}
-	leader.up, g.wire, g.cut = false, nil, map[quorum.MemberID]bool{holder[1].id: true}
+	leader.up, g.network, g.isolated = false, nil, map[quorum.MemberID]bool{holders[1].id: true}
 	reads := 0
 	for range 400 {
-		g.pass(timing.Heartbeat / 5)
+		g.advance(timing.Heartbeat / 5)
 		for range 40 {
-			if len(g.wire) == 0 {
+			if len(g.network) == 0 {
 				break
 			}
 			// What the members that are behind are sent beyond their refusals is lost.
-			if m := g.wire[0]; m.Kind == quorum.MessageSnapshot || len(m.Entries) > 1 {
-				g.wire = g.wire[1:]
+			if m := g.network[0]; m.Kind == quorum.MessageSnapshot || len(m.Entries) > 1 {
+				g.network = g.network[1:]
 				continue
 			}
 			g.deliver(0, false, false)
 		}
-		s := holder[0].core.Status()
-		if s.Role == quorum.RoleLeader && g.now(holder[0]).Before(s.LeaseEnd) && s.KnowsCommitted && s.Commit < last {
+		s := holders[0].core.Status()
+		if s.Role == quorum.RoleLeader && g.now(holders[0]).Before(s.LeaseEnd) && s.KnowsCommitted && s.Commit < last {
 			reads++
 		}
 	}
 	if reads > 0 {
 		t.Errorf("the new leader would answer reads by entry %d and less in %d moments, entry %d was acknowledged", last-1, reads, last)
 	}
-	if holder[0].core.Status().Role != quorum.RoleLeader {
+	if holders[0].core.Status().Role != quorum.RoleLeader {
 		t.Error("nobody leads")
 	}
 }
--- a/quorum/replicate.go
+++ b/quorum/replicate.go
@@ -8,24 +8,24 @@
 
 // broadcast sends every member what it lacks, as one numbered round that also carries the lease.
 func (c *Core) broadcast(now time.Time) {
-	c.nextBeat = now.Add(c.timing.Heartbeat)
-	c.lastSent = now
+	c.nextHeartbeat = now.Add(c.timing.Heartbeat)
+	c.lastBroadcast = now
 	for _, m := range c.members {
 		if m.ID != c.id {
 			c.sendAppend(now, m.ID)
 		}
 	}
-	c.countLease()
+	c.extendLease()
 }
 
 // round names the last broadcast by its distance from the election, so that a reply tells when its question was sent.
 func (c *Core) round() uint64 {
-	return uint64(c.lastSent.Sub(c.elected))
+	return uint64(c.lastBroadcast.Sub(c.electedAt))
 }
 
 func (c *Core) sendAppend(now time.Time, to MemberID) {
 	p := c.progress[to]
-	if p.lost {
+	if p.lostData {
 		c.send(Message{Kind: MessageExpel, To: to})
 		return
 	}
@@ -37,7 +37,7 @@
 		c.send(Message{Kind: MessageAppend, To: to, LastIndex: previous, LastTerm: c.termAt(previous), Commit: 0, Round: c.round()})
 		return
 	}
-	entries := c.limited(p.next)
+	entries := c.entriesToSend(p.next)
 	c.send(Message{
 		Kind: MessageAppend, To: to, LastIndex: previous, LastTerm: c.termAt(previous),
 		Entries: entries, Commit: c.commit, Round: c.round(),
@@ -47,17 +47,17 @@
 }
 
 func (c *Core) requestSnapshot(now time.Time, to MemberID, p *progress) {
-	if now.Sub(p.snapshotAt) < c.timing.Election {
+	if now.Sub(p.snapshotRequestedAt) < c.timing.Election {
 		return
 	}
-	p.snapshotAt = now
-	c.needSnap = append(c.needSnap, to)
+	p.snapshotRequestedAt = now
+	c.snapshotRequests = append(c.snapshotRequests, to)
 }
 
 // TakeSnapshotRequests returns the members that need a snapshot from the driver.
 func (c *Core) TakeSnapshotRequests() []MemberID {
-	ids := c.needSnap
-	c.needSnap = nil
+	ids := c.snapshotRequests
+	c.snapshotRequests = nil
 	return ids
 }
 
@@ -68,7 +68,7 @@
 	}
 }
 
-func (c *Core) limited(from Index) []Entry {
+func (c *Core) entriesToSend(from Index) []Entry {
 	all := c.slice(from, c.lastIndex())
 	size := 0
 	for i := range all {
@@ -88,19 +88,19 @@
 	}
 	if m.LastIndex < c.snapshot.Index {
 		// Everything up to the own snapshot is committed and thus equal.
-		c.reply(m, true, c.snapshot.Index)
+		c.replyToAppend(m, true, c.snapshot.Index)
 		return
 	}
 	if m.LastIndex > c.lastIndex() || c.termAt(m.LastIndex) != m.LastTerm {
-		c.reply(m, false, c.conflictHint(m))
+		c.replyToAppend(m, false, c.conflictHint(m))
 		return
 	}
-	last := c.adopt(m)
+	last := c.appendNew(m)
 	c.commit = max(c.commit, min(m.Commit, last))
 	if m.Commit > 0 && c.commit >= m.Commit {
-		c.noteCurrent()
+		c.recordCurrentTermCommit()
 	}
-	c.reply(m, true, last)
+	c.replyToAppend(m, true, last)
 }
 
 // conflictHint skips a whole term of conflicting entries instead of one entry at a time.
@@ -114,20 +114,20 @@
 }
 
 func (c *Core) followLeader(now time.Time, m *Message) {
-	c.heard = now
+	c.lastContact = now
 	c.role = RoleFollower
 	c.leader = m.From
-	c.transfer = false
-	c.quick = 0
-	c.resetDeadline(now)
+	c.transferring = false
+	c.startupAttemptsLeft = 0
+	c.resetElectionDeadline(now)
 }
 
-func (c *Core) reply(m *Message, granted bool, match Index) {
+func (c *Core) replyToAppend(m *Message, granted bool, match Index) {
 	c.send(Message{Kind: MessageAppendReply, To: m.From, Granted: granted, Match: match, Round: m.Round})
 }
 
-// adopt takes the entries that are new, replacing a conflicting tail, and returns the last index known to be equal to the leader's.
-func (c *Core) adopt(m *Message) Index {
+// appendNew takes the entries that are new, replacing a conflicting tail, and returns the last index known to be equal to the leader's.
+func (c *Core) appendNew(m *Message) Index {
 	last := m.LastIndex
 	for _, e := range m.Entries {
 		last = e.Index
@@ -141,18 +141,18 @@
 
 // append adds e, cutting whatever stands at its index and after.
 func (c *Core) append(e Entry) {
-	cut := e.Index <= c.lastIndex()
-	if cut {
+	truncates := e.Index <= c.lastIndex()
+	if truncates {
 		// A fresh slice: the old one may still be read by the driver.
 		c.entries = append([]Entry(nil), c.slice(c.snapshot.Index+1, e.Index-1)...)
 		c.persisted = min(c.persisted, e.Index-1)
 	}
 	c.entries = append(c.entries, e)
-	if c.firstDirty == 0 || e.Index < c.firstDirty {
-		c.firstDirty = e.Index
+	if c.firstUnsaved == 0 || e.Index < c.firstUnsaved {
+		c.firstUnsaved = e.Index
 	}
-	if cut || e.Kind == EntryMembers {
-		c.findMembers()
+	if truncates || e.Kind == EntryMembers {
+		c.updateMembers()
 	}
 }
 
@@ -161,26 +161,26 @@
 	if c.role != RoleLeader || p == nil {
 		return
 	}
-	p.acked = now
-	if sent := c.elected.Add(time.Duration(m.Round)); sent.After(p.ackedSent) && !sent.After(c.lastSent) {
-		p.ackedSent = sent
-		c.countLease()
+	p.lastAck = now
+	if sent := c.electedAt.Add(time.Duration(m.Round)); sent.After(p.ackedBroadcast) && !sent.After(c.lastBroadcast) {
+		p.ackedBroadcast = sent
+		c.extendLease()
 	}
 	switch {
 	case m.Unformed:
-		c.requestSnapshotUnformed(now, m.From, p)
+		c.handleUnformed(now, m.From, p)
 	case m.Granted:
-		c.acknowledged(now, m.From, p, m.Match)
+		c.handleAck(now, m.From, p, m.Match)
 	default:
-		c.refused(now, m.From, p, m.Match)
+		c.handleRefusal(now, m.From, p, m.Match)
 	}
 }
 
-// refused moves back to the member's hint. A member that keeps refusing what it had
+// handleRefusal moves back to the member's hint. A member that keeps refusing what it had
 // acknowledged as synced has an older or damaged folder; one late reply alone proves nothing.
-func (c *Core) refused(now time.Time, from MemberID, p *progress, hint Index) {
+func (c *Core) handleRefusal(now time.Time, from MemberID, p *progress, hint Index) {
 	if hint < p.match {
-		c.suspect(now, from, p)
+		c.recordRefusal(now, from, p)
 		return
 	}
 	p.next = hint + 1
@@ -191,35 +191,35 @@
 	c.requestSnapshot(now, from, p)
 }
 
-func (c *Core) requestSnapshotUnformed(now time.Time, to MemberID, p *progress) {
+func (c *Core) handleUnformed(now time.Time, to MemberID, p *progress) {
 	if p.match == 0 {
 		p.next = 1
 		c.requestSnapshot(now, to, p)
 		return
 	}
-	c.suspect(now, to, p)
+	c.recordRefusal(now, to, p)
 }
 
-// suspect expels a member that has said for the election time that it lacks what it had acknowledged.
-func (c *Core) suspect(now time.Time, id MemberID, p *progress) {
-	if p.suspect.IsZero() {
-		p.suspect = now
+// recordRefusal expels a member that has said for the election time that it lacks what it had acknowledged.
+func (c *Core) recordRefusal(now time.Time, id MemberID, p *progress) {
+	if p.refusingSince.IsZero() {
+		p.refusingSince = now
 	}
-	if now.Sub(p.suspect) >= c.timing.Election {
-		p.lost = true
+	if now.Sub(p.refusingSince) >= c.timing.Election {
+		p.lostData = true
 		c.send(Message{Kind: MessageExpel, To: id})
 	}
 }
 
-func (c *Core) acknowledged(now time.Time, from MemberID, p *progress, match Index) {
+func (c *Core) handleAck(now time.Time, from MemberID, p *progress, match Index) {
 	if match >= p.match {
 		p.match = match
-		p.suspect = time.Time{}
+		p.refusingSince = time.Time{}
 	}
 	p.next = max(p.next, p.match+1)
 	before := c.commit
 	c.advanceCommit()
-	c.promote(now)
+	c.promoteLearner(now)
 	if c.commit > before {
 		// Followers learn the commit at once rather than with the next heartbeat.
 		c.broadcast(now)
@@ -230,25 +230,25 @@
 	}
 }
 
-// countLease extends the lease to the newest moment that a majority's answers support.
-func (c *Core) countLease() {
-	if c.transfer {
+// extendLease extends the lease to the newest moment that a majority's answers support.
+func (c *Core) extendLease() {
+	if c.transferring {
 		return
 	}
-	var sent []time.Time
+	var acked []time.Time
 	for _, m := range c.members {
 		if !m.Voter {
 			continue
 		}
 		if m.ID == c.id {
-			sent = append(sent, c.lastSent)
+			acked = append(acked, c.lastBroadcast)
 			continue
 		}
-		sent = append(sent, c.progress[m.ID].ackedSent)
+		acked = append(acked, c.progress[m.ID].ackedBroadcast)
 	}
-	newest := majorityTime(sent)
-	if until := newest.Add(c.timing.Lease); !newest.IsZero() && until.After(c.lease) {
-		c.lease = until
+	latest := majorityTime(acked)
+	if leaseEnd := latest.Add(c.timing.Lease); !latest.IsZero() && leaseEnd.After(c.leaseEnd) {
+		c.leaseEnd = leaseEnd
 	}
 }
 
@@ -276,28 +276,28 @@
 		return
 	}
 	if c.formed && s.Index <= c.commit {
-		c.reply(m, true, c.commit)
+		c.replyToAppend(m, true, c.commit)
 		return
 	}
 	c.formed = true
 	c.snapshot = Snapshot{Index: s.Index, Term: s.Term, Members: s.Members}
 	c.entries = nil
-	c.firstDirty = 0
-	c.commit, c.handed, c.persisted = s.Index, s.Index, s.Index
+	c.firstUnsaved = 0
+	c.commit, c.handedOut, c.persisted = s.Index, s.Index, s.Index
 	c.install = s
-	c.findMembers()
-	c.reply(m, true, s.Index)
+	c.updateMembers()
+	c.replyToAppend(m, true, s.Index)
 }
 
 // Compact forgets entries up to index, which the driver has in a synced snapshot; keep entries stay for catch-up.
 func (c *Core) Compact(index, keep Index) {
-	if index <= c.snapshot.Index+keep || index > c.handed {
+	if index <= c.snapshot.Index+keep || index > c.handedOut {
 		return
 	}
-	at := index - keep
-	members := c.membersAt(at)
-	tail := append([]Entry(nil), c.slice(at+1, c.lastIndex())...)
-	c.snapshot = Snapshot{Index: at, Term: c.termAt(at), Members: members}
+	base := index - keep
+	members := c.membersAt(base)
+	tail := append([]Entry(nil), c.slice(base+1, c.lastIndex())...)
+	c.snapshot = Snapshot{Index: base, Term: c.termAt(base), Members: members}
 	c.entries = tail
 }
 
@@ -323,20 +323,20 @@
 	return c.entries[first-c.snapshot.Index-1 : last-c.snapshot.Index]
 }
 
-// findMembers takes the newest members in the log, committed or not, as the protocol demands.
-func (c *Core) findMembers() {
+// updateMembers takes the newest members in the log, committed or not, as the protocol demands.
+func (c *Core) updateMembers() {
 	c.members = c.membersAt(c.lastIndex())
-	c.memberAt = c.snapshot.Index
+	c.membersIndex = c.snapshot.Index
 	for i := len(c.entries) - 1; i >= 0; i-- {
 		if c.entries[i].Kind == EntryMembers {
-			c.memberAt = c.entries[i].Index
+			c.membersIndex = c.entries[i].Index
 			return
 		}
 	}
 }
 
-func (c *Core) membersAt(at Index) []Member {
-	for i := at; i > c.snapshot.Index; i-- {
+func (c *Core) membersAt(index Index) []Member {
+	for i := index; i > c.snapshot.Index; i-- {
 		e := &c.entries[i-c.snapshot.Index-1]
 		if e.Kind != EntryMembers {
 			continue
--- a/quorum/start_test.go
+++ b/quorum/start_test.go
@@ -8,39 +8,39 @@
 	"github.com/dunlinquay/dunlinquay/quorum"
 )
 
-// late is a message on its way.
-type late struct {
+// delayedMessage is a message on its way.
+type delayedMessage struct {
 	at time.Duration
 	m  quorum.Message
 }
 
 // runDelayed lets time pass in milliseconds, with every message on its way for delay, until done.
-func (g *group) runDelayed(limit, delay time.Duration, each func(), done func() bool) time.Duration {
-	var way []late
-	began := g.elapsed
-	for g.elapsed-began < limit && !done() {
-		each()
-		g.pass(time.Millisecond)
-		for _, m := range g.wire {
-			way = append(way, late{g.elapsed + delay, m})
+func (g *simCluster) runDelayed(limit, delay time.Duration, beforeStep func(), done func() bool) time.Duration {
+	var inTransit []delayedMessage
+	started := g.elapsed
+	for g.elapsed-started < limit && !done() {
+		beforeStep()
+		g.advance(time.Millisecond)
+		for _, m := range g.network {
+			inTransit = append(inTransit, delayedMessage{g.elapsed + delay, m})
 		}
-		g.wire = nil
-		for len(way) > 0 && way[0].at <= g.elapsed {
-			m := way[0].m
-			way = way[1:]
-			g.wire = append(g.wire, m)
-			g.deliver(len(g.wire)-1, false, false)
-			for _, m := range g.wire {
-				way = append(way, late{g.elapsed + delay, m})
+		g.network = nil
+		for len(inTransit) > 0 && inTransit[0].at <= g.elapsed {
+			m := inTransit[0].m
+			inTransit = inTransit[1:]
+			g.network = append(g.network, m)
+			g.deliver(len(g.network)-1, false, false)
+			for _, m := range g.network {
+				inTransit = append(inTransit, delayedMessage{g.elapsed + delay, m})
 			}
-			g.wire = nil
+			g.network = nil
 		}
-		g.check()
+		g.checkInvariants()
 	}
-	return g.elapsed - began
+	return g.elapsed - started
 }
 
-func (g *group) leads() bool {
+func (g *simCluster) hasLeader() bool {
 	for _, m := range g.members {
 		if m.up && m.core.Status().Role == quorum.RoleLeader {
 			return true
@@ -51,11 +51,11 @@
 
 // Members that all start anew within a moment have a leader soon after the lease that they may have supported is over: nobody
 // has to wait for an election time, and no two of them ask for votes at once.
-func TestAllStartAnew(t *testing.T) {
+func TestLeaderElectedSoonAfterFullRestart(t *testing.T) {
 	const (
-		delay  = 8 * time.Millisecond // a message and the sync before it
-		apart  = 40 * time.Millisecond
-		within = 11*400*time.Millisecond/10 + 500*time.Millisecond/2 // the lease with its drift, half an election time
+		delay       = 8 * time.Millisecond // a message and the sync before it
+		startSpread = 40 * time.Millisecond
+		within      = 11*400*time.Millisecond/10 + 500*time.Millisecond/2 // the lease with its drift, half an election time
 	)
 	for _, c := range []struct {
 		name string
@@ -69,19 +69,19 @@
 			if c.name == "all of three" {
 				n = 3
 			}
-			g, leader := lead(t, n)
+			g, leader := clusterWithLeader(t, n)
 			g.propose(leader)
 			g.settle()
-			g.wire = nil
+			g.network = nil
 			for i, m := range g.members {
 				m.up = false
-				m.boots += 1000*seed + uint64(7*i)
+				m.starts += 1000*seed + uint64(7*i)
 			}
-			starts := map[*machine]time.Duration{}
+			starts := map[*simMember]time.Duration{}
 			for _, i := range random.Perm(n)[:c.back] {
-				starts[g.members[i]] = g.elapsed + time.Duration(random.Int64N(int64(apart)))
+				starts[g.members[i]] = g.elapsed + time.Duration(random.Int64N(int64(startSpread)))
 			}
-			took := g.runDelayed(5*time.Second, delay, func() {
+			elapsed := g.runDelayed(5*time.Second, delay, func() {
 				for _, m := range g.members {
 					if at, ok := starts[m]; ok && g.elapsed >= at {
 						delete(starts, m)
@@ -89,13 +89,13 @@
 						g.drain(m, false)
 					}
 				}
-			}, g.leads)
-			sum += took
-			worst = max(worst, took)
+			}, g.hasLeader)
+			sum += elapsed
+			worst = max(worst, elapsed)
 		}
 		t.Logf("%s: a leader after %v on average, %v at most", c.name, sum/seeds, worst)
-		if worst > within+apart {
-			t.Errorf("%s: a leader after %v, want %v at most", c.name, worst, within+apart)
+		if worst > within+startSpread {
+			t.Errorf("%s: a leader after %v, want %v at most", c.name, worst, within+startSpread)
 		}
 	}
 }
--- a/quorum/store.go
+++ b/quorum/store.go
@@ -18,10 +18,10 @@
 const (
 	snapshotFormat = 1
 	identityFormat = 1
-	identityName   = "identity"
+	identityFile   = "identity"
 	checksumSize   = 8
-	// rewriteAfter is the size of the shared log from which a snapshot also shortens it.
-	rewriteAfter = 4 << 20
+	// rewriteAfterBytes is the size of the shared log from which a snapshot also shortens it.
+	rewriteAfterBytes = 4 << 20
 )
 
 // Store keeps the hard states, entries and snapshots of all instances in one data folder.
@@ -30,15 +30,15 @@
 	log    *disk.Log
 	id     MemberID
 
-	mu    sync.Mutex
-	tails map[Instance]*tail
-	snaps map[Instance]*Snapshot
+	mu        sync.Mutex
+	tails     map[Instance]*tail
+	snapshots map[Instance]*Snapshot
 }
 
 // tail is what the shared log must still hold for one instance.
 type tail struct {
-	hard    HardState
-	entries []Entry
+	hardState HardState
+	entries   []Entry
 }
 
 type storedRecord struct {
@@ -53,7 +53,7 @@
 
 // OpenStore reads the data folder of the member called name; an empty folder gets a new folder id.
 func OpenStore(folder *disk.Folder, name ident.Daemon) (*Store, error) {
-	s := &Store{folder: folder, tails: map[Instance]*tail{}, snaps: map[Instance]*Snapshot{}}
+	s := &Store{folder: folder, tails: map[Instance]*tail{}, snapshots: map[Instance]*Snapshot{}}
 	if err := s.readIdentity(name); err != nil {
 		return nil, err
 	}
@@ -72,7 +72,7 @@
 }
 
 func (s *Store) readIdentity(name ident.Daemon) error {
-	content, err := s.folder.ReadFile(identityName)
+	content, err := s.folder.ReadFile(identityFile)
 	if err != nil {
 		return result.Wrap(err, result.StorageDamaged, "identity file cannot be read")
 	}
@@ -80,7 +80,7 @@
 		return s.newIdentity(name)
 	}
 	var found identity
-	if err := openSealed(content, &found); err != nil {
+	if err := unseal(content, &found); err != nil {
 		return err
 	}
 	if found.Format > identityFormat {
@@ -99,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	return s.folder.WriteFile(identityName, content)
+	return s.folder.WriteFile(identityFile, content)
 }
 
 // seal encodes v and adds a checksum.
@@ -111,7 +111,7 @@
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b)), nil
 }
 
-func openSealed(b []byte, v any) error {
+func unseal(b []byte, v any) error {
 	n := len(b) - checksumSize
 	if n < 0 || binary.LittleEndian.Uint64(b[n:]) != xxhash.Sum64(b[:n]) {
 		return result.New(result.StorageDamaged, "a file of the data folder has a wrong checksum")
@@ -123,11 +123,11 @@
 }
 
 func (s *Store) replay(r disk.Record) error {
-	var rec storedRecord
-	if err := cbor.Unmarshal(r.Data, &rec); err != nil {
+	var record storedRecord
+	if err := cbor.Unmarshal(r.Data, &record); err != nil {
 		return result.Wrap(err, result.StorageDamaged, "a record of the log cannot be decoded")
 	}
-	s.tail(Instance(r.Instance)).add(&rec)
+	s.tail(Instance(r.Instance)).add(&record)
 	return nil
 }
 
@@ -141,18 +141,18 @@
 }
 
 // add takes a record; entries replace whatever stood at their index and after.
-func (t *tail) add(rec *storedRecord) {
-	if rec.Hard != nil {
-		t.hard = *rec.Hard
+func (t *tail) add(record *storedRecord) {
+	if record.Hard != nil {
+		t.hardState = *record.Hard
 	}
-	if len(rec.Entries) == 0 {
+	if len(record.Entries) == 0 {
 		return
 	}
 	keep := len(t.entries)
-	for keep > 0 && t.entries[keep-1].Index >= rec.Entries[0].Index {
+	for keep > 0 && t.entries[keep-1].Index >= record.Entries[0].Index {
 		keep--
 	}
-	t.entries = append(t.entries[:keep:keep], rec.Entries...)
+	t.entries = append(t.entries[:keep:keep], record.Entries...)
 }
 
 // dropThrough forgets entries up to index.
@@ -194,34 +194,34 @@
 	defer s.mu.Unlock()
 	t := s.tail(i)
 	if content == nil {
-		return nil, t.hard, nil, nil
+		return nil, t.hardState, nil, nil
 	}
-	snap := &Snapshot{}
-	if err := openSealed(content, snap); err != nil {
+	snapshot := &Snapshot{}
+	if err := unseal(content, snapshot); err != nil {
 		return nil, HardState{}, nil, err
 	}
-	if snap.Format > snapshotFormat {
-		return nil, HardState{}, nil, result.New(result.FormatTooNew, "snapshot format %d is newer than %d", snap.Format, snapshotFormat)
+	if snapshot.Format > snapshotFormat {
+		return nil, HardState{}, nil, result.New(result.FormatTooNew, "snapshot format %d is newer than %d", snapshot.Format, snapshotFormat)
 	}
-	if err := t.alignTo(snap); err != nil {
+	if err := t.alignTo(snapshot); err != nil {
 		return nil, HardState{}, nil, err
 	}
-	s.snaps[i] = snap
-	return snap, t.hard, t.entries, nil
+	s.snapshots[i] = snapshot
+	return snapshot, t.hardState, t.entries, nil
 }
 
 // alignTo keeps only the entries that continue snap. A crash between installing a
 // leader's snapshot and shortening the log leaves entries of another history behind it.
-func (t *tail) alignTo(snap *Snapshot) error {
+func (t *tail) alignTo(snapshot *Snapshot) error {
 	for _, e := range t.entries {
-		if e.Index == snap.Index && e.Term != snap.Term {
+		if e.Index == snapshot.Index && e.Term != snapshot.Term {
 			t.entries = nil
 			return nil
 		}
 	}
-	t.dropThrough(snap.Index)
-	if len(t.entries) > 0 && t.entries[0].Index != snap.Index+1 {
-		return result.New(result.StorageDamaged, "the log starts at %d, the snapshot ends at %d", t.entries[0].Index, snap.Index)
+	t.dropThrough(snapshot.Index)
+	if len(t.entries) > 0 && t.entries[0].Index != snapshot.Index+1 {
+		return result.New(result.StorageDamaged, "the log starts at %d, the snapshot ends at %d", t.entries[0].Index, snapshot.Index)
 	}
 	return nil
 }
@@ -231,22 +231,22 @@
 }
 
 // Save returns after hard (when not nil) and entries are synced; concurrent calls share a sync.
-func (s *Store) Save(ctx context.Context, i Instance, hard *HardState, entries []Entry) error {
-	rec := storedRecord{Hard: hard, Entries: entries}
-	data, err := cbor.Marshal(rec)
+func (s *Store) Save(ctx context.Context, i Instance, hardState *HardState, entries []Entry) error {
+	record := storedRecord{Hard: hardState, Entries: entries}
+	data, err := cbor.Marshal(record)
 	if err != nil {
 		return err
 	}
 	// The copy in memory is ahead of the disk, so that a rewrite by another instance cannot lose this record.
 	s.mu.Lock()
-	s.tail(i).add(&rec)
+	s.tail(i).add(&record)
 	s.mu.Unlock()
 	return s.log.Append(ctx, []disk.Record{{Instance: uint32(i), Data: data}})
 }
 
 // SaveSnapshot returns after snap is synced; entries up to dropThrough leave the log, and all of them when snap replaces another history.
-func (s *Store) SaveSnapshot(i Instance, snap *Snapshot, dropThrough Index, replaces bool) error {
-	content, err := seal(snap)
+func (s *Store) SaveSnapshot(i Instance, snapshot *Snapshot, dropThrough Index, replaces bool) error {
+	content, err := seal(snapshot)
 	if err != nil {
 		return err
 	}
@@ -255,14 +255,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.snaps[i] = snap
+	s.snapshots[i] = snapshot
 	t := s.tail(i)
 	if replaces {
 		t.entries = nil
 		return s.rewrite()
 	}
 	t.dropThrough(dropThrough)
-	if s.log.Size() > rewriteAfter {
+	if s.log.Size() > rewriteAfterBytes {
 		return s.rewrite()
 	}
 	return nil
@@ -272,14 +272,14 @@
 func (s *Store) Snapshot(i Instance) *Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.snaps[i]
+	return s.snapshots[i]
 }
 
 func (s *Store) rewrite() error {
 	var records []disk.Record
 	for i, t := range s.tails {
-		hard := t.hard
-		data, err := cbor.Marshal(storedRecord{Hard: &hard, Entries: t.entries})
+		hardState := t.hardState
+		data, err := cbor.Marshal(storedRecord{Hard: &hardState, Entries: t.entries})
 		if err != nil {
 			return err
 		}
