--- a/quorum/core.go
+++ b/quorum/core.go
@@ -1,22 +1,19 @@
 package quorum
 
-// Core is the protocol without any input or output: messages, ticks and
-// proposals go in, and Ready tells what must be persisted, sent and applied.
-// All traps of a replicated log then lie in code that a test can drive one
-// step at a time, with a clock of its own:
+// Core is the protocol without any input or output: it takes messages, ticks and proposals, and Ready returns what must
+// be persisted, sent and applied. Tests can thus drive all of the protocol one step at a time, with their own clock:
 //
 //	c.Step(now, message)
 //	rd := c.Ready()
-//	send(rd.Appends)            // a leader may send entries before its own sync
-//	persist(rd.Hard, rd.Entries) // then c.Persisted(last)
-//	send(rd.Messages)           // promises go out only after they are on disk
+//	send(rd.Appends)                  // a leader may send entries before its own sync
+//	persist(rd.HardState, rd.Entries) // then c.Persisted(last)
+//	send(rd.Messages)                 // votes and acknowledgements only after they are on disk
 //	apply(rd.Committed)
 //
-// The rules are those of Raft (Ongaro 2014) with pre-vote, check-quorum,
-// single-member changes and leader leases. A member withholds its vote while
-// it has heard from a leader within the election time, and after its start,
-// because it cannot remember what it promised before. A leader's lease is
-// counted from the moment it sent a heartbeat that a majority answered.
+// The rules are those of Raft (Ongaro 2014) with pre-vote, check-quorum, single-member changes and leader leases. A
+// member withholds its vote while its last contact with a leader is within the election time. It also withholds its
+// vote after its start, because it cannot know which lease it supported before. A leader's lease starts when it sent a
+// heartbeat that a majority has answered.
 
 import (
 	"math/rand/v2"
@@ -30,12 +27,13 @@
 	maxEntriesPerMessage = 512
 	maxBytesPerMessage   = 1 << 20
 	clockDriftFactor     = 1.1
-	// startupAttempts is how many times a member that starts tries after the part 1/startupElectionDivisor of the election time, past which a
-	// vote with its syncs and answers is usually decided; after that disks may be slow, and it waits as long as any other.
+	// A member that starts campaigns up to startupAttempts times after the shorter time
+	// Election/startupElectionDivisor, in which a vote with its syncs and replies is usually decided. After that, disks
+	// may be slow, and the member waits as long as any other.
 	startupAttempts        = 3
 	startupElectionDivisor = 3
-	// staggerDivisor is the part 1/staggerDivisor of the election time by which members that start ask for votes after each other: some
-	// times the time that a vote takes.
+	// Election/staggerDivisor is the time between the campaigns of members that start, several times the duration of a
+	// vote.
 	staggerDivisor = 12
 )
 
@@ -46,13 +44,13 @@
 	Lease     time.Duration
 }
 
-// voteHoldOff is how long a member that has just started withholds its vote: it may have supported a leader's lease right
-// before, and has forgotten that.
+// voteHoldOff is how long a member that has just started withholds its vote, because it may have supported a leader's
+// lease before its start.
 func (t Timing) voteHoldOff() time.Duration {
 	return min(t.Election, time.Duration(clockDriftFactor*float64(t.Lease)))
 }
 
-// Ready is what the driver has to do after a step, in the order of its fields.
+// Ready is what the driver has to do after a step, in the order of the fields.
 type Ready struct {
 	Appends   []Message
 	Install   *Snapshot
@@ -67,14 +65,14 @@
 	next           Index
 	lastAck        time.Time
 	ackedBroadcast time.Time
-	// refusingSince is when the member first refused what it had acknowledged before.
+	// refusingSince is when the member first refused an index that it had acknowledged before.
 	refusingSince time.Time
 	lostData      bool
-	// snapshotRequestedAt limits how often a snapshot is sent to a member that does not answer.
+	// snapshotRequestedAt limits how often a snapshot is sent to a member that does not reply.
 	snapshotRequestedAt time.Time
 }
 
-// Core is one member of one instance; its methods must not be called concurrently.
+// Core is one member of one instance. Its methods must not be called concurrently.
 type Core struct {
 	id       MemberID
 	instance Instance
@@ -82,23 +80,24 @@
 	random   *rand.Rand
 
 	hardState    HardState
-	snapshot     Snapshot // Data is left out; the driver keeps it.
+	snapshot     Snapshot // without Data, which the driver keeps
 	entries      []Entry  // entries[0].Index == snapshot.Index+1
 	formed       bool
 	members      []Member
 	membersIndex Index
 	commit       Index
-	handedOut    Index // up to here Ready has handed out committed entries
-	// firstCurrentTermCommit is the first commit of a leader's own term that was seen since the start; applying it makes this
-	// member know everything that was committed before.
+	handedOut    Index // last committed entry that Ready has returned
+	// firstCurrentTermCommit is the first commit, since the start, of an entry of the leader's own term. Once it is
+	// applied, this member knows everything that was committed before.
 	firstCurrentTermCommit Index
 	persisted              Index
 
 	role             Role
 	leader           MemberID
-	lastContact      time.Time // when a leader was heard last, or the start
+	lastContact      time.Time // last contact with a leader, initially derived from the start
 	electionDeadline time.Time
-	// startupAttemptsLeft counts the short deadlines that are left to a member that has not heard of a leader since its start.
+	// startupAttemptsLeft is the number of short election deadlines left to a member without contact to a leader since
+	// its start.
 	startupAttemptsLeft int
 	votes               map[MemberID]bool
 	transferring        bool
@@ -116,7 +115,8 @@
 	firstUnsaved   Index
 }
 
-// NewCore returns a member that has read snapshot (nil when never formed), hard and entries from its disk; seed varies election times.
+// NewCore returns a member from the snapshot (nil if never formed), hard state and entries of its disk. The seed
+// randomizes election times.
 func NewCore(id MemberID, instance Instance, timing Timing, seed uint64, now time.Time, snapshot *Snapshot, hardState HardState, entries []Entry) *Core {
 	c := &Core{
 		id:          id,
@@ -137,13 +137,13 @@
 	}
 	c.persisted = c.lastIndex()
 	c.updateMembers()
-	// Members that all start anew have nobody to wait for but the lease that they may have supported.
+	// When all members restart, each waits only until a lease that it may have supported has expired.
 	c.startupAttemptsLeft = startupAttempts
 	c.electionDeadline = now.Add(timing.voteHoldOff() + c.staggerDelay())
 	return c
 }
 
-// Ready returns what is to be done and forgets it.
+// Ready returns the pending work and clears it.
 func (c *Core) Ready() Ready {
 	rd := Ready{Appends: c.appends, Install: c.install, Messages: c.messages}
 	c.appends, c.messages, c.install = nil, nil, nil
@@ -163,7 +163,7 @@
 	return rd
 }
 
-// Status returns the member's view; Applied is the driver's to fill in.
+// Status returns the member's state; the driver sets Applied.
 func (c *Core) Status() Status {
 	return Status{
 		ID: c.id, Formed: c.formed, Role: c.role, Term: c.hardState.Term, Leader: c.leader.Name, Commit: c.commit,
@@ -172,7 +172,7 @@
 	}
 }
 
-// followers returns what this leader knows of the other members, or nothing on a member that does not lead.
+// followers returns the state of the other members on a leader, nil on other members.
 func (c *Core) followers() []Follower {
 	if c.role != RoleLeader {
 		return nil
@@ -196,7 +196,7 @@
 	return MemberID{}, false
 }
 
-// Persisted tells that every entry up to last is synced; a leader counts itself only then.
+// Persisted records that all entries up to last are synced; only then does a leader count its own copy.
 func (c *Core) Persisted(last Index) {
 	c.persisted = max(c.persisted, min(last, c.lastIndex()))
 	if c.role == RoleLeader {
@@ -204,7 +204,7 @@
 	}
 }
 
-// Tick moves time on: elections, heartbeats, loss of a majority.
+// Tick handles elections, heartbeats and the loss of a majority.
 func (c *Core) Tick(now time.Time) {
 	if c.role == RoleLeader {
 		c.tickLeader(now)
@@ -216,7 +216,7 @@
 	c.resetElectionDeadline(now)
 	if c.startupAttemptsLeft > 0 {
 		c.startupAttemptsLeft--
-		// Everyone keeps its turn: some may have started a moment later and withheld their votes.
+		// Each member keeps its place in the sequence: some may have started a moment later and withheld their votes.
 		c.electionDeadline = now.Add(c.staggerPeriod())
 	}
 	c.transferring = false
@@ -226,7 +226,8 @@
 }
 
 func (c *Core) tickLeader(now time.Time) {
-	// After a failed transfer the receiver may still campaign past this leader's lease, so its leadership ends.
+	// After a failed transfer the receiver may still campaign, regardless of this leader's lease. So the leader steps
+	// down.
 	if !c.hasMajorityContact(now) || c.transferring && !now.Before(c.electionDeadline) {
 		c.becomeFollower(now, c.hardState.Term, MemberID{})
 		return
@@ -249,7 +250,7 @@
 	return count >= c.majority()
 }
 
-// Propose appends a command as leader and returns its index, or false when this member does not lead.
+// Propose appends an entry as leader and returns its index, or false if this member does not lead.
 func (c *Core) Propose(now time.Time, kind EntryKind, data []byte) (Index, bool) {
 	if c.role != RoleLeader || c.transferring {
 		return 0, false
@@ -261,14 +262,14 @@
 	return c.lastIndex(), true
 }
 
-// Flush sends what was proposed since the last broadcast; the driver calls it once for many proposals.
+// Flush sends the entries proposed since the last broadcast, once for many proposals.
 func (c *Core) Flush(now time.Time) {
 	if c.role == RoleLeader {
 		c.broadcast(now)
 	}
 }
 
-// ProposeMembers replaces the members when this member leads, the last change is committed and at most one voter differs.
+// ProposeMembers replaces the members if this member leads, the last change is committed and at most one voter differs.
 func (c *Core) ProposeMembers(now time.Time, members []Member) (Index, bool) {
 	if c.role != RoleLeader || c.membersIndex > c.commit || c.termAt(c.commit) != c.hardState.Term {
 		return 0, false
@@ -304,7 +305,7 @@
 	return changed
 }
 
-// Form gives a member that was never formed its first members; later calls change nothing.
+// Form sets the first members of a member that was never formed; later calls change nothing.
 func (c *Core) Form(members []Member) bool {
 	if c.formed {
 		return false
@@ -316,7 +317,7 @@
 	return true
 }
 
-// TransferTo asks another voter to take over at once; the lease ends with the asking.
+// TransferTo asks another voter to take over leadership. The leader gives up its lease with the request.
 func (c *Core) TransferTo(now time.Time, to MemberID) bool {
 	p := c.progress[to]
 	if c.role != RoleLeader || p == nil || p.match != c.lastIndex() || !c.isVoter(to) {
@@ -343,7 +344,7 @@
 	if c.ignoresVoteRequest(now, m) {
 		return
 	}
-	// A pre-vote asks about a term that nobody has entered yet, and so does its consent.
+	// Pre-votes and granted pre-vote replies carry a term that nobody has entered yet.
 	proposed := m.Kind == MessagePreVote || m.Kind == MessagePreVoteReply && m.Granted
 	if m.Term > c.hardState.Term && !proposed {
 		c.becomeFollower(now, m.Term, MemberID{})
@@ -373,7 +374,7 @@
 			c.campaign(now, RoleCandidate)
 		}
 	case MessageExpel:
-		// The leader has proof that this folder lost what it had synced.
+		// The leader has evidence that this folder lost synced entries.
 		c.hardState.Expelled = true
 		c.hardStateDirty = true
 		c.role = RoleFollower
@@ -446,15 +447,15 @@
 	}
 }
 
-// recordCurrentTermCommit remembers the first commit of the present term. A leader commits an entry of its own term only after
-// everything that was committed before it.
+// recordCurrentTermCommit records the first commit in the current term. A leader commits an entry of its own term only
+// after everything that was committed before.
 func (c *Core) recordCurrentTermCommit() {
 	if c.firstCurrentTermCommit == 0 && c.termAt(c.commit) == c.hardState.Term {
 		c.firstCurrentTermCommit = c.commit
 	}
 }
 
-// promoteLearner gives a learner its vote once it holds everything that is committed.
+// promoteLearner gives a learner its vote once it holds all committed entries.
 func (c *Core) promoteLearner(now time.Time) {
 	if c.role != RoleLeader || c.membersIndex > c.commit || c.termAt(c.commit) != c.hardState.Term {
 		return
--- a/quorum/doc.go
+++ b/quorum/doc.go
@@ -1,2 +1,3 @@
-// Package quorum is the replicated log: elections with pre-vote, majority commit on synced disks, leases, snapshots and membership.
+// Package quorum implements a replicated log after Raft: elections with pre-vote, commits on a majority of synced
+// disks, leader leases, snapshots and membership changes.
 package quorum
--- a/quorum/election.go
+++ b/quorum/election.go
@@ -1,13 +1,13 @@
 package quorum
 
-// Elections: who asks for votes and when, who gives one, and who leads.
+// Elections: when a member campaigns, when it grants its vote, and who becomes leader.
 
 import (
 	"slices"
 	"time"
 )
 
-// ignoresVoteRequest withholds votes while a leader may hold a lease that this member supports.
+// ignoresVoteRequest withholds the vote while a leader can hold a lease that this member supports.
 func (c *Core) ignoresVoteRequest(now time.Time, m *Message) bool {
 	if m.Kind != MessagePreVote && m.Kind != MessageVote {
 		return false
@@ -24,7 +24,7 @@
 	return now.Sub(c.lastContact) < c.timing.Election
 }
 
-// answerStaleTerm tells a stale sender the newer term, so that a returned leader steps down at once.
+// answerStaleTerm replies with the newer term, so that a returning leader steps down at once.
 func (c *Core) answerStaleTerm(m *Message) {
 	switch m.Kind {
 	case MessageAppend, MessageSnapshot:
@@ -53,8 +53,8 @@
 	}
 }
 
-// yieldTo ends the candidacy of a member that has just started for one before it in the list: if both went on, they would
-// split the votes.
+// yieldTo ends the candidacy of a member that has just started, in favor of one that precedes it in the list of
+// members; otherwise the two would split the votes.
 func (c *Core) yieldTo(now time.Time, to MemberID, granted bool) {
 	if granted && c.startupAttemptsLeft > 0 && c.role == RolePreCandidate && c.position(to) < c.position(c.id) {
 		c.role = RoleFollower
@@ -123,11 +123,11 @@
 	c.transferring = false
 	c.electedAt = now
 	c.leaseEnd = time.Time{}
-	// What its predecessors have committed is known with the first commit of its own.
+	// A new leader knows what its predecessors committed once it has committed an entry of its own.
 	c.firstCurrentTermCommit = 0
 	c.progress = map[MemberID]*progress{}
 	c.trackMembers(now)
-	// An entry of the own term lets the entries of earlier terms commit.
+	// Entries of earlier terms are committed together with an entry of the leader's own term.
 	c.append(Entry{Index: c.lastIndex() + 1, Term: c.hardState.Term, Kind: EntryNoop})
 	c.broadcast(now)
 }
@@ -148,8 +148,9 @@
 	c.resetElectionDeadline(now)
 }
 
-// resetElectionDeadline sets the time of the next election: at random after the loss of a leader that all heard until the same moment,
-// and in turn after a start, where random times often met and each such vote was lost by all.
+// resetElectionDeadline sets the time of the next campaign. After the loss of a leader it is random, since all members
+// notice the loss at the same moment. After a start it is staggered, since random times often coincide and split the
+// votes.
 func (c *Core) resetElectionDeadline(now time.Time) {
 	if c.startupAttemptsLeft > 0 {
 		c.electionDeadline = now.Add(c.timing.Election/startupElectionDivisor + c.staggerDelay())
@@ -159,22 +160,22 @@
 	c.electionDeadline = now.Add(c.timing.Election + time.Duration(jitter))
 }
 
-// staggerDelay is how long this member lets those before it in the list of members ask for votes first.
+// staggerDelay is the time in which members that precede this one in the list may campaign first.
 func (c *Core) staggerDelay() time.Duration {
 	return time.Duration(max(0, c.position(c.id))) * c.timing.Election / staggerDivisor
 }
 
-// staggerPeriod is the time in which every member has its turn.
+// staggerPeriod is the time in which each member can campaign once.
 func (c *Core) staggerPeriod() time.Duration {
 	return time.Duration(len(c.members)) * c.timing.Election / staggerDivisor
 }
 
-// position is the place of a member in the list, which all members have in the same order.
+// position returns the index of a member in the list, which has the same order on all members.
 func (c *Core) position(id MemberID) int {
 	return slices.IndexFunc(c.members, func(m Member) bool { return m.ID == id })
 }
 
-// mayLead is false for a member that has no vote, or that cannot yet know whether it promised it away.
+// mayLead reports whether this member is formed, not expelled and a voter.
 func (c *Core) mayLead() bool {
 	return c.formed && !c.hardState.Expelled && c.isVoter(c.id)
 }
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -25,7 +25,7 @@
 	catchUpEntries       = 1024
 )
 
-// Status is a member's view at one moment.
+// Status is the state of a member at one moment.
 type Status struct {
 	ID      MemberID
 	Formed  bool
@@ -35,26 +35,26 @@
 	Commit  Index
 	Applied Index
 	Members []Member
-	// KnowsCommitted is set once since the start of the process this member has known everything that was committed before: a
-	// log read from disk alone does not tell how much of it is.
+	// KnowsCommitted is set once this process has applied everything that was committed before. A log read from disk
+	// does not show how much of it is committed.
 	KnowsCommitted bool
-	// Expelled is set when the leader proved that this folder lost synced entries.
+	// Expelled is set if the leader had evidence that this folder lost synced entries.
 	Expelled bool
-	// LeaseEnd is the end of the leader's lease, Elected the moment it was elected; both zero on others.
+	// LeaseEnd is the end of the leader's lease, zero on other members. ElectedAt is when this member was last elected.
 	LeaseEnd  time.Time
 	ElectedAt time.Time
-	// LastContact is when a leader was heard last.
+	// LastContact is the time of the last contact with a leader.
 	LastContact time.Time
-	// Followers is what a leader knows of the other members.
+	// Followers holds the state of the other members on a leader.
 	Followers []Follower
 }
 
-// Follower is what a leader knows of one other member.
+// Follower is a leader's view of one other member.
 type Follower struct {
 	ID MemberID
-	// LastAck is when it last answered, or when this leader began to send to it.
+	// LastAck is the time of its last reply, initially the time when this leader started to send to it.
 	LastAck time.Time
-	// LostData is set when it was proved to have lost what it had synced.
+	// LostData is set if there is evidence that it lost synced entries.
 	LostData bool
 }
 
@@ -76,22 +76,22 @@
 	done chan proposalResult
 }
 
-// Node drives one Core: it persists, sends and applies; exported fields are set before Run.
+// Node runs one Core: it persists, sends and applies. Exported fields are set before Run.
 type Node struct {
 	Instance Instance
 	Timing   Timing
 	Seed     uint64
 	Now      func() time.Time
-	// Send hands messages to the transport and must not block.
+	// Send passes messages to the transport and must not block.
 	Send func(messages []Message)
-	// Apply executes a committed command; the same log gives the same calls on each member.
+	// Apply executes a committed command. All members make the same calls for the same log.
 	Apply func(index Index, data []byte) any
 	// TakeSnapshot and Restore write and read the whole state machine.
 	TakeSnapshot func() ([]byte, error)
 	Restore      func(index Index, data []byte) error
 	// Applied is called after each batch of applied entries.
 	Applied func(index Index)
-	// Fatal is called once when the disk can no longer be trusted.
+	// Fatal is called once if the disk can no longer be trusted.
 	Fatal         func(err error)
 	SnapshotEvery Index
 	Log           logr.Logger
@@ -112,7 +112,7 @@
 	waiters       map[Index]waiter
 }
 
-// NewNode returns a node on store; its goroutine is parked until Run.
+// NewNode returns a node on store; its goroutine waits for Run.
 func NewNode(store *Store) *Node {
 	n := &Node{
 		SnapshotEvery: defaultSnapshotEvery,
@@ -133,27 +133,27 @@
 	return n
 }
 
-// Run takes part in the protocol until ctx ends.
+// Run participates in the protocol until ctx is done.
 func (n *Node) Run(ctx context.Context) {
 	n.tasks.Run(ctx)
 }
 
-// Discard ends a node that will not run.
+// Discard releases a node that will not run.
 func (n *Node) Discard() {
 	n.tasks.Discard()
 }
 
-// Ready is closed once the state of the disk has been restored.
+// Ready is closed once the state on disk has been restored.
 func (n *Node) Ready() <-chan struct{} {
 	return n.ready
 }
 
-// Status returns the newest view.
+// Status returns the newest published state.
 func (n *Node) Status() Status {
 	return *n.status.Load()
 }
 
-// Deliver hands over messages from the transport; when the queue is full they are dropped, as a network may.
+// Deliver queues messages from the transport. It drops them if the queue is full, as a network would.
 func (n *Node) Deliver(messages []Message) {
 	select {
 	case n.inbox <- messages:
@@ -161,15 +161,16 @@
 	}
 }
 
-// Propose returns what Apply returned and the command's index, or NoLeader when it is not known whether the command will be applied.
+// Propose returns the result of Apply and the command's index. The error NoLeader means that the command may or may not
+// be applied.
 func (n *Node) Propose(ctx context.Context, data []byte) (any, Index, error) {
 	if len(data) > maxProposalBytes {
-		return nil, 0, result.New(result.ProposalTooLarge, "%d bytes are over %d", len(data), maxProposalBytes)
+		return nil, 0, result.New(result.ProposalTooLarge, "proposal of %d bytes exceeds %d bytes", len(data), maxProposalBytes)
 	}
 	return n.propose(ctx, proposal{kind: EntryCommand, data: data})
 }
 
-// ProposeMembers returns after the new members are committed.
+// ProposeMembers returns once the new members are committed.
 func (n *Node) ProposeMembers(ctx context.Context, members []Member) error {
 	_, _, err := n.propose(ctx, proposal{kind: EntryMembers, members: members})
 	return err
@@ -180,7 +181,7 @@
 	select {
 	case n.proposals <- p:
 	case <-ctx.Done():
-		return nil, 0, result.New(result.NoLeader, "the log takes no proposals")
+		return nil, 0, result.New(result.NoLeader, "the log did not accept the proposal in time")
 	}
 	select {
 	case o := <-p.done:
@@ -190,7 +191,7 @@
 	}
 }
 
-// Form gives a never formed member its first members.
+// Form sets the first members of a member that was never formed.
 func (n *Node) Form(ctx context.Context, members []Member) {
 	select {
 	case n.forms <- members:
@@ -198,7 +199,7 @@
 	}
 }
 
-// TransferLeadership asks the best follower to lead and reports whether one was asked.
+// TransferLeadership asks a voter that holds the whole log to lead, and reports whether there was one.
 func (n *Node) TransferLeadership(ctx context.Context) bool {
 	done := make(chan bool, 1)
 	select {
@@ -221,7 +222,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			n.failWaiters(result.New(result.Stopping, "the member stops"))
+			n.failWaiters(result.New(result.Stopping, "the member is stopping"))
 			return
 		case <-ticker.C:
 			n.core.Tick(n.Now())
@@ -307,12 +308,12 @@
 func (n *Node) transferLeadership() bool {
 	voter, ok := n.core.CaughtUpVoter()
 	started := ok && n.core.TransferTo(n.Now(), voter)
-	// Readers must not see the lease any more when the other member learns that it may lead.
+	// The lease must end for readers before the other member receives the request.
 	n.publish()
 	return started
 }
 
-// process does what the core asks for, in the order that makes its promises true.
+// process does what the core requires, in the order that keeps votes and acknowledgements true.
 func (n *Node) process(ctx context.Context) error {
 	for _, to := range n.core.TakeSnapshotRequests() {
 		n.sendSnapshot(to)
@@ -346,7 +347,7 @@
 
 func (n *Node) afterProcess() {
 	if n.core.role != RoleLeader && len(n.waiters) > 0 {
-		n.failWaiters(result.New(result.NoLeader, "this member lost the lead; the change may still be accepted"))
+		n.failWaiters(result.New(result.NoLeader, "this member lost leadership; the change may still be committed"))
 	}
 	n.publish()
 }
@@ -365,13 +366,13 @@
 	n.status.Store(&s)
 }
 
-// HoldsLease reports whether this member led with a majority's support at now, counted on its own clock.
+// HoldsLease reports whether this member leads and holds its lease at now, by its own clock.
 func (n *Node) HoldsLease(now time.Time) bool {
 	s := n.status.Load()
 	return s.Role == RoleLeader && now.Before(s.LeaseEnd)
 }
 
-// PriorLeasesExpired reports whether every lease of an earlier leader has run out, clock drift included.
+// PriorLeasesExpired reports whether every earlier leader's lease has expired, including clock drift.
 func (n *Node) PriorLeasesExpired(now time.Time) bool {
 	s := n.status.Load()
 	wait := time.Duration(float64(n.Timing.Lease) * clockDriftFactor)
--- a/quorum/persist.go
+++ b/quorum/persist.go
@@ -1,8 +1,7 @@
 package quorum
 
-// What a node does with the output of its core before anything of it is told to
-// others: it persists entries and snapshots, applies what is committed, and
-// drops what a snapshot covers.
+// How a node processes the output of its core before it replies to others: it persists entries and snapshots, applies
+// committed entries and drops entries that a snapshot covers.
 
 import (
 	"context"
@@ -11,7 +10,7 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// save persists, and waits out a full disk: nothing is promised meanwhile.
+// save persists, and waits while the disk is full; nothing is acknowledged meanwhile.
 func (n *Node) save(ctx context.Context, hardState *HardState, entries []Entry) error {
 	for {
 		err := n.store.Save(ctx, n.Instance, hardState, entries)
@@ -21,9 +20,9 @@
 		if result.CodeOf(err) != result.StorageFull {
 			return err
 		}
-		n.Log.Error(err, "disk full, changes are refused", "instance", n.Instance)
-		// These are in the log already and will be written once there is space.
-		n.failWaiters(result.Wrap(err, result.NoLeader, "the change may be accepted when the disk has space"))
+		n.Log.Error(err, "disk full, refusing changes", "instance", n.Instance)
+		// The waiting changes are in the log already and are written once there is space.
+		n.failWaiters(result.Wrap(err, result.NoLeader, "the change may be committed once the disk has space"))
 		if err := n.waitForSpace(ctx); err != nil {
 			return err
 		}
@@ -34,7 +33,7 @@
 	return nil
 }
 
-// waitForSpace refuses proposals for a moment.
+// waitForSpace refuses proposals until the next attempt to write.
 func (n *Node) waitForSpace(ctx context.Context) error {
 	timer := time.NewTimer(fullDiskRetry)
 	defer timer.Stop()
@@ -68,9 +67,9 @@
 		if result.CodeOf(err) != result.StorageFull {
 			return err
 		}
-		n.Log.Error(err, "disk full, snapshot waits", "instance", n.Instance)
+		n.Log.Error(err, "disk full, snapshot postponed", "instance", n.Instance)
 		if !replaces {
-			// An own snapshot only saves space later; serving goes on without it.
+			// A snapshot of this node's own state only saves space, so the node continues without it.
 			return nil
 		}
 		if err := n.waitForSpace(ctx); err != nil {
@@ -104,7 +103,7 @@
 	}
 	delete(n.waiters, e.Index)
 	if w.term != e.Term {
-		w.done <- proposalResult{err: result.New(result.NoLeader, "another leader replaced the change")}
+		w.done <- proposalResult{err: result.New(result.NoLeader, "another leader replaced the log entry of the change")}
 		return
 	}
 	w.done <- proposalResult{value: value, index: e.Index}
@@ -141,7 +140,7 @@
 func (n *Node) sendSnapshot(to MemberID) {
 	snapshot, err := n.currentSnapshot()
 	if err != nil {
-		n.Log.Error(err, "snapshot failed", "instance", n.Instance)
+		n.Log.Error(err, "cannot take a snapshot for another member", "instance", n.Instance)
 		return
 	}
 	n.core.SendSnapshot(to, snapshot)
--- a/quorum/replicate.go
+++ b/quorum/replicate.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// broadcast sends every member what it lacks, as one numbered round that also carries the lease.
+// broadcast sends each member the entries that it lacks, in one numbered round that also renews the lease.
 func (c *Core) broadcast(now time.Time) {
 	c.nextHeartbeat = now.Add(c.timing.Heartbeat)
 	c.lastBroadcast = now
@@ -18,7 +18,7 @@
 	c.extendLease()
 }
 
-// round names the last broadcast by its distance from the election, so that a reply tells when its question was sent.
+// round identifies the last broadcast by its time since the election, so that a reply shows when it was sent.
 func (c *Core) round() uint64 {
 	return uint64(c.lastBroadcast.Sub(c.electedAt))
 }
@@ -32,7 +32,7 @@
 	previous := p.next - 1
 	if previous < c.snapshot.Index {
 		c.requestSnapshot(now, to, p)
-		// The heartbeat still goes out, with nothing that the member could not check.
+		// The heartbeat is still sent, without any entry that the member could not check.
 		previous = c.snapshot.Index
 		c.send(Message{Kind: MessageAppend, To: to, LastIndex: previous, LastTerm: c.termAt(previous), Commit: 0, Round: c.round()})
 		return
@@ -42,7 +42,7 @@
 		Kind: MessageAppend, To: to, LastIndex: previous, LastTerm: c.termAt(previous),
 		Entries: entries, Commit: c.commit, Round: c.round(),
 	})
-	// What was sent is taken as received; a refusal or a lost message moves next back.
+	// Sent entries count as received; a refusal, also after a lost message, moves next back.
 	p.next += Index(len(entries))
 }
 
@@ -54,14 +54,14 @@
 	c.snapshotRequests = append(c.snapshotRequests, to)
 }
 
-// TakeSnapshotRequests returns the members that need a snapshot from the driver.
+// TakeSnapshotRequests returns the members that need a snapshot from the driver, and clears the list.
 func (c *Core) TakeSnapshotRequests() []MemberID {
 	ids := c.snapshotRequests
 	c.snapshotRequests = nil
 	return ids
 }
 
-// SendSnapshot queues s for a member that lacks entries that were compacted.
+// SendSnapshot queues s for a member that needs compacted entries.
 func (c *Core) SendSnapshot(to MemberID, s *Snapshot) {
 	if c.role == RoleLeader {
 		c.send(Message{Kind: MessageSnapshot, To: to, Snapshot: s, Round: c.round()})
@@ -87,7 +87,7 @@
 		return
 	}
 	if m.LastIndex < c.snapshot.Index {
-		// Everything up to the own snapshot is committed and thus equal.
+		// Everything up to this member's snapshot is committed and thus equal.
 		c.replyToAppend(m, true, c.snapshot.Index)
 		return
 	}
@@ -126,7 +126,8 @@
 	c.send(Message{Kind: MessageAppendReply, To: m.From, Granted: granted, Match: match, Round: m.Round})
 }
 
-// appendNew takes the entries that are new, replacing a conflicting tail, and returns the last index known to be equal to the leader's.
+// appendNew appends the new entries, replacing a conflicting tail. It returns the last index known to equal the
+// leader's log.
 func (c *Core) appendNew(m *Message) Index {
 	last := m.LastIndex
 	for _, e := range m.Entries {
@@ -139,11 +140,11 @@
 	return last
 }
 
-// append adds e, cutting whatever stands at its index and after.
+// append adds e and removes any entries at its index and after.
 func (c *Core) append(e Entry) {
 	truncates := e.Index <= c.lastIndex()
 	if truncates {
-		// A fresh slice: the old one may still be read by the driver.
+		// The driver may still read the old slice.
 		c.entries = append([]Entry(nil), c.slice(c.snapshot.Index+1, e.Index-1)...)
 		c.persisted = min(c.persisted, e.Index-1)
 	}
@@ -176,8 +177,8 @@
 	}
 }
 
-// handleRefusal moves back to the member's hint. A member that keeps refusing what it had
-// acknowledged as synced has an older or damaged folder; one late reply alone proves nothing.
+// handleRefusal moves back to the member's hint. A member that keeps refusing what it acknowledged as synced has an
+// older or damaged folder; a single late reply proves nothing.
 func (c *Core) handleRefusal(now time.Time, from MemberID, p *progress, hint Index) {
 	if hint < p.match {
 		c.recordRefusal(now, from, p)
@@ -200,7 +201,7 @@
 	c.recordRefusal(now, to, p)
 }
 
-// recordRefusal expels a member that has said for the election time that it lacks what it had acknowledged.
+// recordRefusal expels a member that has refused, for the election time, what it had acknowledged.
 func (c *Core) recordRefusal(now time.Time, id MemberID, p *progress) {
 	if p.refusingSince.IsZero() {
 		p.refusingSince = now
@@ -221,7 +222,7 @@
 	c.advanceCommit()
 	c.promoteLearner(now)
 	if c.commit > before {
-		// Followers learn the commit at once rather than with the next heartbeat.
+		// Followers learn the new commit index at once instead of with the next heartbeat.
 		c.broadcast(now)
 		return
 	}
@@ -230,7 +231,7 @@
 	}
 }
 
-// extendLease extends the lease to the newest moment that a majority's answers support.
+// extendLease extends the lease by the latest broadcast that a majority has answered.
 func (c *Core) extendLease() {
 	if c.transferring {
 		return
@@ -289,7 +290,8 @@
 	c.replyToAppend(m, true, s.Index)
 }
 
-// Compact forgets entries up to index, which the driver has in a synced snapshot; keep entries stay for catch-up.
+// Compact drops entries up to index, which are in a synced snapshot of the driver, except for the last keep entries
+// that slow members may need.
 func (c *Core) Compact(index, keep Index) {
 	if index <= c.snapshot.Index+keep || index > c.handedOut {
 		return
@@ -315,7 +317,7 @@
 	return c.entries[i-c.snapshot.Index-1].Term
 }
 
-// slice returns the entries from first to last, both included.
+// slice returns the entries from first to last, inclusive.
 func (c *Core) slice(first, last Index) []Entry {
 	if last < first {
 		return nil
@@ -323,7 +325,7 @@
 	return c.entries[first-c.snapshot.Index-1 : last-c.snapshot.Index]
 }
 
-// updateMembers takes the newest members in the log, committed or not, as the protocol demands.
+// updateMembers applies the newest members in the log, committed or not, as Raft requires.
 func (c *Core) updateMembers() {
 	c.members = c.membersAt(c.lastIndex())
 	c.membersIndex = c.snapshot.Index
--- a/quorum/store.go
+++ b/quorum/store.go
@@ -20,7 +20,7 @@
 	identityFormat = 1
 	identityFile   = "identity"
 	checksumSize   = 8
-	// rewriteAfterBytes is the size of the shared log from which a snapshot also shortens it.
+	// rewriteAfterBytes is the size of the shared log above which a snapshot also compacts it.
 	rewriteAfterBytes = 4 << 20
 )
 
@@ -35,7 +35,7 @@
 	snapshots map[Instance]*Snapshot
 }
 
-// tail is what the shared log must still hold for one instance.
+// tail is the part of the shared log that one instance still needs.
 type tail struct {
 	hardState HardState
 	entries   []Entry
@@ -51,7 +51,7 @@
 	ID     MemberID `cbor:"2,keyasint"`
 }
 
-// OpenStore reads the data folder of the member called name; an empty folder gets a new folder id.
+// OpenStore opens the data folder of the member called name; an empty folder gets a new folder id.
 func OpenStore(folder *disk.Folder, name ident.Daemon) (*Store, error) {
 	s := &Store{folder: folder, tails: map[Instance]*tail{}, snapshots: map[Instance]*Snapshot{}}
 	if err := s.readIdentity(name); err != nil {
@@ -102,7 +102,7 @@
 	return s.folder.WriteFile(identityFile, content)
 }
 
-// seal encodes v and adds a checksum.
+// seal encodes v and appends a checksum.
 func seal(v any) ([]byte, error) {
 	b, err := cbor.Marshal(v)
 	if err != nil {
@@ -140,7 +140,7 @@
 	return t
 }
 
-// add takes a record; entries replace whatever stood at their index and after.
+// add applies a record; its entries replace all entries at their index and after.
 func (t *tail) add(record *storedRecord) {
 	if record.Hard != nil {
 		t.hardState = *record.Hard
@@ -155,7 +155,7 @@
 	t.entries = append(t.entries[:keep:keep], record.Entries...)
 }
 
-// dropThrough forgets entries up to index.
+// dropThrough drops entries up to and including index.
 func (t *tail) dropThrough(index Index) {
 	i := 0
 	for i < len(t.entries) && t.entries[i].Index <= index {
@@ -169,12 +169,12 @@
 	return s.id
 }
 
-// Run commits batches until ctx ends.
+// Run writes batches until ctx is done.
 func (s *Store) Run(ctx context.Context) {
 	s.log.Run(ctx)
 }
 
-// Close closes a store that was opened and will not run.
+// Close closes a store that will not run.
 func (s *Store) Close() {
 	s.log.Close()
 }
@@ -184,7 +184,7 @@
 	return s.log.Syncs()
 }
 
-// Load returns the snapshot (nil when the instance was never formed), hard state and entries after the snapshot.
+// Load returns the snapshot (nil if the instance was never formed), the hard state and the entries after the snapshot.
 func (s *Store) Load(i Instance) (*Snapshot, HardState, []Entry, error) {
 	content, err := s.folder.ReadFile(snapshotName(i))
 	if err != nil {
@@ -210,8 +210,8 @@
 	return snapshot, t.hardState, t.entries, nil
 }
 
-// alignTo keeps only the entries that continue snap. A crash between installing a
-// leader's snapshot and shortening the log leaves entries of another history behind it.
+// alignTo keeps only the entries that continue the snapshot. A crash between installing a leader's snapshot and
+// compacting the log leaves entries of another history in the log.
 func (t *tail) alignTo(snapshot *Snapshot) error {
 	for _, e := range t.entries {
 		if e.Index == snapshot.Index && e.Term != snapshot.Term {
@@ -221,7 +221,7 @@
 	}
 	t.dropThrough(snapshot.Index)
 	if len(t.entries) > 0 && t.entries[0].Index != snapshot.Index+1 {
-		return result.New(result.StorageDamaged, "the log starts at %d, the snapshot ends at %d", t.entries[0].Index, snapshot.Index)
+		return result.New(result.StorageDamaged, "the log starts at index %d, but the snapshot ends at index %d", t.entries[0].Index, snapshot.Index)
 	}
 	return nil
 }
@@ -230,7 +230,7 @@
 	return fmt.Sprintf("snapshot-%d", i)
 }
 
-// Save returns after hard (when not nil) and entries are synced; concurrent calls share a sync.
+// Save returns once the hard state (if not nil) and entries are synced; concurrent calls share a sync.
 func (s *Store) Save(ctx context.Context, i Instance, hardState *HardState, entries []Entry) error {
 	record := storedRecord{Hard: hardState, Entries: entries}
 	data, err := cbor.Marshal(record)
@@ -244,7 +244,8 @@
 	return s.log.Append(ctx, []disk.Record{{Instance: uint32(i), Data: data}})
 }
 
-// SaveSnapshot returns after snap is synced; entries up to dropThrough leave the log, and all of them when snap replaces another history.
+// SaveSnapshot returns once the snapshot is synced. Entries up to dropThrough leave the log, or all of them if the
+// snapshot replaces another history.
 func (s *Store) SaveSnapshot(i Instance, snapshot *Snapshot, dropThrough Index, replaces bool) error {
 	content, err := seal(snapshot)
 	if err != nil {
--- a/quorum/types.go
+++ b/quorum/types.go
@@ -10,19 +10,20 @@
 // Index is the position of an entry in a log, from 1.
 type Index uint64
 
-// FolderID tells one data folder from any other that a member of the same name ever had.
+// FolderID identifies a data folder among all that a member of the same name ever had.
 type FolderID string
 
-// Instance numbers one replicated log among those that share a disk.
+// Instance numbers one of the replicated logs that share a disk.
 type Instance uint32
 
-// MemberID is a control member together with the data folder that makes its vote count.
+// MemberID is a control member and its data folder; a vote counts only with the folder that the member was admitted
+// with.
 type MemberID struct {
 	Name   ident.Daemon `cbor:"1,keyasint"`
 	Folder FolderID     `cbor:"2,keyasint"`
 }
 
-// Member is one receiver of the log; a learner (Voter false) is caught up first and counts for nothing.
+// Member is one receiver of the log. A learner (Voter false) has no vote until it has caught up.
 type Member struct {
 	ID    MemberID `cbor:"1,keyasint"`
 	Voter bool     `cbor:"2,keyasint"`
@@ -31,14 +32,14 @@
 // EntryKind says what an entry holds.
 type EntryKind uint8
 
-// The kinds of entries.
+// Kinds of entries.
 const (
 	EntryCommand EntryKind = iota
 	EntryMembers
 	EntryNoop
 )
 
-// Entry is one position of the log; Data is a command or the encoded members.
+// Entry is one position of the log. Data is a command or the encoded members.
 type Entry struct {
 	Index Index     `cbor:"1,keyasint"`
 	Term  Term      `cbor:"2,keyasint"`
@@ -46,14 +47,14 @@
 	Data  []byte    `cbor:"4,keyasint"`
 }
 
-// HardState is what a member must remember before it answers.
+// HardState is what a member must persist before it replies.
 type HardState struct {
 	Term     Term     `cbor:"1,keyasint"`
 	Vote     MemberID `cbor:"2,keyasint"`
 	Expelled bool     `cbor:"3,keyasint"`
 }
 
-// Snapshot is the state machine at Index together with the members at that point.
+// Snapshot is the state machine at Index, with the members at that index.
 type Snapshot struct {
 	Format  int      `cbor:"1,keyasint"`
 	Index   Index    `cbor:"2,keyasint"`
@@ -62,10 +63,10 @@
 	Data    []byte   `cbor:"5,keyasint"`
 }
 
-// MessageKind says what a message asks or answers.
+// MessageKind is the type of a message.
 type MessageKind uint8
 
-// The kinds of messages.
+// Kinds of messages.
 const (
 	MessagePreVote MessageKind = iota
 	MessagePreVoteReply
@@ -79,7 +80,7 @@
 	MessageForm
 )
 
-// Message is what members of one instance send each other; which fields count follows from Kind.
+// Message is sent between the members of one instance; Kind determines which fields are set.
 type Message struct {
 	Instance Instance
 	Kind     MessageKind
@@ -87,28 +88,28 @@
 	To       MemberID
 	Term     Term
 
-	// LastIndex and LastTerm describe the candidate's log, or the entry before Entries.
+	// LastIndex and LastTerm describe the end of the candidate's log, or the entry before Entries.
 	LastIndex Index
 	LastTerm  Term
 	Entries   []Entry
 	Commit    Index
-	// Round numbers the heartbeat that a reply answers; leases are counted from its sending.
+	// Round numbers the heartbeat that a reply answers; a lease starts when its heartbeat was sent.
 	Round uint64
-	// Granted is the answer to a vote or an append.
+	// Granted is the reply to a vote request or an append.
 	Granted bool
 	// Unformed is set by a member that has no configuration yet and needs a snapshot.
 	Unformed bool
-	// Match is the last index that the sender of a reply holds as the leader does, or its hint where to try next.
+	// Match is the last index at which the replier's log equals the leader's or, in a refusal, where to try next.
 	Match    Index
 	Snapshot *Snapshot
-	// Transfer marks an election that the old leader itself asked for.
+	// Transfer marks an election that the current leader has requested.
 	Transfer bool
 }
 
-// Role is what a member is at the moment.
+// Role is the current role of a member.
 type Role uint8
 
-// The roles of a member.
+// Roles of a member.
 const (
 	RoleFollower Role = iota
 	RolePreCandidate
