--- a/quorum/bench_test.go
+++ b/quorum/bench_test.go
@@ -14,11 +14,11 @@
 	"github.com/dunlinquay/dunlinquay/quorum"
 )
 
-// benchCluster is three members on synced folders; messages pass in memory, so that the disk is what is measured.
+// benchCluster is three members on synced folders; messages are passed in memory, so that only the disk takes time.
 type benchCluster struct {
 	nodes map[ident.Daemon]*quorum.Node
 	stop  func()
-	// silent names a member whose messages are lost.
+	// silent is the name of a member whose messages are lost.
 	silent atomic.Value
 }
 
@@ -148,7 +148,7 @@
 	}
 }
 
-// From the silence of the leader to the next accepted change.
+// Covers the time from the silence of the leader to the next accepted change.
 func BenchmarkLeaderLoss(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
--- a/quorum/core_test.go
+++ b/quorum/core_test.go
@@ -27,7 +27,7 @@
 	starts    uint64
 }
 
-// simCluster drives cores by hand: every message, tick, kill and loss is one step of the test.
+// simCluster drives cores step by step: each message, tick, crash and loss is a step of the test.
 type simCluster struct {
 	t         testing.TB
 	base      time.Time
@@ -38,7 +38,7 @@
 	committed map[quorum.Index]string
 	acked     map[quorum.Index]string
 	isolated  map[quorum.MemberID]bool
-	// oneWay holds links that lose everything in one direction only.
+	// oneWay holds links that lose all messages in one direction.
 	oneWay    map[[2]quorum.MemberID]bool
 	proposals int
 }
@@ -52,7 +52,7 @@
 	var members []quorum.Member
 	for i := range n {
 		id := quorum.MemberID{Name: ident.Daemon(fmt.Sprintf("m%d", i)), Folder: quorum.FolderID(fmt.Sprintf("f%d", i))}
-		// Clocks differ by less than the drift that the lease allows for.
+		// Clocks differ by less than the drift that leases allow for.
 		g.members = append(g.members, &simMember{id: id, clockRate: 1 + 0.02*float64(i%3-1)})
 		members = append(members, quorum.Member{ID: id, Voter: true})
 	}
@@ -83,7 +83,8 @@
 	m.core = quorum.NewCore(m.id, 0, timing, m.starts*31+uint64(len(m.id.Name)), g.now(m), m.snapshot, m.hardState, tail)
 }
 
-// drain does what the core asks for; with torn the member dies after its appends left and before anything was synced.
+// drain does the work that the core requires. With crashBeforeSync the member crashes after it has sent its appends and
+// before it has synced anything.
 func (g *simCluster) drain(m *simMember, crashBeforeSync bool) {
 	for m.up {
 		for _, to := range m.core.TakeSnapshotRequests() {
@@ -141,7 +142,7 @@
 func (g *simCluster) apply(m *simMember, e quorum.Entry) {
 	text := fmt.Sprint(e.Term, " ", e.Kind, " ", string(e.Data))
 	if old, ok := g.committed[e.Index]; ok && old != text {
-		g.t.Fatalf("entry %d was chosen as %q and as %q (by %s)", e.Index, old, text, m.id.Name)
+		g.t.Fatalf("entry %d was committed as %q and as %q (by %s)", e.Index, old, text, m.id.Name)
 	}
 	g.committed[e.Index] = text
 	m.applied = append(m.applied, e)
@@ -206,7 +207,7 @@
 	}
 }
 
-// settle heals everything and lets the members agree.
+// settle removes all faults, restarts all members and gives them time to elect a leader, which it returns.
 func (g *simCluster) settle() *simMember {
 	g.isolated = map[quorum.MemberID]bool{}
 	g.oneWay = map[[2]quorum.MemberID]bool{}
@@ -234,7 +235,7 @@
 	return nil
 }
 
-// history is a random sequence of faults over stretches of ordinary work; the same seed gives the same history.
+// history is a random sequence of faults with phases of traffic in between; the same seed gives the same history.
 type history struct {
 	*simCluster
 	random *rand.Rand
@@ -256,13 +257,13 @@
 			}
 			leader := h.settle()
 			if leader == nil {
-				t.Fatal("healed members have no leader")
+				t.Fatal("no leader after the end of all faults")
 			}
 			before := leader.core.Status().Commit
 			h.propose(leader)
 			h.settle()
 			if after := leader.core.Status().Commit; after <= before {
-				t.Fatalf("healed members accept nothing: commit stays at %d", after)
+				t.Fatalf("no change is committed after the end of all faults: commit index stays at %d", after)
 			}
 		})
 	}
@@ -287,7 +288,7 @@
 	case 4, 5:
 		h.isolated = map[quorum.MemberID]bool{}
 	case 6:
-		// The leader, cut off silently.
+		// The leader is isolated without notice.
 		for _, m := range h.members {
 			if m.up && m.core.Status().Role == quorum.RoleLeader {
 				h.isolated[m.id] = true
@@ -317,8 +318,8 @@
 	m.core.Compact(s.Commit, 1)
 }
 
-// runTraffic lets time pass in small steps; messages are lost, doubled, late and out of order, and members die between
-// sending and syncing.
+// runTraffic advances time in small steps. Messages are lost, duplicated, delayed and reordered, and members crash
+// between sending and syncing.
 func (h *history) runTraffic() {
 	loss := []int{0, 0, 10, 40}[h.random.IntN(4)]
 	for range h.random.IntN(40) {
@@ -345,7 +346,7 @@
 	}
 }
 
-// clusterWithLeader returns a group of n whose members agree on a leader and have committed something.
+// clusterWithLeader returns a cluster of n members that have a leader and have committed a command.
 func clusterWithLeader(t testing.TB, n int) (*simCluster, *simMember) {
 	g := newSimCluster(t, n)
 	leader := g.settle()
@@ -369,7 +370,7 @@
 	replaced.id.Folder = "new"
 	replaced.snapshot, replaced.hardState, replaced.entries = nil, quorum.HardState{}, nil
 	g.start(replaced)
-	// The leader dies too: one old member is left, which must not win with the help of the new folder.
+	// The leader crashes too. The remaining old member must not win an election with the vote of the new folder.
 	leader.up = false
 	for range 100 {
 		g.advance(timing.Heartbeat)
@@ -384,7 +385,7 @@
 			t.Fatalf("%s leads without a majority of intact folders", m.id.Name)
 		}
 	}
-	// The leader returns, an operator admits the new folder, and it gets its vote after it has caught up.
+	// The leader returns, an operator admits the new folder, and its member gets its vote once it has caught up.
 	leader = g.settle()
 	var members []quorum.Member
 	for _, old := range leader.core.Status().Members {
@@ -394,7 +395,7 @@
 	}
 	members = append(members, quorum.Member{ID: replaced.id})
 	if _, ok := leader.core.ProposeMembers(g.now(leader), members); !ok {
-		t.Fatal("the leader does not take the new folder")
+		t.Fatal("the leader refuses to admit the new folder")
 	}
 	g.drain(leader, false)
 	g.settle()
@@ -406,7 +407,7 @@
 		t.Fatalf("the admitted member has no vote: %v", replaced.core.Status().Members)
 	}
 	if diff := cmp.Diff(leader.core.Status().Commit, replaced.core.Status().Commit); diff != "" {
-		t.Fatalf("commit of leader and admitted member (-leader +member):\n%s", diff)
+		t.Fatalf("commit index of leader and admitted member (-leader +member):\n%s", diff)
 	}
 }
 
@@ -423,25 +424,26 @@
 		g.propose(leader)
 	}
 	g.settle()
-	// A copy of the folder from before those changes is put back.
+	// A copy of the folder from before those changes is restored.
 	restored.up = false
 	restored.hardState, restored.entries = hardState, entries
 	g.start(restored)
 	g.settle()
 	if !restored.core.Status().Expelled {
-		t.Fatal("a member that lost what it had acknowledged still takes part")
+		t.Fatal("a member that lost what it had acknowledged is not expelled")
 	}
 }
 
-// One late reply from before a member had its first snapshot does not expel it; a member that goes on saying so has lost its folder.
+// A single late reply from before a member had its first snapshot does not expel the member. A member that repeats the
+// reply for the election time has lost its folder.
 func TestLateReplyDoesNotExpelMember(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		replies int
 		want    bool
 	}{
-		{"one", 1, false},
-		{"one after the other for longer than the election time", 15, true},
+		{"one reply", 1, false},
+		{"replies for longer than the election time", 15, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g, leader := clusterWithLeader(t, 3)
--- a/quorum/lease_test.go
+++ b/quorum/lease_test.go
@@ -10,7 +10,8 @@
 	"github.com/dunlinquay/dunlinquay/quorum"
 )
 
-// idleCluster returns three members with a leader, everything committed and nothing on its way, and the two followers.
+// idleCluster returns three members with a leader, everything committed and no messages in flight, and the two
+// followers.
 func idleCluster(t *testing.T) (g *simCluster, leader, b, c *simMember) {
 	t.Helper()
 	g, leader = clusterWithLeader(t, 3)
@@ -27,7 +28,7 @@
 	return g, leader, b, c
 }
 
-// runFor lets time pass and delivers everything in order.
+// runFor advances time and delivers all messages in order.
 func (g *simCluster) runFor(d time.Duration, afterStep func()) {
 	const step = 10 * time.Millisecond
 	for range int(d / step) {
@@ -43,14 +44,14 @@
 	}
 }
 
-// A member that the leader does not reach asks for votes all the time; the others have promised theirs away.
+// A member that the leader cannot reach keeps asking for votes, which the others withhold.
 func TestVotesAreWithheldDuringLeaderContact(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		restarts bool
 	}{
-		{"steady followers", false},
-		{"a follower that starts anew and has forgotten its promise", true},
+		{"running followers", false},
+		{"a restarting follower, which does not know which lease it supported", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g, leader, b, other := idleCluster(t)
@@ -76,7 +77,7 @@
 func TestLeaseStartsAtSending(t *testing.T) {
 	g, leader, _, _ := idleCluster(t)
 	g.runFor(timing.Heartbeat, func() {})
-	// Whatever is sent from here on is answered late.
+	// Everything that is sent from here on is answered late.
 	before := g.now(leader)
 	g.advance(timing.Heartbeat)
 	sent := g.now(leader)
@@ -88,7 +89,7 @@
 	}
 	leaseEnd := leader.core.Status().LeaseEnd
 	if leaseEnd.After(sent.Add(timing.Lease)) || !leaseEnd.After(before) {
-		t.Errorf("lease ends %s after the sending, want at most %s", leaseEnd.Sub(sent), timing.Lease)
+		t.Errorf("lease ends %s after the heartbeat was sent, want at most %s", leaseEnd.Sub(sent), timing.Lease)
 	}
 }
 
@@ -96,12 +97,12 @@
 	g, leader, b, _ := idleCluster(t)
 	g.runFor(timing.Heartbeat, func() {})
 	if !leader.core.TransferTo(g.now(leader), b.id) {
-		t.Fatal("no transfer")
+		t.Fatal("no transfer was started")
 	}
 	if leaseEnd := leader.core.Status().LeaseEnd; !leaseEnd.IsZero() {
 		t.Errorf("lease until %s after the transfer", leaseEnd)
 	}
-	// The receiver is silent: the old leader may not take its lease up again in this term.
+	// The receiver is silent, and the old leader must not hold a lease again in this term.
 	g.isolated[b.id] = true
 	term := leader.core.Status().Term
 	g.runFor(2*timing.Election, func() {
@@ -111,7 +112,7 @@
 	})
 }
 
-// newDirectCore returns a member of three with a log of its own, driven without the others.
+// newDirectCore returns one of three members with its own log; the test drives it without the others.
 func newDirectCore(hardState quorum.HardState, entries []quorum.Entry, now time.Time) (*quorum.Core, []quorum.MemberID) {
 	ids := []quorum.MemberID{{Name: "a", Folder: "1"}, {Name: "b", Folder: "2"}, {Name: "c", Folder: "3"}}
 	snapshot := &quorum.Snapshot{Format: 1}
@@ -124,7 +125,7 @@
 func TestVoteSurvivesRestart(t *testing.T) {
 	now := time.Unix(1000, 0)
 	late := now.Add(time.Hour)
-	// The term is known already, so that only the vote itself has to be synced.
+	// The term is known already, so that only the vote itself must be synced.
 	core, ids := newDirectCore(quorum.HardState{Term: 5}, nil, now)
 	requestVote := func(core *quorum.Core, from quorum.MemberID, at time.Time) bool {
 		core.Step(at, &quorum.Message{Kind: quorum.MessageVote, From: from, To: ids[0], Term: 5})
@@ -138,21 +139,21 @@
 	core.Step(late, &quorum.Message{Kind: quorum.MessageVote, From: ids[1], To: ids[0], Term: 5})
 	rd := core.Ready()
 	if rd.HardState == nil {
-		t.Fatal("a vote was given and nothing has to be synced")
+		t.Fatal("a granted vote must be synced, but there is no hard state")
 	}
 	if diff := cmp.Diff(quorum.HardState{Term: 5, Vote: ids[1]}, *rd.HardState); diff != "" {
 		t.Fatalf("hard state (-want +got):\n%s", diff)
 	}
 	again, _ := newDirectCore(*rd.HardState, nil, late)
 	if requestVote(again, ids[2], late.Add(time.Hour)) {
-		t.Error("a second vote in the same term after a restart")
+		t.Error("second vote in the same term after a restart")
 	}
 	if !requestVote(again, ids[1], late.Add(time.Hour)) {
-		t.Error("the first vote is not repeated")
+		t.Error("the first vote is not granted again after a restart")
 	}
 }
 
-// The entry of an earlier term that a majority holds may still be replaced (Raft, figure 8).
+// An entry of an earlier term can still be replaced although a majority holds it (Raft, figure 8).
 func TestOnlyCurrentTermEntriesCommitByCounting(t *testing.T) {
 	now := time.Unix(1000, 0)
 	core, ids := newDirectCore(quorum.HardState{Term: 3}, []quorum.Entry{{Index: 1, Term: 1}, {Index: 2, Term: 2}}, now)
@@ -167,7 +168,7 @@
 	}{{2, 0}, {3, 3}} {
 		core.Step(now, &quorum.Message{Kind: quorum.MessageAppendReply, From: ids[1], To: ids[0], Term: 4, Granted: true, Match: c.match})
 		if got := core.Status().Commit; got != c.commit {
-			t.Errorf("a majority holds entry %d: commit %d, want %d", c.match, got, c.commit)
+			t.Errorf("a majority holds entry %d: commit index %d, want %d", c.match, got, c.commit)
 		}
 	}
 }
@@ -182,15 +183,15 @@
 	core.Ready()
 	core.Step(now, &quorum.Message{Kind: quorum.MessageAppendReply, From: ids[1], To: ids[0], Term: 4, Granted: true, Match: 1})
 	if got := core.Status().Commit; got != 0 {
-		t.Errorf("commit %d with one synced copy of three", got)
+		t.Errorf("commit index %d with one synced copy of three, want 0", got)
 	}
 	core.Persisted(1)
 	if got := core.Status().Commit; got != 1 {
-		t.Errorf("commit %d with two synced copies of three, want 1", got)
+		t.Errorf("commit index %d with two synced copies of three, want 1", got)
 	}
 }
 
-// A member that starts does not know how much of its log was committed, until a leader's own entry is.
+// A member that starts does not know how much of its log is committed until an entry of the leader's own term is.
 func TestWhenMemberKnowsCommitted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	log := []quorum.Entry{{Index: 1, Term: 3}, {Index: 2, Term: 3}, {Index: 3, Term: 3}}
@@ -199,23 +200,24 @@
 		m    quorum.Message
 		want bool
 	}{
-		{"a heartbeat that tells no commit", quorum.Message{Term: 3, LastIndex: 3, LastTerm: 3}, false},
-		{"a new leader's commit of an earlier term", quorum.Message{Term: 4, LastIndex: 3, LastTerm: 3, Commit: 2}, false},
-		{"more is committed than is here", quorum.Message{Term: 3, LastIndex: 3, LastTerm: 3, Commit: 9}, false},
-		{"the same leader's commit", quorum.Message{Term: 3, LastIndex: 3, LastTerm: 3, Commit: 3}, true},
-		{"a new leader's commit of its own entry", quorum.Message{Term: 4, LastIndex: 3, LastTerm: 3, Entries: []quorum.Entry{{Index: 4, Term: 4}}, Commit: 4}, true},
+		{"heartbeat without a commit index", quorum.Message{Term: 3, LastIndex: 3, LastTerm: 3}, false},
+		{"new leader's commit index in an earlier term", quorum.Message{Term: 4, LastIndex: 3, LastTerm: 3, Commit: 2}, false},
+		{"commit index beyond the end of the log", quorum.Message{Term: 3, LastIndex: 3, LastTerm: 3, Commit: 9}, false},
+		{"same leader's commit index", quorum.Message{Term: 3, LastIndex: 3, LastTerm: 3, Commit: 3}, true},
+		{"new leader's commit index in its own term", quorum.Message{Term: 4, LastIndex: 3, LastTerm: 3, Entries: []quorum.Entry{{Index: 4, Term: 4}}, Commit: 4}, true},
 	} {
 		core, ids := newDirectCore(quorum.HardState{Term: 3}, log, now)
 		c.m.Kind, c.m.From, c.m.To = quorum.MessageAppend, ids[1], ids[0]
 		core.Step(now, &c.m)
 		if got := core.Status().KnowsCommitted; got != c.want {
-			t.Errorf("%s: current %t, want %t", c.name, got, c.want)
+			t.Errorf("%s: knows committed %t, want %t", c.name, got, c.want)
 		}
 	}
 }
 
-// A leader whose VM was suspended for longer than its lease wakes after another one was elected. By a steady clock, which does not
-// count the time, it would still hold its lease and serve reads that are out of date; by the clock that counts it, it does not.
+// The VM of a leader is suspended for longer than its lease, and another leader is elected meanwhile. By a steady
+// clock, which does not count the suspension, the leader would still hold its lease and serve stale reads. By a clock
+// that counts the suspension, it does not.
 func TestSuspendedLeaderHoldsNoLease(t *testing.T) {
 	g, leader, _, _ := idleCluster(t)
 	g.runFor(timing.Heartbeat, func() {})
@@ -237,9 +239,9 @@
 		successor = successor || m != leader && m.core.Status().Role == quorum.RoleLeader
 	}
 	if !successor || steady() >= leaseEnd {
-		t.Fatalf("the play shows nothing: successor %v, steady clock at %v, lease until %v", successor, steady(), leaseEnd)
+		t.Fatalf("the test does not cover the case: successor %v, steady clock at %v, lease until %v", successor, steady(), leaseEnd)
 	}
 	if now := c.Now().Sub(g.base); now < leaseEnd || now < before {
-		t.Errorf("the clock says %v after the suspension, the lease ended at %v", now, leaseEnd)
+		t.Errorf("the clock reads %v after the suspension, the lease ended at %v", now, leaseEnd)
 	}
 }
--- a/quorum/node_test.go
+++ b/quorum/node_test.go
@@ -21,7 +21,7 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// testCluster is a few nodes in one synctest bubble, on real folders and with messages passed by hand.
+// testCluster runs nodes in one synctest bubble, on real folders and with messages passed in memory.
 type testCluster struct {
 	t     *testing.T
 	nodes map[ident.Daemon]*testMember
@@ -29,7 +29,7 @@
 
 	mu      sync.Mutex
 	running map[ident.Daemon]*quorum.Node
-	// onSend sees each message as it is sent; nil where nobody looks.
+	// onSend is called for each message as it is sent, if not nil.
 	onSend func(m *quorum.Message)
 }
 
@@ -120,7 +120,7 @@
 	s.running[name] = n
 }
 
-// parseQuotedList reads a list of quoted strings.
+// parseQuotedList parses a list of quoted strings.
 func parseQuotedList(s string) []string {
 	var list []string
 	for len(s) > 1 {
@@ -199,7 +199,7 @@
 	return list
 }
 
-// Hundreds of changes, a kill of every member, and all of them are back.
+// After hundreds of changes and a restart of every member, all changes are still there.
 func TestRestartAfterHundredsOfChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestCluster(t, 3)
@@ -219,7 +219,7 @@
 	})
 }
 
-// A member that was away while the others compacted their logs gets a snapshot.
+// A member that was stopped while the others compacted their logs gets a snapshot.
 func TestMemberBehindCompactionCatchesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestCluster(t, 3)
@@ -235,7 +235,7 @@
 		s.start(stopped)
 		time.Sleep(3 * time.Second)
 		if diff := cmp.Diff(commands(300), s.nodes[stopped].commands()); diff != "" {
-			t.Errorf("after its return (-want +got):\n%s", diff)
+			t.Errorf("commands after the return of the member (-want +got):\n%s", diff)
 		}
 		s.stopAll()
 	})
@@ -248,7 +248,7 @@
 		as     ident.Daemon
 		code   result.Code
 	}{
-		{"untouched", func(*testing.T, string) {}, "m0", result.OK},
+		{"intact", func(*testing.T, string) {}, "m0", result.OK},
 		{"another member's folder", func(*testing.T, string) {}, "m9", result.WrongFolder},
 		{"snapshot with one wrong byte", func(t *testing.T, path string) { flipByte(t, filepath.Join(path, "snapshot-0"), 3) }, "m0", result.StorageDamaged},
 		{"identity with one wrong byte", func(t *testing.T, path string) { flipByte(t, filepath.Join(path, "identity"), 3) }, "m0", result.StorageDamaged},
@@ -287,7 +287,7 @@
 	}
 }
 
-// A disk that fails to sync ends the member; the others go on.
+// A member whose disk fails to sync stops; the others continue.
 func TestFailedSyncStopsMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestCluster(t, 3)
@@ -295,10 +295,10 @@
 		leader.folder.Sync = func(*os.File) error { return os.ErrPermission }
 		_, _, err := leader.node.Propose(t.Context(), []byte("lost"))
 		if code := result.CodeOf(err); code != result.SyncFailed {
-			t.Errorf("proposal: code %d, want %d", code, result.SyncFailed)
+			t.Errorf("proposal failed with code %d, want %d", code, result.SyncFailed)
 		}
 		if code := result.CodeOf(leader.fatal); code != result.SyncFailed {
-			t.Errorf("member ended with code %d, want %d", code, result.SyncFailed)
+			t.Errorf("member stopped with code %d, want %d", code, result.SyncFailed)
 		}
 		time.Sleep(3 * time.Second)
 		for _, m := range s.nodes {
@@ -308,29 +308,30 @@
 				return
 			}
 		}
-		t.Error("nobody took over")
+		t.Error("no other member took over")
 		s.stopAll()
 	})
 }
 
-// A full disk refuses changes as certainly not accepted, the member stays, and accepts again when there is space.
+// A full disk refuses changes with an error that excludes their acceptance. The member keeps running and accepts
+// changes again once there is space.
 func TestFullDiskRefusesAndRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestCluster(t, 1)
 		m := s.leader()
 		s.proposeMany(m, 0, 5)
 		m.diskFull.Store(true)
-		// The first change is in the log already when the disk turns out to be full: its fate is not known.
+		// The first change is in the log already when the disk turns out to be full, so its outcome is unknown.
 		_, _, err := m.node.Propose(t.Context(), []byte("c5"))
 		if code := result.CodeOf(err); code != result.NoLeader {
-			t.Errorf("the change that met the full disk: code %d", code)
+			t.Errorf("change that found the disk full: code %d", code)
 		}
 		_, _, err = m.node.Propose(t.Context(), []byte("refused"))
 		if code := result.CodeOf(err); code != result.StorageFull {
-			t.Errorf("a later change: code %d, want %d", code, result.StorageFull)
+			t.Errorf("later change: code %d, want %d", code, result.StorageFull)
 		}
 		if m.fatal != nil {
-			t.Errorf("the member ended: %v", m.fatal)
+			t.Errorf("the member stopped: %v", m.fatal)
 		}
 		m.diskFull.Store(false)
 		time.Sleep(2 * time.Second)
@@ -339,7 +340,7 @@
 		s.start("m0")
 		s.proposeMany(s.leader(), 7, 1)
 		if diff := cmp.Diff(commands(8), m.commands()); diff != "" {
-			t.Errorf("after a restart (-want +got):\n%s", diff)
+			t.Errorf("commands after a restart (-want +got):\n%s", diff)
 		}
 		s.stopAll()
 	})
--- a/quorum/reads_test.go
+++ b/quorum/reads_test.go
@@ -13,25 +13,25 @@
 	"github.com/dunlinquay/dunlinquay/quorum"
 )
 
-// readCheck are configurations that operators send, and what each member and entry makes of them.
+// readCheck proposes configuration versions in a history, and checks the versions that members and entries read.
 type readCheck struct {
 	*history
 	newest httproute.Version
-	// acknowledged is the highest version that was acknowledged.
+	// acknowledged is the highest version whose proposal was acknowledged.
 	acknowledged httproute.Version
-	// pending are versions by the place in the log that a leader gave them.
+	// pending holds the proposed versions by their index in the log.
 	pending map[quorum.Index]pendingVersion
-	// scanned is how many applied entries of each member were looked at.
+	// scanned holds how far each member's applied entries have been scanned.
 	scanned map[*simMember]scanPosition
-	// lostFolders counts those that were lost.
+	// lostFolders is the number of folders that were lost.
 	lostFolders int
-	// versions are those of the log, by their place.
+	// versions holds the versions in the log by their index.
 	versions map[quorum.Index]httproute.Version
-	// entryVersions are the versions that entries have in force, each told by any leader that holds a lease.
+	// entryVersions holds the version in force at each entry process, read from any leader with a lease.
 	entryVersions []httproute.Version
 }
 
-// scanPosition is how many entries were looked at that a member has applied since a start.
+// scanPosition is the number of scanned entries that a member has applied since one of its starts.
 type scanPosition struct {
 	starts  uint64
 	entries int
@@ -43,7 +43,8 @@
 	version httproute.Version
 }
 
-// versionOf is the version that a member's state machine has: what was committed up to its commit, of its snapshot or its log.
+// versionOf returns the version in a member's state machine, which is the highest one up to its commit index in its
+// snapshot or log.
 func (o *readCheck) versionOf(m *simMember) httproute.Version {
 	for _, m := range o.members {
 		position := o.scanned[m]
@@ -65,7 +66,7 @@
 	return newest
 }
 
-// recordVersion remembers what stands at a place of the log.
+// recordVersion records the version at an index of the log.
 func (o *readCheck) recordVersion(e quorum.Entry) {
 	if _, known := o.versions[e.Index]; known || e.Kind != quorum.EntryCommand {
 		return
@@ -74,7 +75,7 @@
 	o.versions[e.Index] = c.Apply(e.Data).Held
 }
 
-// proposeVersion sends a version to a member, sometimes an older one.
+// proposeVersion proposes a version, sometimes an older one, to a member.
 func (o *readCheck) proposeVersion(m *simMember) {
 	version := o.newest + 1
 	if o.newest > 3 && o.random.IntN(3) == 0 {
@@ -95,7 +96,7 @@
 	}
 }
 
-// acknowledge answers the orders that their leader has applied.
+// acknowledge acknowledges the versions that their leader has applied.
 func (o *readCheck) acknowledge() {
 	for index, p := range o.pending {
 		if !p.by.up {
@@ -111,7 +112,7 @@
 	}
 }
 
-// checkReads looks at every member that would answer a read, and lets an entry follow one of them.
+// checkReads checks the reads of all members that would serve them, and lets an entry process read from each.
 func (o *readCheck) checkReads() {
 	o.acknowledge()
 	for _, m := range o.members {
@@ -121,22 +122,23 @@
 		}
 		got := o.versionOf(m)
 		if got < o.acknowledged {
-			o.t.Fatalf("%s answers a read with version %d, and %d was acknowledged", m.id.Name, got, o.acknowledged)
+			o.t.Fatalf("%s serves a read with version %d although version %d was acknowledged", m.id.Name, got, o.acknowledged)
 		}
 		i := o.random.IntN(len(o.entryVersions))
 		if got < o.entryVersions[i] {
-			o.t.Fatalf("an entry that has version %d is told of version %d as the newest by %s", o.entryVersions[i], got, m.id.Name)
+			o.t.Fatalf("an entry with version %d reads version %d from %s", o.entryVersions[i], got, m.id.Name)
 		}
 		o.entryVersions[i] = got
 	}
 }
 
-// No member that may answer reads has an older version than was acknowledged, whatever is lost, folders among it, cut, killed or handed over.
+// No member that may serve reads has an older version than an acknowledged one, whatever faults, folder losses and
+// transfers there were.
 func TestReadsIncludeAcknowledgedChanges(t *testing.T) {
 	var acknowledged, folders atomic.Uint64
 	t.Cleanup(func() {
 		if acknowledged.Load() < historyCount || folders.Load() < historyCount/20 {
-			t.Errorf("%d versions acknowledged and %d folders lost in %d histories", acknowledged.Load(), folders.Load(), historyCount)
+			t.Errorf("only %d versions acknowledged and %d folders lost in %d histories", acknowledged.Load(), folders.Load(), historyCount)
 		}
 	})
 	for seed := range uint64(historyCount) {
@@ -156,7 +158,7 @@
 			}
 			for range 3 {
 				if h.settle() == nil {
-					t.Fatal("healed members have no leader")
+					t.Fatal("no leader after the end of all faults")
 				}
 				check.admitMembers()
 			}
@@ -167,7 +169,8 @@
 	}
 }
 
-// loseFolder takes a member's folder while all others are there and in touch, and starts it again with an empty one.
+// loseFolder replaces a member's folder by an empty one and restarts the member, provided that all other members are
+// up, connected and voters.
 func (o *readCheck) loseFolder(m *simMember) {
 	for _, other := range o.members {
 		if !other.up || o.isolated[other.id] || !o.hasVote(other) {
@@ -181,7 +184,7 @@
 	o.drain(m, false)
 }
 
-// hasVote reports whether a member has a vote, as any leader knows.
+// hasVote reports whether a member has a vote, in the view of any leader.
 func (o *readCheck) hasVote(m *simMember) bool {
 	for _, l := range o.members {
 		s := l.core.Status()
@@ -193,7 +196,7 @@
 	return false
 }
 
-// admitMembers lets a leader take in members with new folders, and drop their old ones once the new ones have their vote.
+// admitMembers lets leaders admit members with new folders, and remove the old ones once the new ones have their vote.
 func (o *readCheck) admitMembers() {
 	for _, l := range o.members {
 		s := l.core.Status()
@@ -226,7 +229,7 @@
 	return nil
 }
 
-// step lets some time pass and some messages arrive, in any order.
+// step advances time and delivers some messages, in any order.
 func (o *readCheck) step() {
 	o.admitMembers()
 	o.advance(time.Duration(1+o.random.IntN(60)) * time.Millisecond)
@@ -245,7 +248,8 @@
 	}
 }
 
-// A new leader whose lease rests on members that lack the last change does not answer reads before it has committed an entry of its own.
+// A new leader whose lease depends on members without the last change serves no reads before it has committed an entry
+// of its own term.
 func TestNewLeaderReadsIncludeAcknowledgedChanges(t *testing.T) {
 	g, leader := clusterWithLeader(t, 5)
 	var others []*simMember
@@ -261,14 +265,14 @@
 	g.propose(leader)
 	last := leader.core.Status().Commit + 1
 	for range 20 {
-		// Nobody but the leader learns that the change is committed.
+		// Only the leader learns that the change is committed.
 		if leader.core.Status().Commit == last {
 			break
 		}
 		g.deliver(0, false, false)
 	}
 	if leader.core.Status().Commit != last || holders[0].core.Status().Commit >= last {
-		t.Fatalf("commit %d at the leader, %d at a follower, want %d and less", leader.core.Status().Commit, holders[0].core.Status().Commit, last)
+		t.Fatalf("commit index %d at the leader, %d at a follower, want %d and less", leader.core.Status().Commit, holders[0].core.Status().Commit, last)
 	}
 	leader.up, g.network, g.isolated = false, nil, map[quorum.MemberID]bool{holders[1].id: true}
 	reads := 0
@@ -278,7 +282,7 @@
 			if len(g.network) == 0 {
 				break
 			}
-			// What the members that are behind are sent beyond their refusals is lost.
+			// Messages that would let the members behind catch up are lost.
 			if m := g.network[0]; m.Kind == quorum.MessageSnapshot || len(m.Entries) > 1 {
 				g.network = g.network[1:]
 				continue
@@ -291,9 +295,9 @@
 		}
 	}
 	if reads > 0 {
-		t.Errorf("the new leader would answer reads by entry %d and less in %d moments, entry %d was acknowledged", last-1, reads, last)
+		t.Errorf("the new leader would serve reads up to entry %d at %d moments, although entry %d was acknowledged", last-1, reads, last)
 	}
 	if holders[0].core.Status().Role != quorum.RoleLeader {
-		t.Error("nobody leads")
+		t.Error("no member leads")
 	}
 }
--- a/quorum/start_test.go
+++ b/quorum/start_test.go
@@ -8,13 +8,13 @@
 	"github.com/dunlinquay/dunlinquay/quorum"
 )
 
-// delayedMessage is a message on its way.
+// delayedMessage is a message in transit.
 type delayedMessage struct {
 	at time.Duration
 	m  quorum.Message
 }
 
-// runDelayed lets time pass in milliseconds, with every message on its way for delay, until done.
+// runDelayed advances time by milliseconds until done, with a delay for each message.
 func (g *simCluster) runDelayed(limit, delay time.Duration, beforeStep func(), done func() bool) time.Duration {
 	var inTransit []delayedMessage
 	started := g.elapsed
@@ -49,8 +49,8 @@
 	return false
 }
 
-// Members that all start anew within a moment have a leader soon after the lease that they may have supported is over: nobody
-// has to wait for an election time, and no two of them ask for votes at once.
+// When all members restart within a moment, they have a leader soon after the lease that they may have supported has
+// expired. No member waits for the election time, and no two campaign at once.
 func TestLeaderElectedSoonAfterFullRestart(t *testing.T) {
 	const (
 		delay       = 8 * time.Millisecond // a message and the sync before it
@@ -60,13 +60,13 @@
 	for _, c := range []struct {
 		name string
 		back int
-	}{{"all of five", 5}, {"three of five", 3}, {"all of three", 3}} {
+	}{{"all five", 5}, {"three of five", 3}, {"all three", 3}} {
 		var worst, sum time.Duration
 		const seeds = 200
 		for seed := range uint64(seeds) {
 			random := rand.New(rand.NewPCG(seed, 3))
 			n := 5
-			if c.name == "all of three" {
+			if c.name == "all three" {
 				n = 3
 			}
 			g, leader := clusterWithLeader(t, n)
@@ -93,9 +93,9 @@
 			sum += elapsed
 			worst = max(worst, elapsed)
 		}
-		t.Logf("%s: a leader after %v on average, %v at most", c.name, sum/seeds, worst)
+		t.Logf("%s: leader after %v on average, %v at most", c.name, sum/seeds, worst)
 		if worst > within+startSpread {
-			t.Errorf("%s: a leader after %v, want %v at most", c.name, worst, within+startSpread)
+			t.Errorf("%s: leader after %v, want at most %v", c.name, worst, within+startSpread)
 		}
 	}
 }
--- a/quorum/transfer_test.go
+++ b/quorum/transfer_test.go
@@ -10,7 +10,7 @@
 	"github.com/dunlinquay/dunlinquay/quorum"
 )
 
-// A leader that asks another member to take over has given its lease up before the question leaves.
+// A leader gives up its lease before it asks another member to take over.
 func TestLeaderHoldsNoLeaseDuringTransfer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestCluster(t, 3)
@@ -30,11 +30,11 @@
 		}
 		s.mu.Unlock()
 		if !leader.node.TransferLeadership(t.Context()) {
-			t.Fatal("nobody was asked")
+			t.Fatal("no voter was asked")
 		}
 		time.Sleep(time.Second)
 		if requests.Load() != 1 || underLease.Load() != 0 {
-			t.Errorf("%d questions, %d of them under a lease", requests.Load(), underLease.Load())
+			t.Errorf("%d transfer requests, %d of them under a lease; want 1 and 0", requests.Load(), underLease.Load())
 		}
 		s.stopAll()
 	})
