--- a/quorum/bench_test.go
+++ b/quorum/bench_test.go
@@ -24,7 +24,7 @@
 
 func newBenchCluster(b *testing.B, root string, snapshotEvery quorum.Index) *benchCluster {
 	b.Helper()
-	t := &benchCluster{nodes: map[ident.Daemon]*quorum.Node{}}
+	c := &benchCluster{nodes: map[ident.Daemon]*quorum.Node{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	var members []quorum.Member
@@ -43,10 +43,10 @@
 		n.Timing, n.SnapshotEvery, n.Seed = timing, snapshotEvery, uint64(name[0])
 		n.Send = func(messages []quorum.Message) {
 			for i := range messages {
-				if silent, _ := t.silent.Load().(string); silent == string(name) {
+				if silent, _ := c.silent.Load().(string); silent == string(name) {
 					return
 				}
-				t.nodes[messages[i].To.Name].Deliver(messages[i : i+1])
+				c.nodes[messages[i].To.Name].Deliver(messages[i : i+1])
 			}
 		}
 		n.Fatal = func(err error) { b.Error(err) }
@@ -54,27 +54,27 @@
 		n.Apply = func(quorum.Index, []byte) any { count++; return count }
 		n.TakeSnapshot = func() ([]byte, error) { return []byte{1}, nil }
 		n.Restore = func(quorum.Index, []byte) error { return nil }
-		t.nodes[name] = n
+		c.nodes[name] = n
 		stores = append(stores, store)
 		members = append(members, quorum.Member{ID: store.ID(), Voter: true})
 	}
 	for i, name := range names {
 		wg.Go(func() { stores[i].Run(ctx) })
-		wg.Go(func() { t.nodes[name].Run(ctx) })
+		wg.Go(func() { c.nodes[name].Run(ctx) })
 	}
 	for _, name := range names {
-		t.nodes[name].Form(ctx, members)
+		c.nodes[name].Form(ctx, members)
 	}
-	t.stop = func() {
+	c.stop = func() {
 		cancel()
 		wg.Wait()
 	}
-	return t
+	return c
 }
 
-func (t *benchCluster) leader() *quorum.Node {
+func (c *benchCluster) leader() *quorum.Node {
 	for {
-		for _, n := range t.nodes {
+		for _, n := range c.nodes {
 			if n.Status().Role == quorum.RoleLeader {
 				return n
 			}
@@ -86,9 +86,9 @@
 func BenchmarkChanges(b *testing.B) {
 	for _, writers := range []int{1, 64, 1024} {
 		b.Run(fmt.Sprint(writers, "-at-once"), func(b *testing.B) {
-			t := newBenchCluster(b, b.TempDir(), 1<<30)
-			defer t.stop()
-			leader := t.leader()
+			cluster := newBenchCluster(b, b.TempDir(), 1<<30)
+			defer cluster.stop()
+			leader := cluster.leader()
 			data := make([]byte, 200)
 			var wg sync.WaitGroup
 			proposals := make(chan struct{})
@@ -113,13 +113,13 @@
 
 func BenchmarkRestartAfter10000Changes(b *testing.B) {
 	for _, c := range []struct {
-		name  string
-		every quorum.Index
+		name          string
+		snapshotEvery quorum.Index
 	}{{"with-snapshot", 4096}, {"without-snapshot", 1 << 30}} {
 		b.Run(c.name, func(b *testing.B) {
 			root := b.TempDir()
-			t := newBenchCluster(b, root, c.every)
-			leader := t.leader()
+			cluster := newBenchCluster(b, root, c.snapshotEvery)
+			leader := cluster.leader()
 			var wg sync.WaitGroup
 			for range 100 {
 				wg.Go(func() {
@@ -129,7 +129,7 @@
 				})
 			}
 			wg.Wait()
-			t.stop()
+			cluster.stop()
 			for b.Loop() {
 				folder, err := disk.NewFolder(filepath.Join(root, "a"))
 				if err != nil {
@@ -152,21 +152,21 @@
 func BenchmarkLeaderLoss(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
-		t := newBenchCluster(b, b.TempDir(), 1<<30)
-		leader := t.leader()
+		cluster := newBenchCluster(b, b.TempDir(), 1<<30)
+		leader := cluster.leader()
 		_, _, _ = leader.Propose(context.Background(), []byte{1})
 		b.StartTimer()
-		t.silent.Store(string(leader.Status().ID.Name))
-		t.proposeThroughSuccessor(leader)
+		cluster.silent.Store(string(leader.Status().ID.Name))
+		cluster.proposeThroughSuccessor(leader)
 		b.StopTimer()
-		t.stop()
+		cluster.stop()
 		b.StartTimer()
 	}
 }
 
-func (t *benchCluster) proposeThroughSuccessor(old *quorum.Node) {
+func (c *benchCluster) proposeThroughSuccessor(old *quorum.Node) {
 	for {
-		for _, n := range t.nodes {
+		for _, n := range c.nodes {
 			if n == old || n.Status().Role != quorum.RoleLeader {
 				continue
 			}
--- a/quorum/core_test.go
+++ b/quorum/core_test.go
@@ -44,7 +44,7 @@
 }
 
 func newSimCluster(t testing.TB, n int) *simCluster {
-	g := &simCluster{
+	c := &simCluster{
 		t: t, base: time.Unix(1000, 0), leaders: map[quorum.Term]quorum.MemberID{}, committed: map[quorum.Index]string{},
 		acked: map[quorum.Index]string{}, isolated: map[quorum.MemberID]bool{},
 		oneWay: map[[2]quorum.MemberID]bool{},
@@ -53,22 +53,22 @@
 	for i := range n {
 		id := quorum.MemberID{Name: ident.Daemon(fmt.Sprintf("m%d", i)), Folder: quorum.FolderID(fmt.Sprintf("f%d", i))}
 		// Clocks differ by less than the drift that leases allow for.
-		g.members = append(g.members, &simMember{id: id, clockRate: 1 + 0.02*float64(i%3-1)})
+		c.members = append(c.members, &simMember{id: id, clockRate: 1 + 0.02*float64(i%3-1)})
 		members = append(members, quorum.Member{ID: id, Voter: true})
 	}
-	for _, m := range g.members {
-		g.start(m)
+	for _, m := range c.members {
+		c.start(m)
 		m.core.Form(members)
-		g.drain(m, false)
+		c.drain(m, false)
 	}
-	return g
+	return c
 }
 
-func (g *simCluster) now(m *simMember) time.Time {
-	return g.base.Add(time.Duration(float64(g.elapsed) * m.clockRate))
+func (c *simCluster) now(m *simMember) time.Time {
+	return c.base.Add(time.Duration(float64(c.elapsed) * m.clockRate))
 }
 
-func (g *simCluster) start(m *simMember) {
+func (c *simCluster) start(m *simMember) {
 	m.starts++
 	m.up = true
 	m.applied = nil
@@ -80,27 +80,27 @@
 			}
 		}
 	}
-	m.core = quorum.NewCore(m.id, 0, timing, m.starts*31+uint64(len(m.id.Name)), g.now(m), m.snapshot, m.hardState, tail)
+	m.core = quorum.NewCore(m.id, 0, timing, m.starts*31+uint64(len(m.id.Name)), c.now(m), m.snapshot, m.hardState, tail)
 }
 
 // drain does the work that the core requires. With crashBeforeSync the member crashes after it has sent its appends and
 // before it has synced anything.
-func (g *simCluster) drain(m *simMember, crashBeforeSync bool) {
+func (c *simCluster) drain(m *simMember, crashBeforeSync bool) {
 	for m.up {
 		for _, to := range m.core.TakeSnapshotRequests() {
 			s := m.core.Status()
-			m.core.SendSnapshot(to, &quorum.Snapshot{Format: 1, Index: s.Commit, Term: g.termOf(m, s.Commit), Members: s.Members})
+			m.core.SendSnapshot(to, &quorum.Snapshot{Format: 1, Index: s.Commit, Term: c.termOf(m, s.Commit), Members: s.Members})
 		}
 		rd := m.core.Ready()
-		g.network = append(g.network, rd.Appends...)
+		c.network = append(c.network, rd.Appends...)
 		if crashBeforeSync {
 			m.up = false
 			return
 		}
-		g.persist(m, &rd)
-		g.network = append(g.network, rd.Messages...)
+		c.persist(m, &rd)
+		c.network = append(c.network, rd.Messages...)
 		for _, e := range rd.Committed {
-			g.apply(m, e)
+			c.apply(m, e)
 		}
 		if len(rd.Appends)+len(rd.Messages)+len(rd.Entries)+len(rd.Committed) == 0 && rd.HardState == nil && rd.Install == nil {
 			return
@@ -108,7 +108,7 @@
 	}
 }
 
-func (g *simCluster) termOf(m *simMember, i quorum.Index) quorum.Term {
+func (c *simCluster) termOf(m *simMember, i quorum.Index) quorum.Term {
 	for _, e := range m.entries {
 		if e.Index == i {
 			return e.Term
@@ -120,7 +120,7 @@
 	return 0
 }
 
-func (g *simCluster) persist(m *simMember, rd *quorum.Ready) {
+func (c *simCluster) persist(m *simMember, rd *quorum.Ready) {
 	if rd.Install != nil {
 		m.snapshot = rd.Install
 		m.entries = nil
@@ -139,95 +139,95 @@
 	m.core.Persisted(rd.Entries[len(rd.Entries)-1].Index)
 }
 
-func (g *simCluster) apply(m *simMember, e quorum.Entry) {
+func (c *simCluster) apply(m *simMember, e quorum.Entry) {
 	text := fmt.Sprint(e.Term, " ", e.Kind, " ", string(e.Data))
-	if old, ok := g.committed[e.Index]; ok && old != text {
-		g.t.Fatalf("entry %d was committed as %q and as %q (by %s)", e.Index, old, text, m.id.Name)
+	if old, ok := c.committed[e.Index]; ok && old != text {
+		c.t.Fatalf("entry %d was committed as %q and as %q (by %s)", e.Index, old, text, m.id.Name)
 	}
-	g.committed[e.Index] = text
+	c.committed[e.Index] = text
 	m.applied = append(m.applied, e)
 }
 
-func (g *simCluster) checkInvariants() {
+func (c *simCluster) checkInvariants() {
 	holders := 0
-	for _, m := range g.members {
+	for _, m := range c.members {
 		if !m.up {
 			continue
 		}
 		s := m.core.Status()
 		if s.Role == quorum.RoleLeader {
-			if other, ok := g.leaders[s.Term]; ok && other != m.id {
-				g.t.Fatalf("%v and %v both lead term %d", other, m.id, s.Term)
+			if other, ok := c.leaders[s.Term]; ok && other != m.id {
+				c.t.Fatalf("%v and %v both lead term %d", other, m.id, s.Term)
 			}
-			g.leaders[s.Term] = m.id
-			if g.now(m).Before(s.LeaseEnd) {
+			c.leaders[s.Term] = m.id
+			if c.now(m).Before(s.LeaseEnd) {
 				holders++
 			}
 		}
 	}
 	if holders > 1 {
-		g.t.Fatalf("%d members hold a lease at the same time", holders)
+		c.t.Fatalf("%d members hold a lease at the same time", holders)
 	}
 }
 
-func (g *simCluster) advance(d time.Duration) {
-	g.elapsed += d
-	for _, m := range g.members {
+func (c *simCluster) advance(d time.Duration) {
+	c.elapsed += d
+	for _, m := range c.members {
 		if m.up {
-			m.core.Tick(g.now(m))
-			g.drain(m, false)
+			m.core.Tick(c.now(m))
+			c.drain(m, false)
 		}
 	}
 }
 
-func (g *simCluster) deliver(i int, duplicate, crashBeforeSync bool) {
-	msg := g.network[i]
+func (c *simCluster) deliver(i int, duplicate, crashBeforeSync bool) {
+	msg := c.network[i]
 	if !duplicate {
-		g.network = append(g.network[:i:i], g.network[i+1:]...)
+		c.network = append(c.network[:i:i], c.network[i+1:]...)
 	}
-	if g.isolated[msg.From] || g.isolated[msg.To] || g.oneWay[[2]quorum.MemberID{msg.From, msg.To}] {
+	if c.isolated[msg.From] || c.isolated[msg.To] || c.oneWay[[2]quorum.MemberID{msg.From, msg.To}] {
 		return
 	}
-	for _, m := range g.members {
+	for _, m := range c.members {
 		if m.up && m.id.Name == msg.To.Name {
-			m.core.Step(g.now(m), &msg)
-			g.drain(m, crashBeforeSync)
+			m.core.Step(c.now(m), &msg)
+			c.drain(m, crashBeforeSync)
 		}
 	}
 }
 
-func (g *simCluster) propose(m *simMember) {
+func (c *simCluster) propose(m *simMember) {
 	if !m.up {
 		return
 	}
-	g.proposals++
-	if _, ok := m.core.Propose(g.now(m), quorum.EntryCommand, []byte(fmt.Sprint("c", g.proposals))); ok {
-		m.core.Flush(g.now(m))
-		g.drain(m, false)
+	c.proposals++
+	if _, ok := m.core.Propose(c.now(m), quorum.EntryCommand, []byte(fmt.Sprint("c", c.proposals))); ok {
+		m.core.Flush(c.now(m))
+		c.drain(m, false)
 	}
 }
 
 // settle removes all faults, restarts all members and gives them time to elect a leader, which it returns.
-func (g *simCluster) settle() *simMember {
-	g.isolated = map[quorum.MemberID]bool{}
-	g.oneWay = map[[2]quorum.MemberID]bool{}
-	for _, m := range g.members {
+func (c *simCluster) settle() *simMember {
+	c.isolated = map[quorum.MemberID]bool{}
+	c.oneWay = map[[2]quorum.MemberID]bool{}
+	for _, m := range c.members {
 		if !m.up {
-			g.start(m)
-			g.drain(m, false)
+			c.start(m)
+			c.drain(m, false)
 		}
 	}
 	for range 400 {
-		g.advance(timing.Heartbeat)
+		c.advance(timing.Heartbeat)
 		for range 200 {
-			if len(g.network) == 0 {
+			if len(c.network) == 0 {
 				break
 			}
-			g.deliver(0, false, false)
+			c.deliver(0, false, false)
 		}
-		g.checkInvariants()
+		c.checkInvariants()
 	}
-	for _, m := range g.members {
+	for _, m := range c.members {
 		if m.core.Status().Role == quorum.RoleLeader {
 			return m
 		}
@@ -348,20 +348,20 @@
 
 // clusterWithLeader returns a cluster of n members that have a leader and have committed a command.
 func clusterWithLeader(t testing.TB, n int) (*simCluster, *simMember) {
-	g := newSimCluster(t, n)
-	leader := g.settle()
+	c := newSimCluster(t, n)
+	leader := c.settle()
 	if leader == nil {
 		t.Fatal("no leader")
 	}
-	g.propose(leader)
-	g.settle()
-	return g, leader
+	c.propose(leader)
+	c.settle()
+	return c, leader
 }
 
 func TestMemberWithNewFolderHasNoVote(t *testing.T) {
-	g, leader := clusterWithLeader(t, 3)
+	cluster, leader := clusterWithLeader(t, 3)
 	var replaced *simMember
-	for _, m := range g.members {
+	for _, m := range cluster.members {
 		if m != leader {
 			replaced = m
 		}
@@ -369,24 +369,24 @@
 	// The folder is lost: same name, new folder id, nothing on disk.
 	replaced.id.Folder = "new"
 	replaced.snapshot, replaced.hardState, replaced.entries = nil, quorum.HardState{}, nil
-	g.start(replaced)
+	cluster.start(replaced)
 	// The leader crashes too. The remaining old member must not win an election with the vote of the new folder.
 	leader.up = false
 	for range 100 {
-		g.advance(timing.Heartbeat)
+		cluster.advance(timing.Heartbeat)
 		for range 50 {
-			if len(g.network) > 0 {
-				g.deliver(0, false, false)
+			if len(cluster.network) > 0 {
+				cluster.deliver(0, false, false)
 			}
 		}
 	}
-	for _, m := range g.members {
+	for _, m := range cluster.members {
 		if m.up && m.core.Status().Role == quorum.RoleLeader {
 			t.Fatalf("%s leads without a majority of intact folders", m.id.Name)
 		}
 	}
 	// The leader returns, an operator admits the new folder, and its member gets its vote once it has caught up.
-	leader = g.settle()
+	leader = cluster.settle()
 	var members []quorum.Member
 	for _, old := range leader.core.Status().Members {
 		if old.ID.Name != replaced.id.Name {
@@ -394,11 +394,11 @@
 		}
 	}
 	members = append(members, quorum.Member{ID: replaced.id})
-	if _, ok := leader.core.ProposeMembers(g.now(leader), members); !ok {
+	if _, ok := leader.core.ProposeMembers(cluster.now(leader), members); !ok {
 		t.Fatal("the leader refuses to admit the new folder")
 	}
-	g.drain(leader, false)
-	g.settle()
+	cluster.drain(leader, false)
+	cluster.settle()
 	voter := false
 	for _, m := range replaced.core.Status().Members {
 		voter = voter || m.ID == replaced.id && m.Voter
@@ -412,23 +412,23 @@
 }
 
 func TestMemberWithOlderFolderIsExpelled(t *testing.T) {
-	g, leader := clusterWithLeader(t, 3)
+	cluster, leader := clusterWithLeader(t, 3)
 	var restored *simMember
-	for _, m := range g.members {
+	for _, m := range cluster.members {
 		if m != leader {
 			restored = m
 		}
 	}
 	hardState, entries := restored.hardState, append([]quorum.Entry(nil), restored.entries...)
 	for range 5 {
-		g.propose(leader)
+		cluster.propose(leader)
 	}
-	g.settle()
+	cluster.settle()
 	// A copy of the folder from before those changes is restored.
 	restored.up = false
 	restored.hardState, restored.entries = hardState, entries
-	g.start(restored)
-	g.settle()
+	cluster.start(restored)
+	cluster.settle()
 	if !restored.core.Status().Expelled {
 		t.Fatal("a member that lost what it had acknowledged is not expelled")
 	}
@@ -446,26 +446,26 @@
 		{"replies for longer than the election time", 15, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g, leader := clusterWithLeader(t, 3)
+			cluster, leader := clusterWithLeader(t, 3)
 			var m *simMember
-			for _, other := range g.members {
+			for _, other := range cluster.members {
 				if other != leader {
 					m = other
 				}
 			}
 			if c.replies > 1 {
-				g.isolated[m.id] = true
+				cluster.isolated[m.id] = true
 			}
 			for range c.replies {
 				late := quorum.Message{Kind: quorum.MessageAppendReply, From: m.id, To: leader.id, Term: leader.core.Status().Term, Unformed: true}
-				leader.core.Step(g.now(leader), &late)
-				g.drain(leader, false)
-				g.advance(timing.Heartbeat)
-				for len(g.network) > 0 {
-					g.deliver(0, false, false)
+				leader.core.Step(cluster.now(leader), &late)
+				cluster.drain(leader, false)
+				cluster.advance(timing.Heartbeat)
+				for len(cluster.network) > 0 {
+					cluster.deliver(0, false, false)
 				}
 			}
-			g.settle()
+			cluster.settle()
 			if diff := cmp.Diff(c.want, m.core.Status().Expelled); diff != "" {
 				t.Errorf("expelled (-want +got):\n%s", diff)
 			}
--- a/quorum/lease_test.go
+++ b/quorum/lease_test.go
@@ -12,33 +12,33 @@
 
 // idleCluster returns three members with a leader, everything committed and no messages in flight, and the two
 // followers.
-func idleCluster(t *testing.T) (g *simCluster, leader, b, c *simMember) {
+func idleCluster(t *testing.T) (cluster *simCluster, leader, follower, otherFollower *simMember) {
 	t.Helper()
-	g, leader = clusterWithLeader(t, 3)
-	g.settle()
-	for _, m := range g.members {
+	cluster, leader = clusterWithLeader(t, 3)
+	cluster.settle()
+	for _, m := range cluster.members {
 		switch {
 		case m == leader:
-		case b == nil:
-			b = m
+		case follower == nil:
+			follower = m
 		default:
-			c = m
+			otherFollower = m
 		}
 	}
-	return g, leader, b, c
+	return cluster, leader, follower, otherFollower
 }
 
 // runFor advances time and delivers all messages in order.
-func (g *simCluster) runFor(d time.Duration, afterStep func()) {
+func (c *simCluster) runFor(d time.Duration, afterStep func()) {
 	const step = 10 * time.Millisecond
 	for range int(d / step) {
-		g.advance(step)
+		c.advance(step)
 		for range 20 {
-			if len(g.network) == 0 {
+			if len(c.network) == 0 {
 				break
 			}
-			g.deliver(0, false, false)
-			g.checkInvariants()
+			c.deliver(0, false, false)
+			c.checkInvariants()
 		}
 		afterStep()
 	}
@@ -54,16 +54,16 @@
 		{"a restarting follower, which does not know which lease it supported", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g, leader, b, other := idleCluster(t)
+			cluster, leader, unreached, other := idleCluster(t)
 			term := leader.core.Status().Term
-			g.oneWay[[2]quorum.MemberID{leader.id, b.id}] = true
+			cluster.oneWay[[2]quorum.MemberID{leader.id, unreached.id}] = true
 			steps := 0
-			g.runFor(10*timing.Election, func() {
+			cluster.runFor(10*timing.Election, func() {
 				steps++
 				if c.restarts && steps%20 == 0 {
 					other.up = false
-					g.start(other)
-					g.drain(other, false)
+					cluster.start(other)
+					cluster.drain(other, false)
 				}
 			})
 			got := leader.core.Status()
@@ -75,16 +75,16 @@
 }
 
 func TestLeaseStartsAtSending(t *testing.T) {
-	g, leader, _, _ := idleCluster(t)
-	g.runFor(timing.Heartbeat, func() {})
+	cluster, leader, _, _ := idleCluster(t)
+	cluster.runFor(timing.Heartbeat, func() {})
 	// Everything that is sent from here on is answered late.
-	before := g.now(leader)
-	g.advance(timing.Heartbeat)
-	sent := g.now(leader)
-	g.elapsed += timing.Lease / 2
+	before := cluster.now(leader)
+	cluster.advance(timing.Heartbeat)
+	sent := cluster.now(leader)
+	cluster.elapsed += timing.Lease / 2
 	for range 20 {
-		if len(g.network) > 0 {
-			g.deliver(0, false, false)
+		if len(cluster.network) > 0 {
+			cluster.deliver(0, false, false)
 		}
 	}
 	leaseEnd := leader.core.Status().LeaseEnd
@@ -94,18 +94,18 @@
 }
 
 func TestTransferEndsLease(t *testing.T) {
-	g, leader, b, _ := idleCluster(t)
-	g.runFor(timing.Heartbeat, func() {})
-	if !leader.core.TransferTo(g.now(leader), b.id) {
+	cluster, leader, receiver, _ := idleCluster(t)
+	cluster.runFor(timing.Heartbeat, func() {})
+	if !leader.core.TransferTo(cluster.now(leader), receiver.id) {
 		t.Fatal("no transfer was started")
 	}
 	if leaseEnd := leader.core.Status().LeaseEnd; !leaseEnd.IsZero() {
 		t.Errorf("lease until %s after the transfer", leaseEnd)
 	}
 	// The receiver is silent, and the old leader must not hold a lease again in this term.
-	g.isolated[b.id] = true
+	cluster.isolated[receiver.id] = true
 	term := leader.core.Status().Term
-	g.runFor(2*timing.Election, func() {
+	cluster.runFor(2*timing.Election, func() {
 		if s := leader.core.Status(); s.Term == term && !s.LeaseEnd.IsZero() {
 			t.Fatalf("lease until %s after the transfer", s.LeaseEnd)
 		}
@@ -219,29 +219,29 @@
 // clock, which does not count the suspension, the leader would still hold its lease and serve stale reads. By a clock
 // that counts the suspension, it does not.
 func TestSuspendedLeaderHoldsNoLease(t *testing.T) {
-	g, leader, _, _ := idleCluster(t)
-	g.runFor(timing.Heartbeat, func() {})
+	cluster, leader, _, _ := idleCluster(t)
+	cluster.runFor(timing.Heartbeat, func() {})
 	suspended := time.Duration(0)
-	steady := func() time.Duration { return time.Duration(float64(g.elapsed-suspended) * leader.clockRate) }
+	steady := func() time.Duration { return time.Duration(float64(cluster.elapsed-suspended) * leader.clockRate) }
 	read := func() clock.Reading {
-		return clock.Reading{Time: g.base.Add(steady()), Steady: steady(), Day: g.base.Add(g.elapsed)}
+		return clock.Reading{Time: cluster.base.Add(steady()), Steady: steady(), Day: cluster.base.Add(cluster.elapsed)}
 	}
-	c := clock.New(read, func() time.Duration { return suspended })
-	before := c.Now().Sub(g.base)
-	leaseEnd := leader.core.Status().LeaseEnd.Sub(g.base)
+	clk := clock.New(read, func() time.Duration { return suspended })
+	before := clk.Now().Sub(cluster.base)
+	leaseEnd := leader.core.Status().LeaseEnd.Sub(cluster.base)
 	leader.up = false
-	suspendedAt := g.elapsed
-	g.runFor(5*timing.Election, func() {})
-	suspended = g.elapsed - suspendedAt
+	suspendedAt := cluster.elapsed
+	cluster.runFor(5*timing.Election, func() {})
+	suspended = cluster.elapsed - suspendedAt
 	leader.up = true
 	successor := false
-	for _, m := range g.members {
+	for _, m := range cluster.members {
 		successor = successor || m != leader && m.core.Status().Role == quorum.RoleLeader
 	}
 	if !successor || steady() >= leaseEnd {
 		t.Fatalf("the test does not cover the case: successor %v, steady clock at %v, lease until %v", successor, steady(), leaseEnd)
 	}
-	if now := c.Now().Sub(g.base); now < leaseEnd || now < before {
+	if now := clk.Now().Sub(cluster.base); now < leaseEnd || now < before {
 		t.Errorf("the clock reads %v after the suspension, the lease ended at %v", now, leaseEnd)
 	}
 }
--- a/quorum/node_test.go
+++ b/quorum/node_test.go
@@ -46,11 +46,11 @@
 }
 
 func newTestCluster(t *testing.T, n int) *testCluster {
-	s := &testCluster{t: t, nodes: map[ident.Daemon]*testMember{}, running: map[ident.Daemon]*quorum.Node{}}
+	c := &testCluster{t: t, nodes: map[ident.Daemon]*testMember{}, running: map[ident.Daemon]*quorum.Node{}}
 	root := t.TempDir()
 	for i := range n {
 		name := ident.Daemon(fmt.Sprintf("m%d", i))
-		s.names = append(s.names, name)
+		c.names = append(c.names, name)
 		folder, err := disk.NewFolder(filepath.Join(root, string(name)))
 		if err != nil {
 			t.Fatal(err)
@@ -63,30 +63,30 @@
 			}
 			return write(f, b, offset)
 		}
-		s.nodes[name] = m
-		s.start(name)
+		c.nodes[name] = m
+		c.start(name)
 	}
 	var members []quorum.Member
-	for _, name := range s.names {
-		members = append(members, quorum.Member{ID: s.nodes[name].node.Status().ID, Voter: true})
+	for _, name := range c.names {
+		members = append(members, quorum.Member{ID: c.nodes[name].node.Status().ID, Voter: true})
 	}
-	for _, name := range s.names {
-		s.nodes[name].node.Form(t.Context(), members)
+	for _, name := range c.names {
+		c.nodes[name].node.Form(t.Context(), members)
 	}
-	return s
+	return c
 }
 
-func (s *testCluster) start(name ident.Daemon) {
-	m := s.nodes[name]
+func (c *testCluster) start(name ident.Daemon) {
+	m := c.nodes[name]
 	store, err := quorum.OpenStore(m.folder, name)
 	if err != nil {
-		s.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	m.applied, m.fatal = nil, nil
 	n := quorum.NewNode(store)
 	n.Timing, n.SnapshotEvery = timing, 50
 	n.Seed = uint64(len(name)) * uint64(name[1])
-	n.Send = s.send
+	n.Send = c.send
 	n.Fatal = func(err error) { m.fatal = err }
 	n.Apply = func(index quorum.Index, data []byte) any {
 		m.mu.Lock()
@@ -105,7 +105,7 @@
 		m.applied = parseQuotedList(string(data))
 		return nil
 	}
-	ctx, cancel := context.WithCancel(s.t.Context())
+	ctx, cancel := context.WithCancel(c.t.Context())
 	m.node, m.cancel, m.done = n, cancel, make(chan struct{})
 	go func() {
 		defer close(m.done)
@@ -115,9 +115,9 @@
 		wg.Wait()
 	}()
 	<-n.Ready()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.running[name] = n
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.running[name] = n
 }
 
 // parseQuotedList parses a list of quoted strings.
@@ -135,20 +135,20 @@
 	return list
 }
 
-func (s *testCluster) stop(name ident.Daemon) {
-	m := s.nodes[name]
+func (c *testCluster) stop(name ident.Daemon) {
+	m := c.nodes[name]
 	m.cancel()
 	<-m.done
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.running, name)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.running, name)
 }
 
-func (s *testCluster) send(messages []quorum.Message) {
+func (c *testCluster) send(messages []quorum.Message) {
 	for i := range messages {
-		s.mu.Lock()
-		n, onSend := s.running[messages[i].To.Name], s.onSend
-		s.mu.Unlock()
+		c.mu.Lock()
+		n, onSend := c.running[messages[i].To.Name], c.onSend
+		c.mu.Unlock()
 		if onSend != nil {
 			onSend(&messages[i])
 		}
@@ -158,16 +158,16 @@
 	}
 }
 
-func (s *testCluster) leader() *testMember {
+func (c *testCluster) leader() *testMember {
 	for range 200 {
-		for _, m := range s.nodes {
+		for _, m := range c.nodes {
 			if m.node.Status().Role == quorum.RoleLeader {
 				return m
 			}
 		}
 		time.Sleep(timing.Heartbeat)
 	}
-	s.t.Fatal("no leader")
+	c.t.Fatal("no leader")
 	return nil
 }
 
@@ -177,16 +177,16 @@
 	return slices.Clone(m.applied)
 }
 
-func (s *testCluster) stopAll() {
-	for _, name := range s.names {
-		s.stop(name)
+func (c *testCluster) stopAll() {
+	for _, name := range c.names {
+		c.stop(name)
 	}
 }
 
-func (s *testCluster) proposeMany(m *testMember, from, n int) {
+func (c *testCluster) proposeMany(m *testMember, from, n int) {
 	for i := from; i < from+n; i++ {
-		if _, _, err := m.node.Propose(s.t.Context(), []byte(fmt.Sprint("c", i))); err != nil {
-			s.t.Fatal(err)
+		if _, _, err := m.node.Propose(c.t.Context(), []byte(fmt.Sprint("c", i))); err != nil {
+			c.t.Fatal(err)
 		}
 	}
 }
@@ -202,42 +202,42 @@
 // After hundreds of changes and a restart of every member, all changes are still there.
 func TestRestartAfterHundredsOfChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newTestCluster(t, 3)
-		s.proposeMany(s.leader(), 0, 300)
-		s.stopAll()
-		for _, name := range s.names {
-			s.start(name)
+		cluster := newTestCluster(t, 3)
+		cluster.proposeMany(cluster.leader(), 0, 300)
+		cluster.stopAll()
+		for _, name := range cluster.names {
+			cluster.start(name)
 		}
-		s.proposeMany(s.leader(), 300, 1)
+		cluster.proposeMany(cluster.leader(), 300, 1)
 		time.Sleep(time.Second)
-		for _, name := range s.names {
-			if diff := cmp.Diff(commands(301), s.nodes[name].commands()); diff != "" {
+		for _, name := range cluster.names {
+			if diff := cmp.Diff(commands(301), cluster.nodes[name].commands()); diff != "" {
 				t.Errorf("%s (-want +got):\n%s", name, diff)
 			}
 		}
-		s.stopAll()
+		cluster.stopAll()
 	})
 }
 
 // A member that was stopped while the others compacted their logs gets a snapshot.
 func TestMemberBehindCompactionCatchesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newTestCluster(t, 3)
-		leader := s.leader()
+		cluster := newTestCluster(t, 3)
+		leader := cluster.leader()
 		var stopped ident.Daemon
-		for _, name := range s.names {
-			if s.nodes[name] != leader {
+		for _, name := range cluster.names {
+			if cluster.nodes[name] != leader {
 				stopped = name
 			}
 		}
-		s.stop(stopped)
-		s.proposeMany(leader, 0, 300)
-		s.start(stopped)
+		cluster.stop(stopped)
+		cluster.proposeMany(leader, 0, 300)
+		cluster.start(stopped)
 		time.Sleep(3 * time.Second)
-		if diff := cmp.Diff(commands(300), s.nodes[stopped].commands()); diff != "" {
+		if diff := cmp.Diff(commands(300), cluster.nodes[stopped].commands()); diff != "" {
 			t.Errorf("commands after the return of the member (-want +got):\n%s", diff)
 		}
-		s.stopAll()
+		cluster.stopAll()
 	})
 }
 
@@ -257,12 +257,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			var path string
 			synctest.Test(t, func(t *testing.T) {
-				s := newTestCluster(t, 1)
-				s.proposeMany(s.leader(), 0, 60)
-				s.stopAll()
-				path = s.nodes["m0"].folder.Path
+				cluster := newTestCluster(t, 1)
+				cluster.proposeMany(cluster.leader(), 0, 60)
+				cluster.stopAll()
+				path = cluster.nodes["m0"].folder.Path
 				c.damage(t, path)
-				store, err := quorum.OpenStore(s.nodes["m0"].folder, c.as)
+				store, err := quorum.OpenStore(cluster.nodes["m0"].folder, c.as)
 				if err == nil {
 					_, _, _, err = store.Load(0)
 					store.Close()
@@ -290,8 +290,8 @@
 // A member whose disk fails to sync stops; the others continue.
 func TestFailedSyncStopsMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newTestCluster(t, 3)
-		leader := s.leader()
+		cluster := newTestCluster(t, 3)
+		leader := cluster.leader()
 		leader.folder.Sync = func(*os.File) error { return os.ErrPermission }
 		_, _, err := leader.node.Propose(t.Context(), []byte("lost"))
 		if code := result.CodeOf(err); code != result.SyncFailed {
@@ -301,15 +301,15 @@
 			t.Errorf("member stopped with code %d, want %d", code, result.SyncFailed)
 		}
 		time.Sleep(3 * time.Second)
-		for _, m := range s.nodes {
+		for _, m := range cluster.nodes {
 			if m != leader && m.node.Status().Role == quorum.RoleLeader {
-				s.proposeMany(m, 0, 1)
-				s.stopAll()
+				cluster.proposeMany(m, 0, 1)
+				cluster.stopAll()
 				return
 			}
 		}
 		t.Error("no other member took over")
-		s.stopAll()
+		cluster.stopAll()
 	})
 }
 
@@ -317,9 +317,9 @@
 // changes again once there is space.
 func TestFullDiskRefusesAndRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newTestCluster(t, 1)
-		m := s.leader()
-		s.proposeMany(m, 0, 5)
+		cluster := newTestCluster(t, 1)
+		m := cluster.leader()
+		cluster.proposeMany(m, 0, 5)
 		m.diskFull.Store(true)
 		// The first change is in the log already when the disk turns out to be full, so its outcome is unknown.
 		_, _, err := m.node.Propose(t.Context(), []byte("c5"))
@@ -335,13 +335,13 @@
 		}
 		m.diskFull.Store(false)
 		time.Sleep(2 * time.Second)
-		s.proposeMany(s.leader(), 6, 1)
-		s.stopAll()
-		s.start("m0")
-		s.proposeMany(s.leader(), 7, 1)
+		cluster.proposeMany(cluster.leader(), 6, 1)
+		cluster.stopAll()
+		cluster.start("m0")
+		cluster.proposeMany(cluster.leader(), 7, 1)
 		if diff := cmp.Diff(commands(8), m.commands()); diff != "" {
 			t.Errorf("commands after a restart (-want +got):\n%s", diff)
 		}
-		s.stopAll()
+		cluster.stopAll()
 	})
 }
--- a/quorum/reads_test.go
+++ b/quorum/reads_test.go
@@ -45,20 +45,20 @@
 
 // versionOf returns the version in a member's state machine, which is the highest one up to its commit index in its
 // snapshot or log.
-func (o *readCheck) versionOf(m *simMember) httproute.Version {
-	for _, m := range o.members {
-		position := o.scanned[m]
+func (r *readCheck) versionOf(m *simMember) httproute.Version {
+	for _, m := range r.members {
+		position := r.scanned[m]
 		if position.starts != m.starts {
 			position = scanPosition{starts: m.starts}
 		}
 		for _, e := range m.applied[position.entries:] {
-			o.recordVersion(e)
+			r.recordVersion(e)
 		}
 		position.entries = len(m.applied)
-		o.scanned[m] = position
+		r.scanned[m] = position
 	}
 	newest := httproute.Version(0)
-	for index, version := range o.versions {
+	for index, version := range r.versions {
 		if index <= m.core.Status().Commit {
 			newest = max(newest, version)
 		}
@@ -67,68 +67,68 @@
 }
 
 // recordVersion records the version at an index of the log.
-func (o *readCheck) recordVersion(e quorum.Entry) {
-	if _, known := o.versions[e.Index]; known || e.Kind != quorum.EntryCommand {
+func (r *readCheck) recordVersion(e quorum.Entry) {
+	if _, known := r.versions[e.Index]; known || e.Kind != quorum.EntryCommand {
 		return
 	}
-	c := catalog.NewMachine()
-	o.versions[e.Index] = c.Apply(e.Data).Held
+	machine := catalog.NewMachine()
+	r.versions[e.Index] = machine.Apply(e.Data).Held
 }
 
 // proposeVersion proposes a version, sometimes an older one, to a member.
-func (o *readCheck) proposeVersion(m *simMember) {
-	version := o.newest + 1
-	if o.newest > 3 && o.random.IntN(3) == 0 {
-		version -= httproute.Version(o.random.IntN(4))
+func (r *readCheck) proposeVersion(m *simMember) {
+	version := r.newest + 1
+	if r.newest > 3 && r.random.IntN(3) == 0 {
+		version -= httproute.Version(r.random.IntN(4))
 	}
-	o.newest = max(o.newest, version)
+	r.newest = max(r.newest, version)
 	data, err := catalog.Encode(catalog.Document{Version: version, Packed: []byte{1}})
 	if err != nil {
-		o.t.Fatal(err)
+		r.t.Fatal(err)
 	}
 	if !m.up {
 		return
 	}
-	if index, ok := m.core.Propose(o.now(m), quorum.EntryCommand, data); ok {
-		o.pending[index] = pendingVersion{m, m.core.Status().Term, version}
-		m.core.Flush(o.now(m))
-		o.drain(m, false)
+	if index, ok := m.core.Propose(r.now(m), quorum.EntryCommand, data); ok {
+		r.pending[index] = pendingVersion{m, m.core.Status().Term, version}
+		m.core.Flush(r.now(m))
+		r.drain(m, false)
 	}
 }
 
 // acknowledge acknowledges the versions that their leader has applied.
-func (o *readCheck) acknowledge() {
-	for index, p := range o.pending {
+func (r *readCheck) acknowledge() {
+	for index, p := range r.pending {
 		if !p.by.up {
-			delete(o.pending, index)
+			delete(r.pending, index)
 			continue
 		}
 		for _, e := range p.by.applied {
 			if e.Index == index && e.Term == p.term {
-				o.acknowledged = max(o.acknowledged, p.version)
-				delete(o.pending, index)
+				r.acknowledged = max(r.acknowledged, p.version)
+				delete(r.pending, index)
 			}
 		}
 	}
 }
 
 // checkReads checks the reads of all members that would serve them, and lets an entry process read from each.
-func (o *readCheck) checkReads() {
-	o.acknowledge()
-	for _, m := range o.members {
+func (r *readCheck) checkReads() {
+	r.acknowledge()
+	for _, m := range r.members {
 		s := m.core.Status()
-		if !m.up || s.Role != quorum.RoleLeader || !o.now(m).Before(s.LeaseEnd) || !s.KnowsCommitted {
+		if !m.up || s.Role != quorum.RoleLeader || !r.now(m).Before(s.LeaseEnd) || !s.KnowsCommitted {
 			continue
 		}
-		got := o.versionOf(m)
-		if got < o.acknowledged {
-			o.t.Fatalf("%s serves a read with version %d although version %d was acknowledged", m.id.Name, got, o.acknowledged)
+		got := r.versionOf(m)
+		if got < r.acknowledged {
+			r.t.Fatalf("%s serves a read with version %d although version %d was acknowledged", m.id.Name, got, r.acknowledged)
 		}
-		i := o.random.IntN(len(o.entryVersions))
-		if got < o.entryVersions[i] {
-			o.t.Fatalf("an entry with version %d reads version %d from %s", o.entryVersions[i], got, m.id.Name)
+		i := r.random.IntN(len(r.entryVersions))
+		if got < r.entryVersions[i] {
+			r.t.Fatalf("an entry with version %d reads version %d from %s", r.entryVersions[i], got, m.id.Name)
 		}
-		o.entryVersions[i] = got
+		r.entryVersions[i] = got
 	}
 }
 
@@ -171,58 +171,58 @@
 
 // loseFolder replaces a member's folder by an empty one and restarts the member, provided that all other members are
 // up, connected and voters.
-func (o *readCheck) loseFolder(m *simMember) {
-	for _, other := range o.members {
-		if !other.up || o.isolated[other.id] || !o.hasVote(other) {
+func (r *readCheck) loseFolder(m *simMember) {
+	for _, other := range r.members {
+		if !other.up || r.isolated[other.id] || !r.hasVote(other) {
 			return
 		}
 	}
-	o.lostFolders++
-	m.id.Folder = quorum.FolderID(fmt.Sprint("new-", o.lostFolders))
+	r.lostFolders++
+	m.id.Folder = quorum.FolderID(fmt.Sprint("new-", r.lostFolders))
 	m.snapshot, m.hardState, m.entries = nil, quorum.HardState{}, nil
-	o.start(m)
-	o.drain(m, false)
+	r.start(m)
+	r.drain(m, false)
 }
 
 // hasVote reports whether a member has a vote, in the view of any leader.
-func (o *readCheck) hasVote(m *simMember) bool {
-	for _, l := range o.members {
+func (r *readCheck) hasVote(m *simMember) bool {
+	for _, l := range r.members {
 		s := l.core.Status()
 		if !l.up || s.Role != quorum.RoleLeader || !s.KnowsCommitted {
 			continue
 		}
-		return slices.Contains(s.Members, quorum.Member{ID: m.id, Voter: true}) && len(s.Members) == len(o.members)
+		return slices.Contains(s.Members, quorum.Member{ID: m.id, Voter: true}) && len(s.Members) == len(r.members)
 	}
 	return false
 }
 
 // admitMembers lets leaders admit members with new folders, and remove the old ones once the new ones have their vote.
-func (o *readCheck) admitMembers() {
-	for _, l := range o.members {
+func (r *readCheck) admitMembers() {
+	for _, l := range r.members {
 		s := l.core.Status()
 		if !l.up || s.Role != quorum.RoleLeader {
 			continue
 		}
-		if members := o.nextMembers(s.Members); members != nil {
-			l.core.ProposeMembers(o.now(l), members)
-			l.core.Flush(o.now(l))
-			o.drain(l, false)
+		if members := r.nextMembers(s.Members); members != nil {
+			l.core.ProposeMembers(r.now(l), members)
+			l.core.Flush(r.now(l))
+			r.drain(l, false)
 		}
 	}
 }
 
-func (o *readCheck) nextMembers(current []quorum.Member) []quorum.Member {
+func (r *readCheck) nextMembers(current []quorum.Member) []quorum.Member {
 	present := func(id quorum.MemberID) bool {
-		return slices.ContainsFunc(o.members, func(m *simMember) bool { return m.id == id })
+		return slices.ContainsFunc(r.members, func(m *simMember) bool { return m.id == id })
 	}
 	if slices.ContainsFunc(current, func(m quorum.Member) bool { return !m.Voter }) {
 		return nil
 	}
-	if len(current) > len(o.members) {
+	if len(current) > len(r.members) {
 		return slices.DeleteFunc(slices.Clone(current), func(m quorum.Member) bool { return !present(m.ID) })
 	}
-	for _, m := range o.members {
-		if m.up && !slices.ContainsFunc(current, func(o quorum.Member) bool { return o.ID == m.id }) {
+	for _, m := range r.members {
+		if m.up && !slices.ContainsFunc(current, func(r quorum.Member) bool { return r.ID == m.id }) {
 			return append(slices.Clone(current), quorum.Member{ID: m.id})
 		}
 	}
@@ -230,67 +230,67 @@
 }
 
 // step advances time and delivers some messages, in any order.
-func (o *readCheck) step() {
-	o.admitMembers()
-	o.advance(time.Duration(1+o.random.IntN(60)) * time.Millisecond)
-	for range o.random.IntN(14) {
-		if len(o.network) == 0 {
+func (r *readCheck) step() {
+	r.admitMembers()
+	r.advance(time.Duration(1+r.random.IntN(60)) * time.Millisecond)
+	for range r.random.IntN(14) {
+		if len(r.network) == 0 {
 			break
 		}
-		i := o.random.IntN(min(len(o.network), 6))
-		if o.random.IntN(12) == 0 {
-			o.network = append(o.network[:i:i], o.network[i+1:]...)
+		i := r.random.IntN(min(len(r.network), 6))
+		if r.random.IntN(12) == 0 {
+			r.network = append(r.network[:i:i], r.network[i+1:]...)
 			continue
 		}
-		o.deliver(i, o.random.IntN(20) == 0, o.random.IntN(80) == 0)
-		o.checkInvariants()
-		o.checkReads()
+		r.deliver(i, r.random.IntN(20) == 0, r.random.IntN(80) == 0)
+		r.checkInvariants()
+		r.checkReads()
 	}
 }
 
 // A new leader whose lease depends on members without the last change serves no reads before it has committed an entry
 // of its own term.
 func TestNewLeaderReadsIncludeAcknowledgedChanges(t *testing.T) {
-	g, leader := clusterWithLeader(t, 5)
+	cluster, leader := clusterWithLeader(t, 5)
 	var others []*simMember
-	for _, m := range g.members {
+	for _, m := range cluster.members {
 		if m != leader {
 			others = append(others, m)
 		}
 	}
 	holders, behind := others[:2], others[2:]
 	for _, m := range behind {
-		g.isolated[m.id] = true
+		cluster.isolated[m.id] = true
 	}
-	g.propose(leader)
+	cluster.propose(leader)
 	last := leader.core.Status().Commit + 1
 	for range 20 {
 		// Only the leader learns that the change is committed.
 		if leader.core.Status().Commit == last {
 			break
 		}
-		g.deliver(0, false, false)
+		cluster.deliver(0, false, false)
 	}
 	if leader.core.Status().Commit != last || holders[0].core.Status().Commit >= last {
 		t.Fatalf("commit index %d at the leader, %d at a follower, want %d and less", leader.core.Status().Commit, holders[0].core.Status().Commit, last)
 	}
-	leader.up, g.network, g.isolated = false, nil, map[quorum.MemberID]bool{holders[1].id: true}
+	leader.up, cluster.network, cluster.isolated = false, nil, map[quorum.MemberID]bool{holders[1].id: true}
 	reads := 0
 	for range 400 {
-		g.advance(timing.Heartbeat / 5)
+		cluster.advance(timing.Heartbeat / 5)
 		for range 40 {
-			if len(g.network) == 0 {
+			if len(cluster.network) == 0 {
 				break
 			}
 			// Messages that would let the members behind catch up are lost.
-			if m := g.network[0]; m.Kind == quorum.MessageSnapshot || len(m.Entries) > 1 {
-				g.network = g.network[1:]
+			if m := cluster.network[0]; m.Kind == quorum.MessageSnapshot || len(m.Entries) > 1 {
+				cluster.network = cluster.network[1:]
 				continue
 			}
-			g.deliver(0, false, false)
+			cluster.deliver(0, false, false)
 		}
 		s := holders[0].core.Status()
-		if s.Role == quorum.RoleLeader && g.now(holders[0]).Before(s.LeaseEnd) && s.KnowsCommitted && s.Commit < last {
+		if s.Role == quorum.RoleLeader && cluster.now(holders[0]).Before(s.LeaseEnd) && s.KnowsCommitted && s.Commit < last {
 			reads++
 		}
 	}
--- a/quorum/start_test.go
+++ b/quorum/start_test.go
@@ -15,33 +15,33 @@
 }
 
 // runDelayed advances time by milliseconds until done, with a delay for each message.
-func (g *simCluster) runDelayed(limit, delay time.Duration, beforeStep func(), done func() bool) time.Duration {
+func (c *simCluster) runDelayed(limit, delay time.Duration, beforeStep func(), done func() bool) time.Duration {
 	var inTransit []delayedMessage
-	started := g.elapsed
-	for g.elapsed-started < limit && !done() {
+	started := c.elapsed
+	for c.elapsed-started < limit && !done() {
 		beforeStep()
-		g.advance(time.Millisecond)
-		for _, m := range g.network {
-			inTransit = append(inTransit, delayedMessage{g.elapsed + delay, m})
+		c.advance(time.Millisecond)
+		for _, m := range c.network {
+			inTransit = append(inTransit, delayedMessage{c.elapsed + delay, m})
 		}
-		g.network = nil
-		for len(inTransit) > 0 && inTransit[0].at <= g.elapsed {
+		c.network = nil
+		for len(inTransit) > 0 && inTransit[0].at <= c.elapsed {
 			m := inTransit[0].m
 			inTransit = inTransit[1:]
-			g.network = append(g.network, m)
-			g.deliver(len(g.network)-1, false, false)
-			for _, m := range g.network {
-				inTransit = append(inTransit, delayedMessage{g.elapsed + delay, m})
+			c.network = append(c.network, m)
+			c.deliver(len(c.network)-1, false, false)
+			for _, m := range c.network {
+				inTransit = append(inTransit, delayedMessage{c.elapsed + delay, m})
 			}
-			g.network = nil
+			c.network = nil
 		}
-		g.checkInvariants()
+		c.checkInvariants()
 	}
-	return g.elapsed - started
+	return c.elapsed - started
 }
 
-func (g *simCluster) hasLeader() bool {
-	for _, m := range g.members {
+func (c *simCluster) hasLeader() bool {
+	for _, m := range c.members {
 		if m.up && m.core.Status().Role == quorum.RoleLeader {
 			return true
 		}
@@ -69,27 +69,27 @@
 			if c.name == "all three" {
 				n = 3
 			}
-			g, leader := clusterWithLeader(t, n)
-			g.propose(leader)
-			g.settle()
-			g.network = nil
-			for i, m := range g.members {
+			cluster, leader := clusterWithLeader(t, n)
+			cluster.propose(leader)
+			cluster.settle()
+			cluster.network = nil
+			for i, m := range cluster.members {
 				m.up = false
 				m.starts += 1000*seed + uint64(7*i)
 			}
 			starts := map[*simMember]time.Duration{}
 			for _, i := range random.Perm(n)[:c.back] {
-				starts[g.members[i]] = g.elapsed + time.Duration(random.Int64N(int64(startSpread)))
+				starts[cluster.members[i]] = cluster.elapsed + time.Duration(random.Int64N(int64(startSpread)))
 			}
-			elapsed := g.runDelayed(5*time.Second, delay, func() {
-				for _, m := range g.members {
-					if at, ok := starts[m]; ok && g.elapsed >= at {
+			elapsed := cluster.runDelayed(5*time.Second, delay, func() {
+				for _, m := range cluster.members {
+					if at, ok := starts[m]; ok && cluster.elapsed >= at {
 						delete(starts, m)
-						g.start(m)
-						g.drain(m, false)
+						cluster.start(m)
+						cluster.drain(m, false)
 					}
 				}
-			}, g.hasLeader)
+			}, cluster.hasLeader)
 			sum += elapsed
 			worst = max(worst, elapsed)
 		}
--- a/quorum/transfer_test.go
+++ b/quorum/transfer_test.go
@@ -13,13 +13,13 @@
 // A leader gives up its lease before it asks another member to take over.
 func TestLeaderHoldsNoLeaseDuringTransfer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newTestCluster(t, 3)
-		leader := s.leader()
-		s.proposeMany(leader, 0, 1)
+		cluster := newTestCluster(t, 3)
+		leader := cluster.leader()
+		cluster.proposeMany(leader, 0, 1)
 		time.Sleep(time.Second)
 		var requests, underLease atomic.Int64
-		s.mu.Lock()
-		s.onSend = func(m *quorum.Message) {
+		cluster.mu.Lock()
+		cluster.onSend = func(m *quorum.Message) {
 			if m.Kind != quorum.MessageTransfer {
 				return
 			}
@@ -28,7 +28,7 @@
 				underLease.Add(1)
 			}
 		}
-		s.mu.Unlock()
+		cluster.mu.Unlock()
 		if !leader.node.TransferLeadership(t.Context()) {
 			t.Fatal("no voter was asked")
 		}
@@ -36,6 +36,6 @@
 		if requests.Load() != 1 || underLease.Load() != 0 {
 			t.Errorf("%d transfer requests, %d of them under a lease; want 1 and 0", requests.Load(), underLease.Load())
 		}
-		s.stopAll()
+		cluster.stopAll()
 	})
 }
