--- a/control/detector.go
+++ b/control/detector.go
@@ -73,11 +73,11 @@
 }
 
 // conditionOnContact distinguishes a member that is as it was confirmed from one that has restarted or lost its group.
-func conditionOnContact(s *presence.DatedObservation, v *fleet.VM, history *vmHistory) planner.Condition {
-	if s == nil || s.Sight != presence.ProbeAnswered {
+func conditionOnContact(latest *presence.DatedObservation, v *fleet.VM, history *vmHistory) planner.Condition {
+	if latest == nil || latest.Sight != presence.ProbeAnswered {
 		return planner.ConditionSuspect
 	}
-	if v.Phase == fleet.VMJoined && s.At.After(history.joinedAt) && (s.Incarnation != v.Incarnation || s.Epoch != v.Epoch) {
+	if v.Phase == fleet.VMJoined && latest.At.After(history.joinedAt) && (latest.Incarnation != v.Incarnation || latest.Epoch != v.Epoch) {
 		return planner.ConditionRestarted
 	}
 	return planner.ConditionPresent
--- a/control/leader.go
+++ b/control/leader.go
@@ -270,8 +270,8 @@
 	return true
 }
 
-// daemonFinished reports whether a daemon can have no request in progress at g. A daemon that this process has not
-// heard from can still be serving for up to ControlBound.
+// daemonFinished reports whether a daemon can have no request in progress at g. A daemon that has
+// not contacted this process yet can still be serving, for up to ControlBound after the start.
 func (l *Leader) daemonFinished(now time.Time, name ident.Daemon, g *planner.Group) bool {
 	peer, known := l.Members.Get(name)
 	if !known {
--- a/quorum/bench_test.go
+++ b/quorum/bench_test.go
@@ -14,7 +14,7 @@
 	"github.com/dunlinquay/dunlinquay/quorum"
 )
 
-// benchCluster is three members on synced folders; messages are passed in memory, so that only the disk takes time.
+// benchCluster is three members on synced folders; messages are passed in memory, so that only the disk adds latency.
 type benchCluster struct {
 	nodes map[ident.Daemon]*quorum.Node
 	stop  func()
--- a/quorum/core.go
+++ b/quorum/core.go
@@ -1,7 +1,7 @@
 package quorum
 
-// Core is the protocol without any input or output: it takes messages, ticks and proposals, and Ready returns what must
-// be persisted, sent and applied. Tests can thus drive all of the protocol one step at a time, with their own clock:
+// Core is the protocol without any input or output: it receives messages, ticks and proposals, and Ready returns what
+// must be persisted, sent and applied. Tests can thus drive all of the protocol one step at a time, with their own clock:
 //
 //	c.Step(now, message)
 //	rd := c.Ready()
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -17,7 +17,7 @@
 const (
 	inboxLength          = 1024
 	proposalsLength      = 4096
-	maxDrained           = 2048
+	maxDrainedPerLoop    = 2048
 	ticksPerHeartbeat    = 2
 	fullDiskRetry        = 500 * time.Millisecond
 	defaultSnapshotEvery = 4096
@@ -269,7 +269,7 @@
 }
 
 func (n *Node) drainInbox() {
-	for range maxDrained {
+	for range maxDrainedPerLoop {
 		select {
 		case messages := <-n.inbox:
 			n.step(messages)
@@ -280,7 +280,7 @@
 }
 
 func (n *Node) drainProposals() {
-	for range maxDrained {
+	for range maxDrainedPerLoop {
 		select {
 		case p := <-n.proposals:
 			n.acceptProposal(p)
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -222,7 +222,7 @@
 	return Permit{OK: grant.OK, Limited: true, Rate: rate, After: grant.After}
 }
 
-// acquireLocalShare takes a permit from this entry's local share if the coordinator is unknown, or has not replied for
+// acquireLocalShare grants a permit from this entry's local share if the coordinator is unknown, or has not replied for
 // localShareAfter.
 func (l *Limiter[K]) acquireLocalShare(k K, rate Rate, coordinator Coordinator, maxWait time.Duration) Permit {
 	l.mu.Lock()
