--- a/control/leader.go
+++ b/control/leader.go
@@ -17,45 +17,46 @@
 	"github.com/dunlinquay/dunlinquay/presence"
 )
 
-// Leader does the leader's work once in every tick, when this member leads; exported fields are set before use.
+// Leader does the control leader's work on each tick. Exported fields are set before use.
 type Leader struct {
 	Now      func() time.Time
 	Machine  *fleet.Machine
 	Detector *FailureDetector
 	Members  *presence.Members
-	// Daemons names every daemon that may serve, Started is when this process began to hear of them.
+	// Daemons names every daemon that may serve. Started is when this process began to receive their heartbeats.
 	Daemons []ident.Daemon
 	Started time.Time
 	Orders  *Orders
 	Policy  planner.Policy
-	// DrainBound is how long a drain waits for requests in progress, ControlBound how long a silent daemon may still serve.
+	// DrainBound is how long a drain waits for requests in progress, ControlBound how long a daemon may serve without
+	// contact to control.
 	DrainBound   time.Duration
 	ControlBound time.Duration
-	// Propose writes one command to the log.
+	// Propose writes a command to the log.
 	Propose func(ctx context.Context, c *fleet.Command) (fleet.Answer, error)
-	// Registered returns the VMs that settings and platform name, Listings what is said of their stay.
+	// Registered returns the VMs that settings and platform name, Listings whether they are live, leaving or gone.
 	Registered func() []fleet.VM
 	Listings   func() map[ident.VM]fleet.Listing
-	// HasPlatform is set when a platform lists VMs; without one only the engines themselves do.
+	// HasPlatform is set if a platform lists VMs; without a platform only engines announce that they leave.
 	HasPlatform bool
 	Log         logr.Logger
 
-	mu       sync.Mutex
-	confirms []fleet.Confirm
-	down     map[ident.Group]time.Time
-	drains   map[ident.Group]drainWatch
-	// world is the planner's view of revision laid; planned is what of it the last plan had seen.
-	world   *planner.Snapshot
-	laid    ident.Revision
-	planned []uint8
+	mu        sync.Mutex
+	confirms  []fleet.Confirm
+	downSince map[ident.Group]time.Time
+	drains    map[ident.Group]drainStart
+	// input is the planner's input for inputRevision, plannedFingerprint the fingerprint of the input of the last plan.
+	input              *planner.Snapshot
+	inputRevision      ident.Revision
+	plannedFingerprint []uint8
 }
 
-type drainWatch struct {
+type drainStart struct {
 	epoch ident.Epoch
 	since time.Time
 }
 
-// NewLeader returns a leader without work.
+// NewLeader returns a leader with default settings.
 func NewLeader() *Leader {
 	return &Leader{
 		Now:        clock.Now,
@@ -63,12 +64,12 @@
 		Registered: func() []fleet.VM { return nil },
 		Listings:   func() map[ident.VM]fleet.Listing { return nil },
 		Log:        logr.Discard(),
-		down:       map[ident.Group]time.Time{},
-		drains:     map[ident.Group]drainWatch{},
+		downSince:  map[ident.Group]time.Time{},
+		drains:     map[ident.Group]drainStart{},
 	}
 }
 
-// Confirm takes an engine's confirmation, which the next tick writes to the log together with others.
+// Confirm queues an engine's confirmation, which the next tick writes to the log together with others.
 func (l *Leader) Confirm(c fleet.Confirm) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,7 +84,7 @@
 	return c
 }
 
-// Tick does everything that is due; an error means that the log took no commands, and the next tick tries again.
+// Tick does everything that is due. An error means that the log accepted no commands; the next tick retries.
 func (l *Leader) Tick(ctx context.Context) error {
 	if err := l.writeConfirms(ctx); err != nil {
 		return err
@@ -91,7 +92,7 @@
 	if err := l.register(ctx); err != nil {
 		return err
 	}
-	if err := l.list(ctx); err != nil {
+	if err := l.writeListings(ctx); err != nil {
 		return err
 	}
 	if err := l.plan(ctx); err != nil {
@@ -110,12 +111,12 @@
 	return err
 }
 
-// register writes the VMs that are new or have moved.
+// register writes VMs that are new or have changed.
 func (l *Leader) register(ctx context.Context) error {
 	var changed []fleet.VM
 	l.Machine.Read(func(s *fleet.State) {
 		for _, v := range l.Registered() {
-			if old := s.VMs[v.Name]; old == nil || !sameMachine(old, &v) {
+			if old := s.VMs[v.Name]; old == nil || !sameVM(old, &v) {
 				changed = append(changed, v)
 			}
 		}
@@ -127,25 +128,26 @@
 	return err
 }
 
-func sameMachine(a, b *fleet.VM) bool {
+func sameVM(a, b *fleet.VM) bool {
 	return a.Address == b.Address && a.Hall == b.Hall && a.Domain == b.Domain &&
 		a.Accelerators == b.Accelerators && a.Speed == b.Speed && a.ChecksOrders == b.ChecksOrders
 }
 
-// list writes what the platform and the engines say of VMs that stay or leave, where it has changed.
-func (l *Leader) list(ctx context.Context) error {
-	said := l.Listings()
+// writeListings writes changes in what the platform and the engines say about VMs that stay or leave.
+func (l *Leader) writeListings(ctx context.Context) error {
+	listings := l.Listings()
 	var changed []fleet.VMListing
 	l.Machine.Read(func(s *fleet.State) {
 		for _, v := range s.SortedVMs() {
-			listing, ok := said[v.Name]
+			listing, ok := listings[v.Name]
 			if !ok {
 				listing = v.Listing
 			}
-			if seen := l.Detector.Table.Cell(v.Name).Latest(); seen != nil && seen.Leaving && listing == fleet.ListingLive {
+			if latest := l.Detector.Table.Cell(v.Name).Latest(); latest != nil && latest.Leaving && listing == fleet.ListingLive {
 				listing = fleet.ListingLeaving
-			} else if !ok && !l.HasPlatform && seen != nil && !seen.Leaving && listing == fleet.ListingLeaving {
-				// With a platform its silence proves nothing: a leader that has not read the list yet must not take its word back.
+			} else if !ok && !l.HasPlatform && latest != nil && !latest.Leaving && listing == fleet.ListingLeaving {
+				// With a platform, the absence of a VM proves nothing: a leader that has not read the list yet must not
+				// revoke what the platform said before.
 				listing = fleet.ListingLive
 			}
 			if listing != v.Listing {
@@ -160,133 +162,133 @@
 	return err
 }
 
-// View calls fn with the planner's view at this moment, which fn must not keep. Laying a fleet out costs far more than
-// judging it, so that is done once for each revision.
-func (l *Leader) View(fn func(w *planner.Snapshot)) {
+// View calls fn with the planner's current input, which fn must not keep. The input is built once per revision, because
+// building it costs far more than assessing it.
+func (l *Leader) View(fn func(input *planner.Snapshot)) {
 	now := l.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if revision := l.Machine.Revision(); l.world == nil || revision != l.laid {
+	if revision := l.Machine.Revision(); l.input == nil || revision != l.inputRevision {
 		l.Machine.Read(func(s *fleet.State) {
-			l.laid = s.Revision
-			l.world = planner.NewSnapshot(s.Clone())
+			l.inputRevision = s.Revision
+			l.input = planner.NewSnapshot(s.Clone())
 		})
-		// A name that is declared again later starts without the past of the one before.
-		maps.DeleteFunc(l.down, func(name ident.Group, _ time.Time) bool { return l.world.Group(name) == nil })
-		maps.DeleteFunc(l.drains, func(name ident.Group, _ drainWatch) bool { return l.world.Group(name) == nil })
+		// A group that is declared again under the same name starts without the history of the former one.
+		maps.DeleteFunc(l.downSince, func(name ident.Group, _ time.Time) bool { return l.input.Group(name) == nil })
+		maps.DeleteFunc(l.drains, func(name ident.Group, _ drainStart) bool { return l.input.Group(name) == nil })
 	}
-	l.Detector.Assess(now, l.world)
-	l.judgeGroups(now, l.world)
-	fn(l.world)
+	l.Detector.Assess(now, l.input)
+	l.assessGroups(now, l.input)
+	fn(l.input)
 }
 
-// Actions returns what the planner wants, or nothing when all that it decides by is as it was at the last plan.
+// Actions returns the planner's actions, or none if its input has not changed since the last plan.
 func (l *Leader) Actions() (actions []planner.Action) {
-	l.View(func(w *planner.Snapshot) {
-		seen := fingerprint(w, l.Policy.RecoveryWait, l.laid)
-		if slices.Equal(seen, l.planned) {
+	l.View(func(input *planner.Snapshot) {
+		current := fingerprint(input, l.Policy.RecoveryWait, l.inputRevision)
+		if slices.Equal(current, l.plannedFingerprint) {
 			return
 		}
-		actions = planner.Plan(w, l.Policy)
-		l.planned = seen
+		actions = planner.Plan(input, l.Policy)
+		l.plannedFingerprint = current
 	})
 	return actions
 }
 
-// fingerprint notes everything that a plan depends on beside the state: conditions, drains, and the passing of times.
-func fingerprint(w *planner.Snapshot, patience time.Duration, revision ident.Revision) []uint8 {
-	seen := binary.LittleEndian.AppendUint64(make([]uint8, 0, len(w.VMs)+len(w.Groups)), uint64(revision))
-	for i := range w.VMs {
-		v := &w.VMs[i]
+// fingerprint covers everything that a plan depends on: the revision, VM conditions, finished drains and elapsed times.
+func fingerprint(input *planner.Snapshot, recoveryWait time.Duration, revision ident.Revision) []uint8 {
+	marks := binary.LittleEndian.AppendUint64(make([]uint8, 0, len(input.VMs)+len(input.Groups)), uint64(revision))
+	for i := range input.VMs {
+		v := &input.VMs[i]
 		mark := uint8(v.Condition) << 1
 		if v.Steady() {
 			mark |= 1
 		}
-		seen = append(seen, mark)
+		marks = append(marks, mark)
 	}
-	for i := range w.Groups {
-		g := &w.Groups[i]
+	for i := range input.Groups {
+		g := &input.Groups[i]
 		mark := uint8(0)
 		if g.Drained {
 			mark |= 1
 		}
-		if g.DownFor >= patience {
+		if g.DownFor >= recoveryWait {
 			mark |= 2
 		}
-		seen = append(seen, mark)
+		marks = append(marks, mark)
 	}
-	return seen
+	return marks
 }
 
-func (l *Leader) judgeGroups(now time.Time, w *planner.Snapshot) {
-	for i := range w.Groups {
-		g := &w.Groups[i]
+func (l *Leader) assessGroups(now time.Time, input *planner.Snapshot) {
+	for i := range input.Groups {
+		g := &input.Groups[i]
 		g.Drained = l.drained(now, g)
-		if g.Phase == fleet.GroupServing && l.allPresent(w, g) {
-			delete(l.down, g.Spec.Name)
+		if g.Phase == fleet.GroupServing && l.allPresent(input, g) {
+			delete(l.downSince, g.Spec.Name)
 			g.DownFor = 0
 			continue
 		}
-		since, ok := l.down[g.Spec.Name]
+		since, ok := l.downSince[g.Spec.Name]
 		if !ok {
 			since = now
-			l.down[g.Spec.Name] = now
+			l.downSince[g.Spec.Name] = now
 		}
 		g.DownFor = now.Sub(since)
 	}
 }
 
-func (l *Leader) allPresent(w *planner.Snapshot, g *planner.Group) bool {
+func (l *Leader) allPresent(input *planner.Snapshot, g *planner.Group) bool {
 	for _, name := range g.Members {
-		if w.VM(name).Condition != planner.ConditionPresent {
+		if input.VM(name).Condition != planner.ConditionPresent {
 			return false
 		}
 	}
 	return true
 }
 
-// drained reports whether no daemon can have a request in progress at g: each one knows of the drain and has none,
-// or has been silent for so long that it refuses requests; or the bound has passed.
+// drained reports whether no daemon can have a request in progress at g: each one knows of the drain and has none, or
+// has been silent for so long that it refuses requests. It is also true once the drain bound has passed.
 func (l *Leader) drained(now time.Time, g *planner.Group) bool {
 	if g.Phase != fleet.GroupDraining {
 		delete(l.drains, g.Spec.Name)
 		return false
 	}
-	d := l.drains[g.Spec.Name]
-	if d.epoch != g.Epoch {
-		d = drainWatch{g.Epoch, now}
-		l.drains[g.Spec.Name] = d
+	start := l.drains[g.Spec.Name]
+	if start.epoch != g.Epoch {
+		start = drainStart{g.Epoch, now}
+		l.drains[g.Spec.Name] = start
 	}
-	if now.Sub(d.since) > l.DrainBound {
+	if now.Sub(start.since) > l.DrainBound {
 		return true
 	}
 	for _, name := range l.Daemons {
-		if !l.done(now, name, g) {
+		if !l.daemonFinished(now, name, g) {
 			return false
 		}
 	}
 	return true
 }
 
-// done reports whether one daemon can have no request in progress at g. One that this process has not heard of yet may
-// be serving all the same, for as long as it may without control.
-func (l *Leader) done(now time.Time, name ident.Daemon, g *planner.Group) bool {
-	p, heard := l.Members.Get(name)
-	if !heard {
+// daemonFinished reports whether a daemon can have no request in progress at g. A daemon that has
+// not contacted this process yet can still be serving, for up to ControlBound after the start.
+func (l *Leader) daemonFinished(now time.Time, name ident.Daemon, g *planner.Group) bool {
+	peer, known := l.Members.Get(name)
+	if !known {
 		return now.Sub(l.Started) > l.ControlBound
 	}
-	if now.Sub(p.LastContact) > l.ControlBound {
+	if now.Sub(peer.LastContact) > l.ControlBound {
 		return true
 	}
-	return p.Revision >= g.DrainedFrom && p.InFlight[g.Spec.Name] == 0
+	return peer.Revision >= g.DrainedFrom && peer.InFlight[g.Spec.Name] == 0
 }
 
 func (l *Leader) plan(ctx context.Context) error {
 	for _, a := range l.Actions() {
 		answer, err := l.Propose(ctx, commandFor(&a))
 		if err != nil {
-			// What was not written has to be planned again.
-			l.forgetPlan()
+			// Actions that were not written must be planned again.
+			l.resetPlan()
 			return err
 		}
 		l.Log.Info("planned", "group", a.Group, "members", a.Members, "reason", a.Reason,
@@ -295,10 +297,10 @@
 	return nil
 }
 
-func (l *Leader) forgetPlan() {
+func (l *Leader) resetPlan() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.planned = nil
+	l.plannedFingerprint = nil
 }
 
 func commandFor(a *planner.Action) *fleet.Command {
--- a/control/orders.go
+++ b/control/orders.go
@@ -14,45 +14,41 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// Orders follow from the state alone: a VM that is joining is told to join
-// until it confirms, one that is leaving is told to leave. A leader that takes
-// over gives the same orders again, which engines take as done already.
+// Orders follow from the state alone: a joining VM gets join orders until it confirms, a leaving VM gets leave orders.
+// A new leader sends the same orders again, which engines treat as done.
 //
-// The weight store has a limited rate. A group serves only when its last member
-// has loaded, so loads that share the rate evenly all end late. Groups are
-// therefore started one after the other, the important one first, then the one
-// that lacks the fewest members, and a further one is started beside those that
-// load only when that lowers the sum of their waiting; see ShouldStartLoad.
+// The weight store has a limited rate. A group serves only once its last member has loaded, so loads that share the
+// rate evenly all finish late. Groups therefore load one after another, by priority and then by the fewest joining
+// members. A further group loads at the same time only if that lowers the sum of the waiting times; see
+// ShouldStartLoad.
 //
-// Two leaders must not steer the same engine. An engine that checks orders
-// compares the fence, the leader's term and a running number. For one that does
-// not, the leader gives orders only while it holds its lease, only after every
-// earlier leader's lease has run out, and with a deadline no later than its
-// own lease's end. What remains is a leader that is paused between the check
-// and the write for longer than the drift allowance: its order is bounded by
-// the deadline on the connection, not by the engine.
+// Two leaders must not control the same engine. An engine that checks orders compares the fence, which is the leader's
+// term and a sequence number. To an engine that does not, the leader sends orders only while it holds its lease, only
+// after every earlier leader's lease has expired, and with a deadline no later than the end of its own lease. One gap
+// remains: a leader that is paused between the check and the write for longer than the drift allowance can still send
+// an order, which is bounded by the deadline on the connection only.
 
-// Authority is what a leader may do at one moment.
+// Authority says which orders a leader may send at a moment.
 type Authority struct {
-	// Leads is set while this member believes it leads, in Term.
+	// Leads is set while this member believes that it leads, in Term.
 	Leads bool
 	Term  uint64
-	// MayOrderUnchecked is set while it may also order engines that check nothing; Until is the end of its lease.
+	// MayOrderUnchecked is set if the leader may also order engines that do not check fences, until LeaseEnd.
 	MayOrderUnchecked bool
 	LeaseEnd          time.Time
 }
 
-// Orders gives the orders that a state calls for; exported fields are set before use.
+// Orders sends the orders that a state requires. Exported fields are set before use.
 type Orders struct {
 	Now      func() time.Time
 	Deadline time.Duration
-	// ConcurrentLoads is how many VMs the weight store feeds at full rate.
+	// ConcurrentLoads is the number of VMs that the weight store serves at full rate.
 	ConcurrentLoads int
 	Authority       func() Authority
 	Send            func(ctx context.Context, address string, o *engine.Order) (engine.OrderAnswer, error)
-	// Confirmed receives what engines confirmed.
+	// Confirmed receives the confirmations of engines.
 	Confirmed func(c fleet.Confirm)
-	// Failed is told of every order that was not obeyed.
+	// Failed is called for each order that failed.
 	Failed func(vm ident.VM, kind engine.OrderKind, err error)
 
 	mu       sync.Mutex
@@ -61,54 +57,54 @@
 	wg       sync.WaitGroup
 }
 
-// attempt is the state of ordering one VM in one epoch.
+// attempt is the progress of the order for one VM in one epoch.
 type attempt struct {
 	epoch   ident.Epoch
 	kind    engine.OrderKind
 	running bool
-	// loads is set while the engine says that it loads, failed after an order that was not obeyed.
-	loads   bool
+	// loading is set while the engine reports that it loads weights, failed after an order that failed.
+	loading bool
 	failed  bool
-	next    time.Time
+	nextAt  time.Time
 	backoff time.Duration
 }
 
 const (
-	maxRunning   = 256
-	defaultLoads = 16
-	firstWait    = 100 * time.Millisecond
-	longestGap   = 2 * time.Second
+	maxOrdersInFlight      = 256
+	defaultConcurrentLoads = 16
+	initialBackoff         = 100 * time.Millisecond
+	maxBackoff             = 2 * time.Second
 )
 
-// NewOrders returns an idle order giver.
+// NewOrders returns Orders without any in flight.
 func NewOrders() *Orders {
-	return &Orders{Now: clock.Now, ConcurrentLoads: defaultLoads, pending: map[ident.VM]*attempt{}, Failed: func(ident.VM, engine.OrderKind, error) {}}
+	return &Orders{Now: clock.Now, ConcurrentLoads: defaultConcurrentLoads, pending: map[ident.VM]*attempt{}, Failed: func(ident.VM, engine.OrderKind, error) {}}
 }
 
-// Wait returns when no order is on its way.
+// Wait returns when no order is in flight.
 func (o *Orders) Wait() {
 	o.wg.Wait()
 }
 
-// Reconcile starts every order that s calls for and that is due.
+// Reconcile sends every order that s requires and that is due.
 func (o *Orders) Reconcile(ctx context.Context, s *fleet.State) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.Now()
-	running, loading := o.forget(s)
-	list, missing := inTurn(s)
-	for _, v := range list {
+	running, loads := o.dropStale(s)
+	vms, joining := orderQueue(s)
+	for _, v := range vms {
 		order := orderFor(s, v)
 		if order == nil {
 			continue
 		}
 		a := o.attempt(v.Name, order)
-		if a.running || now.Before(a.next) || running >= maxRunning {
+		if a.running || now.Before(a.nextAt) || running >= maxOrdersInFlight {
 			continue
 		}
-		// A VM whose last order failed is asked again without a turn: it does not load, and must not keep others from it.
-		turn := order.Kind == engine.OrderJoin && !a.failed
-		if turn && !loading.admit(v.Group, missing[v.Group], o.ConcurrentLoads) || !o.mayOrder(v, order, now) {
+		// A VM whose last order failed is not loading, so its retry needs no slot and blocks no other VM.
+		needsLoadSlot := order.Kind == engine.OrderJoin && !a.failed
+		if needsLoadSlot && !loads.admit(v.Group, joining[v.Group], o.ConcurrentLoads) || !o.mayOrder(v, order, now) {
 			continue
 		}
 		running++
@@ -117,59 +113,59 @@
 	}
 }
 
-// loading counts, for each group that loads, the VMs that do.
-type loading map[ident.Group]int
+// groupLoads counts the loading VMs of each loading group.
+type groupLoads map[ident.Group]int
 
-// admit reports whether a group may load now, and counts it when it may.
-func (l loading) admit(name ident.Group, missing, limit int) bool {
-	if _, ok := l[name]; ok {
+// admit reports whether a group may load now, and if so counts its VMs.
+func (l groupLoads) admit(group ident.Group, joining, limit int) bool {
+	if _, ok := l[group]; ok {
 		return true
 	}
 	vms := 0
 	for _, n := range l {
 		vms += n
 	}
-	if !ShouldStartLoad(vms, len(l), missing, limit) {
+	if !ShouldStartLoad(vms, len(l), joining, limit) {
 		return false
 	}
-	l[name] = missing
+	l[group] = joining
 	return true
 }
 
-// ShouldStartLoad reports whether starting more loads beside those of the given number of VMs and groups lowers the sum of all
-// groups' waiting, when limit VMs can load at full rate and more of them share it evenly.
-func ShouldStartLoad(vms, groups, more, limit int) bool {
+// ShouldStartLoad reports whether loading additional VMs now, beside the given number of loading VMs and groups, lowers
+// the sum of the waiting times of all groups. Up to limit VMs load at full rate; more of them share it evenly.
+func ShouldStartLoad(vms, groups, additional, limit int) bool {
 	if groups == 0 {
 		return true
 	}
-	rounds := func(n int) float64 { return max(1, float64(n)/float64(limit)) }
-	together := float64(groups+1) * rounds(vms+more)
-	inTurn := float64(groups)*rounds(vms) + rounds(vms) + rounds(more)
-	return together <= inTurn
+	duration := func(n int) float64 { return max(1, float64(n)/float64(limit)) }
+	concurrent := float64(groups+1) * duration(vms+additional)
+	sequential := float64(groups)*duration(vms) + duration(vms) + duration(additional)
+	return concurrent <= sequential
 }
 
-// inTurn returns the VMs that join or leave, in the order in which they are to be ordered, and what each group lacks.
-func inTurn(s *fleet.State) (list []*fleet.VM, missing map[ident.Group]int) {
-	missing = map[ident.Group]int{}
+// orderQueue returns the joining and leaving VMs in the order in which they get orders, and the joining VMs per group.
+func orderQueue(s *fleet.State) (queue []*fleet.VM, joining map[ident.Group]int) {
+	joining = map[ident.Group]int{}
 	for _, v := range s.VMs {
 		switch v.Phase {
 		case fleet.VMJoining:
-			missing[v.Group]++
-			list = append(list, v)
+			joining[v.Group]++
+			queue = append(queue, v)
 		case fleet.VMLeaving:
-			list = append(list, v)
+			queue = append(queue, v)
 		}
 	}
-	slices.SortFunc(list, func(a, b *fleet.VM) int {
-		// Leaving costs nothing and frees a VM for others.
+	slices.SortFunc(queue, func(a, b *fleet.VM) int {
+		// Leave orders cost nothing and free a VM for other groups.
 		if a.Phase != b.Phase {
 			return cmp.Compare(b.Phase, a.Phase)
 		}
 		return cmp.Or(
-			cmp.Compare(priority(s, a), priority(s, b)), cmp.Compare(missing[a.Group], missing[b.Group]),
+			cmp.Compare(priority(s, a), priority(s, b)), cmp.Compare(joining[a.Group], joining[b.Group]),
 			cmp.Compare(a.Epoch, b.Epoch), cmp.Compare(a.Name, b.Name))
 	})
-	return list, missing
+	return queue, joining
 }
 
 func priority(s *fleet.State, v *fleet.VM) int {
@@ -179,20 +175,20 @@
 	return 0
 }
 
-// forget drops attempts that the state no longer calls for and counts those on their way and, by group, those that load.
-func (o *Orders) forget(s *fleet.State) (running int, loads loading) {
-	loads = loading{}
+// dropStale drops attempts that the state no longer requires. It returns the orders in flight and the loads by group.
+func (o *Orders) dropStale(s *fleet.State) (running int, loads groupLoads) {
+	loads = groupLoads{}
 	for name, a := range o.pending {
 		v := s.VMs[name]
-		called := v != nil && v.Epoch == a.epoch && (v.Phase == fleet.VMJoining || v.Phase == fleet.VMLeaving)
-		if !a.running && !called {
+		wanted := v != nil && v.Epoch == a.epoch && (v.Phase == fleet.VMJoining || v.Phase == fleet.VMLeaving)
+		if !a.running && !wanted {
 			delete(o.pending, name)
 			continue
 		}
 		if a.running {
 			running++
 		}
-		if called && (a.loads || a.running && !a.failed && a.kind == engine.OrderJoin) {
+		if wanted && (a.loading || a.running && !a.failed && a.kind == engine.OrderJoin) {
 			loads[v.Group]++
 		}
 	}
@@ -202,7 +198,7 @@
 func (o *Orders) attempt(name ident.VM, order *engine.Order) *attempt {
 	a := o.pending[name]
 	if a == nil || !a.running && (a.epoch != order.Epoch || a.kind != order.Kind) {
-		a = &attempt{epoch: order.Epoch, kind: order.Kind, backoff: firstWait}
+		a = &attempt{epoch: order.Epoch, kind: order.Kind, backoff: initialBackoff}
 		o.pending[name] = a
 	}
 	return a
@@ -222,7 +218,7 @@
 	return true
 }
 
-// orderFor returns the order that the state of v calls for, or nil.
+// orderFor returns the order that the state of v requires, or nil.
 func orderFor(s *fleet.State, v *fleet.VM) *engine.Order {
 	switch v.Phase {
 	case fleet.VMLeaving:
@@ -269,13 +265,13 @@
 	a.running = false
 	// A VM that cannot be reached must not keep others from loading.
 	a.failed = err != nil
-	a.loads = err == nil && !answer.Done && order.Kind == engine.OrderJoin
+	a.loading = err == nil && !answer.Done && order.Kind == engine.OrderJoin
 	if err == nil && !answer.Done {
-		// Loading takes its time; the question is repeated at an even pace.
-		a.backoff = firstWait
+		// Loading takes long, so the engine is asked for its state at a constant interval.
+		a.backoff = initialBackoff
 	}
-	a.next = o.Now().Add(a.backoff)
-	a.backoff = min(2*a.backoff, longestGap)
+	a.nextAt = o.Now().Add(a.backoff)
+	a.backoff = min(2*a.backoff, maxBackoff)
 	o.mu.Unlock()
 	switch {
 	case err != nil:
@@ -285,7 +281,7 @@
 	}
 }
 
-// IsFenced reports whether an engine refused because it has seen a newer leader.
+// IsFenced reports whether an engine refused an order because it has seen a newer fence.
 func IsFenced(err error) bool {
 	return result.CodeOf(err) == result.OrderFenced
 }
--- a/quorum/bench_test.go
+++ b/quorum/bench_test.go
@@ -14,17 +14,17 @@
 	"github.com/dunlinquay/dunlinquay/quorum"
 )
 
-// trio is three members on synced folders; messages pass in memory, so that the disk is what is measured.
-type trio struct {
+// benchCluster is three members on synced folders; messages are passed in memory, so that only the disk adds latency.
+type benchCluster struct {
 	nodes map[ident.Daemon]*quorum.Node
 	stop  func()
-	// silent names a member whose messages are lost.
+	// silent is the name of a member whose messages are lost.
 	silent atomic.Value
 }
 
-func newTrio(b *testing.B, root string, every quorum.Index) *trio {
+func newBenchCluster(b *testing.B, root string, snapshotEvery quorum.Index) *benchCluster {
 	b.Helper()
-	t := &trio{nodes: map[ident.Daemon]*quorum.Node{}}
+	c := &benchCluster{nodes: map[ident.Daemon]*quorum.Node{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	var members []quorum.Member
@@ -40,13 +40,13 @@
 			b.Fatal(err)
 		}
 		n := quorum.NewNode(store)
-		n.Timing, n.SnapshotEvery, n.Seed = timing, every, uint64(name[0])
+		n.Timing, n.SnapshotEvery, n.Seed = timing, snapshotEvery, uint64(name[0])
 		n.Send = func(messages []quorum.Message) {
 			for i := range messages {
-				if quiet, _ := t.silent.Load().(string); quiet == string(name) {
+				if silent, _ := c.silent.Load().(string); silent == string(name) {
 					return
 				}
-				t.nodes[messages[i].To.Name].Deliver(messages[i : i+1])
+				c.nodes[messages[i].To.Name].Deliver(messages[i : i+1])
 			}
 		}
 		n.Fatal = func(err error) { b.Error(err) }
@@ -54,27 +54,27 @@
 		n.Apply = func(quorum.Index, []byte) any { count++; return count }
 		n.TakeSnapshot = func() ([]byte, error) { return []byte{1}, nil }
 		n.Restore = func(quorum.Index, []byte) error { return nil }
-		t.nodes[name] = n
+		c.nodes[name] = n
 		stores = append(stores, store)
 		members = append(members, quorum.Member{ID: store.ID(), Voter: true})
 	}
 	for i, name := range names {
 		wg.Go(func() { stores[i].Run(ctx) })
-		wg.Go(func() { t.nodes[name].Run(ctx) })
+		wg.Go(func() { c.nodes[name].Run(ctx) })
 	}
 	for _, name := range names {
-		t.nodes[name].Form(ctx, members)
+		c.nodes[name].Form(ctx, members)
 	}
-	t.stop = func() {
+	c.stop = func() {
 		cancel()
 		wg.Wait()
 	}
-	return t
+	return c
 }
 
-func (t *trio) leader() *quorum.Node {
+func (c *benchCluster) leader() *quorum.Node {
 	for {
-		for _, n := range t.nodes {
+		for _, n := range c.nodes {
 			if n.Status().Role == quorum.RoleLeader {
 				return n
 			}
@@ -86,15 +86,15 @@
 func BenchmarkChanges(b *testing.B) {
 	for _, writers := range []int{1, 64, 1024} {
 		b.Run(fmt.Sprint(writers, "-at-once"), func(b *testing.B) {
-			t := newTrio(b, b.TempDir(), 1<<30)
-			defer t.stop()
-			leader := t.leader()
+			cluster := newBenchCluster(b, b.TempDir(), 1<<30)
+			defer cluster.stop()
+			leader := cluster.leader()
 			data := make([]byte, 200)
 			var wg sync.WaitGroup
-			work := make(chan struct{})
+			proposals := make(chan struct{})
 			for range writers {
 				wg.Go(func() {
-					for range work {
+					for range proposals {
 						if _, _, err := leader.Propose(context.Background(), data); err != nil {
 							b.Error(err)
 						}
@@ -102,9 +102,9 @@
 				})
 			}
 			for b.Loop() {
-				work <- struct{}{}
+				proposals <- struct{}{}
 			}
-			close(work)
+			close(proposals)
 			wg.Wait()
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "changes/s")
 		})
@@ -113,13 +113,13 @@
 
 func BenchmarkRestartAfter10000Changes(b *testing.B) {
 	for _, c := range []struct {
-		name  string
-		every quorum.Index
+		name          string
+		snapshotEvery quorum.Index
 	}{{"with-snapshot", 4096}, {"without-snapshot", 1 << 30}} {
 		b.Run(c.name, func(b *testing.B) {
 			root := b.TempDir()
-			t := newTrio(b, root, c.every)
-			leader := t.leader()
+			cluster := newBenchCluster(b, root, c.snapshotEvery)
+			leader := cluster.leader()
 			var wg sync.WaitGroup
 			for range 100 {
 				wg.Go(func() {
@@ -129,7 +129,7 @@
 				})
 			}
 			wg.Wait()
-			t.stop()
+			cluster.stop()
 			for b.Loop() {
 				folder, err := disk.NewFolder(filepath.Join(root, "a"))
 				if err != nil {
@@ -148,25 +148,25 @@
 	}
 }
 
-// From the silence of the leader to the next accepted change.
+// Covers the time from the silence of the leader to the next accepted change.
 func BenchmarkLeaderLoss(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
-		t := newTrio(b, b.TempDir(), 1<<30)
-		leader := t.leader()
+		cluster := newBenchCluster(b, b.TempDir(), 1<<30)
+		leader := cluster.leader()
 		_, _, _ = leader.Propose(context.Background(), []byte{1})
 		b.StartTimer()
-		t.silent.Store(string(leader.Status().ID.Name))
-		t.changeThroughOther(leader)
+		cluster.silent.Store(string(leader.Status().ID.Name))
+		cluster.proposeThroughSuccessor(leader)
 		b.StopTimer()
-		t.stop()
+		cluster.stop()
 		b.StartTimer()
 	}
 }
 
-func (t *trio) changeThroughOther(old *quorum.Node) {
+func (c *benchCluster) proposeThroughSuccessor(old *quorum.Node) {
 	for {
-		for _, n := range t.nodes {
+		for _, n := range c.nodes {
 			if n == old || n.Status().Role != quorum.RoleLeader {
 				continue
 			}
--- a/quorum/core.go
+++ b/quorum/core.go
@@ -1,22 +1,19 @@
 package quorum
 
-// Core is the protocol without any input or output: messages, ticks and
-// proposals go in, and Ready tells what must be persisted, sent and applied.
-// All traps of a replicated log then lie in code that a test can drive one
-// step at a time, with a clock of its own:
+// Core is the protocol without any input or output: it receives messages, ticks and proposals, and Ready returns what
+// must be persisted, sent and applied. Tests can thus drive all of the protocol one step at a time, with their own clock:
 //
 //	c.Step(now, message)
 //	rd := c.Ready()
-//	send(rd.Appends)            // a leader may send entries before its own sync
-//	persist(rd.Hard, rd.Entries) // then c.Persisted(last)
-//	send(rd.Messages)           // promises go out only after they are on disk
+//	send(rd.Appends)                  // a leader may send entries before its own sync
+//	persist(rd.HardState, rd.Entries) // then c.Persisted(last)
+//	send(rd.Messages)                 // votes and acknowledgements only after they are on disk
 //	apply(rd.Committed)
 //
-// The rules are those of Raft (Ongaro 2014) with pre-vote, check-quorum,
-// single-member changes and leader leases. A member withholds its vote while
-// it has heard from a leader within the election time, and after its start,
-// because it cannot remember what it promised before. A leader's lease is
-// counted from the moment it sent a heartbeat that a majority answered.
+// The rules are those of Raft (Ongaro 2014) with pre-vote, check-quorum, single-member changes and leader leases. A
+// member withholds its vote while its last contact with a leader is within the election time. It also withholds its
+// vote after its start, because it cannot know which lease it supported before. A leader's lease starts when it sent a
+// heartbeat that a majority has answered.
 
 import (
 	"math/rand/v2"
@@ -29,14 +26,15 @@
 const (
 	maxEntriesPerMessage = 512
 	maxBytesPerMessage   = 1 << 20
-	driftFactor          = 1.1
-	// quickTries is how many times a member that starts tries after the part 1/quickPart of the election time, past which a
-	// vote with its syncs and answers is usually decided; after that disks may be slow, and it waits as long as any other.
-	quickTries = 3
-	quickPart  = 3
-	// turnPart is the part 1/turnPart of the election time by which members that start ask for votes after each other: some
-	// times the time that a vote takes.
-	turnPart = 12
+	clockDriftFactor     = 1.1
+	// A member that starts campaigns up to startupAttempts times after the shorter time
+	// Election/startupElectionDivisor, in which a vote with its syncs and replies is usually decided. After that, disks
+	// may be slow, and the member waits as long as any other.
+	startupAttempts        = 3
+	startupElectionDivisor = 3
+	// Election/staggerDivisor is the time between the campaigns of members that start, several times the duration of a
+	// vote.
+	staggerDivisor = 12
 )
 
 // Timing holds the intervals of one instance.
@@ -46,13 +44,13 @@
 	Lease     time.Duration
 }
 
-// promised is how long a member that has just started withholds its vote: it may have supported a leader's lease right
-// before, and has forgotten that.
-func (t Timing) promised() time.Duration {
-	return min(t.Election, time.Duration(driftFactor*float64(t.Lease)))
+// voteHoldOff is how long a member that has just started withholds its vote, because it may have supported a leader's
+// lease before its start.
+func (t Timing) voteHoldOff() time.Duration {
+	return min(t.Election, time.Duration(clockDriftFactor*float64(t.Lease)))
 }
 
-// Ready is what the driver has to do after a step, in the order of its fields.
+// Ready is what the driver has to do after a step, in the order of the fields.
 type Ready struct {
 	Appends   []Message
 	Install   *Snapshot
@@ -63,116 +61,118 @@
 }
 
 type progress struct {
-	match     Index
-	next      Index
-	acked     time.Time
-	ackedSent time.Time
-	// suspect is when the member first refused what it had acknowledged before.
-	suspect time.Time
-	lost    bool
-	// snapshotAt limits how often a snapshot is sent to a member that does not answer.
-	snapshotAt time.Time
+	match          Index
+	next           Index
+	lastAck        time.Time
+	ackedBroadcast time.Time
+	// refusingSince is when the member first refused an index that it had acknowledged before.
+	refusingSince time.Time
+	lostData      bool
+	// snapshotRequestedAt limits how often a snapshot is sent to a member that does not reply.
+	snapshotRequestedAt time.Time
 }
 
-// Core is one member of one instance; its methods must not be called concurrently.
+// Core is one member of one instance. Its methods must not be called concurrently.
 type Core struct {
 	id       MemberID
 	instance Instance
 	timing   Timing
 	random   *rand.Rand
 
-	hard     HardState
-	snapshot Snapshot // Data is left out; the driver keeps it.
-	entries  []Entry  // entries[0].Index == snapshot.Index+1
-	formed   bool
-	members  []Member
-	memberAt Index
-	commit   Index
-	handed   Index // up to here Ready has handed out committed entries
-	// currentFrom is the first commit of a leader's own term that was seen since the start; applying it makes this
-	// member know everything that was committed before.
-	currentFrom Index
-	persisted   Index
-
-	role     Role
-	leader   MemberID
-	heard    time.Time // when a leader was heard last, or the start
-	deadline time.Time
-	// quick counts the short deadlines that are left to a member that has not heard of a leader since its start.
-	quick    int
-	votes    map[MemberID]bool
-	transfer bool
-	elected  time.Time
-	lease    time.Time
-	nextBeat time.Time
-	lastSent time.Time
-	progress map[MemberID]*progress
-	needSnap []MemberID
-
-	appends    []Message
-	messages   []Message
-	install    *Snapshot
-	hardDirty  bool
-	firstDirty Index
+	hardState    HardState
+	snapshot     Snapshot // without Data, which the driver keeps
+	entries      []Entry  // entries[0].Index == snapshot.Index+1
+	formed       bool
+	members      []Member
+	membersIndex Index
+	commit       Index
+	handedOut    Index // last committed entry that Ready has returned
+	// firstCurrentTermCommit is the first commit, since the start, of an entry of the leader's own term. Once it is
+	// applied, this member knows everything that was committed before.
+	firstCurrentTermCommit Index
+	persisted              Index
+
+	role             Role
+	leader           MemberID
+	lastContact      time.Time // last contact with a leader, initially derived from the start
+	electionDeadline time.Time
+	// startupAttemptsLeft is the number of short election deadlines left to a member without contact to a leader since
+	// its start.
+	startupAttemptsLeft int
+	votes               map[MemberID]bool
+	transferring        bool
+	electedAt           time.Time
+	leaseEnd            time.Time
+	nextHeartbeat       time.Time
+	lastBroadcast       time.Time
+	progress            map[MemberID]*progress
+	snapshotRequests    []MemberID
+
+	appends        []Message
+	messages       []Message
+	install        *Snapshot
+	hardStateDirty bool
+	firstUnsaved   Index
 }
 
-// NewCore returns a member that has read snapshot (nil when never formed), hard and entries from its disk; seed varies election times.
-func NewCore(id MemberID, instance Instance, timing Timing, seed uint64, now time.Time, snapshot *Snapshot, hard HardState, entries []Entry) *Core {
+// NewCore returns a member from the snapshot (nil if never formed), hard state and entries of its disk. The seed
+// randomizes election times.
+func NewCore(id MemberID, instance Instance, timing Timing, seed uint64, now time.Time, snapshot *Snapshot, hardState HardState, entries []Entry) *Core {
 	c := &Core{
-		id:       id,
-		instance: instance,
-		timing:   timing,
-		random:   rand.New(rand.NewPCG(seed, uint64(instance))),
-		hard:     hard,
-		heard:    now.Add(timing.promised() - timing.Election),
-		votes:    map[MemberID]bool{},
-		progress: map[MemberID]*progress{},
+		id:          id,
+		instance:    instance,
+		timing:      timing,
+		random:      rand.New(rand.NewPCG(seed, uint64(instance))),
+		hardState:   hardState,
+		lastContact: now.Add(timing.voteHoldOff() - timing.Election),
+		votes:       map[MemberID]bool{},
+		progress:    map[MemberID]*progress{},
 	}
 	if snapshot != nil {
 		c.formed = true
 		c.snapshot = Snapshot{Index: snapshot.Index, Term: snapshot.Term, Members: snapshot.Members}
 		c.commit = snapshot.Index
-		c.handed = snapshot.Index
+		c.handedOut = snapshot.Index
 		c.entries = append(c.entries, entries...)
 	}
 	c.persisted = c.lastIndex()
-	c.findMembers()
-	// Members that all start anew have nobody to wait for but the lease that they may have supported.
-	c.quick = quickTries
-	c.deadline = now.Add(timing.promised() + c.turn())
+	c.updateMembers()
+	// When all members restart, each waits only until a lease that it may have supported has expired.
+	c.startupAttemptsLeft = startupAttempts
+	c.electionDeadline = now.Add(timing.voteHoldOff() + c.staggerDelay())
 	return c
 }
 
-// Ready returns what is to be done and forgets it.
+// Ready returns the pending work and clears it.
 func (c *Core) Ready() Ready {
 	rd := Ready{Appends: c.appends, Install: c.install, Messages: c.messages}
 	c.appends, c.messages, c.install = nil, nil, nil
-	if c.hardDirty {
-		hard := c.hard
-		rd.HardState = &hard
-		c.hardDirty = false
+	if c.hardStateDirty {
+		hardState := c.hardState
+		rd.HardState = &hardState
+		c.hardStateDirty = false
 	}
-	if c.firstDirty != 0 {
-		rd.Entries = c.slice(c.firstDirty, c.lastIndex())
-		c.firstDirty = 0
+	if c.firstUnsaved != 0 {
+		rd.Entries = c.slice(c.firstUnsaved, c.lastIndex())
+		c.firstUnsaved = 0
 	}
-	if until := min(c.commit, c.lastIndex()); until > c.handed {
-		rd.Committed = c.slice(c.handed+1, until)
-		c.handed = until
+	if until := min(c.commit, c.lastIndex()); until > c.handedOut {
+		rd.Committed = c.slice(c.handedOut+1, until)
+		c.handedOut = until
 	}
 	return rd
 }
 
-// Status returns the member's view; Applied is the driver's to fill in.
+// Status returns the member's state; the driver sets Applied.
 func (c *Core) Status() Status {
 	return Status{
-		ID: c.id, Formed: c.formed, Role: c.role, Term: c.hard.Term, Leader: c.leader.Name, Commit: c.commit,
-		Members: c.members, KnowsCommitted: c.currentFrom > 0, Expelled: c.hard.Expelled, LeaseEnd: c.lease, ElectedAt: c.elected, LastContact: c.heard,
+		ID: c.id, Formed: c.formed, Role: c.role, Term: c.hardState.Term, Leader: c.leader.Name, Commit: c.commit,
+		Members: c.members, KnowsCommitted: c.firstCurrentTermCommit > 0, Expelled: c.hardState.Expelled, LeaseEnd: c.leaseEnd, ElectedAt: c.electedAt, LastContact: c.lastContact,
 		Followers: c.followers(),
 	}
 }
 
-// followers returns what this leader knows of the other members, or nothing on a member that does not lead.
+// followers returns the state of the other members on a leader, nil on other members.
 func (c *Core) followers() []Follower {
 	if c.role != RoleLeader {
 		return nil
@@ -180,7 +180,7 @@
 	list := make([]Follower, 0, len(c.members))
 	for _, m := range c.members {
 		if p := c.progress[m.ID]; m.ID != c.id && p != nil {
-			list = append(list, Follower{ID: m.ID, LastAck: p.acked, LostData: p.lost})
+			list = append(list, Follower{ID: m.ID, LastAck: p.lastAck, LostData: p.lostData})
 		}
 	}
 	return list
@@ -189,14 +189,14 @@
 // CaughtUpVoter returns a voter other than this leader that holds the whole log.
 func (c *Core) CaughtUpVoter() (MemberID, bool) {
 	for _, m := range c.members {
-		if p := c.progress[m.ID]; m.Voter && m.ID != c.id && p != nil && !p.lost && p.match == c.lastIndex() {
+		if p := c.progress[m.ID]; m.Voter && m.ID != c.id && p != nil && !p.lostData && p.match == c.lastIndex() {
 			return m.ID, true
 		}
 	}
 	return MemberID{}, false
 }
 
-// Persisted tells that every entry up to last is synced; a leader counts itself only then.
+// Persisted records that all entries up to last are synced; only then does a leader count its own copy.
 func (c *Core) Persisted(last Index) {
 	c.persisted = max(c.persisted, min(last, c.lastIndex()))
 	if c.role == RoleLeader {
@@ -204,73 +204,74 @@
 	}
 }
 
-// Tick moves time on: elections, heartbeats, loss of a majority.
+// Tick handles elections, heartbeats and the loss of a majority.
 func (c *Core) Tick(now time.Time) {
 	if c.role == RoleLeader {
 		c.tickLeader(now)
 		return
 	}
-	if now.Before(c.deadline) {
+	if now.Before(c.electionDeadline) {
 		return
 	}
-	c.resetDeadline(now)
-	if c.quick > 0 {
-		c.quick--
-		// Everyone keeps its turn: some may have started a moment later and withheld their votes.
-		c.deadline = now.Add(c.allTurns())
+	c.resetElectionDeadline(now)
+	if c.startupAttemptsLeft > 0 {
+		c.startupAttemptsLeft--
+		// Each member keeps its place in the sequence: some may have started a moment later and withheld their votes.
+		c.electionDeadline = now.Add(c.staggerPeriod())
 	}
-	c.transfer = false
+	c.transferring = false
 	if c.mayLead() {
 		c.campaign(now, RolePreCandidate)
 	}
 }
 
 func (c *Core) tickLeader(now time.Time) {
-	// After a failed transfer the receiver may still campaign past this leader's lease, so its leadership ends.
-	if !c.heardMajority(now) || c.transfer && !now.Before(c.deadline) {
-		c.becomeFollower(now, c.hard.Term, MemberID{})
+	// After a failed transfer the receiver may still campaign, regardless of this leader's lease. So the leader steps
+	// down.
+	if !c.hasMajorityContact(now) || c.transferring && !now.Before(c.electionDeadline) {
+		c.becomeFollower(now, c.hardState.Term, MemberID{})
 		return
 	}
-	if !now.Before(c.nextBeat) {
+	if !now.Before(c.nextHeartbeat) {
 		c.broadcast(now)
 	}
 }
 
-func (c *Core) heardMajority(now time.Time) bool {
+func (c *Core) hasMajorityContact(now time.Time) bool {
 	count := 0
 	for _, m := range c.members {
 		if !m.Voter {
 			continue
 		}
-		if m.ID == c.id || now.Sub(c.progress[m.ID].acked) < c.timing.Election {
+		if m.ID == c.id || now.Sub(c.progress[m.ID].lastAck) < c.timing.Election {
 			count++
 		}
 	}
 	return count >= c.majority()
 }
 
-// Propose appends a command as leader and returns its index, or false when this member does not lead.
+// Propose appends an entry as leader and returns its index, or false if this member does not lead.
 func (c *Core) Propose(now time.Time, kind EntryKind, data []byte) (Index, bool) {
-	if c.role != RoleLeader || c.transfer {
+	if c.role != RoleLeader || c.transferring {
 		return 0, false
 	}
-	c.append(Entry{Index: c.lastIndex() + 1, Term: c.hard.Term, Kind: kind, Data: data})
+	c.append(Entry{Index: c.lastIndex() + 1, Term: c.hardState.Term, Kind: kind, Data: data})
 	if kind == EntryMembers {
 		c.trackMembers(now)
 	}
 	return c.lastIndex(), true
 }
 
-// Flush sends what was proposed since the last broadcast; the driver calls it once for many proposals.
+// Flush sends the entries proposed since the last broadcast, once for many proposals.
 func (c *Core) Flush(now time.Time) {
 	if c.role == RoleLeader {
 		c.broadcast(now)
 	}
 }
 
-// ProposeMembers replaces the members when this member leads, the last change is committed and at most one voter differs.
+// ProposeMembers replaces the members if this member leads, the last change is committed and at most one voter differs.
 func (c *Core) ProposeMembers(now time.Time, members []Member) (Index, bool) {
-	if c.role != RoleLeader || c.memberAt > c.commit || c.termAt(c.commit) != c.hard.Term {
+	if c.role != RoleLeader || c.membersIndex > c.commit || c.termAt(c.commit) != c.hardState.Term {
 		return 0, false
 	}
 	if votersChanged(c.members, members) > 1 {
@@ -284,27 +285,27 @@
 }
 
 func votersChanged(a, b []Member) int {
-	in := map[MemberID]int{}
+	difference := map[MemberID]int{}
 	for _, m := range a {
 		if m.Voter {
-			in[m.ID]++
+			difference[m.ID]++
 		}
 	}
 	for _, m := range b {
 		if m.Voter {
-			in[m.ID]--
+			difference[m.ID]--
 		}
 	}
-	n := 0
-	for _, v := range in {
-		if v != 0 {
-			n++
+	changed := 0
+	for _, count := range difference {
+		if count != 0 {
+			changed++
 		}
 	}
-	return n
+	return changed
 }
 
-// Form gives a member that was never formed its first members; later calls change nothing.
+// Form sets the first members of a member that was never formed; later calls change nothing.
 func (c *Core) Form(members []Member) bool {
 	if c.formed {
 		return false
@@ -312,26 +313,26 @@
 	c.formed = true
 	c.snapshot = Snapshot{Members: members}
 	c.install = &Snapshot{Format: snapshotFormat, Members: members}
-	c.findMembers()
+	c.updateMembers()
 	return true
 }
 
-// TransferTo asks another voter to take over at once; the lease ends with the asking.
+// TransferTo asks another voter to take over leadership. The leader gives up its lease with the request.
 func (c *Core) TransferTo(now time.Time, to MemberID) bool {
 	p := c.progress[to]
 	if c.role != RoleLeader || p == nil || p.match != c.lastIndex() || !c.isVoter(to) {
 		return false
 	}
-	c.lease = time.Time{}
-	c.transfer = true
-	c.deadline = now.Add(c.timing.Election)
+	c.leaseEnd = time.Time{}
+	c.transferring = true
+	c.electionDeadline = now.Add(c.timing.Election)
 	c.send(Message{Kind: MessageTransfer, To: to})
 	return true
 }
 
 // Step handles one message.
 func (c *Core) Step(now time.Time, m *Message) {
-	if m.To != c.id || c.hard.Expelled {
+	if m.To != c.id || c.hardState.Expelled {
 		return
 	}
 	if m.Kind == MessageForm {
@@ -340,16 +341,16 @@
 		}
 		return
 	}
-	if c.ignoresVote(now, m) {
+	if c.ignoresVoteRequest(now, m) {
 		return
 	}
-	// A pre-vote asks about a term that nobody has entered yet, and so does its consent.
+	// Pre-votes and granted pre-vote replies carry a term that nobody has entered yet.
 	proposed := m.Kind == MessagePreVote || m.Kind == MessagePreVoteReply && m.Granted
-	if m.Term > c.hard.Term && !proposed {
+	if m.Term > c.hardState.Term && !proposed {
 		c.becomeFollower(now, m.Term, MemberID{})
 	}
-	if m.Term < c.hard.Term {
-		c.answerOld(m)
+	if m.Term < c.hardState.Term {
+		c.answerStaleTerm(m)
 		return
 	}
 	c.dispatch(now, m)
@@ -369,13 +370,13 @@
 		c.stepSnapshot(now, m)
 	case MessageTransfer:
 		if c.mayLead() {
-			c.transfer = true
+			c.transferring = true
 			c.campaign(now, RoleCandidate)
 		}
 	case MessageExpel:
-		// The leader has proof that this folder lost what it had synced.
-		c.hard.Expelled = true
-		c.hardDirty = true
+		// The leader has evidence that this folder lost synced entries.
+		c.hardState.Expelled = true
+		c.hardStateDirty = true
 		c.role = RoleFollower
 	}
 }
@@ -383,7 +384,7 @@
 func (c *Core) trackMembers(now time.Time) {
 	for _, m := range c.members {
 		if _, ok := c.progress[m.ID]; !ok {
-			c.progress[m.ID] = &progress{next: c.lastIndex() + 1, acked: now}
+			c.progress[m.ID] = &progress{next: c.lastIndex() + 1, lastAck: now}
 		}
 	}
 }
@@ -410,7 +411,7 @@
 func (c *Core) send(m Message) {
 	m.Instance = c.instance
 	m.From = c.id
-	m.Term = c.hard.Term
+	m.Term = c.hardState.Term
 	if m.Kind == MessageAppend {
 		c.appends = append(c.appends, m)
 		return
@@ -426,7 +427,7 @@
 		case !m.Voter:
 		case m.ID == c.id:
 			matches = append(matches, c.persisted)
-		case c.progress[m.ID].lost:
+		case c.progress[m.ID].lostData:
 			matches = append(matches, 0)
 		default:
 			matches = append(matches, c.progress[m.ID].match)
@@ -440,23 +441,23 @@
 }
 
 func (c *Core) advanceCommit() {
-	if i := c.majorityMatch(); i > c.commit && c.termAt(i) == c.hard.Term {
+	if i := c.majorityMatch(); i > c.commit && c.termAt(i) == c.hardState.Term {
 		c.commit = i
-		c.noteCurrent()
+		c.recordCurrentTermCommit()
 	}
 }
 
-// noteCurrent remembers the first commit of the present term. A leader commits an entry of its own term only after
-// everything that was committed before it.
-func (c *Core) noteCurrent() {
-	if c.currentFrom == 0 && c.termAt(c.commit) == c.hard.Term {
-		c.currentFrom = c.commit
+// recordCurrentTermCommit records the first commit in the current term. A leader commits an entry of its own term only
+// after everything that was committed before.
+func (c *Core) recordCurrentTermCommit() {
+	if c.firstCurrentTermCommit == 0 && c.termAt(c.commit) == c.hardState.Term {
+		c.firstCurrentTermCommit = c.commit
 	}
 }
 
-// promote gives a learner its vote once it holds everything that is committed.
-func (c *Core) promote(now time.Time) {
-	if c.role != RoleLeader || c.memberAt > c.commit || c.termAt(c.commit) != c.hard.Term {
+// promoteLearner gives a learner its vote once it holds all committed entries.
+func (c *Core) promoteLearner(now time.Time) {
+	if c.role != RoleLeader || c.membersIndex > c.commit || c.termAt(c.commit) != c.hardState.Term {
 		return
 	}
 	for i, m := range c.members {
--- a/quorum/core_test.go
+++ b/quorum/core_test.go
@@ -14,62 +14,62 @@
 
 var timing = quorum.Timing{Heartbeat: 50 * time.Millisecond, Election: 500 * time.Millisecond, Lease: 400 * time.Millisecond}
 
-// machine is one member with its disk, clock and applied commands.
-type machine struct {
-	core     *quorum.Core
-	id       quorum.MemberID
-	up       bool
-	rate     float64
-	snapshot *quorum.Snapshot
-	hard     quorum.HardState
-	entries  []quorum.Entry
-	applied  []quorum.Entry
-	boots    uint64
+// simMember is one member with its disk, clock and applied commands.
+type simMember struct {
+	core      *quorum.Core
+	id        quorum.MemberID
+	up        bool
+	clockRate float64
+	snapshot  *quorum.Snapshot
+	hardState quorum.HardState
+	entries   []quorum.Entry
+	applied   []quorum.Entry
+	starts    uint64
 }
 
-// group drives cores by hand: every message, tick, kill and loss is one step of the test.
-type group struct {
-	t       testing.TB
-	base    time.Time
-	elapsed time.Duration
-	members []*machine
-	wire    []quorum.Message
-	leaders map[quorum.Term]quorum.MemberID
-	chosen  map[quorum.Index]string
-	acked   map[quorum.Index]string
-	cut     map[quorum.MemberID]bool
-	// oneWay holds links that lose everything in one direction only.
-	oneWay map[[2]quorum.MemberID]bool
-	count  int
+// simCluster drives cores step by step: each message, tick, crash and loss is a step of the test.
+type simCluster struct {
+	t         testing.TB
+	base      time.Time
+	elapsed   time.Duration
+	members   []*simMember
+	network   []quorum.Message
+	leaders   map[quorum.Term]quorum.MemberID
+	committed map[quorum.Index]string
+	acked     map[quorum.Index]string
+	isolated  map[quorum.MemberID]bool
+	// oneWay holds links that lose all messages in one direction.
+	oneWay    map[[2]quorum.MemberID]bool
+	proposals int
 }
 
-func newGroup(t testing.TB, n int) *group {
-	g := &group{
-		t: t, base: time.Unix(1000, 0), leaders: map[quorum.Term]quorum.MemberID{}, chosen: map[quorum.Index]string{},
-		acked: map[quorum.Index]string{}, cut: map[quorum.MemberID]bool{},
+func newSimCluster(t testing.TB, n int) *simCluster {
+	c := &simCluster{
+		t: t, base: time.Unix(1000, 0), leaders: map[quorum.Term]quorum.MemberID{}, committed: map[quorum.Index]string{},
+		acked: map[quorum.Index]string{}, isolated: map[quorum.MemberID]bool{},
 		oneWay: map[[2]quorum.MemberID]bool{},
 	}
 	var members []quorum.Member
 	for i := range n {
 		id := quorum.MemberID{Name: ident.Daemon(fmt.Sprintf("m%d", i)), Folder: quorum.FolderID(fmt.Sprintf("f%d", i))}
-		// Clocks differ by less than the drift that the lease allows for.
-		g.members = append(g.members, &machine{id: id, rate: 1 + 0.02*float64(i%3-1)})
+		// Clocks differ by less than the drift that leases allow for.
+		c.members = append(c.members, &simMember{id: id, clockRate: 1 + 0.02*float64(i%3-1)})
 		members = append(members, quorum.Member{ID: id, Voter: true})
 	}
-	for _, m := range g.members {
-		g.start(m)
+	for _, m := range c.members {
+		c.start(m)
 		m.core.Form(members)
-		g.drain(m, false)
+		c.drain(m, false)
 	}
-	return g
+	return c
 }
 
-func (g *group) now(m *machine) time.Time {
-	return g.base.Add(time.Duration(float64(g.elapsed) * m.rate))
+func (c *simCluster) now(m *simMember) time.Time {
+	return c.base.Add(time.Duration(float64(c.elapsed) * m.clockRate))
 }
 
-func (g *group) start(m *machine) {
-	m.boots++
+func (c *simCluster) start(m *simMember) {
+	m.starts++
 	m.up = true
 	m.applied = nil
 	var tail []quorum.Entry
@@ -80,26 +80,27 @@
 			}
 		}
 	}
-	m.core = quorum.NewCore(m.id, 0, timing, m.boots*31+uint64(len(m.id.Name)), g.now(m), m.snapshot, m.hard, tail)
+	m.core = quorum.NewCore(m.id, 0, timing, m.starts*31+uint64(len(m.id.Name)), c.now(m), m.snapshot, m.hardState, tail)
 }
 
-// drain does what the core asks for; with torn the member dies after its appends left and before anything was synced.
-func (g *group) drain(m *machine, torn bool) {
+// drain does the work that the core requires. With crashBeforeSync the member crashes after it has sent its appends and
+// before it has synced anything.
+func (c *simCluster) drain(m *simMember, crashBeforeSync bool) {
 	for m.up {
 		for _, to := range m.core.TakeSnapshotRequests() {
 			s := m.core.Status()
-			m.core.SendSnapshot(to, &quorum.Snapshot{Format: 1, Index: s.Commit, Term: g.termOf(m, s.Commit), Members: s.Members})
+			m.core.SendSnapshot(to, &quorum.Snapshot{Format: 1, Index: s.Commit, Term: c.termOf(m, s.Commit), Members: s.Members})
 		}
 		rd := m.core.Ready()
-		g.wire = append(g.wire, rd.Appends...)
-		if torn {
+		c.network = append(c.network, rd.Appends...)
+		if crashBeforeSync {
 			m.up = false
 			return
 		}
-		g.persist(m, &rd)
-		g.wire = append(g.wire, rd.Messages...)
+		c.persist(m, &rd)
+		c.network = append(c.network, rd.Messages...)
 		for _, e := range rd.Committed {
-			g.apply(m, e)
+			c.apply(m, e)
 		}
 		if len(rd.Appends)+len(rd.Messages)+len(rd.Entries)+len(rd.Committed) == 0 && rd.HardState == nil && rd.Install == nil {
 			return
@@ -107,7 +108,7 @@
 	}
 }
 
-func (g *group) termOf(m *machine, i quorum.Index) quorum.Term {
+func (c *simCluster) termOf(m *simMember, i quorum.Index) quorum.Term {
 	for _, e := range m.entries {
 		if e.Index == i {
 			return e.Term
@@ -119,114 +120,114 @@
 	return 0
 }
 
-func (g *group) persist(m *machine, rd *quorum.Ready) {
+func (c *simCluster) persist(m *simMember, rd *quorum.Ready) {
 	if rd.Install != nil {
 		m.snapshot = rd.Install
 		m.entries = nil
 	}
 	if rd.HardState != nil {
-		m.hard = *rd.HardState
+		m.hardState = *rd.HardState
 	}
 	if len(rd.Entries) == 0 {
 		return
 	}
-	keep := 0
-	for keep < len(m.entries) && m.entries[keep].Index < rd.Entries[0].Index {
-		keep++
+	kept := 0
+	for kept < len(m.entries) && m.entries[kept].Index < rd.Entries[0].Index {
+		kept++
 	}
-	m.entries = append(m.entries[:keep:keep], rd.Entries...)
+	m.entries = append(m.entries[:kept:kept], rd.Entries...)
 	m.core.Persisted(rd.Entries[len(rd.Entries)-1].Index)
 }
 
-func (g *group) apply(m *machine, e quorum.Entry) {
+func (c *simCluster) apply(m *simMember, e quorum.Entry) {
 	text := fmt.Sprint(e.Term, " ", e.Kind, " ", string(e.Data))
-	if old, ok := g.chosen[e.Index]; ok && old != text {
-		g.t.Fatalf("entry %d was chosen as %q and as %q (by %s)", e.Index, old, text, m.id.Name)
+	if old, ok := c.committed[e.Index]; ok && old != text {
+		c.t.Fatalf("entry %d was committed as %q and as %q (by %s)", e.Index, old, text, m.id.Name)
 	}
-	g.chosen[e.Index] = text
+	c.committed[e.Index] = text
 	m.applied = append(m.applied, e)
 }
 
-func (g *group) check() {
+func (c *simCluster) checkInvariants() {
 	holders := 0
-	for _, m := range g.members {
+	for _, m := range c.members {
 		if !m.up {
 			continue
 		}
 		s := m.core.Status()
 		if s.Role == quorum.RoleLeader {
-			if other, ok := g.leaders[s.Term]; ok && other != m.id {
-				g.t.Fatalf("%v and %v both lead term %d", other, m.id, s.Term)
+			if other, ok := c.leaders[s.Term]; ok && other != m.id {
+				c.t.Fatalf("%v and %v both lead term %d", other, m.id, s.Term)
 			}
-			g.leaders[s.Term] = m.id
-			if g.now(m).Before(s.LeaseEnd) {
+			c.leaders[s.Term] = m.id
+			if c.now(m).Before(s.LeaseEnd) {
 				holders++
 			}
 		}
 	}
 	if holders > 1 {
-		g.t.Fatalf("%d members hold a lease at the same time", holders)
+		c.t.Fatalf("%d members hold a lease at the same time", holders)
 	}
 }
 
-func (g *group) pass(d time.Duration) {
-	g.elapsed += d
-	for _, m := range g.members {
+func (c *simCluster) advance(d time.Duration) {
+	c.elapsed += d
+	for _, m := range c.members {
 		if m.up {
-			m.core.Tick(g.now(m))
-			g.drain(m, false)
+			m.core.Tick(c.now(m))
+			c.drain(m, false)
 		}
 	}
 }
 
-func (g *group) deliver(i int, keep, torn bool) {
-	msg := g.wire[i]
-	if !keep {
-		g.wire = append(g.wire[:i:i], g.wire[i+1:]...)
+func (c *simCluster) deliver(i int, duplicate, crashBeforeSync bool) {
+	msg := c.network[i]
+	if !duplicate {
+		c.network = append(c.network[:i:i], c.network[i+1:]...)
 	}
-	if g.cut[msg.From] || g.cut[msg.To] || g.oneWay[[2]quorum.MemberID{msg.From, msg.To}] {
+	if c.isolated[msg.From] || c.isolated[msg.To] || c.oneWay[[2]quorum.MemberID{msg.From, msg.To}] {
 		return
 	}
-	for _, m := range g.members {
+	for _, m := range c.members {
 		if m.up && m.id.Name == msg.To.Name {
-			m.core.Step(g.now(m), &msg)
-			g.drain(m, torn)
+			m.core.Step(c.now(m), &msg)
+			c.drain(m, crashBeforeSync)
 		}
 	}
 }
 
-func (g *group) propose(m *machine) {
+func (c *simCluster) propose(m *simMember) {
 	if !m.up {
 		return
 	}
-	g.count++
-	if _, ok := m.core.Propose(g.now(m), quorum.EntryCommand, []byte(fmt.Sprint("c", g.count))); ok {
-		m.core.Flush(g.now(m))
-		g.drain(m, false)
+	c.proposals++
+	if _, ok := m.core.Propose(c.now(m), quorum.EntryCommand, []byte(fmt.Sprint("c", c.proposals))); ok {
+		m.core.Flush(c.now(m))
+		c.drain(m, false)
 	}
 }
 
-// settle heals everything and lets the members agree.
-func (g *group) settle() *machine {
-	g.cut = map[quorum.MemberID]bool{}
-	g.oneWay = map[[2]quorum.MemberID]bool{}
-	for _, m := range g.members {
+// settle removes all faults, restarts all members and gives them time to elect a leader, which it returns.
+func (c *simCluster) settle() *simMember {
+	c.isolated = map[quorum.MemberID]bool{}
+	c.oneWay = map[[2]quorum.MemberID]bool{}
+	for _, m := range c.members {
 		if !m.up {
-			g.start(m)
-			g.drain(m, false)
+			c.start(m)
+			c.drain(m, false)
 		}
 	}
 	for range 400 {
-		g.pass(timing.Heartbeat)
+		c.advance(timing.Heartbeat)
 		for range 200 {
-			if len(g.wire) == 0 {
+			if len(c.network) == 0 {
 				break
 			}
-			g.deliver(0, false, false)
+			c.deliver(0, false, false)
 		}
-		g.check()
+		c.checkInvariants()
 	}
-	for _, m := range g.members {
+	for _, m := range c.members {
 		if m.core.Status().Role == quorum.RoleLeader {
 			return m
 		}
@@ -234,46 +235,46 @@
 	return nil
 }
 
-// history is a random sequence of faults over stretches of ordinary work; the same seed gives the same history.
+// history is a random sequence of faults with phases of traffic in between; the same seed gives the same history.
 type history struct {
-	*group
+	*simCluster
 	random *rand.Rand
 }
 
 const (
-	histories = 800
-	stretches = 60
+	historyCount     = 800
+	phasesPerHistory = 60
 )
 
-func TestRandomHistoriesKeepThePromises(t *testing.T) {
-	for seed := range uint64(histories) {
+func TestRandomHistoriesKeepInvariants(t *testing.T) {
+	for seed := range uint64(historyCount) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			h := &history{newGroup(t, []int{1, 3, 3, 5}[seed%4]), rand.New(rand.NewPCG(seed, 7))}
-			for range stretches {
-				h.fault()
-				h.work()
+			h := &history{newSimCluster(t, []int{1, 3, 3, 5}[seed%4]), rand.New(rand.NewPCG(seed, 7))}
+			for range phasesPerHistory {
+				h.injectFault()
+				h.runTraffic()
 			}
 			leader := h.settle()
 			if leader == nil {
-				t.Fatal("healed members have no leader")
+				t.Fatal("no leader after the end of all faults")
 			}
 			before := leader.core.Status().Commit
 			h.propose(leader)
 			h.settle()
 			if after := leader.core.Status().Commit; after <= before {
-				t.Fatalf("healed members accept nothing: commit stays at %d", after)
+				t.Fatalf("no change is committed after the end of all faults: commit index stays at %d", after)
 			}
 		})
 	}
 }
 
-func (h *history) any() *machine {
+func (h *history) randomMember() *simMember {
 	return h.members[h.random.IntN(len(h.members))]
 }
 
-func (h *history) fault() {
-	m := h.any()
+func (h *history) injectFault() {
+	m := h.randomMember()
 	switch h.random.IntN(12) {
 	case 0:
 		m.up = false
@@ -283,14 +284,14 @@
 			h.drain(m, false)
 		}
 	case 3:
-		h.cut[m.id] = true
+		h.isolated[m.id] = true
 	case 4, 5:
-		h.cut = map[quorum.MemberID]bool{}
+		h.isolated = map[quorum.MemberID]bool{}
 	case 6:
-		// The leader, cut off silently.
+		// The leader is isolated without notice.
 		for _, m := range h.members {
 			if m.up && m.core.Status().Role == quorum.RoleLeader {
-				h.cut[m.id] = true
+				h.isolated[m.id] = true
 			}
 		}
 	case 7:
@@ -301,14 +302,14 @@
 	case 8:
 		h.compact(m)
 	case 9, 10:
-		h.oneWay[[2]quorum.MemberID{m.id, h.any().id}] = true
+		h.oneWay[[2]quorum.MemberID{m.id, h.randomMember().id}] = true
 	case 11:
 		h.oneWay = map[[2]quorum.MemberID]bool{}
 	}
 }
 
 // compact takes a snapshot of what a member has committed and drops the entries before it.
-func (h *history) compact(m *machine) {
+func (h *history) compact(m *simMember) {
 	s := m.core.Status()
 	if !m.up || s.Commit < 4 || m.snapshot != nil && s.Commit <= m.snapshot.Index {
 		return
@@ -317,153 +318,154 @@
 	m.core.Compact(s.Commit, 1)
 }
 
-// work lets time pass in small steps; messages are lost, doubled, late and out of order, and members die between
-// sending and syncing.
-func (h *history) work() {
+// runTraffic advances time in small steps. Messages are lost, duplicated, delayed and reordered, and members crash
+// between sending and syncing.
+func (h *history) runTraffic() {
 	loss := []int{0, 0, 10, 40}[h.random.IntN(4)]
 	for range h.random.IntN(40) {
-		h.pass(time.Duration(1+h.random.IntN(60)) * time.Millisecond)
+		h.advance(time.Duration(1+h.random.IntN(60)) * time.Millisecond)
 		if h.random.IntN(3) == 0 {
-			h.propose(h.any())
+			h.propose(h.randomMember())
 		}
 		for range h.random.IntN(12) {
-			if len(h.wire) == 0 {
+			if len(h.network) == 0 {
 				break
 			}
 			i := 0
 			if h.random.IntN(5) == 0 {
-				i = h.random.IntN(len(h.wire))
+				i = h.random.IntN(len(h.network))
 			}
 			if h.random.IntN(100) < loss {
-				h.wire = append(h.wire[:i:i], h.wire[i+1:]...)
+				h.network = append(h.network[:i:i], h.network[i+1:]...)
 				continue
 			}
 			h.deliver(i, h.random.IntN(20) == 0, h.random.IntN(60) == 0)
-			h.check()
+			h.checkInvariants()
 		}
-		h.check()
+		h.checkInvariants()
 	}
 }
 
-// lead returns a group of n whose members agree on a leader and have committed something.
-func lead(t testing.TB, n int) (*group, *machine) {
-	g := newGroup(t, n)
-	leader := g.settle()
+// clusterWithLeader returns a cluster of n members that have a leader and have committed a command.
+func clusterWithLeader(t testing.TB, n int) (*simCluster, *simMember) {
+	c := newSimCluster(t, n)
+	leader := c.settle()
 	if leader == nil {
 		t.Fatal("no leader")
 	}
-	g.propose(leader)
-	g.settle()
-	return g, leader
+	c.propose(leader)
+	c.settle()
+	return c, leader
 }
 
-func TestAMemberWithANewFolderHasNoVote(t *testing.T) {
-	g, leader := lead(t, 3)
-	var lost *machine
-	for _, m := range g.members {
+func TestMemberWithNewFolderHasNoVote(t *testing.T) {
+	cluster, leader := clusterWithLeader(t, 3)
+	var replaced *simMember
+	for _, m := range cluster.members {
 		if m != leader {
-			lost = m
+			replaced = m
 		}
 	}
 	// The folder is lost: same name, new folder id, nothing on disk.
-	lost.id.Folder = "new"
-	lost.snapshot, lost.hard, lost.entries = nil, quorum.HardState{}, nil
-	g.start(lost)
-	// The leader dies too: one old member is left, which must not win with the help of the new folder.
+	replaced.id.Folder = "new"
+	replaced.snapshot, replaced.hardState, replaced.entries = nil, quorum.HardState{}, nil
+	cluster.start(replaced)
+	// The leader crashes too. The remaining old member must not win an election with the vote of the new folder.
 	leader.up = false
 	for range 100 {
-		g.pass(timing.Heartbeat)
+		cluster.advance(timing.Heartbeat)
 		for range 50 {
-			if len(g.wire) > 0 {
-				g.deliver(0, false, false)
+			if len(cluster.network) > 0 {
+				cluster.deliver(0, false, false)
 			}
 		}
 	}
-	for _, m := range g.members {
+	for _, m := range cluster.members {
 		if m.up && m.core.Status().Role == quorum.RoleLeader {
 			t.Fatalf("%s leads without a majority of intact folders", m.id.Name)
 		}
 	}
-	// The leader returns, an operator admits the new folder, and it gets its vote after it has caught up.
-	leader = g.settle()
+	// The leader returns, an operator admits the new folder, and its member gets its vote once it has caught up.
+	leader = cluster.settle()
 	var members []quorum.Member
 	for _, old := range leader.core.Status().Members {
-		if old.ID.Name != lost.id.Name {
+		if old.ID.Name != replaced.id.Name {
 			members = append(members, old)
 		}
 	}
-	members = append(members, quorum.Member{ID: lost.id})
-	if _, ok := leader.core.ProposeMembers(g.now(leader), members); !ok {
-		t.Fatal("the leader does not take the new folder")
+	members = append(members, quorum.Member{ID: replaced.id})
+	if _, ok := leader.core.ProposeMembers(cluster.now(leader), members); !ok {
+		t.Fatal("the leader refuses to admit the new folder")
 	}
-	g.drain(leader, false)
-	g.settle()
+	cluster.drain(leader, false)
+	cluster.settle()
 	voter := false
-	for _, m := range lost.core.Status().Members {
-		voter = voter || m.ID == lost.id && m.Voter
+	for _, m := range replaced.core.Status().Members {
+		voter = voter || m.ID == replaced.id && m.Voter
 	}
 	if !voter {
-		t.Fatalf("the admitted member has no vote: %v", lost.core.Status().Members)
+		t.Fatalf("the admitted member has no vote: %v", replaced.core.Status().Members)
 	}
-	if diff := cmp.Diff(leader.core.Status().Commit, lost.core.Status().Commit); diff != "" {
-		t.Fatalf("commit of leader and admitted member (-leader +member):\n%s", diff)
+	if diff := cmp.Diff(leader.core.Status().Commit, replaced.core.Status().Commit); diff != "" {
+		t.Fatalf("commit index of leader and admitted member (-leader +member):\n%s", diff)
 	}
 }
 
-func TestAMemberWithAnOlderFolderIsExpelled(t *testing.T) {
-	g, leader := lead(t, 3)
-	var old *machine
-	for _, m := range g.members {
+func TestMemberWithOlderFolderIsExpelled(t *testing.T) {
+	cluster, leader := clusterWithLeader(t, 3)
+	var restored *simMember
+	for _, m := range cluster.members {
 		if m != leader {
-			old = m
+			restored = m
 		}
 	}
-	hard, entries := old.hard, append([]quorum.Entry(nil), old.entries...)
+	hardState, entries := restored.hardState, append([]quorum.Entry(nil), restored.entries...)
 	for range 5 {
-		g.propose(leader)
+		cluster.propose(leader)
 	}
-	g.settle()
-	// A copy of the folder from before those changes is put back.
-	old.up = false
-	old.hard, old.entries = hard, entries
-	g.start(old)
-	g.settle()
-	if !old.core.Status().Expelled {
-		t.Fatal("a member that lost what it had acknowledged still takes part")
+	cluster.settle()
+	// A copy of the folder from before those changes is restored.
+	restored.up = false
+	restored.hardState, restored.entries = hardState, entries
+	cluster.start(restored)
+	cluster.settle()
+	if !restored.core.Status().Expelled {
+		t.Fatal("a member that lost what it had acknowledged is not expelled")
 	}
 }
 
-// One late reply from before a member had its first snapshot does not expel it; a member that goes on saying so has lost its folder.
-func TestALateReplyDoesNotExpelAMember(t *testing.T) {
+// A single late reply from before a member had its first snapshot does not expel the member. A member that repeats the
+// reply for the election time has lost its folder.
+func TestLateReplyDoesNotExpelMember(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		replies int
 		want    bool
 	}{
-		{"one", 1, false},
-		{"one after the other for longer than the election time", 15, true},
+		{"one reply", 1, false},
+		{"replies for longer than the election time", 15, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g, leader := lead(t, 3)
-			var m *machine
-			for _, other := range g.members {
+			cluster, leader := clusterWithLeader(t, 3)
+			var m *simMember
+			for _, other := range cluster.members {
 				if other != leader {
 					m = other
 				}
 			}
 			if c.replies > 1 {
-				g.cut[m.id] = true
+				cluster.isolated[m.id] = true
 			}
 			for range c.replies {
 				late := quorum.Message{Kind: quorum.MessageAppendReply, From: m.id, To: leader.id, Term: leader.core.Status().Term, Unformed: true}
-				leader.core.Step(g.now(leader), &late)
-				g.drain(leader, false)
-				g.pass(timing.Heartbeat)
-				for len(g.wire) > 0 {
-					g.deliver(0, false, false)
+				leader.core.Step(cluster.now(leader), &late)
+				cluster.drain(leader, false)
+				cluster.advance(timing.Heartbeat)
+				for len(cluster.network) > 0 {
+					cluster.deliver(0, false, false)
 				}
 			}
-			g.settle()
+			cluster.settle()
 			if diff := cmp.Diff(c.want, m.core.Status().Expelled); diff != "" {
 				t.Errorf("expelled (-want +got):\n%s", diff)
 			}
--- a/quorum/lease_test.go
+++ b/quorum/lease_test.go
@@ -10,59 +10,60 @@
 	"github.com/dunlinquay/dunlinquay/quorum"
 )
 
-// idle returns three members with a leader, everything committed and nothing on its way, and the two followers.
-func idle(t *testing.T) (g *group, leader, b, c *machine) {
+// idleCluster returns three members with a leader, everything committed and no messages in flight, and the two
+// followers.
+func idleCluster(t *testing.T) (cluster *simCluster, leader, follower, otherFollower *simMember) {
 	t.Helper()
-	g, leader = lead(t, 3)
-	g.settle()
-	for _, m := range g.members {
+	cluster, leader = clusterWithLeader(t, 3)
+	cluster.settle()
+	for _, m := range cluster.members {
 		switch {
 		case m == leader:
-		case b == nil:
-			b = m
+		case follower == nil:
+			follower = m
 		default:
-			c = m
+			otherFollower = m
 		}
 	}
-	return g, leader, b, c
+	return cluster, leader, follower, otherFollower
 }
 
-// run lets time pass and delivers everything in order.
-func (g *group) run(d time.Duration, each func()) {
+// runFor advances time and delivers all messages in order.
+func (c *simCluster) runFor(d time.Duration, afterStep func()) {
 	const step = 10 * time.Millisecond
 	for range int(d / step) {
-		g.pass(step)
+		c.advance(step)
 		for range 20 {
-			if len(g.wire) == 0 {
+			if len(c.network) == 0 {
 				break
 			}
-			g.deliver(0, false, false)
-			g.check()
+			c.deliver(0, false, false)
+			c.checkInvariants()
 		}
-		each()
+		afterStep()
 	}
 }
 
-// A member that the leader does not reach asks for votes all the time; the others have promised theirs away.
-func TestVotesAreWithheldWhileALeaderIsHeard(t *testing.T) {
+// A member that the leader cannot reach keeps asking for votes, which the others withhold.
+func TestVotesAreWithheldDuringLeaderContact(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		restarts bool
 	}{
-		{"steady followers", false},
-		{"a follower that starts anew and has forgotten its promise", true},
+		{"running followers", false},
+		{"a restarting follower, which does not know which lease it supported", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g, leader, b, other := idle(t)
+			cluster, leader, unreached, other := idleCluster(t)
 			term := leader.core.Status().Term
-			g.oneWay[[2]quorum.MemberID{leader.id, b.id}] = true
+			cluster.oneWay[[2]quorum.MemberID{leader.id, unreached.id}] = true
 			steps := 0
-			g.run(10*timing.Election, func() {
+			cluster.runFor(10*timing.Election, func() {
 				steps++
 				if c.restarts && steps%20 == 0 {
 					other.up = false
-					g.start(other)
-					g.drain(other, false)
+					cluster.start(other)
+					cluster.drain(other, false)
 				}
 			})
 			got := leader.core.Status()
@@ -73,60 +74,60 @@
 	}
 }
 
-func TestALeaseIsCountedFromSending(t *testing.T) {
-	g, leader, _, _ := idle(t)
-	g.run(timing.Heartbeat, func() {})
-	// Whatever is sent from here on is answered late.
-	before := g.now(leader)
-	g.pass(timing.Heartbeat)
-	sent := g.now(leader)
-	g.elapsed += timing.Lease / 2
+func TestLeaseStartsAtSending(t *testing.T) {
+	cluster, leader, _, _ := idleCluster(t)
+	cluster.runFor(timing.Heartbeat, func() {})
+	// Everything that is sent from here on is answered late.
+	before := cluster.now(leader)
+	cluster.advance(timing.Heartbeat)
+	sent := cluster.now(leader)
+	cluster.elapsed += timing.Lease / 2
 	for range 20 {
-		if len(g.wire) > 0 {
-			g.deliver(0, false, false)
+		if len(cluster.network) > 0 {
+			cluster.deliver(0, false, false)
 		}
 	}
-	lease := leader.core.Status().LeaseEnd
-	if lease.After(sent.Add(timing.Lease)) || !lease.After(before) {
-		t.Errorf("lease ends %s after the sending, want at most %s", lease.Sub(sent), timing.Lease)
+	leaseEnd := leader.core.Status().LeaseEnd
+	if leaseEnd.After(sent.Add(timing.Lease)) || !leaseEnd.After(before) {
+		t.Errorf("lease ends %s after the heartbeat was sent, want at most %s", leaseEnd.Sub(sent), timing.Lease)
 	}
 }
 
-func TestATransferEndsTheLease(t *testing.T) {
-	g, leader, b, _ := idle(t)
-	g.run(timing.Heartbeat, func() {})
-	if !leader.core.TransferTo(g.now(leader), b.id) {
-		t.Fatal("no transfer")
+func TestTransferEndsLease(t *testing.T) {
+	cluster, leader, receiver, _ := idleCluster(t)
+	cluster.runFor(timing.Heartbeat, func() {})
+	if !leader.core.TransferTo(cluster.now(leader), receiver.id) {
+		t.Fatal("no transfer was started")
 	}
-	if lease := leader.core.Status().LeaseEnd; !lease.IsZero() {
-		t.Errorf("lease until %s after the transfer", lease)
+	if leaseEnd := leader.core.Status().LeaseEnd; !leaseEnd.IsZero() {
+		t.Errorf("lease until %s after the transfer", leaseEnd)
 	}
-	// The receiver is silent: the old leader may not take its lease up again in this term.
-	g.cut[b.id] = true
+	// The receiver is silent, and the old leader must not hold a lease again in this term.
+	cluster.isolated[receiver.id] = true
 	term := leader.core.Status().Term
-	g.run(2*timing.Election, func() {
+	cluster.runFor(2*timing.Election, func() {
 		if s := leader.core.Status(); s.Term == term && !s.LeaseEnd.IsZero() {
 			t.Fatalf("lease until %s after the transfer", s.LeaseEnd)
 		}
 	})
 }
 
-// direct returns a member of three with a log of its own, driven without the others.
-func direct(hard quorum.HardState, entries []quorum.Entry, now time.Time) (*quorum.Core, []quorum.MemberID) {
+// newDirectCore returns one of three members with its own log; the test drives it without the others.
+func newDirectCore(hardState quorum.HardState, entries []quorum.Entry, now time.Time) (*quorum.Core, []quorum.MemberID) {
 	ids := []quorum.MemberID{{Name: "a", Folder: "1"}, {Name: "b", Folder: "2"}, {Name: "c", Folder: "3"}}
 	snapshot := &quorum.Snapshot{Format: 1}
 	for _, id := range ids {
 		snapshot.Members = append(snapshot.Members, quorum.Member{ID: id, Voter: true})
 	}
-	return quorum.NewCore(ids[0], 0, timing, 1, now, snapshot, hard, entries), ids
+	return quorum.NewCore(ids[0], 0, timing, 1, now, snapshot, hardState, entries), ids
 }
 
-func TestAVoteSurvivesARestart(t *testing.T) {
+func TestVoteSurvivesRestart(t *testing.T) {
 	now := time.Unix(1000, 0)
 	late := now.Add(time.Hour)
-	// The term is known already, so that only the vote itself has to be synced.
-	core, ids := direct(quorum.HardState{Term: 5}, nil, now)
-	ask := func(core *quorum.Core, from quorum.MemberID, at time.Time) bool {
+	// The term is known already, so that only the vote itself must be synced.
+	core, ids := newDirectCore(quorum.HardState{Term: 5}, nil, now)
+	requestVote := func(core *quorum.Core, from quorum.MemberID, at time.Time) bool {
 		core.Step(at, &quorum.Message{Kind: quorum.MessageVote, From: from, To: ids[0], Term: 5})
 		for _, m := range core.Ready().Messages {
 			if m.Kind == quorum.MessageVoteReply {
@@ -138,24 +139,24 @@
 	core.Step(late, &quorum.Message{Kind: quorum.MessageVote, From: ids[1], To: ids[0], Term: 5})
 	rd := core.Ready()
 	if rd.HardState == nil {
-		t.Fatal("a vote was given and nothing has to be synced")
+		t.Fatal("a granted vote must be synced, but there is no hard state")
 	}
 	if diff := cmp.Diff(quorum.HardState{Term: 5, Vote: ids[1]}, *rd.HardState); diff != "" {
 		t.Fatalf("hard state (-want +got):\n%s", diff)
 	}
-	again, _ := direct(*rd.HardState, nil, late)
-	if ask(again, ids[2], late.Add(time.Hour)) {
-		t.Error("a second vote in the same term after a restart")
+	again, _ := newDirectCore(*rd.HardState, nil, late)
+	if requestVote(again, ids[2], late.Add(time.Hour)) {
+		t.Error("second vote in the same term after a restart")
 	}
-	if !ask(again, ids[1], late.Add(time.Hour)) {
-		t.Error("the first vote is not repeated")
+	if !requestVote(again, ids[1], late.Add(time.Hour)) {
+		t.Error("the first vote is not granted again after a restart")
 	}
 }
 
-// The entry of an earlier term that a majority holds may still be replaced (Raft, figure 8).
-func TestOnlyEntriesOfTheOwnTermCommitByCounting(t *testing.T) {
+// An entry of an earlier term can still be replaced although a majority holds it (Raft, figure 8).
+func TestOnlyCurrentTermEntriesCommitByCounting(t *testing.T) {
 	now := time.Unix(1000, 0)
-	core, ids := direct(quorum.HardState{Term: 3}, []quorum.Entry{{Index: 1, Term: 1}, {Index: 2, Term: 2}}, now)
+	core, ids := newDirectCore(quorum.HardState{Term: 3}, []quorum.Entry{{Index: 1, Term: 1}, {Index: 2, Term: 2}}, now)
 	now = now.Add(3 * timing.Election)
 	core.Tick(now)
 	core.Step(now, &quorum.Message{Kind: quorum.MessagePreVoteReply, From: ids[1], To: ids[0], Term: 4, Granted: true})
@@ -167,14 +168,14 @@
 	}{{2, 0}, {3, 3}} {
 		core.Step(now, &quorum.Message{Kind: quorum.MessageAppendReply, From: ids[1], To: ids[0], Term: 4, Granted: true, Match: c.match})
 		if got := core.Status().Commit; got != c.commit {
-			t.Errorf("a majority holds entry %d: commit %d, want %d", c.match, got, c.commit)
+			t.Errorf("a majority holds entry %d: commit index %d, want %d", c.match, got, c.commit)
 		}
 	}
 }
 
-func TestUnsyncedEntriesOfTheLeaderDoNotCount(t *testing.T) {
+func TestUnsyncedLeaderEntriesDoNotCount(t *testing.T) {
 	now := time.Unix(1000, 0)
-	core, ids := direct(quorum.HardState{Term: 3}, nil, now)
+	core, ids := newDirectCore(quorum.HardState{Term: 3}, nil, now)
 	now = now.Add(3 * timing.Election)
 	core.Tick(now)
 	core.Step(now, &quorum.Message{Kind: quorum.MessagePreVoteReply, From: ids[1], To: ids[0], Term: 4, Granted: true})
@@ -182,16 +183,16 @@
 	core.Ready()
 	core.Step(now, &quorum.Message{Kind: quorum.MessageAppendReply, From: ids[1], To: ids[0], Term: 4, Granted: true, Match: 1})
 	if got := core.Status().Commit; got != 0 {
-		t.Errorf("commit %d with one synced copy of three", got)
+		t.Errorf("commit index %d with one synced copy of three, want 0", got)
 	}
 	core.Persisted(1)
 	if got := core.Status().Commit; got != 1 {
-		t.Errorf("commit %d with two synced copies of three, want 1", got)
+		t.Errorf("commit index %d with two synced copies of three, want 1", got)
 	}
 }
 
-// A member that starts does not know how much of its log was committed, until a leader's own entry is.
-func TestWhenAMemberIsCurrent(t *testing.T) {
+// A member that starts does not know how much of its log is committed until an entry of the leader's own term is.
+func TestWhenMemberKnowsCommitted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	log := []quorum.Entry{{Index: 1, Term: 3}, {Index: 2, Term: 3}, {Index: 3, Term: 3}}
 	for _, c := range []struct {
@@ -199,47 +200,48 @@
 		m    quorum.Message
 		want bool
 	}{
-		{"a heartbeat that tells no commit", quorum.Message{Term: 3, LastIndex: 3, LastTerm: 3}, false},
-		{"a new leader's commit of an earlier term", quorum.Message{Term: 4, LastIndex: 3, LastTerm: 3, Commit: 2}, false},
-		{"more is committed than is here", quorum.Message{Term: 3, LastIndex: 3, LastTerm: 3, Commit: 9}, false},
-		{"the same leader's commit", quorum.Message{Term: 3, LastIndex: 3, LastTerm: 3, Commit: 3}, true},
-		{"a new leader's commit of its own entry", quorum.Message{Term: 4, LastIndex: 3, LastTerm: 3, Entries: []quorum.Entry{{Index: 4, Term: 4}}, Commit: 4}, true},
+		{"heartbeat without a commit index", quorum.Message{Term: 3, LastIndex: 3, LastTerm: 3}, false},
+		{"new leader's commit index in an earlier term", quorum.Message{Term: 4, LastIndex: 3, LastTerm: 3, Commit: 2}, false},
+		{"commit index beyond the end of the log", quorum.Message{Term: 3, LastIndex: 3, LastTerm: 3, Commit: 9}, false},
+		{"same leader's commit index", quorum.Message{Term: 3, LastIndex: 3, LastTerm: 3, Commit: 3}, true},
+		{"new leader's commit index in its own term", quorum.Message{Term: 4, LastIndex: 3, LastTerm: 3, Entries: []quorum.Entry{{Index: 4, Term: 4}}, Commit: 4}, true},
 	} {
-		core, ids := direct(quorum.HardState{Term: 3}, log, now)
+		core, ids := newDirectCore(quorum.HardState{Term: 3}, log, now)
 		c.m.Kind, c.m.From, c.m.To = quorum.MessageAppend, ids[1], ids[0]
 		core.Step(now, &c.m)
 		if got := core.Status().KnowsCommitted; got != c.want {
-			t.Errorf("%s: current %t, want %t", c.name, got, c.want)
+			t.Errorf("%s: knows committed %t, want %t", c.name, got, c.want)
 		}
 	}
 }
 
-// A leader whose VM was suspended for longer than its lease wakes after another one was elected. By a steady clock, which does not
-// count the time, it would still hold its lease and serve reads that are out of date; by the clock that counts it, it does not.
-func TestASuspendedLeaderHoldsNoLease(t *testing.T) {
-	g, leader, _, _ := idle(t)
-	g.run(timing.Heartbeat, func() {})
-	away := time.Duration(0)
-	steady := func() time.Duration { return time.Duration(float64(g.elapsed-away) * leader.rate) }
+// The VM of a leader is suspended for longer than its lease, and another leader is elected meanwhile. By a steady
+// clock, which does not count the suspension, the leader would still hold its lease and serve stale reads. By a clock
+// that counts the suspension, it does not.
+func TestSuspendedLeaderHoldsNoLease(t *testing.T) {
+	cluster, leader, _, _ := idleCluster(t)
+	cluster.runFor(timing.Heartbeat, func() {})
+	suspended := time.Duration(0)
+	steady := func() time.Duration { return time.Duration(float64(cluster.elapsed-suspended) * leader.clockRate) }
 	read := func() clock.Reading {
-		return clock.Reading{Time: g.base.Add(steady()), Steady: steady(), Day: g.base.Add(g.elapsed)}
+		return clock.Reading{Time: cluster.base.Add(steady()), Steady: steady(), Day: cluster.base.Add(cluster.elapsed)}
 	}
-	c := clock.New(read, func() time.Duration { return away })
-	before := c.Now().Sub(g.base)
-	lease := leader.core.Status().LeaseEnd.Sub(g.base)
+	clk := clock.New(read, func() time.Duration { return suspended })
+	before := clk.Now().Sub(cluster.base)
+	leaseEnd := leader.core.Status().LeaseEnd.Sub(cluster.base)
 	leader.up = false
-	slept := g.elapsed
-	g.run(5*timing.Election, func() {})
-	away = g.elapsed - slept
+	suspendedAt := cluster.elapsed
+	cluster.runFor(5*timing.Election, func() {})
+	suspended = cluster.elapsed - suspendedAt
 	leader.up = true
 	successor := false
-	for _, m := range g.members {
+	for _, m := range cluster.members {
 		successor = successor || m != leader && m.core.Status().Role == quorum.RoleLeader
 	}
-	if !successor || steady() >= lease {
-		t.Fatalf("the play shows nothing: successor %v, steady clock at %v, lease until %v", successor, steady(), lease)
+	if !successor || steady() >= leaseEnd {
+		t.Fatalf("the test does not cover the case: successor %v, steady clock at %v, lease until %v", successor, steady(), leaseEnd)
 	}
-	if now := c.Now().Sub(g.base); now < lease || now < before {
-		t.Errorf("the clock says %v after the suspension, the lease ended at %v", now, lease)
+	if now := clk.Now().Sub(cluster.base); now < leaseEnd || now < before {
+		t.Errorf("the clock reads %v after the suspension, the lease ended at %v", now, leaseEnd)
 	}
 }
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	inboxLength      = 1024
-	proposalsLength  = 4096
-	drainLimit       = 2048
-	ticksPerBeat     = 2
-	fullDiskRetry    = 500 * time.Millisecond
-	defaultSnapEvery = 4096
-	maxProposal      = 4 << 20
-	catchUpEntries   = 1024
+	inboxLength          = 1024
+	proposalsLength      = 4096
+	maxDrainedPerLoop    = 2048
+	ticksPerHeartbeat    = 2
+	fullDiskRetry        = 500 * time.Millisecond
+	defaultSnapshotEvery = 4096
+	maxProposalBytes     = 4 << 20
+	catchUpEntries       = 1024
 )
 
-// Status is a member's view at one moment.
+// Status is the state of a member at one moment.
 type Status struct {
 	ID      MemberID
 	Formed  bool
@@ -35,26 +35,26 @@
 	Commit  Index
 	Applied Index
 	Members []Member
-	// KnowsCommitted is set once since the start of the process this member has known everything that was committed before: a
-	// log read from disk alone does not tell how much of it is.
+	// KnowsCommitted is set once this process has applied everything that was committed before. A log read from disk
+	// does not show how much of it is committed.
 	KnowsCommitted bool
-	// Expelled is set when the leader proved that this folder lost synced entries.
+	// Expelled is set if the leader had evidence that this folder lost synced entries.
 	Expelled bool
-	// LeaseEnd is the end of the leader's lease, Elected the moment it was elected; both zero on others.
+	// LeaseEnd is the end of the leader's lease, zero on other members. ElectedAt is when this member was last elected.
 	LeaseEnd  time.Time
 	ElectedAt time.Time
-	// LastContact is when a leader was heard last.
+	// LastContact is the time of the last contact with a leader.
 	LastContact time.Time
-	// Followers is what a leader knows of the other members.
+	// Followers holds the state of the other members on a leader.
 	Followers []Follower
 }
 
-// Follower is what a leader knows of one other member.
+// Follower is a leader's view of one other member.
 type Follower struct {
 	ID MemberID
-	// LastAck is when it last answered, or when this leader began to send to it.
+	// LastAck is the time of its last reply, initially the time when this leader started to send to it.
 	LastAck time.Time
-	// LostData is set when it was proved to have lost what it had synced.
+	// LostData is set if there is evidence that it lost synced entries.
 	LostData bool
 }
 
@@ -62,10 +62,10 @@
 	kind    EntryKind
 	data    []byte
 	members []Member
-	done    chan outcome
+	done    chan proposalResult
 }
 
-type outcome struct {
+type proposalResult struct {
 	value any
 	index Index
 	err   error
@@ -73,25 +73,25 @@
 
 type waiter struct {
 	term Term
-	done chan outcome
+	done chan proposalResult
 }
 
-// Node drives one Core: it persists, sends and applies; exported fields are set before Run.
+// Node runs one Core: it persists, sends and applies. Exported fields are set before Run.
 type Node struct {
 	Instance Instance
 	Timing   Timing
 	Seed     uint64
 	Now      func() time.Time
-	// Send hands messages to the transport and must not block.
+	// Send passes messages to the transport and must not block.
 	Send func(messages []Message)
-	// Apply executes a committed command; the same log gives the same calls on each member.
+	// Apply executes a committed command. All members make the same calls for the same log.
 	Apply func(index Index, data []byte) any
 	// TakeSnapshot and Restore write and read the whole state machine.
 	TakeSnapshot func() ([]byte, error)
 	Restore      func(index Index, data []byte) error
 	// Applied is called after each batch of applied entries.
 	Applied func(index Index)
-	// Fatal is called once when the disk can no longer be trusted.
+	// Fatal is called once if the disk can no longer be trusted.
 	Fatal         func(err error)
 	SnapshotEvery Index
 	Log           logr.Logger
@@ -106,16 +106,16 @@
 	ready     chan struct{}
 	readyOnce sync.Once
 
-	core    *Core
-	applied Index
-	snapped Index
-	waiting map[Index]waiter
+	core          *Core
+	applied       Index
+	snapshotIndex Index
+	waiters       map[Index]waiter
 }
 
-// NewNode returns a node on store; its goroutine is parked until Run.
+// NewNode returns a node on store; its goroutine waits for Run.
 func NewNode(store *Store) *Node {
 	n := &Node{
-		SnapshotEvery: defaultSnapEvery,
+		SnapshotEvery: defaultSnapshotEvery,
 		Now:           clock.Now,
 		Applied:       func(Index) {},
 		Log:           logr.Discard(),
@@ -126,34 +126,34 @@
 		transfers:     make(chan chan bool),
 		forms:         make(chan []Member),
 		ready:         make(chan struct{}),
-		waiting:       map[Index]waiter{},
+		waiters:       map[Index]waiter{},
 	}
 	n.status.Store(&Status{})
 	n.tasks.Go(func(ctx context.Context) { n.loop(ctx) })
 	return n
 }
 
-// Run takes part in the protocol until ctx ends.
+// Run participates in the protocol until ctx is done.
 func (n *Node) Run(ctx context.Context) {
 	n.tasks.Run(ctx)
 }
 
-// Discard ends a node that will not run.
+// Discard releases a node that will not run.
 func (n *Node) Discard() {
 	n.tasks.Discard()
 }
 
-// Ready is closed once the state of the disk has been restored.
+// Ready is closed once the state on disk has been restored.
 func (n *Node) Ready() <-chan struct{} {
 	return n.ready
 }
 
-// Status returns the newest view.
+// Status returns the newest published state.
 func (n *Node) Status() Status {
 	return *n.status.Load()
 }
 
-// Deliver hands over messages from the transport; when the queue is full they are dropped, as a network may.
+// Deliver queues messages from the transport. It drops them if the queue is full, as a network would.
 func (n *Node) Deliver(messages []Message) {
 	select {
 	case n.inbox <- messages:
@@ -161,26 +161,27 @@
 	}
 }
 
-// Propose returns what Apply returned and the command's index, or NoLeader when it is not known whether the command will be applied.
+// Propose returns the result of Apply and the command's index. The error NoLeader means that the command may or may not
+// be applied.
 func (n *Node) Propose(ctx context.Context, data []byte) (any, Index, error) {
-	if len(data) > maxProposal {
-		return nil, 0, result.New(result.ProposalTooLarge, "%d bytes are over %d", len(data), maxProposal)
+	if len(data) > maxProposalBytes {
+		return nil, 0, result.New(result.ProposalTooLarge, "proposal of %d bytes exceeds %d bytes", len(data), maxProposalBytes)
 	}
 	return n.propose(ctx, proposal{kind: EntryCommand, data: data})
 }
 
-// ProposeMembers returns after the new members are committed.
+// ProposeMembers returns once the new members are committed.
 func (n *Node) ProposeMembers(ctx context.Context, members []Member) error {
 	_, _, err := n.propose(ctx, proposal{kind: EntryMembers, members: members})
 	return err
 }
 
 func (n *Node) propose(ctx context.Context, p proposal) (any, Index, error) {
-	p.done = make(chan outcome, 1)
+	p.done = make(chan proposalResult, 1)
 	select {
 	case n.proposals <- p:
 	case <-ctx.Done():
-		return nil, 0, result.New(result.NoLeader, "the log takes no proposals")
+		return nil, 0, result.New(result.NoLeader, "the log did not accept the proposal in time")
 	}
 	select {
 	case o := <-p.done:
@@ -190,7 +191,7 @@
 	}
 }
 
-// Form gives a never formed member its first members.
+// Form sets the first members of a member that was never formed.
 func (n *Node) Form(ctx context.Context, members []Member) {
 	select {
 	case n.forms <- members:
@@ -198,7 +199,7 @@
 	}
 }
 
-// TransferLeadership asks the best follower to lead and reports whether one was asked.
+// TransferLeadership asks a voter that holds the whole log to lead, and reports whether there was one.
 func (n *Node) TransferLeadership(ctx context.Context) bool {
 	done := make(chan bool, 1)
 	select {
@@ -210,54 +211,54 @@
 }
 
 func (n *Node) loop(ctx context.Context) {
-	if err := n.open(); err != nil {
+	if err := n.restoreState(); err != nil {
 		n.Fatal(err)
 		return
 	}
 	n.publish()
 	n.readyOnce.Do(func() { close(n.ready) })
-	ticker := time.NewTicker(max(n.Timing.Heartbeat/ticksPerBeat, time.Millisecond))
+	ticker := time.NewTicker(max(n.Timing.Heartbeat/ticksPerHeartbeat, time.Millisecond))
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			n.failWaiting(result.New(result.Stopping, "the member stops"))
+			n.failWaiters(result.New(result.Stopping, "the member is stopping"))
 			return
 		case <-ticker.C:
 			n.core.Tick(n.Now())
 		case messages := <-n.inbox:
 			n.step(messages)
 		case p := <-n.proposals:
-			n.take(p)
+			n.acceptProposal(p)
 			n.drainProposals()
 			n.core.Flush(n.Now())
 		case members := <-n.forms:
 			n.core.Form(members)
 		case done := <-n.transfers:
-			done <- n.transfer()
+			done <- n.transferLeadership()
 		}
 		n.drainInbox()
 		if err := n.process(ctx); err != nil {
 			if ctx.Err() == nil {
 				n.Fatal(err)
 			}
-			n.failWaiting(err)
+			n.failWaiters(err)
 			return
 		}
 	}
 }
 
-func (n *Node) open() error {
-	snap, hard, entries, err := n.store.Load(n.Instance)
+func (n *Node) restoreState() error {
+	snapshot, hardState, entries, err := n.store.Load(n.Instance)
 	if err != nil {
 		return err
 	}
-	n.core = NewCore(n.store.ID(), n.Instance, n.Timing, n.Seed, n.Now(), snap, hard, entries)
-	if snap == nil {
+	n.core = NewCore(n.store.ID(), n.Instance, n.Timing, n.Seed, n.Now(), snapshot, hardState, entries)
+	if snapshot == nil {
 		return nil
 	}
-	n.applied, n.snapped = snap.Index, snap.Index
-	return n.Restore(snap.Index, snap.Data)
+	n.applied, n.snapshotIndex = snapshot.Index, snapshot.Index
+	return n.Restore(snapshot.Index, snapshot.Data)
 }
 
 func (n *Node) step(messages []Message) {
@@ -268,7 +269,7 @@
 }
 
 func (n *Node) drainInbox() {
-	for range drainLimit {
+	for range maxDrainedPerLoop {
 		select {
 		case messages := <-n.inbox:
 			n.step(messages)
@@ -279,17 +280,17 @@
 }
 
 func (n *Node) drainProposals() {
-	for range drainLimit {
+	for range maxDrainedPerLoop {
 		select {
 		case p := <-n.proposals:
-			n.take(p)
+			n.acceptProposal(p)
 		default:
 			return
 		}
 	}
 }
 
-func (n *Node) take(p proposal) {
+func (n *Node) acceptProposal(p proposal) {
 	var index Index
 	var ok bool
 	if p.kind == EntryMembers {
@@ -298,21 +299,21 @@
 		index, ok = n.core.Propose(n.Now(), p.kind, p.data)
 	}
 	if !ok {
-		p.done <- outcome{err: result.New(result.NoLeader, "this member does not lead, or its last change of members is not yet committed")}
+		p.done <- proposalResult{err: result.New(result.NoLeader, "this member does not lead, or its last change of members is not yet committed")}
 		return
 	}
-	n.waiting[index] = waiter{term: n.core.Status().Term, done: p.done}
+	n.waiters[index] = waiter{term: n.core.Status().Term, done: p.done}
 }
 
-func (n *Node) transfer() bool {
-	best, ok := n.core.CaughtUpVoter()
-	asked := ok && n.core.TransferTo(n.Now(), best)
-	// Readers must not see the lease any more when the other member learns that it may lead.
+func (n *Node) transferLeadership() bool {
+	voter, ok := n.core.CaughtUpVoter()
+	started := ok && n.core.TransferTo(n.Now(), voter)
+	// The lease must end for readers before the other member receives the request.
 	n.publish()
-	return asked
+	return started
 }
 
-// process does what the core asks for, in the order that makes its promises true.
+// process does what the core requires, in the order that keeps votes and acknowledgements true.
 func (n *Node) process(ctx context.Context) error {
 	for _, to := range n.core.TakeSnapshotRequests() {
 		n.sendSnapshot(to)
@@ -337,43 +338,43 @@
 	if err := n.applyAll(ctx, rd.Committed); err != nil {
 		return err
 	}
-	n.afterStep()
-	if more := n.core.commit > n.core.handed; more {
+	n.afterProcess()
+	if more := n.core.commit > n.core.handedOut; more {
 		return n.process(ctx)
 	}
 	return nil
 }
 
-func (n *Node) afterStep() {
-	if n.core.role != RoleLeader && len(n.waiting) > 0 {
-		n.failWaiting(result.New(result.NoLeader, "this member lost the lead; the change may still be accepted"))
+func (n *Node) afterProcess() {
+	if n.core.role != RoleLeader && len(n.waiters) > 0 {
+		n.failWaiters(result.New(result.NoLeader, "this member lost leadership; the change may still be committed"))
 	}
 	n.publish()
 }
 
-func (n *Node) failWaiting(err error) {
-	for i, w := range n.waiting {
-		w.done <- outcome{err: err}
-		delete(n.waiting, i)
+func (n *Node) failWaiters(err error) {
+	for i, w := range n.waiters {
+		w.done <- proposalResult{err: err}
+		delete(n.waiters, i)
 	}
 }
 
 func (n *Node) publish() {
 	s := n.core.Status()
 	s.Applied = n.applied
-	s.KnowsCommitted = s.KnowsCommitted && n.applied >= n.core.currentFrom
+	s.KnowsCommitted = s.KnowsCommitted && n.applied >= n.core.firstCurrentTermCommit
 	n.status.Store(&s)
 }
 
-// HoldsLease reports whether this member led with a majority's support at now, counted on its own clock.
+// HoldsLease reports whether this member leads and holds its lease at now, by its own clock.
 func (n *Node) HoldsLease(now time.Time) bool {
 	s := n.status.Load()
 	return s.Role == RoleLeader && now.Before(s.LeaseEnd)
 }
 
-// PriorLeasesExpired reports whether every lease of an earlier leader has run out, clock drift included.
+// PriorLeasesExpired reports whether every earlier leader's lease has expired, including clock drift.
 func (n *Node) PriorLeasesExpired(now time.Time) bool {
 	s := n.status.Load()
-	wait := time.Duration(float64(n.Timing.Lease) * driftFactor)
+	wait := time.Duration(float64(n.Timing.Lease) * clockDriftFactor)
 	return s.Role == RoleLeader && now.Sub(s.ElectedAt) > wait
 }
--- a/quorum/node_test.go
+++ b/quorum/node_test.go
@@ -21,91 +21,91 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// site is a few nodes in one synctest bubble, on real folders and with messages passed by hand.
-type site struct {
+// testCluster runs nodes in one synctest bubble, on real folders and with messages passed in memory.
+type testCluster struct {
 	t     *testing.T
-	nodes map[ident.Daemon]*member
+	nodes map[ident.Daemon]*testMember
 	names []ident.Daemon
 
-	mu   sync.Mutex
-	live map[ident.Daemon]*quorum.Node
-	// watch sees each message as it is sent; nil where nobody looks.
-	watch func(m *quorum.Message)
+	mu      sync.Mutex
+	running map[ident.Daemon]*quorum.Node
+	// onSend is called for each message as it is sent, if not nil.
+	onSend func(m *quorum.Message)
 }
 
-type member struct {
-	node   *quorum.Node
-	folder *disk.Folder
-	cancel context.CancelFunc
-	done   chan struct{}
-	fatal  error
-	full   atomic.Bool
+type testMember struct {
+	node     *quorum.Node
+	folder   *disk.Folder
+	cancel   context.CancelFunc
+	done     chan struct{}
+	fatal    error
+	diskFull atomic.Bool
 
-	mu    sync.Mutex
-	state []string
+	mu      sync.Mutex
+	applied []string
 }
 
-func newSite(t *testing.T, n int) *site {
-	s := &site{t: t, nodes: map[ident.Daemon]*member{}, live: map[ident.Daemon]*quorum.Node{}}
+func newTestCluster(t *testing.T, n int) *testCluster {
+	c := &testCluster{t: t, nodes: map[ident.Daemon]*testMember{}, running: map[ident.Daemon]*quorum.Node{}}
 	root := t.TempDir()
 	for i := range n {
 		name := ident.Daemon(fmt.Sprintf("m%d", i))
-		s.names = append(s.names, name)
+		c.names = append(c.names, name)
 		folder, err := disk.NewFolder(filepath.Join(root, string(name)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := &member{folder: folder}
+		m := &testMember{folder: folder}
 		write := folder.WriteAt
 		folder.WriteAt = func(f *os.File, b []byte, offset int64) (int, error) {
-			if m.full.Load() {
+			if m.diskFull.Load() {
 				return 0, syscall.ENOSPC
 			}
 			return write(f, b, offset)
 		}
-		s.nodes[name] = m
-		s.start(name)
+		c.nodes[name] = m
+		c.start(name)
 	}
 	var members []quorum.Member
-	for _, name := range s.names {
-		members = append(members, quorum.Member{ID: s.nodes[name].node.Status().ID, Voter: true})
+	for _, name := range c.names {
+		members = append(members, quorum.Member{ID: c.nodes[name].node.Status().ID, Voter: true})
 	}
-	for _, name := range s.names {
-		s.nodes[name].node.Form(t.Context(), members)
+	for _, name := range c.names {
+		c.nodes[name].node.Form(t.Context(), members)
 	}
-	return s
+	return c
 }
 
-func (s *site) start(name ident.Daemon) {
-	m := s.nodes[name]
+func (c *testCluster) start(name ident.Daemon) {
+	m := c.nodes[name]
 	store, err := quorum.OpenStore(m.folder, name)
 	if err != nil {
-		s.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	m.state, m.fatal = nil, nil
+	m.applied, m.fatal = nil, nil
 	n := quorum.NewNode(store)
 	n.Timing, n.SnapshotEvery = timing, 50
 	n.Seed = uint64(len(name)) * uint64(name[1])
-	n.Send = s.send
+	n.Send = c.send
 	n.Fatal = func(err error) { m.fatal = err }
 	n.Apply = func(index quorum.Index, data []byte) any {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.state = append(m.state, string(data))
+		m.applied = append(m.applied, string(data))
 		return fmt.Sprint(index, ":", string(data))
 	}
 	n.TakeSnapshot = func() ([]byte, error) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		return []byte(fmt.Sprintf("%q", m.state)), nil
+		return []byte(fmt.Sprintf("%q", m.applied)), nil
 	}
 	n.Restore = func(_ quorum.Index, data []byte) error {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.state = parse(string(data))
+		m.applied = parseQuotedList(string(data))
 		return nil
 	}
-	ctx, cancel := context.WithCancel(s.t.Context())
+	ctx, cancel := context.WithCancel(c.t.Context())
 	m.node, m.cancel, m.done = n, cancel, make(chan struct{})
 	go func() {
 		defer close(m.done)
@@ -115,13 +115,13 @@
 		wg.Wait()
 	}()
 	<-n.Ready()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.live[name] = n
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.running[name] = n
 }
 
-// parse reads a list of quoted strings.
-func parse(s string) []string {
+// parseQuotedList parses a list of quoted strings.
+func parseQuotedList(s string) []string {
 	var list []string
 	for len(s) > 1 {
 		s = s[1:]
@@ -135,22 +135,22 @@
 	return list
 }
 
-func (s *site) stop(name ident.Daemon) {
-	m := s.nodes[name]
+func (c *testCluster) stop(name ident.Daemon) {
+	m := c.nodes[name]
 	m.cancel()
 	<-m.done
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.live, name)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.running, name)
 }
 
-func (s *site) send(messages []quorum.Message) {
+func (c *testCluster) send(messages []quorum.Message) {
 	for i := range messages {
-		s.mu.Lock()
-		n, watch := s.live[messages[i].To.Name], s.watch
-		s.mu.Unlock()
-		if watch != nil {
-			watch(&messages[i])
+		c.mu.Lock()
+		n, onSend := c.running[messages[i].To.Name], c.onSend
+		c.mu.Unlock()
+		if onSend != nil {
+			onSend(&messages[i])
 		}
 		if n != nil {
 			n.Deliver(messages[i : i+1])
@@ -158,35 +158,35 @@
 	}
 }
 
-func (s *site) leader() *member {
+func (c *testCluster) leader() *testMember {
 	for range 200 {
-		for _, m := range s.nodes {
+		for _, m := range c.nodes {
 			if m.node.Status().Role == quorum.RoleLeader {
 				return m
 			}
 		}
 		time.Sleep(timing.Heartbeat)
 	}
-	s.t.Fatal("no leader")
+	c.t.Fatal("no leader")
 	return nil
 }
 
-func (m *member) commands() []string {
+func (m *testMember) commands() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.Clone(m.state)
+	return slices.Clone(m.applied)
 }
 
-func (s *site) stopAll() {
-	for _, name := range s.names {
-		s.stop(name)
+func (c *testCluster) stopAll() {
+	for _, name := range c.names {
+		c.stop(name)
 	}
 }
 
-func (s *site) proposeMany(m *member, from, n int) {
+func (c *testCluster) proposeMany(m *testMember, from, n int) {
 	for i := from; i < from+n; i++ {
-		if _, _, err := m.node.Propose(s.t.Context(), []byte(fmt.Sprint("c", i))); err != nil {
-			s.t.Fatal(err)
+		if _, _, err := m.node.Propose(c.t.Context(), []byte(fmt.Sprint("c", i))); err != nil {
+			c.t.Fatal(err)
 		}
 	}
 }
@@ -199,70 +199,70 @@
 	return list
 }
 
-// Hundreds of changes, a kill of every member, and all of them are back.
+// After hundreds of changes and a restart of every member, all changes are still there.
 func TestRestartAfterHundredsOfChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 3)
-		s.proposeMany(s.leader(), 0, 300)
-		s.stopAll()
-		for _, name := range s.names {
-			s.start(name)
+		cluster := newTestCluster(t, 3)
+		cluster.proposeMany(cluster.leader(), 0, 300)
+		cluster.stopAll()
+		for _, name := range cluster.names {
+			cluster.start(name)
 		}
-		s.proposeMany(s.leader(), 300, 1)
+		cluster.proposeMany(cluster.leader(), 300, 1)
 		time.Sleep(time.Second)
-		for _, name := range s.names {
-			if diff := cmp.Diff(commands(301), s.nodes[name].commands()); diff != "" {
+		for _, name := range cluster.names {
+			if diff := cmp.Diff(commands(301), cluster.nodes[name].commands()); diff != "" {
 				t.Errorf("%s (-want +got):\n%s", name, diff)
 			}
 		}
-		s.stopAll()
+		cluster.stopAll()
 	})
 }
 
-// A member that was away while the others compacted their logs gets a snapshot.
-func TestAMemberThatWasAwayForLongCatchesUp(t *testing.T) {
+// A member that was stopped while the others compacted their logs gets a snapshot.
+func TestMemberBehindCompactionCatchesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 3)
-		leader := s.leader()
-		var away ident.Daemon
-		for _, name := range s.names {
-			if s.nodes[name] != leader {
-				away = name
+		cluster := newTestCluster(t, 3)
+		leader := cluster.leader()
+		var stopped ident.Daemon
+		for _, name := range cluster.names {
+			if cluster.nodes[name] != leader {
+				stopped = name
 			}
 		}
-		s.stop(away)
-		s.proposeMany(leader, 0, 300)
-		s.start(away)
+		cluster.stop(stopped)
+		cluster.proposeMany(leader, 0, 300)
+		cluster.start(stopped)
 		time.Sleep(3 * time.Second)
-		if diff := cmp.Diff(commands(300), s.nodes[away].commands()); diff != "" {
-			t.Errorf("after its return (-want +got):\n%s", diff)
+		if diff := cmp.Diff(commands(300), cluster.nodes[stopped].commands()); diff != "" {
+			t.Errorf("commands after the return of the member (-want +got):\n%s", diff)
 		}
-		s.stopAll()
+		cluster.stopAll()
 	})
 }
 
-func TestFolderFaultsAtTheStart(t *testing.T) {
+func TestStartDetectsFolderFaults(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		damage func(t *testing.T, path string)
 		as     ident.Daemon
 		code   result.Code
 	}{
-		{"untouched", func(*testing.T, string) {}, "m0", result.OK},
+		{"intact", func(*testing.T, string) {}, "m0", result.OK},
 		{"another member's folder", func(*testing.T, string) {}, "m9", result.WrongFolder},
-		{"snapshot with one wrong byte", func(t *testing.T, path string) { flip(t, filepath.Join(path, "snapshot-0"), 3) }, "m0", result.StorageDamaged},
-		{"identity with one wrong byte", func(t *testing.T, path string) { flip(t, filepath.Join(path, "identity"), 3) }, "m0", result.StorageDamaged},
-		{"log damaged before its tail", func(t *testing.T, path string) { flip(t, filepath.Join(path, "log"), 30) }, "m0", result.StorageDamaged},
+		{"snapshot with one wrong byte", func(t *testing.T, path string) { flipByte(t, filepath.Join(path, "snapshot-0"), 3) }, "m0", result.StorageDamaged},
+		{"identity with one wrong byte", func(t *testing.T, path string) { flipByte(t, filepath.Join(path, "identity"), 3) }, "m0", result.StorageDamaged},
+		{"log damaged before its tail", func(t *testing.T, path string) { flipByte(t, filepath.Join(path, "log"), 30) }, "m0", result.StorageDamaged},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var path string
 			synctest.Test(t, func(t *testing.T) {
-				s := newSite(t, 1)
-				s.proposeMany(s.leader(), 0, 60)
-				s.stopAll()
-				path = s.nodes["m0"].folder.Path
+				cluster := newTestCluster(t, 1)
+				cluster.proposeMany(cluster.leader(), 0, 60)
+				cluster.stopAll()
+				path = cluster.nodes["m0"].folder.Path
 				c.damage(t, path)
-				store, err := quorum.OpenStore(s.nodes["m0"].folder, c.as)
+				store, err := quorum.OpenStore(cluster.nodes["m0"].folder, c.as)
 				if err == nil {
 					_, _, _, err = store.Load(0)
 					store.Close()
@@ -275,7 +275,7 @@
 	}
 }
 
-func flip(t *testing.T, path string, at int) {
+func flipByte(t *testing.T, path string, at int) {
 	t.Helper()
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -287,60 +287,61 @@
 	}
 }
 
-// A disk that fails to sync ends the member; the others go on.
-func TestAFailedSyncEndsTheMember(t *testing.T) {
+// A member whose disk fails to sync stops; the others continue.
+func TestFailedSyncStopsMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 3)
-		leader := s.leader()
+		cluster := newTestCluster(t, 3)
+		leader := cluster.leader()
 		leader.folder.Sync = func(*os.File) error { return os.ErrPermission }
 		_, _, err := leader.node.Propose(t.Context(), []byte("lost"))
 		if code := result.CodeOf(err); code != result.SyncFailed {
-			t.Errorf("proposal: code %d, want %d", code, result.SyncFailed)
+			t.Errorf("proposal failed with code %d, want %d", code, result.SyncFailed)
 		}
 		if code := result.CodeOf(leader.fatal); code != result.SyncFailed {
-			t.Errorf("member ended with code %d, want %d", code, result.SyncFailed)
+			t.Errorf("member stopped with code %d, want %d", code, result.SyncFailed)
 		}
 		time.Sleep(3 * time.Second)
-		for _, m := range s.nodes {
+		for _, m := range cluster.nodes {
 			if m != leader && m.node.Status().Role == quorum.RoleLeader {
-				s.proposeMany(m, 0, 1)
-				s.stopAll()
+				cluster.proposeMany(m, 0, 1)
+				cluster.stopAll()
 				return
 			}
 		}
-		t.Error("nobody took over")
-		s.stopAll()
+		t.Error("no other member took over")
+		cluster.stopAll()
 	})
 }
 
-// A full disk refuses changes as certainly not accepted, the member stays, and accepts again when there is space.
-func TestAFullDiskRefusesAndRecovers(t *testing.T) {
+// A full disk refuses changes with an error that excludes their acceptance. The member keeps running and accepts
+// changes again once there is space.
+func TestFullDiskRefusesAndRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 1)
-		m := s.leader()
-		s.proposeMany(m, 0, 5)
-		m.full.Store(true)
-		// The first change is in the log already when the disk turns out to be full: its fate is not known.
+		cluster := newTestCluster(t, 1)
+		m := cluster.leader()
+		cluster.proposeMany(m, 0, 5)
+		m.diskFull.Store(true)
+		// The first change is in the log already when the disk turns out to be full, so its outcome is unknown.
 		_, _, err := m.node.Propose(t.Context(), []byte("c5"))
 		if code := result.CodeOf(err); code != result.NoLeader {
-			t.Errorf("the change that met the full disk: code %d", code)
+			t.Errorf("change that found the disk full: code %d", code)
 		}
 		_, _, err = m.node.Propose(t.Context(), []byte("refused"))
 		if code := result.CodeOf(err); code != result.StorageFull {
-			t.Errorf("a later change: code %d, want %d", code, result.StorageFull)
+			t.Errorf("later change: code %d, want %d", code, result.StorageFull)
 		}
 		if m.fatal != nil {
-			t.Errorf("the member ended: %v", m.fatal)
+			t.Errorf("the member stopped: %v", m.fatal)
 		}
-		m.full.Store(false)
+		m.diskFull.Store(false)
 		time.Sleep(2 * time.Second)
-		s.proposeMany(s.leader(), 6, 1)
-		s.stopAll()
-		s.start("m0")
-		s.proposeMany(s.leader(), 7, 1)
+		cluster.proposeMany(cluster.leader(), 6, 1)
+		cluster.stopAll()
+		cluster.start("m0")
+		cluster.proposeMany(cluster.leader(), 7, 1)
 		if diff := cmp.Diff(commands(8), m.commands()); diff != "" {
-			t.Errorf("after a restart (-want +got):\n%s", diff)
+			t.Errorf("commands after a restart (-want +got):\n%s", diff)
 		}
-		s.stopAll()
+		cluster.stopAll()
 	})
 }
--- a/quorum/reads_test.go
+++ b/quorum/reads_test.go
@@ -13,51 +13,52 @@
 	"github.com/dunlinquay/dunlinquay/quorum"
 )
 
-// orders are configurations that operators send, and what each member and entry makes of them.
-type orders struct {
+// readCheck proposes configuration versions in a history, and checks the versions that members and entries read.
+type readCheck struct {
 	*history
 	newest httproute.Version
-	// acked is the highest version that was acknowledged.
-	acked httproute.Version
-	// pending are versions by the place in the log that a leader gave them.
-	pending map[quorum.Index]pendingOrder
-	// noted is how many applied entries of each member were looked at.
-	noted map[*machine]noted
-	// folders counts those that were lost.
-	folders int
-	// versions are those of the log, by their place.
+	// acknowledged is the highest version whose proposal was acknowledged.
+	acknowledged httproute.Version
+	// pending holds the proposed versions by their index in the log.
+	pending map[quorum.Index]pendingVersion
+	// scanned holds how far each member's applied entries have been scanned.
+	scanned map[*simMember]scanPosition
+	// lostFolders is the number of folders that were lost.
+	lostFolders int
+	// versions holds the versions in the log by their index.
 	versions map[quorum.Index]httproute.Version
-	// entries are the versions that entries have in force, each told by any leader that holds a lease.
-	entries []httproute.Version
+	// entryVersions holds the version in force at each entry process, read from any leader with a lease.
+	entryVersions []httproute.Version
 }
 
-// noted is how many entries were looked at that a member has applied since a start.
-type noted struct {
-	boots   uint64
+// scanPosition is the number of scanned entries that a member has applied since one of its starts.
+type scanPosition struct {
+	starts  uint64
 	entries int
 }
 
-type pendingOrder struct {
-	by      *machine
+type pendingVersion struct {
+	by      *simMember
 	term    quorum.Term
 	version httproute.Version
 }
 
-// held is the version that a member's state machine has: what was committed up to its commit, of its snapshot or its log.
-func (o *orders) held(m *machine) httproute.Version {
-	for _, m := range o.members {
-		seen := o.noted[m]
-		if seen.boots != m.boots {
-			seen = noted{boots: m.boots}
+// versionOf returns the version in a member's state machine, which is the highest one up to its commit index in its
+// snapshot or log.
+func (r *readCheck) versionOf(m *simMember) httproute.Version {
+	for _, m := range r.members {
+		position := r.scanned[m]
+		if position.starts != m.starts {
+			position = scanPosition{starts: m.starts}
 		}
-		for _, e := range m.applied[seen.entries:] {
-			o.note(e)
+		for _, e := range m.applied[position.entries:] {
+			r.recordVersion(e)
 		}
-		seen.entries = len(m.applied)
-		o.noted[m] = seen
+		position.entries = len(m.applied)
+		r.scanned[m] = position
 	}
 	newest := httproute.Version(0)
-	for index, version := range o.versions {
+	for index, version := range r.versions {
 		if index <= m.core.Status().Commit {
 			newest = max(newest, version)
 		}
@@ -65,235 +66,238 @@
 	return newest
 }
 
-// note remembers what stands at a place of the log.
-func (o *orders) note(e quorum.Entry) {
-	if _, known := o.versions[e.Index]; known || e.Kind != quorum.EntryCommand {
+// recordVersion records the version at an index of the log.
+func (r *readCheck) recordVersion(e quorum.Entry) {
+	if _, known := r.versions[e.Index]; known || e.Kind != quorum.EntryCommand {
 		return
 	}
-	c := catalog.NewMachine()
-	o.versions[e.Index] = c.Apply(e.Data).Held
+	machine := catalog.NewMachine()
+	r.versions[e.Index] = machine.Apply(e.Data).Held
 }
 
-// order sends a version to a member, sometimes an older one.
-func (o *orders) order(m *machine) {
-	version := o.newest + 1
-	if o.newest > 3 && o.random.IntN(3) == 0 {
-		version -= httproute.Version(o.random.IntN(4))
+// proposeVersion proposes a version, sometimes an older one, to a member.
+func (r *readCheck) proposeVersion(m *simMember) {
+	version := r.newest + 1
+	if r.newest > 3 && r.random.IntN(3) == 0 {
+		version -= httproute.Version(r.random.IntN(4))
 	}
-	o.newest = max(o.newest, version)
+	r.newest = max(r.newest, version)
 	data, err := catalog.Encode(catalog.Document{Version: version, Packed: []byte{1}})
 	if err != nil {
-		o.t.Fatal(err)
+		r.t.Fatal(err)
 	}
 	if !m.up {
 		return
 	}
-	if index, ok := m.core.Propose(o.now(m), quorum.EntryCommand, data); ok {
-		o.pending[index] = pendingOrder{m, m.core.Status().Term, version}
-		m.core.Flush(o.now(m))
-		o.drain(m, false)
+	if index, ok := m.core.Propose(r.now(m), quorum.EntryCommand, data); ok {
+		r.pending[index] = pendingVersion{m, m.core.Status().Term, version}
+		m.core.Flush(r.now(m))
+		r.drain(m, false)
 	}
 }
 
-// acknowledge answers the orders that their leader has applied.
-func (o *orders) acknowledge() {
-	for index, p := range o.pending {
+// acknowledge acknowledges the versions that their leader has applied.
+func (r *readCheck) acknowledge() {
+	for index, p := range r.pending {
 		if !p.by.up {
-			delete(o.pending, index)
+			delete(r.pending, index)
 			continue
 		}
 		for _, e := range p.by.applied {
 			if e.Index == index && e.Term == p.term {
-				o.acked = max(o.acked, p.version)
-				delete(o.pending, index)
+				r.acknowledged = max(r.acknowledged, p.version)
+				delete(r.pending, index)
 			}
 		}
 	}
 }
 
-// reads looks at every member that would answer a read, and lets an entry follow one of them.
-func (o *orders) reads() {
-	o.acknowledge()
-	for _, m := range o.members {
+// checkReads checks the reads of all members that would serve them, and lets an entry process read from each.
+func (r *readCheck) checkReads() {
+	r.acknowledge()
+	for _, m := range r.members {
 		s := m.core.Status()
-		if !m.up || s.Role != quorum.RoleLeader || !o.now(m).Before(s.LeaseEnd) || !s.KnowsCommitted {
+		if !m.up || s.Role != quorum.RoleLeader || !r.now(m).Before(s.LeaseEnd) || !s.KnowsCommitted {
 			continue
 		}
-		got := o.held(m)
-		if got < o.acked {
-			o.t.Fatalf("%s answers a read with version %d, and %d was acknowledged", m.id.Name, got, o.acked)
+		got := r.versionOf(m)
+		if got < r.acknowledged {
+			r.t.Fatalf("%s serves a read with version %d although version %d was acknowledged", m.id.Name, got, r.acknowledged)
 		}
-		i := o.random.IntN(len(o.entries))
-		if got < o.entries[i] {
-			o.t.Fatalf("an entry that has version %d is told of version %d as the newest by %s", o.entries[i], got, m.id.Name)
+		i := r.random.IntN(len(r.entryVersions))
+		if got < r.entryVersions[i] {
+			r.t.Fatalf("an entry with version %d reads version %d from %s", r.entryVersions[i], got, m.id.Name)
 		}
-		o.entries[i] = got
+		r.entryVersions[i] = got
 	}
 }
 
-// No member that may answer reads has an older version than was acknowledged, whatever is lost, folders among it, cut, killed or handed over.
-func TestReadsAreNeverOlderThanWhatWasAcknowledged(t *testing.T) {
+// No member that may serve reads has an older version than an acknowledged one, whatever faults, folder losses and
+// transfers there were.
+func TestReadsIncludeAcknowledgedChanges(t *testing.T) {
 	var acknowledged, folders atomic.Uint64
 	t.Cleanup(func() {
-		if acknowledged.Load() < histories || folders.Load() < histories/20 {
-			t.Errorf("%d versions acknowledged and %d folders lost in %d histories", acknowledged.Load(), folders.Load(), histories)
+		if acknowledged.Load() < historyCount || folders.Load() < historyCount/20 {
+			t.Errorf("only %d versions acknowledged and %d folders lost in %d histories", acknowledged.Load(), folders.Load(), historyCount)
 		}
 	})
-	for seed := range uint64(histories) {
+	for seed := range uint64(historyCount) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			h := &history{newGroup(t, []int{3, 5}[seed%2]), rand.New(rand.NewPCG(seed, 11))}
-			o := &orders{history: h, pending: map[quorum.Index]pendingOrder{}, versions: map[quorum.Index]httproute.Version{}, noted: map[*machine]noted{}, entries: make([]httproute.Version, 3)}
-			for range stretches / 2 {
-				h.fault()
+			h := &history{newSimCluster(t, []int{3, 5}[seed%2]), rand.New(rand.NewPCG(seed, 11))}
+			check := &readCheck{history: h, pending: map[quorum.Index]pendingVersion{}, versions: map[quorum.Index]httproute.Version{}, scanned: map[*simMember]scanPosition{}, entryVersions: make([]httproute.Version, 3)}
+			for range phasesPerHistory / 2 {
+				h.injectFault()
 				if h.random.IntN(6) == 0 {
-					o.lose(h.any())
+					check.loseFolder(h.randomMember())
 				}
 				for range h.random.IntN(30) {
-					o.order(h.any())
-					o.turn()
+					check.proposeVersion(h.randomMember())
+					check.step()
 				}
 			}
 			for range 3 {
 				if h.settle() == nil {
-					t.Fatal("healed members have no leader")
+					t.Fatal("no leader after the end of all faults")
 				}
-				o.admit()
+				check.admitMembers()
 			}
-			o.reads()
-			folders.Add(uint64(o.folders))
-			acknowledged.Add(uint64(o.acked))
+			check.checkReads()
+			folders.Add(uint64(check.lostFolders))
+			acknowledged.Add(uint64(check.acknowledged))
 		})
 	}
 }
 
-// lose takes a member's folder while all others are there and in touch, and starts it again with an empty one.
-func (o *orders) lose(m *machine) {
-	for _, other := range o.members {
-		if !other.up || o.cut[other.id] || !o.admitted(other) {
+// loseFolder replaces a member's folder by an empty one and restarts the member, provided that all other members are
+// up, connected and voters.
+func (r *readCheck) loseFolder(m *simMember) {
+	for _, other := range r.members {
+		if !other.up || r.isolated[other.id] || !r.hasVote(other) {
 			return
 		}
 	}
-	o.folders++
-	m.id.Folder = quorum.FolderID(fmt.Sprint("new-", o.folders))
-	m.snapshot, m.hard, m.entries = nil, quorum.HardState{}, nil
-	o.start(m)
-	o.drain(m, false)
+	r.lostFolders++
+	m.id.Folder = quorum.FolderID(fmt.Sprint("new-", r.lostFolders))
+	m.snapshot, m.hardState, m.entries = nil, quorum.HardState{}, nil
+	r.start(m)
+	r.drain(m, false)
 }
 
-// admitted reports whether a member has a vote, as any leader knows.
-func (o *orders) admitted(m *machine) bool {
-	for _, l := range o.members {
+// hasVote reports whether a member has a vote, in the view of any leader.
+func (r *readCheck) hasVote(m *simMember) bool {
+	for _, l := range r.members {
 		s := l.core.Status()
 		if !l.up || s.Role != quorum.RoleLeader || !s.KnowsCommitted {
 			continue
 		}
-		return slices.Contains(s.Members, quorum.Member{ID: m.id, Voter: true}) && len(s.Members) == len(o.members)
+		return slices.Contains(s.Members, quorum.Member{ID: m.id, Voter: true}) && len(s.Members) == len(r.members)
 	}
 	return false
 }
 
-// admit lets a leader take in members with new folders, and drop their old ones once the new ones have their vote.
-func (o *orders) admit() {
-	for _, l := range o.members {
+// admitMembers lets leaders admit members with new folders, and remove the old ones once the new ones have their vote.
+func (r *readCheck) admitMembers() {
+	for _, l := range r.members {
 		s := l.core.Status()
 		if !l.up || s.Role != quorum.RoleLeader {
 			continue
 		}
-		if members := o.nextMembers(s.Members); members != nil {
-			l.core.ProposeMembers(o.now(l), members)
-			l.core.Flush(o.now(l))
-			o.drain(l, false)
+		if members := r.nextMembers(s.Members); members != nil {
+			l.core.ProposeMembers(r.now(l), members)
+			l.core.Flush(r.now(l))
+			r.drain(l, false)
 		}
 	}
 }
 
-func (o *orders) nextMembers(now []quorum.Member) []quorum.Member {
+func (r *readCheck) nextMembers(current []quorum.Member) []quorum.Member {
 	present := func(id quorum.MemberID) bool {
-		return slices.ContainsFunc(o.members, func(m *machine) bool { return m.id == id })
+		return slices.ContainsFunc(r.members, func(m *simMember) bool { return m.id == id })
 	}
-	if slices.ContainsFunc(now, func(m quorum.Member) bool { return !m.Voter }) {
+	if slices.ContainsFunc(current, func(m quorum.Member) bool { return !m.Voter }) {
 		return nil
 	}
-	if len(now) > len(o.members) {
-		return slices.DeleteFunc(slices.Clone(now), func(m quorum.Member) bool { return !present(m.ID) })
+	if len(current) > len(r.members) {
+		return slices.DeleteFunc(slices.Clone(current), func(m quorum.Member) bool { return !present(m.ID) })
 	}
-	for _, m := range o.members {
-		if m.up && !slices.ContainsFunc(now, func(o quorum.Member) bool { return o.ID == m.id }) {
-			return append(slices.Clone(now), quorum.Member{ID: m.id})
+	for _, m := range r.members {
+		if m.up && !slices.ContainsFunc(current, func(r quorum.Member) bool { return r.ID == m.id }) {
+			return append(slices.Clone(current), quorum.Member{ID: m.id})
 		}
 	}
 	return nil
 }
 
-// turn lets some time pass and some messages arrive, in any order.
-func (o *orders) turn() {
-	o.admit()
-	o.pass(time.Duration(1+o.random.IntN(60)) * time.Millisecond)
-	for range o.random.IntN(14) {
-		if len(o.wire) == 0 {
+// step advances time and delivers some messages, in any order.
+func (r *readCheck) step() {
+	r.admitMembers()
+	r.advance(time.Duration(1+r.random.IntN(60)) * time.Millisecond)
+	for range r.random.IntN(14) {
+		if len(r.network) == 0 {
 			break
 		}
-		i := o.random.IntN(min(len(o.wire), 6))
-		if o.random.IntN(12) == 0 {
-			o.wire = append(o.wire[:i:i], o.wire[i+1:]...)
+		i := r.random.IntN(min(len(r.network), 6))
+		if r.random.IntN(12) == 0 {
+			r.network = append(r.network[:i:i], r.network[i+1:]...)
 			continue
 		}
-		o.deliver(i, o.random.IntN(20) == 0, o.random.IntN(80) == 0)
-		o.check()
-		o.reads()
+		r.deliver(i, r.random.IntN(20) == 0, r.random.IntN(80) == 0)
+		r.checkInvariants()
+		r.checkReads()
 	}
 }
 
-// A new leader whose lease rests on members that lack the last change does not answer reads before it has committed an entry of its own.
-func TestANewLeaderReadsWhatItsPredecessorAcknowledged(t *testing.T) {
-	g, leader := lead(t, 5)
-	var others []*machine
-	for _, m := range g.members {
+// A new leader whose lease depends on members without the last change serves no reads before it has committed an entry
+// of its own term.
+func TestNewLeaderReadsIncludeAcknowledgedChanges(t *testing.T) {
+	cluster, leader := clusterWithLeader(t, 5)
+	var others []*simMember
+	for _, m := range cluster.members {
 		if m != leader {
 			others = append(others, m)
 		}
 	}
-	holder, behind := others[:2], others[2:]
+	holders, behind := others[:2], others[2:]
 	for _, m := range behind {
-		g.cut[m.id] = true
+		cluster.isolated[m.id] = true
 	}
-	g.propose(leader)
+	cluster.propose(leader)
 	last := leader.core.Status().Commit + 1
 	for range 20 {
-		// Nobody but the leader learns that the change is committed.
+		// Only the leader learns that the change is committed.
 		if leader.core.Status().Commit == last {
 			break
 		}
-		g.deliver(0, false, false)
+		cluster.deliver(0, false, false)
 	}
-	if leader.core.Status().Commit != last || holder[0].core.Status().Commit >= last {
-		t.Fatalf("commit %d at the leader, %d at a follower, want %d and less", leader.core.Status().Commit, holder[0].core.Status().Commit, last)
+	if leader.core.Status().Commit != last || holders[0].core.Status().Commit >= last {
+		t.Fatalf("commit index %d at the leader, %d at a follower, want %d and less", leader.core.Status().Commit, holders[0].core.Status().Commit, last)
 	}
-	leader.up, g.wire, g.cut = false, nil, map[quorum.MemberID]bool{holder[1].id: true}
+	leader.up, cluster.network, cluster.isolated = false, nil, map[quorum.MemberID]bool{holders[1].id: true}
 	reads := 0
 	for range 400 {
-		g.pass(timing.Heartbeat / 5)
+		cluster.advance(timing.Heartbeat / 5)
 		for range 40 {
-			if len(g.wire) == 0 {
+			if len(cluster.network) == 0 {
 				break
 			}
-			// What the members that are behind are sent beyond their refusals is lost.
-			if m := g.wire[0]; m.Kind == quorum.MessageSnapshot || len(m.Entries) > 1 {
-				g.wire = g.wire[1:]
+			// Messages that would let the members behind catch up are lost.
+			if m := cluster.network[0]; m.Kind == quorum.MessageSnapshot || len(m.Entries) > 1 {
+				cluster.network = cluster.network[1:]
 				continue
 			}
-			g.deliver(0, false, false)
+			cluster.deliver(0, false, false)
 		}
-		s := holder[0].core.Status()
-		if s.Role == quorum.RoleLeader && g.now(holder[0]).Before(s.LeaseEnd) && s.KnowsCommitted && s.Commit < last {
+		s := holders[0].core.Status()
+		if s.Role == quorum.RoleLeader && cluster.now(holders[0]).Before(s.LeaseEnd) && s.KnowsCommitted && s.Commit < last {
 			reads++
 		}
 	}
 	if reads > 0 {
-		t.Errorf("the new leader would answer reads by entry %d and less in %d moments, entry %d was acknowledged", last-1, reads, last)
+		t.Errorf("the new leader would serve reads up to entry %d at %d moments, although entry %d was acknowledged", last-1, reads, last)
 	}
-	if holder[0].core.Status().Role != quorum.RoleLeader {
-		t.Error("nobody leads")
+	if holders[0].core.Status().Role != quorum.RoleLeader {
+		t.Error("no member leads")
 	}
 }
--- a/quorum/start_test.go
+++ b/quorum/start_test.go
@@ -8,40 +8,40 @@
 	"github.com/dunlinquay/dunlinquay/quorum"
 )
 
-// late is a message on its way.
-type late struct {
+// delayedMessage is a message in transit.
+type delayedMessage struct {
 	at time.Duration
 	m  quorum.Message
 }
 
-// runDelayed lets time pass in milliseconds, with every message on its way for delay, until done.
-func (g *group) runDelayed(limit, delay time.Duration, each func(), done func() bool) time.Duration {
-	var way []late
-	began := g.elapsed
-	for g.elapsed-began < limit && !done() {
-		each()
-		g.pass(time.Millisecond)
-		for _, m := range g.wire {
-			way = append(way, late{g.elapsed + delay, m})
+// runDelayed advances time by milliseconds until done, with a delay for each message.
+func (c *simCluster) runDelayed(limit, delay time.Duration, beforeStep func(), done func() bool) time.Duration {
+	var inTransit []delayedMessage
+	started := c.elapsed
+	for c.elapsed-started < limit && !done() {
+		beforeStep()
+		c.advance(time.Millisecond)
+		for _, m := range c.network {
+			inTransit = append(inTransit, delayedMessage{c.elapsed + delay, m})
 		}
-		g.wire = nil
-		for len(way) > 0 && way[0].at <= g.elapsed {
-			m := way[0].m
-			way = way[1:]
-			g.wire = append(g.wire, m)
-			g.deliver(len(g.wire)-1, false, false)
-			for _, m := range g.wire {
-				way = append(way, late{g.elapsed + delay, m})
+		c.network = nil
+		for len(inTransit) > 0 && inTransit[0].at <= c.elapsed {
+			m := inTransit[0].m
+			inTransit = inTransit[1:]
+			c.network = append(c.network, m)
+			c.deliver(len(c.network)-1, false, false)
+			for _, m := range c.network {
+				inTransit = append(inTransit, delayedMessage{c.elapsed + delay, m})
 			}
-			g.wire = nil
+			c.network = nil
 		}
-		g.check()
+		c.checkInvariants()
 	}
-	return g.elapsed - began
+	return c.elapsed - started
 }
 
-func (g *group) leads() bool {
-	for _, m := range g.members {
+func (c *simCluster) hasLeader() bool {
+	for _, m := range c.members {
 		if m.up && m.core.Status().Role == quorum.RoleLeader {
 			return true
 		}
@@ -49,53 +49,53 @@
 	return false
 }
 
-// Members that all start anew within a moment have a leader soon after the lease that they may have supported is over: nobody
-// has to wait for an election time, and no two of them ask for votes at once.
-func TestAllStartAnew(t *testing.T) {
+// When all members restart within a moment, they have a leader soon after the lease that they may have supported has
+// expired. No member waits for the election time, and no two campaign at once.
+func TestLeaderElectedSoonAfterFullRestart(t *testing.T) {
 	const (
-		delay  = 8 * time.Millisecond // a message and the sync before it
-		apart  = 40 * time.Millisecond
-		within = 11*400*time.Millisecond/10 + 500*time.Millisecond/2 // the lease with its drift, half an election time
+		delay       = 8 * time.Millisecond // a message and the sync before it
+		startSpread = 40 * time.Millisecond
+		within      = 11*400*time.Millisecond/10 + 500*time.Millisecond/2 // the lease with its drift, half an election time
 	)
 	for _, c := range []struct {
 		name string
 		back int
-	}{{"all of five", 5}, {"three of five", 3}, {"all of three", 3}} {
+	}{{"all five", 5}, {"three of five", 3}, {"all three", 3}} {
 		var worst, sum time.Duration
 		const seeds = 200
 		for seed := range uint64(seeds) {
 			random := rand.New(rand.NewPCG(seed, 3))
 			n := 5
-			if c.name == "all of three" {
+			if c.name == "all three" {
 				n = 3
 			}
-			g, leader := lead(t, n)
-			g.propose(leader)
-			g.settle()
-			g.wire = nil
-			for i, m := range g.members {
+			cluster, leader := clusterWithLeader(t, n)
+			cluster.propose(leader)
+			cluster.settle()
+			cluster.network = nil
+			for i, m := range cluster.members {
 				m.up = false
-				m.boots += 1000*seed + uint64(7*i)
+				m.starts += 1000*seed + uint64(7*i)
 			}
-			starts := map[*machine]time.Duration{}
+			starts := map[*simMember]time.Duration{}
 			for _, i := range random.Perm(n)[:c.back] {
-				starts[g.members[i]] = g.elapsed + time.Duration(random.Int64N(int64(apart)))
+				starts[cluster.members[i]] = cluster.elapsed + time.Duration(random.Int64N(int64(startSpread)))
 			}
-			took := g.runDelayed(5*time.Second, delay, func() {
-				for _, m := range g.members {
-					if at, ok := starts[m]; ok && g.elapsed >= at {
+			elapsed := cluster.runDelayed(5*time.Second, delay, func() {
+				for _, m := range cluster.members {
+					if at, ok := starts[m]; ok && cluster.elapsed >= at {
 						delete(starts, m)
-						g.start(m)
-						g.drain(m, false)
+						cluster.start(m)
+						cluster.drain(m, false)
 					}
 				}
-			}, g.leads)
-			sum += took
-			worst = max(worst, took)
+			}, cluster.hasLeader)
+			sum += elapsed
+			worst = max(worst, elapsed)
 		}
-		t.Logf("%s: a leader after %v on average, %v at most", c.name, sum/seeds, worst)
-		if worst > within+apart {
-			t.Errorf("%s: a leader after %v, want %v at most", c.name, worst, within+apart)
+		t.Logf("%s: leader after %v on average, %v at most", c.name, sum/seeds, worst)
+		if worst > within+startSpread {
+			t.Errorf("%s: leader after %v, want at most %v", c.name, worst, within+startSpread)
 		}
 	}
 }
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -14,8 +14,8 @@
 
 var start = time.Unix(1000, 0)
 
-// first and second are two lives of one upstream.
-var first, second = ident.IncarnationOf("i-1", 1_000), ident.IncarnationOf("i-1", 2_000)
+// older and newer are two incarnations of one upstream.
+var older, newer = ident.IncarnationOf("i-1", 1_000), ident.IncarnationOf("i-1", 2_000)
 
 func newRoster() *roster.Roster {
 	r := roster.New()
@@ -24,24 +24,24 @@
 	return r
 }
 
-func report(id ident.Incarnation, address string, sequence uint64) *roster.Report {
+func newReport(id ident.Incarnation, address string, sequence uint64) *roster.Report {
 	return &roster.Report{Upstream: roster.Upstream{ID: id, Service: "s", Address: address}, Sequence: sequence}
 }
 
-func draining(r *roster.Report) *roster.Report {
+func withDraining(r *roster.Report) *roster.Report {
 	r.Draining = true
 	return r
 }
 
-// state tells of each upstream whether it is silent or leaving.
-func state(r *roster.Roster, now time.Time) []string {
+// upstreamStates lists the upstreams, with a mark for those that are silent or draining.
+func upstreamStates(r *roster.Roster, now time.Time) []string {
 	upstreams, _ := r.Upstreams(now)
 	var list []string
 	for i := range upstreams {
 		u := &upstreams[i]
 		text := string(u.ID)
 		if u.Draining {
-			text += " leaving"
+			text += " draining"
 		}
 		if u.Silent {
 			text += " silent"
@@ -58,134 +58,134 @@
 		do   func(r *roster.Roster)
 		want []string
 	}{
-		{"a first report", func(r *roster.Roster) { r.ApplyReport(start, report("a", "x", 1)) }, []string{"a"}},
-		{"a late report changes nothing", func(r *roster.Roster) {
-			r.ApplyReport(start, draining(report("a", "x", 5)))
-			r.ApplyReport(start, report("a", "x", 4))
-		}, []string{"a leaving"}},
-		{"leaving is not taken back", func(r *roster.Roster) {
-			r.ApplyReport(start, draining(report("a", "x", 5)))
-			r.ApplyReport(start, report("a", "x", 6))
-		}, []string{"a leaving"}},
-		{"one that signed off stays as leaving", func(r *roster.Roster) {
-			r.ApplyReport(start, report("a", "x", 1))
+		{"first report", func(r *roster.Roster) { r.ApplyReport(start, newReport("a", "x", 1)) }, []string{"a"}},
+		{"late report changes nothing", func(r *roster.Roster) {
+			r.ApplyReport(start, withDraining(newReport("a", "x", 5)))
+			r.ApplyReport(start, newReport("a", "x", 4))
+		}, []string{"a draining"}},
+		{"draining is not revoked", func(r *roster.Roster) {
+			r.ApplyReport(start, withDraining(newReport("a", "x", 5)))
+			r.ApplyReport(start, newReport("a", "x", 6))
+		}, []string{"a draining"}},
+		{"signed off", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport("a", "x", 1))
 			r.SignOff(start, "a")
-		}, []string{"a leaving"}},
-		{"a late report after signing off", func(r *roster.Roster) {
-			r.ApplyReport(start, report("a", "x", 1))
+		}, []string{"a draining"}},
+		{"late report after signing off", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport("a", "x", 1))
 			r.SignOff(start, "a")
-			r.ApplyReport(at(time.Second), report("a", "x", 2))
-		}, []string{"a leaving"}},
+			r.ApplyReport(at(time.Second), newReport("a", "x", 2))
+		}, []string{"a draining"}},
 		{"signing off before any report", func(r *roster.Roster) {
 			r.SignOff(start, "a")
-			r.ApplyReport(start, report("a", "x", 1))
+			r.ApplyReport(start, newReport("a", "x", 1))
 		}, nil},
-		{"one that signed off is forgotten", func(r *roster.Roster) {
-			r.ApplyReport(start, report("a", "x", 1))
+		{"signed off and dropped", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport("a", "x", 1))
 			r.SignOff(start, "a")
 			r.Expire(at(20 * time.Second))
 		}, nil},
 		{"silent", func(r *roster.Roster) {
-			r.ApplyReport(start, report("a", "x", 1))
+			r.ApplyReport(start, newReport("a", "x", 1))
 			r.Expire(at(4 * time.Second))
 		}, []string{"a silent"}},
-		{"silent and back", func(r *roster.Roster) {
-			r.ApplyReport(start, report("a", "x", 1))
+		{"silent, then reports again", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport("a", "x", 1))
 			r.Expire(at(4 * time.Second))
-			r.ApplyReport(at(4*time.Second), report("a", "x", 2))
+			r.ApplyReport(at(4*time.Second), newReport("a", "x", 2))
 		}, []string{"a"}},
-		{"forgotten", func(r *roster.Roster) {
-			r.ApplyReport(start, report("a", "x", 1))
+		{"dropped", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport("a", "x", 1))
 			r.Expire(at(40 * time.Second))
 		}, nil},
-		{"forgotten, and a report from before", func(r *roster.Roster) {
-			r.ApplyReport(start, report("a", "x", 1))
+		{"dropped, then a late report", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport("a", "x", 1))
 			r.Expire(at(40 * time.Second))
-			r.ApplyReport(at(40*time.Second), report("a", "x", 2))
+			r.ApplyReport(at(40*time.Second), newReport("a", "x", 2))
 		}, nil},
-		{"another life at the address", func(r *roster.Roster) {
-			r.ApplyReport(start, report("a", "x", 7))
-			r.ApplyReport(start, report("b", "x", 1))
+		{"another incarnation at the address", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport("a", "x", 7))
+			r.ApplyReport(start, newReport("b", "x", 1))
 		}, []string{"b"}},
-		{"another life, and a late report of the first", func(r *roster.Roster) {
-			r.ApplyReport(start, report("a", "x", 7))
-			r.ApplyReport(start, report("b", "x", 1))
-			r.ApplyReport(start, report("a", "x", 8))
+		{"another incarnation at the address, then a late report of the first", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport("a", "x", 7))
+			r.ApplyReport(start, newReport("b", "x", 1))
+			r.ApplyReport(start, newReport("a", "x", 8))
 		}, []string{"b"}},
-		{"a late first report of an earlier life, and the newer one goes on", func(r *roster.Roster) {
-			r.ApplyReport(start, report("b", "x", 1))
-			r.ApplyReport(start, report("a", "x", 9))
-			r.ApplyReport(start, report("b", "x", 2))
-			r.ApplyReport(start, report("b", "x", 3))
+		{"late first report of an earlier incarnation, the newer one keeps reporting", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport("b", "x", 1))
+			r.ApplyReport(start, newReport("a", "x", 9))
+			r.ApplyReport(start, newReport("b", "x", 2))
+			r.ApplyReport(start, newReport("b", "x", 3))
 		}, []string{"b"}},
-		{"started again under its id, counts from one", func(r *roster.Roster) {
-			r.ApplyReport(start, report(first, "x", 70))
-			r.ApplyReport(start, report(second, "x", 1))
-		}, []string{string(second)}},
-		{"started again elsewhere", func(r *roster.Roster) {
-			r.ApplyReport(start, report(first, "x", 70))
-			r.ApplyReport(start, report(second, "y", 1))
-		}, []string{string(second)}},
-		{"started again after it was leaving", func(r *roster.Roster) {
-			r.ApplyReport(start, draining(report(first, "x", 70)))
+		{"restarted under its id with sequence 1", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport(older, "x", 70))
+			r.ApplyReport(start, newReport(newer, "x", 1))
+		}, []string{string(newer)}},
+		{"restarted at another address", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport(older, "x", 70))
+			r.ApplyReport(start, newReport(newer, "y", 1))
+		}, []string{string(newer)}},
+		{"restarted after draining", func(r *roster.Roster) {
+			r.ApplyReport(start, withDraining(newReport(older, "x", 70)))
 			r.SignOff(start, "i-1")
-			r.ApplyReport(start, report(second, "x", 1))
-		}, []string{string(second)}},
-		{"started again after its end was known", func(r *roster.Roster) {
-			r.ApplyReport(start, report(first, "x", 70))
+			r.ApplyReport(start, newReport(newer, "x", 1))
+		}, []string{string(newer)}},
+		{"restarted after being dropped", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport(older, "x", 70))
 			r.Expire(at(40 * time.Second))
-			r.ApplyReport(at(40*time.Second), report(second, "x", 1))
-		}, []string{string(second)}},
-		{"started again, and late reports of the life before", func(r *roster.Roster) {
-			r.ApplyReport(start, report(first, "x", 70))
-			r.ApplyReport(start, report(second, "x", 1))
+			r.ApplyReport(at(40*time.Second), newReport(newer, "x", 1))
+		}, []string{string(newer)}},
+		{"restarted, then late reports of the earlier incarnation", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport(older, "x", 70))
+			r.ApplyReport(start, newReport(newer, "x", 1))
 			for i := range uint64(5) {
-				r.ApplyReport(start, draining(report(first, "x", 71+i)))
+				r.ApplyReport(start, withDraining(newReport(older, "x", 71+i)))
 			}
-		}, []string{string(second)}},
-		{"a late report of a life before that was never heard", func(r *roster.Roster) {
-			r.ApplyReport(start, report(second, "x", 1))
+		}, []string{string(newer)}},
+		{"late reports of an unknown earlier incarnation", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport(newer, "x", 1))
 			for i := range uint64(5) {
-				r.ApplyReport(start, report(first, "x", 71+i))
+				r.ApplyReport(start, newReport(older, "x", 71+i))
 			}
-		}, []string{string(second)}},
-		{"the life before signs off late", func(r *roster.Roster) {
-			r.ApplyReport(start, report(first, "x", 70))
-			r.ApplyReport(start, report(second, "x", 1))
-			r.SignOff(start, first)
-		}, []string{string(second)}},
-		{"signing off without a birth is of the newest life", func(r *roster.Roster) {
-			r.ApplyReport(start, report(second, "x", 1))
+		}, []string{string(newer)}},
+		{"earlier incarnation signs off late", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport(older, "x", 70))
+			r.ApplyReport(start, newReport(newer, "x", 1))
+			r.SignOff(start, older)
+		}, []string{string(newer)}},
+		{"sign-off without a start time applies to the newest incarnation", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport(newer, "x", 1))
 			r.SignOff(start, "i-1")
-		}, []string{string(second) + " leaving"}},
-		{"another upstream comes to the address of one that started again", func(r *roster.Roster) {
-			r.ApplyReport(start, report(first, "x", 70))
-			r.ApplyReport(start, report(second, "y", 1))
-			r.ApplyReport(start, report("b", "x", 1))
-		}, []string{"b", string(second)}},
+		}, []string{string(newer) + " draining"}},
+		{"another upstream at the former address of a restarted one", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport(older, "x", 70))
+			r.ApplyReport(start, newReport(newer, "y", 1))
+			r.ApplyReport(start, newReport("b", "x", 1))
+		}, []string{"b", string(newer)}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRoster()
 			c.do(r)
-			if diff := cmp.Diff(c.want, state(r, at(40*time.Second))); diff != "" {
+			if diff := cmp.Diff(c.want, upstreamStates(r, at(40*time.Second))); diff != "" {
 				t.Errorf("upstreams (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-func TestOnlyOwnReportsAreFresh(t *testing.T) {
+func TestOnlyReportsToThisRosterAreFresh(t *testing.T) {
 	r := newRoster()
 	r.Seed(start, []roster.Upstream{{ID: "a", Address: "x"}, {ID: "b", Address: "y"}}, nil)
-	r.ApplyReport(start, report("a", "x", 1))
+	r.ApplyReport(start, newReport("a", "x", 1))
 	_, ages := r.Upstreams(start)
 	if ages["a"] != 0 || ages["b"] < time.Second {
 		t.Errorf("ages %v: a has reported to this roster, b has not", ages)
 	}
 }
 
-// A copy that follows by deltas is the same as one that starts anew, whatever happened in between.
-func TestCopiesFollow(t *testing.T) {
+// A copy that applies deltas matches one that starts from a full delta.
+func TestCopyFollowsByDeltas(t *testing.T) {
 	r := newRoster()
 	c := roster.NewCopy()
 	follow := func() {
@@ -193,13 +193,13 @@
 		c.Apply(&d)
 	}
 	steps := []func(){
-		func() { r.ApplyReport(start, report("a", "x", 1)) },
-		func() { r.ApplyReport(start, report("b", "y", 1)) },
+		func() { r.ApplyReport(start, newReport("a", "x", 1)) },
+		func() { r.ApplyReport(start, newReport("b", "y", 1)) },
 		func() {
 			r.PutGroup(&roster.Group{Name: "g", Phase: roster.PhaseForming, Members: []ident.Incarnation{"a", "b"}})
 		},
 		func() { r.SignOff(start, "a") },
-		func() { r.ApplyReport(start, report("c", "y", 1)) },
+		func() { r.ApplyReport(start, newReport("c", "y", 1)) },
 		func() { r.DropGroup("g") },
 		func() { r.Expire(start.Add(4 * time.Second)) },
 		func() { r.Expire(start.Add(20 * time.Second)) },
@@ -217,25 +217,25 @@
 			continue
 		}
 		if diff := cmp.Diff(fresh, c); diff != "" {
-			t.Fatalf("after step %d the copy differs (-fresh +following):\n%s", i, diff)
+			t.Fatalf("after step %d the copy differs (-full +by deltas):\n%s", i, diff)
 		}
 	}
 }
 
-func TestNothingNewIsEmpty(t *testing.T) {
+func TestDeltaWithoutChangesIsEmpty(t *testing.T) {
 	r := newRoster()
-	r.ApplyReport(start, report("a", "x", 1))
+	r.ApplyReport(start, newReport("a", "x", 1))
 	c := roster.NewCopy()
 	d := r.Since(0)
 	c.Apply(&d)
 	if d = r.Since(c.Revision); !d.Empty() {
-		t.Errorf("delta %+v after nothing happened", d)
+		t.Errorf("delta %+v without any change", d)
 	}
-	if !r.ApplyReport(start, draining(report("a", "x", 2))) {
-		t.Error("a report that changes the state is not told as a change")
+	if !r.ApplyReport(start, withDraining(newReport("a", "x", 2))) {
+		t.Error("a report that changes the state is not reported as a change")
 	}
-	if r.ApplyReport(start, draining(report("a", "x", 3))) {
-		t.Error("a report that changes nothing is told as a change")
+	if r.ApplyReport(start, withDraining(newReport("a", "x", 3))) {
+		t.Error("a report that changes nothing is reported as a change")
 	}
 	d = r.Since(c.Revision)
 	var ids []string
@@ -248,10 +248,10 @@
 	}
 }
 
-// A copy that is further behind than the journal reaches gets everything.
-func TestACopyFarBehind(t *testing.T) {
+// A copy that is behind the start of the journal gets a full delta.
+func TestCopyBehindTheJournalGetsEverything(t *testing.T) {
 	r := newRoster()
-	r.ApplyReport(start, report("a", "x", 1))
+	r.ApplyReport(start, newReport("a", "x", 1))
 	c := roster.NewCopy()
 	d := r.Since(0)
 	c.Apply(&d)
@@ -260,14 +260,14 @@
 	}
 	d = r.Since(c.Revision)
 	if !d.Full {
-		t.Error("a delta over a journal that was cut")
+		t.Error("delta for a revision before the journal is not full")
 	}
 	c.Apply(&d)
 	if c.Groups["g"].Epoch != 39999 || len(c.Upstreams) != 1 {
-		t.Errorf("copy %+v", c)
+		t.Errorf("copy %+v, want group epoch 39999 and one upstream", c)
 	}
 	if d = r.Since(c.Revision); !d.Empty() {
-		t.Errorf("delta %+v after nothing happened", d)
+		t.Errorf("delta %+v without any change", d)
 	}
 }
 
@@ -276,7 +276,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r := newRoster()
 			for i := range n {
-				r.ApplyReport(start, report(ident.Incarnation(fmt.Sprint(i)), fmt.Sprint(i), 1))
+				r.ApplyReport(start, newReport(ident.Incarnation(fmt.Sprint(i)), fmt.Sprint(i), 1))
 			}
 			before, _ := r.Changed()
 			r.PutGroup(&roster.Group{Name: "g"})
@@ -287,14 +287,14 @@
 	}
 }
 
-// The model of an upstream's last group outlives the group: a spare joins at once what it was in before.
-func TestTheLastModelIsKept(t *testing.T) {
+// An upstream keeps the model of its last group after the group has ended, so that a spare can rejoin quickly.
+func TestLastModelIsKept(t *testing.T) {
 	r := newRoster()
-	in := report("a", "x", 1)
-	in.Loaded = []ident.Model{"large"}
-	r.ApplyReport(start, in)
-	r.ApplyReport(start, report("a", "x", 2))
-	r.ApplyReport(start, report("b", "x2", 1))
+	withModel := newReport("a", "x", 1)
+	withModel.Loaded = []ident.Model{"large"}
+	r.ApplyReport(start, withModel)
+	r.ApplyReport(start, newReport("a", "x", 2))
+	r.ApplyReport(start, newReport("b", "x2", 1))
 	upstreams, _ := r.Upstreams(start)
 	got := map[ident.Incarnation]ident.Model{}
 	for i := range upstreams {
@@ -305,7 +305,8 @@
 	}
 }
 
-// An upstream is cold for as long as its newest report says, whatever late reports say, and after its hall was taken back until it reports.
+// An upstream is cold as its newest report states, whatever late reports state. After its hall is taken back into
+// service it is cold until it reports.
 func TestColdUpstreams(t *testing.T) {
 	at := start.Add
 	cold := func(r *roster.Report, d time.Duration) *roster.Report {
@@ -317,56 +318,56 @@
 		do   func(r *roster.Roster)
 		want bool
 	}{
-		{"warm", func(r *roster.Roster) { r.ApplyReport(start, report("a", "x", 1)) }, false},
-		{"cold", func(r *roster.Roster) { r.ApplyReport(start, cold(report("a", "x", 1), 3*time.Second)) }, true},
-		{"cold until it is over", func(r *roster.Roster) {
-			r.ApplyReport(start, cold(report("a", "x", 1), 3*time.Second))
+		{"warm", func(r *roster.Roster) { r.ApplyReport(start, newReport("a", "x", 1)) }, false},
+		{"cold", func(r *roster.Roster) { r.ApplyReport(start, cold(newReport("a", "x", 1), 3*time.Second)) }, true},
+		{"cold until the end of the phase", func(r *roster.Roster) {
+			r.ApplyReport(start, cold(newReport("a", "x", 1), 3*time.Second))
 			r.Expire(at(2900 * time.Millisecond))
 		}, true},
-		{"over", func(r *roster.Roster) {
-			r.ApplyReport(start, cold(report("a", "x", 1), 3*time.Second))
+		{"end of the cold phase", func(r *roster.Roster) {
+			r.ApplyReport(start, cold(newReport("a", "x", 1), 3*time.Second))
 			r.Expire(at(3 * time.Second))
 		}, false},
-		{"warm sooner", func(r *roster.Roster) {
-			r.ApplyReport(start, cold(report("a", "x", 1), 3*time.Second))
-			r.ApplyReport(at(time.Second), report("a", "x", 2))
+		{"warm before the end of the phase", func(r *roster.Roster) {
+			r.ApplyReport(start, cold(newReport("a", "x", 1), 3*time.Second))
+			r.ApplyReport(at(time.Second), newReport("a", "x", 2))
 		}, false},
 		{"cold again", func(r *roster.Roster) {
-			r.ApplyReport(start, report("a", "x", 1))
-			r.ApplyReport(at(time.Second), cold(report("a", "x", 2), time.Second))
+			r.ApplyReport(start, newReport("a", "x", 1))
+			r.ApplyReport(at(time.Second), cold(newReport("a", "x", 2), time.Second))
 		}, true},
-		{"a late report", func(r *roster.Roster) {
-			r.ApplyReport(start, report("a", "x", 2))
-			r.ApplyReport(at(time.Second), cold(report("a", "x", 1), 9*time.Second))
+		{"late report", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport("a", "x", 2))
+			r.ApplyReport(at(time.Second), cold(newReport("a", "x", 1), 9*time.Second))
 		}, false},
-		{"its hall was taken back", func(r *roster.Roster) {
-			r.ApplyReport(start, report("a", "x", 1))
+		{"hall taken back into service", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport("a", "x", 1))
 			r.MarkHallCold(at(time.Second), "")
 			r.Expire(at(2 * time.Second))
 		}, true},
-		{"another hall was taken back", func(r *roster.Roster) {
-			r.ApplyReport(start, report("a", "x", 1))
+		{"other hall taken back into service", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport("a", "x", 1))
 			r.MarkHallCold(at(time.Second), "other")
 		}, false},
-		{"its hall was taken back and it reports", func(r *roster.Roster) {
-			r.ApplyReport(start, report("a", "x", 1))
+		{"hall taken back into service, then a report", func(r *roster.Roster) {
+			r.ApplyReport(start, newReport("a", "x", 1))
 			r.MarkHallCold(at(time.Second), "")
-			r.ApplyReport(at(2*time.Second), report("a", "x", 2))
+			r.ApplyReport(at(2*time.Second), newReport("a", "x", 2))
 		}, false},
-		{"a new leader's copy says cold", func(r *roster.Roster) {
+		{"cold in the copy of a new leader", func(r *roster.Roster) {
 			r.Seed(start, []roster.Upstream{{ID: "a", Cold: true}}, nil)
 			r.Expire(at(time.Second))
 		}, true},
-		{"a new leader has heard that it is warm", func(r *roster.Roster) {
+		{"warm by a report to a new leader", func(r *roster.Roster) {
 			r.Seed(start, []roster.Upstream{{ID: "a", Cold: true}}, nil)
-			r.ApplyReport(at(time.Second), report("a", "x", 7))
+			r.ApplyReport(at(time.Second), newReport("a", "x", 7))
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRoster()
 			c.do(r)
 			if u, _ := r.Upstream("a"); u.Cold != c.want {
-				t.Errorf("cold %v, want %v", u.Cold, c.want)
+				t.Errorf("cold is %v, want %v", u.Cold, c.want)
 			}
 		})
 	}
