--- a/dispatch/watched.go
+++ b/dispatch/attempts.go
@@ -12,48 +12,48 @@
 	"github.com/dunlinquay/dunlinquay/routing"
 )
 
-// lostLooks is how many looks in a row must find a group incomplete before its tries end.
-const lostLooks = 2
+// maxIncompleteChecks is how many looks in a row must find a group incomplete before its tries end.
+const maxIncompleteChecks = 2
 
-// try is one sending of a request.
-type try struct {
+// attempt is one sending of a request.
+type attempt struct {
 	target *routing.Target
 	cancel context.CancelCauseFunc
-	lost   int
+	incompleteChecks   int
 }
 
-type watched struct {
+type attemptSet struct {
 	mu    sync.Mutex
-	tries map[*try]struct{}
+	active map[*attempt]struct{}
 }
 
 // add watches t until the returned function is called.
-func (w *watched) add(t *try) (remove func()) {
+func (w *attemptSet) add(a *attempt) (remove func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.tries == nil {
-		w.tries = map[*try]struct{}{}
+	if w.active == nil {
+		w.active = map[*attempt]struct{}{}
 	}
-	w.tries[t] = struct{}{}
+	w.active[a] = struct{}{}
 	return func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		delete(w.tries, t)
+		delete(w.active, a)
 	}
 }
 
 // Look ends the tries whose group has lost a member; a group that leaves as planned ends its work in peace.
 func (d *Dispatcher) Look(now time.Time) {
-	d.watched.mu.Lock()
-	defer d.watched.mu.Unlock()
-	for t := range d.watched.tries {
-		if t.target.Whole(now, d.Table.Bound) || t.target.Leaving() {
-			t.lost = 0
+	d.attempts.mu.Lock()
+	defer d.attempts.mu.Unlock()
+	for a := range d.attempts.active {
+		if a.target.Whole(now, d.Table.Bound) || a.target.Leaving() {
+			a.incompleteChecks = 0
 			continue
 		}
-		t.lost++
-		if t.lost >= lostLooks {
-			t.cancel(errMemberLost)
+		a.incompleteChecks++
+		if a.incompleteChecks >= maxIncompleteChecks {
+			a.cancel(errMemberLost)
 		}
 	}
 }
--- a/dispatch/budget.go
+++ b/dispatch/budget.go
@@ -8,33 +8,33 @@
 	Share float64
 
 	mu    sync.Mutex
-	level float64
+	available float64
 }
 
 const (
-	budgetStart = 10
-	budgetLimit = 100
+	initialRetries = 10
+	maxRetries = 100
 )
 
 // NewBudget returns a budget that allows a few retries at once.
 func NewBudget(share float64) *Budget {
-	return &Budget{Share: share, level: budgetStart}
+	return &Budget{Share: share, available: initialRetries}
 }
 
 // Earn adds what one answered request pays in.
 func (b *Budget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.level = min(budgetLimit, b.level+b.Share)
+	b.available = min(maxRetries, b.available+b.Share)
 }
 
 // Spend reports whether one retry is allowed, and takes it.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.level < 1 {
+	if b.available < 1 {
 		return false
 	}
-	b.level--
+	b.available--
 	return true
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -34,12 +34,12 @@
 )
 
 const (
-	maxTries       = 4
+	maxAttempts       = 4
 	cancelTimeout  = 2 * time.Second
-	reserveRetry   = 20 * time.Millisecond
-	unknownGrace   = time.Second
-	microseconds   = 1e6
-	paceSmoothness = 0.05
+	reserveRetryInterval   = 20 * time.Millisecond
+	claimGrace   = time.Second
+	microsecondsPerSecond   = 1e6
+	paceWeight = 0.05
 )
 
 // Dispatcher serves requests; exported fields are set before use.
@@ -54,7 +54,7 @@
 	// InForce returns an error while this daemon may hold configuration that is no longer in force.
 	InForce func() error
 	// Observe is told what each request took.
-	Observe func(t *Timing)
+	Observe func(timing *Timing)
 	// Dropped is told of answers that were not passed on because they were foreign, broken or out of order.
 	Dropped func(group ident.Group, code result.Code)
 	// Quarantine is the work that is held because upstreams ended under it.
@@ -62,23 +62,23 @@
 	// Refuses reports whether an upstream's address refuses connections.
 	Refuses func(ctx context.Context, address string) bool
 	// Holds is told of work that is held from now on, and for how long.
-	Holds func(r *quarantine.Report, left time.Duration)
+	Holds func(r *quarantine.Report, remaining time.Duration)
 	// Asked is told of heads of groups that ask for time.
-	Asked func(head ident.Incarnation, asked time.Duration)
+	Asked func(head ident.Incarnation, requested time.Duration)
 	// Limits keep this daemon, together with all others, within the limits that upstreams name, by their addresses.
 	Limits *ratelimit.Limiter[string]
 	// LimitChanged is told of limits that begin, change and end, LimitUnclear of what can't be read.
-	LimitChanged func(address string, now, was ratelimit.Limit)
+	LimitChanged func(address string, now, previous ratelimit.Limit)
 	LimitUnclear func(address string, err error)
 	// Services serves plain services.
 	Services *Services
 
-	usualPace atomic.Int64
-	watched   watched
+	typicalPace atomic.Int64
+	attempts   attemptSet
 }
 
 // Sink receives the tokens of a streamed answer in order; an error ends the request as cancelled.
-type Sink func(text string, more bool) error
+type Sink func(text string, moreBuffered bool) error
 
 // Serve returns the whole answer of r; with a sink the text has also gone there token by token.
 func (d *Dispatcher) Serve(ctx context.Context, r *Request, sink Sink) (*Answer, error) {
@@ -86,7 +86,7 @@
 	ctx, cancel := context.WithTimeoutCause(ctx, r.Deadline.Sub(started), errDeadline)
 	defer cancel()
 	t := &Timing{Request: r.ID, Customer: r.Customer, Class: r.Class}
-	answer, err := d.claimed(ctx, r, sink, t)
+	answer, err := d.serveClaimed(ctx, r, sink, t)
 	t.Total = d.Now().Sub(started)
 	t.Err = err
 	d.Observe(t)
@@ -98,24 +98,24 @@
 	errMemberLost = errors.New("a member of the group was lost")
 )
 
-// claimed surrounds a not-repeatable request by its claim and its outcome.
-func (d *Dispatcher) claimed(ctx context.Context, r *Request, sink Sink, t *Timing) (*Answer, error) {
+// serveClaimed surrounds a not-repeatable request by its claim and its outcome.
+func (d *Dispatcher) serveClaimed(ctx context.Context, r *Request, sink Sink, t *Timing) (*Answer, error) {
 	if err := d.InForce(); err != nil {
 		return nil, err
 	}
 	if r.Repeatable {
-		return d.admitted(ctx, r, sink, t)
+		return d.serveAdmitted(ctx, r, sink, t)
 	}
 	var answer *Answer
 	run := func() ([]byte, error) {
-		a, err := d.admitted(ctx, r, sink, t)
+		a, err := d.serveAdmitted(ctx, r, sink, t)
 		if err != nil {
 			return nil, err
 		}
 		answer = a
 		return json.Marshal(a)
 	}
-	stored, err := d.once(ctx, ledger.Key{Customer: r.Customer, ID: r.Key}, r.Digest, r.Deadline, t, run)
+	stored, err := d.runOnce(ctx, ledger.Key{Customer: r.Customer, ID: r.Key}, r.Digest, r.Deadline, t, run)
 	if err != nil || answer != nil {
 		return answer, err
 	}
@@ -129,14 +129,14 @@
 	return answer, nil
 }
 
-// once runs a not-repeatable request under its claim, or returns what was stored of an earlier run; t counts its tries.
-func (d *Dispatcher) once(
+// runOnce runs a not-repeatable request under its claim, or returns what was stored of an earlier run; t counts its tries.
+func (d *Dispatcher) runOnce(
 	ctx context.Context, key ledger.Key, digest ledger.Digest, deadline time.Time, t *Timing, run func() ([]byte, error),
 ) ([]byte, error) {
 	// The claim reads as in progress until the run has surely ended.
 	// The ledger goes by the time of day, on which the clock of requests says nothing.
-	ends := time.Now().Add(deadline.Sub(d.Now()) + unknownGrace)
-	claim, stored, err := d.Book.Claim(ctx, key, digest, ends)
+	claimDeadline := time.Now().Add(deadline.Sub(d.Now()) + claimGrace)
+	claim, stored, err := d.Book.Claim(ctx, key, digest, claimDeadline)
 	if err != nil || claim == nil {
 		return stored, err
 	}
@@ -159,46 +159,46 @@
 	return err != nil && result.Lookup(result.CodeOf(err)).NotRun
 }
 
-// admitted passes the gate and gives back what it took.
-func (d *Dispatcher) admitted(ctx context.Context, r *Request, sink Sink, t *Timing) (*Answer, error) {
-	if err := d.held(r.work()); err != nil {
+// serveAdmitted passes the gate and gives back what it took.
+func (d *Dispatcher) serveAdmitted(ctx context.Context, r *Request, sink Sink, t *Timing) (*Answer, error) {
+	if err := d.quarantineError(r.fingerprint()); err != nil {
 		return nil, err
 	}
 	started := d.Now()
-	job := &job{d: d, r: r, sink: sink, t: t, started: started}
-	job.want = routing.Request{Model: r.Model, Adapter: r.Adapter, Prefixes: routing.Prefixes(r.Prompt), PromptTokens: r.PromptTokens}
-	ask := &admission.Ask{
+	job := &job{dispatcher: d, request: r, sink: sink, timing: t, started: started}
+	job.targetRequest = routing.Request{Model: r.Model, Adapter: r.Adapter, Prefixes: routing.Prefixes(r.Prompt), PromptTokens: r.PromptTokens}
+	admissionRequest := &admission.Ask{
 		Customer: r.Customer, Class: r.Class, Priority: r.Priority, Model: r.Model,
 		Tokens: r.PromptTokens + r.MaxTokens, Deadline: r.Deadline, Reserve: job.reserve,
-		Free: func() time.Duration { return job.want.RetryIn },
+		Free: func() time.Duration { return job.targetRequest.RetryIn },
 	}
-	if err := d.Gate.Admit(ctx, ask); err != nil {
-		return nil, d.unsent(ctx, err)
+	if err := d.Gate.Admit(ctx, admissionRequest); err != nil {
+		return nil, d.notSentError(ctx, err)
 	}
 	t.Wait = d.Now().Sub(started)
 	answer, err := job.run(ctx)
-	var took time.Duration
-	unused := ask.Tokens
+	var duration time.Duration
+	unusedTokens := admissionRequest.Tokens
 	if err == nil {
-		took = d.Now().Sub(started) - t.Wait
-		unused = ask.Tokens - ident.Tokens(answer.Tokens) - r.PromptTokens
+		duration = d.Now().Sub(started) - t.Wait
+		unusedTokens = admissionRequest.Tokens - ident.Tokens(answer.Tokens) - r.PromptTokens
 		d.Budget.Earn()
 	}
-	d.Gate.Done(ask, took, unused)
+	d.Gate.Done(admissionRequest, duration, unusedTokens)
 	return answer, err
 }
 
-// unsent names the error of a request that ended before it was sent: its deadline makes that a refusal.
-func (d *Dispatcher) unsent(ctx context.Context, err error) error {
-	err = d.named(ctx, err)
+// notSentError names the error of a request that ended before it was sent: its deadline makes that a refusal.
+func (d *Dispatcher) notSentError(ctx context.Context, err error) error {
+	err = d.contextError(ctx, err)
 	if result.CodeOf(err) == result.TimedOut {
 		return result.Wrap(err, result.DeadlineUnreachable, "the deadline passed before the request was sent")
 	}
 	return err
 }
 
-// named replaces the error of an ended context by the reason for which it ended.
-func (d *Dispatcher) named(ctx context.Context, err error) error {
+// contextError replaces the error of an ended context by the reason for which it ended.
+func (d *Dispatcher) contextError(ctx context.Context, err error) error {
 	code := result.CodeOf(err)
 	if code != result.Cancelled && code != result.TimedOut && code != result.UpstreamFailed && code != result.AnswerFragment {
 		return err
--- a/dispatch/limit_test.go
+++ b/dispatch/limit_test.go
@@ -19,115 +19,115 @@
 	"github.com/dunlinquay/dunlinquay/sharing"
 )
 
-// limited is an upstream that names a limit in its answers.
-type limited struct {
+// limitedUpstream is an upstream that names a limit in its answers.
+type limitedUpstream struct {
 	mu      sync.Mutex
-	limit   string
-	arrived []time.Time
-	named   time.Time
+	header   string
+	arrivals []time.Time
+	advertisedAt   time.Time
 }
 
-// take notes a request, works on it, and returns the header of the answer.
-func (u *limited) take() http.Header {
+// serve notes a request, works on it, and returns the header of the answer.
+func (u *limitedUpstream) serve() http.Header {
 	u.mu.Lock()
-	u.arrived = append(u.arrived, time.Now())
+	u.arrivals = append(u.arrivals, time.Now())
 	u.mu.Unlock()
 	time.Sleep(20 * time.Millisecond)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.limit == "" {
+	if u.header == "" {
 		return http.Header{}
 	}
-	if u.named.IsZero() {
-		u.named = time.Now()
+	if u.advertisedAt.IsZero() {
+		u.advertisedAt = time.Now()
 	}
-	return http.Header{ratelimit.Header: {u.limit}}
+	return http.Header{ratelimit.Header: {u.header}}
 }
 
-// beyond returns by how many requests the arrivals since all knew of the limit are beyond it in some span, and how many there were.
-func (u *limited) beyond(rate float64) (most float64, n int) {
+// excess returns by how many requests the arrivals since all knew of the limit are beyond it in some span, and how many there were.
+func (u *limitedUpstream) excess(rate float64) (maxExcess float64, n int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	lowest := 0.0
 	var first time.Time
-	for _, at := range u.arrived {
-		if !at.After(u.named.Add(5 * time.Millisecond)) {
+	for _, at := range u.arrivals {
+		if !at.After(u.advertisedAt.Add(5 * time.Millisecond)) {
 			continue
 		}
 		if n == 0 {
 			first = at
 		}
-		over := float64(n) - rate*at.Sub(first).Seconds()
-		lowest = min(lowest, over)
-		most = max(most, over-lowest+1)
+		excess := float64(n) - rate*at.Sub(first).Seconds()
+		lowest = min(lowest, excess)
+		maxExcess = max(maxExcess, excess-lowest+1)
 		n++
 	}
-	return most, n
+	return maxExcess, n
 }
 
-// newLimitTeam returns daemons that know each other, before two workers and the heads of two groups, of which the first ones are u.
-func newLimitTeam(n int, u *limited) []*bench {
-	var team []*bench
+// newLimitedDaemons returns daemons that know each other, before two workers and the heads of two groups, of which the first ones are u.
+func newLimitedDaemons(n int, u *limitedUpstream) []*fixture {
+	var daemons []*fixture
 	var names []string
 	for i := range n {
 		names = append(names, fmt.Sprint("daemon-", i))
 	}
 	for i, name := range names {
-		b := newBench()
-		b.Services = dispatch.NewServices(map[ident.Service]*dispatch.ServicePool{"s": dispatch.NewPool("s", []string{"head-0", "w1"}, 8)})
-		b.Services.Send = func(_ context.Context, address string, _ *dispatch.Call) (*dispatch.Reply, error) {
+		f := newFixture()
+		f.Services = dispatch.NewServices(map[ident.Service]*dispatch.ServicePool{"s": dispatch.NewPool("s", []string{"head-0", "w1"}, 8)})
+		f.Services.Send = func(_ context.Context, address string, _ *dispatch.Call) (*dispatch.Reply, error) {
 			if address == "head-0" {
-				return &dispatch.Reply{Status: http.StatusOK, Header: u.take()}, nil
+				return &dispatch.Reply{Status: http.StatusOK, Header: u.serve()}, nil
 			}
 			return &dispatch.Reply{Status: http.StatusOK}, nil
 		}
-		generate := b.Generate
-		b.Generate = func(ctx context.Context, address string, g *engine.Generate) (*engine.Stream, error) {
+		generate := f.Generate
+		f.Generate = func(ctx context.Context, address string, g *engine.Generate) (*engine.Stream, error) {
 			if address == "head-0" {
-				sent := time.Now()
-				b.HeardLimit(address, sent, http.StatusOK, u.take())
+				sentAt := time.Now()
+				f.HeardLimit(address, sentAt, http.StatusOK, u.serve())
 			}
 			return generate(ctx, address, g)
 		}
 		for range 2000 {
-			b.deeds = append(b.deeds, deed{cut: -1})
+			f.behaviors = append(f.behaviors, behavior{cutAfter: -1})
 		}
-		b.Gate.Capacity = func(ident.Model) int { return 64 }
-		seats := &ratelimit.Coordinators{Now: time.Now, MayCoordinate: func() bool { return true }}
-		seats.SetEntries(sharing.New(name, map[ident.Hall][]string{"": names}))
-		b.Limits.Coordinator = seats.Of
-		b.Services.TurnIn, b.Table.PermitIn = b.TurnIn, b.TurnIn
-		b.Limits.Send = func(to string, q *ratelimit.PermitRequest[string]) {
+		f.Gate.Capacity = func(ident.Model) int { return 64 }
+		coordinators := &ratelimit.Coordinators{Now: time.Now, MayCoordinate: func() bool { return true }}
+		coordinators.SetEntries(sharing.New(name, map[ident.Hall][]string{"": names}))
+		f.Limits.Coordinator = coordinators.Of
+		f.Services.TurnIn, f.Table.PermitIn = f.TurnIn, f.TurnIn
+		f.Limits.Send = func(to string, request *ratelimit.PermitRequest[string]) {
 			for j, other := range names {
 				if other == to {
 					time.AfterFunc(time.Millisecond, func() {
-						if a, ok := team[j].Limits.HandleRequest(q, names[i]); ok {
-							time.AfterFunc(time.Millisecond, func() { b.Limits.HandleReply(a) })
+						if reply, ok := daemons[j].Limits.HandleRequest(request, names[i]); ok {
+							time.AfterFunc(time.Millisecond, func() { f.Limits.HandleReply(reply) })
 						}
 					})
 				}
 			}
 		}
-		b.LimitChanged = func(address string, w ratelimit.Limit, _ ratelimit.Limit) {
-			for _, other := range team {
-				other.Limits.Table.Merge(address, w.Rate, w.LastSeen)
+		f.LimitChanged = func(address string, limit ratelimit.Limit, _ ratelimit.Limit) {
+			for _, other := range daemons {
+				other.Limits.Table.Merge(address, limit.Rate, limit.LastSeen)
 			}
 		}
-		team = append(team, b)
+		daemons = append(daemons, f)
 	}
-	return team
+	return daemons
 }
 
-// play lets requests come to all daemons by turns and returns how many were answered.
-func play(t *testing.T, team []*bench, lasts time.Duration, ask func(b *bench, n int) error) (answered int) {
+// sendRequests lets requests come to all daemons by turns and returns how many were answered.
+func sendRequests(t *testing.T, daemons []*fixture, duration time.Duration, send func(f *fixture, n int) error) (answered int) {
 	t.Helper()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for began, n := time.Now(), 0; time.Since(began) < lasts; n++ {
-		b := team[n%len(team)]
-		b.see()
+	for start, n := time.Now(), 0; time.Since(start) < duration; n++ {
+		f := daemons[n%len(daemons)]
+		f.observeMembers()
 		wg.Go(func() {
-			err := ask(b, n)
+			err := send(f, n)
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil {
@@ -141,32 +141,32 @@
 }
 
 // Workers and heads of groups get no more than the limit that they name, and nearly all of it; the others do the rest.
-func TestLimitsAreKeptByAllDaemons(t *testing.T) {
-	ways := map[string]func(b *bench, n int) error{
-		"a worker": func(b *bench, n int) error {
-			_, err := b.call(n)
+func TestDaemonsTogetherKeepLimits(t *testing.T) {
+	senders := map[string]func(f *fixture, arrived int) error{
+		"a worker": func(f *fixture, arrived int) error {
+			_, err := f.call(arrived)
 			return err
 		},
-		"the head of a group": func(b *bench, _ int) error {
-			_, err := b.Serve(context.Background(), b.request(), nil)
+		"the head of a group": func(f *fixture, _ int) error {
+			_, err := f.Serve(context.Background(), f.request(), nil)
 			return err
 		},
 	}
-	for name, ask := range ways {
+	for name, send := range senders {
 		for _, daemons := range []int{1, 4} {
 			t.Run(fmt.Sprintf("%s, %d daemons", name, daemons), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					const lasts = 12 * time.Second
-					u := &limited{limit: "2"}
-					team := newLimitTeam(daemons, u)
+					const duration = 12 * time.Second
+					u := &limitedUpstream{header: "2"}
+					fixtures := newLimitedDaemons(daemons, u)
 					time.Sleep(1100 * time.Millisecond)
-					answered := play(t, team, lasts, ask)
-					over, n := u.beyond(2)
-					if over > 1.05 {
-						t.Errorf("%.1f requests beyond the limit", over)
+					answered := sendRequests(t, fixtures, duration, send)
+					excess, arrived := u.excess(2)
+					if excess > 1.05 {
+						t.Errorf("%.1f requests beyond the limit", excess)
 					}
-					if n < 21 {
-						t.Errorf("%d requests in %v at a limit of 2 a second", n, lasts)
+					if arrived < 21 {
+						t.Errorf("%d requests in %v at a limit of 2 a second", arrived, duration)
 					}
 					if answered < 475 {
 						t.Errorf("%d of 480 requests were answered", answered)
@@ -178,30 +178,30 @@
 }
 
 // Where only upstreams with limits are left, what waits gets its turn, and the rest is refused at once with a time to come back.
-func TestCallsWaitForTheirTurnOrAreRefused(t *testing.T) {
+func TestCallsWaitForPermitOrAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &limited{limit: "2"}
-		b := newLimitTeam(1, u)[0]
-		b.Services.Pools["s"] = dispatch.NewPool("s", []string{"head-0"}, 64)
-		if _, err := b.call(0); err != nil {
+		u := &limitedUpstream{header: "2"}
+		f := newLimitedDaemons(1, u)[0]
+		f.Services.Pools["s"] = dispatch.NewPool("s", []string{"head-0"}, 64)
+		if _, err := f.call(0); err != nil {
 			t.Fatal(err)
 		}
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		served, refused := 0, 0
-		began := time.Now()
+		start := time.Now()
 		for n := range 20 {
 			wg.Go(func() {
-				_, err := b.call(n + 1)
+				_, err := f.call(n + 1)
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
 				case err == nil:
 					served++
-				case result.CodeOf(err) == result.Limited && time.Since(began) < 100*time.Millisecond:
+				case result.CodeOf(err) == result.Limited && time.Since(start) < 100*time.Millisecond:
 					refused++
 				default:
-					t.Errorf("%v after %v", err, time.Since(began))
+					t.Errorf("%v after %v", err, time.Since(start))
 				}
 			})
 		}
@@ -210,8 +210,8 @@
 		if served < 9 || served > 11 || served+refused != 20 {
 			t.Errorf("%d served and %d refused, want about 10 each", served, refused)
 		}
-		if over, _ := u.beyond(2); over > 1.05 {
-			t.Errorf("%.1f requests beyond the limit", over)
+		if excess, _ := u.excess(2); excess > 1.05 {
+			t.Errorf("%.1f requests beyond the limit", excess)
 		}
 	})
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -36,7 +36,7 @@
 	Content ident.Content
 }
 
-func (r *Request) work() quarantine.Fingerprint {
+func (r *Request) fingerprint() quarantine.Fingerprint {
 	return quarantine.Fingerprint{Customer: r.Customer, Content: r.Content}
 }
 
@@ -71,7 +71,7 @@
 	Content ident.Content
 }
 
-func (c *Call) work() quarantine.Fingerprint {
+func (c *Call) fingerprint() quarantine.Fingerprint {
 	return quarantine.Fingerprint{Customer: c.Customer, Content: c.Content}
 }
 
--- a/dispatch/services.go
+++ b/dispatch/services.go
@@ -23,12 +23,12 @@
 	inFlight atomic.Int64
 }
 
-// chosen is a worker that has one more call in flight, whether that call finds out if it takes calls again, and whether it waits for its
+// reservedWorker is a worker that has one more call in flight, whether that call finds out if it takes calls again, and whether it waits for its
 // turn there.
-type chosen struct {
+type reservedWorker struct {
 	*Worker
-	trial bool
-	waits bool
+	backoffProbe bool
+	waitsForPermit bool
 }
 
 // ServicePool is the workers of one plain service.
@@ -55,17 +55,17 @@
 }
 
 const (
-	// unreachedFor is how long a worker that could not be reached is passed over.
-	unreachedFor = time.Second
-	// turnLeast is when a call shall come back at the earliest that found neither a free worker nor a turn.
-	turnLeast    = 100 * time.Millisecond
+	// unreachableBackoff is how long a worker that could not be reached is passed over.
+	unreachableBackoff = time.Second
+	// minRetryAfter is when a call shall come back at the earliest that found neither a free worker nor a turn.
+	minRetryAfter    = 100 * time.Millisecond
 	defaultSlots = 64
 )
 
 // NewServices returns services whose workers have asked for nothing.
 func NewServices(pools map[ident.Service]*ServicePool) *Services {
 	rule := backoff.DefaultRule()
-	rule.Default = unreachedFor
+	rule.Default = unreachableBackoff
 	return &Services{Pools: pools, Random: rand.IntN, Backoff: backoff.New[string](rule), Asked: func(string, time.Duration, error) {},
 		TurnIn: func(time.Time, string) time.Duration { return 0 }}
 }
@@ -92,85 +92,85 @@
 	return p.Slots * len(p.Workers)
 }
 
-// take chooses the worker with the fewest calls, from a random one on, past those that want nothing; where all do, it returns for how
+// reserve chooses the worker with the fewest calls, from a random one on, past those that want nothing; where all do, it returns for how
 // long the first of them does.
-func (s *Services) take(now time.Time, p *ServicePool, avoid *Worker) (chosen, routing.Outcome, time.Duration) {
+func (s *Services) reserve(now time.Time, p *ServicePool, avoid *Worker) (reservedWorker, routing.Outcome, time.Duration) {
 	start := s.Random(len(p.Workers))
 	var best *Worker
-	var free time.Duration
-	anyAsked := false
-	verdict := routing.NotWhole
+	var retryIn time.Duration
+	anyRequested := false
+	outcome := routing.NotWhole
 	for i := range p.Workers {
 		w := p.Workers[(start+i)%len(p.Workers)]
-		asked := s.Backoff.StateOf(now, w.Address)
+		state := s.Backoff.StateOf(now, w.Address)
 		switch {
-		case asked.Remaining > 0:
-			anyAsked = anyAsked || asked.Requested
-			free = soonest(free, asked.Remaining)
+		case state.Remaining > 0:
+			anyRequested = anyRequested || state.Requested
+			retryIn = minNonZero(retryIn, state.Remaining)
 		case w == avoid && len(p.Workers) > 1, s.TurnIn(now, w.Address) > 0:
-		case asked.Probing || int(w.inFlight.Load()) >= p.Slots:
-			verdict = routing.Full
+		case state.Probing || int(w.inFlight.Load()) >= p.Slots:
+			outcome = routing.Full
 		case best == nil || w.inFlight.Load() < best.inFlight.Load():
 			best = w
 		}
 	}
 	if best != nil {
 		best.inFlight.Add(1)
-		return chosen{best, s.Backoff.BeginProbe(now, best.Address), false}, routing.Chosen, 0
+		return reservedWorker{best, s.Backoff.BeginProbe(now, best.Address), false}, routing.Chosen, 0
 	}
-	next := s.nextTurn(now, p)
+	limited := s.soonestPermit(now, p)
 	switch {
-	case verdict != routing.NotWhole:
-	case next != nil:
-		next.inFlight.Add(1)
-		return chosen{next, false, true}, routing.Chosen, 0
-	case anyAsked:
-		return chosen{}, routing.BackedOff, free
+	case outcome != routing.NotWhole:
+	case limited != nil:
+		limited.inFlight.Add(1)
+		return reservedWorker{limited, false, true}, routing.Chosen, 0
+	case anyRequested:
+		return reservedWorker{}, routing.BackedOff, retryIn
 	}
-	return chosen{}, verdict, 0
+	return reservedWorker{}, outcome, 0
 }
 
-// soonest returns the shorter of two times, of which 0 is none.
-func soonest(a, b time.Duration) time.Duration {
+// minNonZero returns the shorter of two times, of which 0 is none.
+func minNonZero(a, b time.Duration) time.Duration {
 	if a == 0 || b < a {
 		return b
 	}
 	return a
 }
 
-// nextTurn returns the worker that has a turn within its limit soonest, of those that have one later.
-func (s *Services) nextTurn(now time.Time, p *ServicePool) *Worker {
+// soonestPermit returns the worker that has a turn within its limit soonest, of those that have one later.
+func (s *Services) soonestPermit(now time.Time, p *ServicePool) *Worker {
 	var next *Worker
-	var soonest time.Duration
+	var shortest time.Duration
 	for _, w := range p.Workers {
 		wait := s.TurnIn(now, w.Address)
-		if wait > 0 && s.Backoff.StateOf(now, w.Address).Remaining <= 0 && (next == nil || wait < soonest) {
-			next, soonest = w, wait
+		if wait > 0 && s.Backoff.StateOf(now, w.Address).Remaining <= 0 && (next == nil || wait < shortest) {
+			next, shortest = w, wait
 		}
 	}
 	return next
 }
 
-// done gives back what take counted, and keeps what the worker asked for in its reply.
-func (s *Services) done(now time.Time, c chosen, reply *Reply, err error) {
+// release gives back what take counted, and keeps what the worker asked for in its reply.
+func (s *Services) release(now time.Time, c reservedWorker, reply *Reply, err error) {
 	c.inFlight.Add(-1)
 	refused := reply != nil && backoff.IsRefusal(reply.Status)
 	switch {
 	case result.CodeOf(err) == result.NeverSent:
 		s.Backoff.NoteRefusal(now, c.Address, 0)
 	case refused:
-		s.turnedAway(now, c.Address, reply)
+		s.noteBackoff(now, c.Address, reply)
 	}
-	if c.trial {
+	if c.backoffProbe {
 		s.Backoff.EndProbe(c.Address, reply != nil && !refused)
 	}
 }
 
-// turnedAway keeps the time that a worker asked for.
-func (s *Services) turnedAway(now time.Time, address string, reply *Reply) {
-	asked, err := backoff.ParseRetryAfter(reply.Header, time.Now())
-	if err != nil || asked > 0 && s.Backoff.NoteRefusal(now, address, asked) {
-		s.Asked(address, asked, err)
+// noteBackoff keeps the time that a worker asked for.
+func (s *Services) noteBackoff(now time.Time, address string, reply *Reply) {
+	requested, err := backoff.ParseRetryAfter(reply.Header, time.Now())
+	if err != nil || requested > 0 && s.Backoff.NoteRefusal(now, address, requested) {
+		s.Asked(address, requested, err)
 	}
 }
 
@@ -180,7 +180,7 @@
 	ctx, cancel := context.WithTimeoutCause(ctx, c.Deadline.Sub(started), errDeadline)
 	defer cancel()
 	t := &Timing{Request: c.ID, Customer: c.Customer, Class: c.Class, Group: ident.Group(ServiceModel(c.Service))}
-	reply, err := d.claimedCall(ctx, c, t)
+	reply, err := d.serveClaimedCall(ctx, c, t)
 	t.Total = d.Now().Sub(started)
 	t.First = t.Total
 	t.Err = err
@@ -188,7 +188,7 @@
 	return reply, err
 }
 
-func (d *Dispatcher) claimedCall(ctx context.Context, c *Call, t *Timing) (*Reply, error) {
+func (d *Dispatcher) serveClaimedCall(ctx context.Context, c *Call, t *Timing) (*Reply, error) {
 	if err := d.InForce(); err != nil {
 		return nil, err
 	}
@@ -197,18 +197,18 @@
 		return nil, result.New(result.ServiceUnknown, "there is no service %q", c.Service)
 	}
 	if !c.Once {
-		return d.admittedCall(ctx, c, pool, t)
+		return d.serveAdmittedCall(ctx, c, pool, t)
 	}
 	var reply *Reply
 	run := func() ([]byte, error) {
-		got, err := d.admittedCall(ctx, c, pool, t)
+		got, err := d.serveAdmittedCall(ctx, c, pool, t)
 		if err != nil {
 			return nil, err
 		}
 		reply = got
 		return json.Marshal(got)
 	}
-	stored, err := d.once(ctx, ledger.Key{Customer: c.Customer, ID: c.Key}, c.Digest, c.Deadline, t, run)
+	stored, err := d.runOnce(ctx, ledger.Key{Customer: c.Customer, ID: c.Key}, c.Digest, c.Deadline, t, run)
 	if err != nil || reply != nil {
 		return reply, err
 	}
@@ -219,101 +219,101 @@
 	return reply, nil
 }
 
-func (d *Dispatcher) admittedCall(ctx context.Context, c *Call, pool *ServicePool, t *Timing) (*Reply, error) {
-	if err := d.held(c.work()); err != nil {
+func (d *Dispatcher) serveAdmittedCall(ctx context.Context, c *Call, pool *ServicePool, t *Timing) (*Reply, error) {
+	if err := d.quarantineError(c.fingerprint()); err != nil {
 		return nil, err
 	}
 	started := d.Now()
-	var worker chosen
-	var free time.Duration
-	ask := &admission.Ask{
+	var worker reservedWorker
+	var retryIn time.Duration
+	admissionRequest := &admission.Ask{
 		Customer: c.Customer, Class: c.Class, Priority: c.Priority, Model: ServiceModel(c.Service), Deadline: c.Deadline,
-		Reserve: func(now time.Time) (verdict routing.Outcome) {
-			worker, verdict, free = d.Services.take(now, pool, nil)
-			return verdict
+		Reserve: func(now time.Time) (outcome routing.Outcome) {
+			worker, outcome, retryIn = d.Services.reserve(now, pool, nil)
+			return outcome
 		},
-		Free: func() time.Duration { return free },
+		Free: func() time.Duration { return retryIn },
 	}
-	if err := d.Gate.Admit(ctx, ask); err != nil {
-		return nil, d.unsent(ctx, err)
+	if err := d.Gate.Admit(ctx, admissionRequest); err != nil {
+		return nil, d.notSentError(ctx, err)
 	}
 	t.Wait = d.Now().Sub(started)
-	reply, err := d.callWorkers(ctx, c, pool, worker, t)
-	var took time.Duration
+	reply, err := d.sendCall(ctx, c, pool, worker, t)
+	var duration time.Duration
 	if err == nil {
-		took = d.Now().Sub(started) - t.Wait
+		duration = d.Now().Sub(started) - t.Wait
 		d.Budget.Earn()
 	}
-	d.Gate.Done(ask, took, 0)
+	d.Gate.Done(admissionRequest, duration, 0)
 	return reply, err
 }
 
-// life names the life of a worker that ended under a try; workers of plain services have no ids, so each end counts by itself.
-func (c *Call) life(w *Worker, try int) ident.Incarnation {
-	return ident.Incarnation(w.Address + " " + string(c.ID) + " " + strconv.Itoa(try))
+// workerIncarnation names the life of a worker that ended under a try; workers of plain services have no ids, so each end counts by itself.
+func (c *Call) workerIncarnation(w *Worker, attempt int) ident.Incarnation {
+	return ident.Incarnation(w.Address + " " + string(c.ID) + " " + strconv.Itoa(attempt))
 }
 
-// callWorkers sends the call to worker, and to others as long as it surely did not run or may be repeated.
-func (d *Dispatcher) callWorkers(ctx context.Context, c *Call, pool *ServicePool, worker chosen, t *Timing) (*Reply, error) {
-	ran := false
+// sendCall sends the call to worker, and to others as long as it surely did not run or may be repeated.
+func (d *Dispatcher) sendCall(ctx context.Context, c *Call, pool *ServicePool, worker reservedWorker, t *Timing) (*Reply, error) {
+	mayHaveRun := false
 	for {
-		if err := d.begin(c.work()); err != nil {
-			d.Services.done(d.Now(), worker, nil, err)
+		if err := d.beginAttempt(c.fingerprint()); err != nil {
+			d.Services.release(d.Now(), worker, nil, err)
 			return nil, err
 		}
-		if p := d.turn(ctx, worker.Address, c.Deadline, worker.waits); !p.OK {
-			d.Services.done(d.Now(), worker, nil, nil)
-			next, err := d.withoutTurn(pool, worker, &p)
+		if permit := d.awaitPermit(ctx, worker.Address, c.Deadline, worker.waitsForPermit); !permit.OK {
+			d.Services.release(d.Now(), worker, nil, nil)
+			next, err := d.reserveWithoutPermit(pool, worker, &permit)
 			if err != nil {
-				return nil, finalCall(err, ran)
+				return nil, finalCallError(err, mayHaveRun)
 			}
 			worker = next
 			continue
 		}
 		t.Tries++
-		sent := d.Now()
+		sentAt := d.Now()
 		reply, err := d.Services.Send(ctx, worker.Address, c)
-		d.Services.done(d.Now(), worker, reply, err)
+		d.Services.release(d.Now(), worker, reply, err)
 		if reply != nil {
-			d.HeardLimit(worker.Address, sent, reply.Status, reply.Header)
+			d.HeardLimit(worker.Address, sentAt, reply.Status, reply.Header)
 		}
-		d.concluded(c.work(), worker.Address, c.life(worker.Worker, t.Tries), err)
+		d.noteEvidence(c.fingerprint(), worker.Address, c.workerIncarnation(worker.Worker, t.Tries), err)
 		if err == nil {
 			return reply, nil
 		}
-		err = d.named(ctx, err)
-		ran = ran || !NotRun(err)
-		if !d.mayCallAgain(ctx, c, err, t.Tries) {
-			return nil, finalCall(err, ran)
+		err = d.contextError(ctx, err)
+		mayHaveRun = mayHaveRun || !NotRun(err)
+		if !d.mayRetryCall(ctx, c, err, t.Tries) {
+			return nil, finalCallError(err, mayHaveRun)
 		}
-		next, verdict, free := d.Services.take(d.Now(), pool, worker.Worker)
-		if verdict == routing.BackedOff && NotRun(err) {
-			err = admission.RefuseAway(free, ServiceModel(c.Service))
+		next, outcome, retryIn := d.Services.reserve(d.Now(), pool, worker.Worker)
+		if outcome == routing.BackedOff && NotRun(err) {
+			err = admission.RefuseAway(retryIn, ServiceModel(c.Service))
 		}
-		if verdict != routing.Chosen {
-			return nil, finalCall(err, ran)
+		if outcome != routing.Chosen {
+			return nil, finalCallError(err, mayHaveRun)
 		}
 		worker = next
 	}
 }
 
-// withoutTurn returns another worker for a call that got no turn, or its refusal.
-func (d *Dispatcher) withoutTurn(pool *ServicePool, worker chosen, p *ratelimit.Permit) (chosen, error) {
-	if worker.waits {
-		return chosen{}, refuseTurn(p, ServiceModel(pool.Name))
+// reserveWithoutPermit returns another worker for a call that got no turn, or its refusal.
+func (d *Dispatcher) reserveWithoutPermit(pool *ServicePool, worker reservedWorker, permit *ratelimit.Permit) (reservedWorker, error) {
+	if worker.waitsForPermit {
+		return reservedWorker{}, refuseNoPermit(permit, ServiceModel(pool.Name))
 	}
-	next, verdict, free := d.Services.take(d.Now(), pool, nil)
-	switch verdict {
+	next, outcome, retryIn := d.Services.reserve(d.Now(), pool, nil)
+	switch outcome {
 	case routing.Chosen:
 		return next, nil
 	case routing.BackedOff:
-		return chosen{}, admission.RefuseAway(free, ServiceModel(pool.Name))
+		return reservedWorker{}, admission.RefuseAway(retryIn, ServiceModel(pool.Name))
 	}
-	return chosen{}, admission.Refuse(result.Overloaded, max(p.After, turnLeast), "all workers of %q are full or have no turn", pool.Name)
+	return reservedWorker{}, admission.Refuse(result.Overloaded, max(permit.After, minRetryAfter), "all workers of %q are full or have no turn", pool.Name)
 }
 
-func (d *Dispatcher) mayCallAgain(ctx context.Context, c *Call, err error, tries int) bool {
-	if ctx.Err() != nil || tries >= maxTries {
+func (d *Dispatcher) mayRetryCall(ctx context.Context, c *Call, err error, attempts int) bool {
+	if ctx.Err() != nil || attempts >= maxAttempts {
 		return false
 	}
 	if NotRun(err) {
@@ -322,9 +322,9 @@
 	return c.Repeatable && d.Budget.Spend()
 }
 
-func finalCall(err error, ran bool) error {
+func finalCallError(err error, mayHaveRun bool) error {
 	if result.CodeOf(err) == result.NeverSent {
 		err = result.Wrap(err, result.NoWholeGroup, "no worker of the service could be reached")
 	}
-	return notAfterRun(err, ran)
+	return failedIfMayHaveRun(err, mayHaveRun)
 }
