--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -10,17 +10,17 @@
 )
 
 func BenchmarkAdmit(b *testing.B) {
-	gate := admission.NewController()
-	gate.SetShares(map[ident.Customer]admission.Share{"c": {Concurrent: 100, RequestsPerSecond: 1e9, TokensPerSecond: 1e12}})
+	controller := admission.NewController()
+	controller.SetShares(map[ident.Customer]admission.Share{"c": {Concurrent: 100, RequestsPerSecond: 1e9, TokensPerSecond: 1e12}})
 	a := &admission.Ask{
 		Customer: "c", Class: "interactive", Model: "m", Tokens: 100, Deadline: time.Now().Add(time.Hour),
 		Reserve: func(time.Time) routing.Outcome { return routing.Chosen },
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if err := gate.Admit(b.Context(), a); err != nil {
+		if err := controller.Admit(b.Context(), a); err != nil {
 			b.Fatal(err)
 		}
-		gate.Done(a, time.Millisecond, 10)
+		controller.Done(a, time.Millisecond, 10)
 	}
 }
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -13,7 +13,7 @@
 	"github.com/dunlinquay/dunlinquay/routing"
 )
 
-// Ask is one request before the gate; Reserve is called, possibly often, until it chooses a target.
+// Ask is one request for admission. Reserve is called, possibly often, until it chooses a target.
 type Ask struct {
 	Customer ident.Customer
 	Class    ident.Class
@@ -27,47 +27,48 @@
 	Free func() time.Duration
 }
 
-// Controller is the gate of one daemon; exported fields are set before use.
+// Controller admits the requests of one daemon. Its exported fields are set before use.
 type Controller struct {
 	Now func() time.Time
-	// Capacity returns how many requests of a model run at once over all groups.
+	// Capacity returns how many requests of a model all groups together run at once.
 	Capacity func(model ident.Model) int
 	// QueueLength returns how many requests of a class may wait for one model.
 	QueueLength func(class ident.Class) int
-	// ShareWait is how long a request waits for a larger share before its customer's limit refuses it.
+	// ShareWait is how long a request of a customer at its limit waits for a larger share before it is refused.
 	ShareWait time.Duration
 
-	mu        sync.Mutex
-	customers map[ident.Customer]*customer
-	queues    map[ident.Model]*queue
-	learnt    estimates
-	order     uint64
-	shares    chan struct{}
-	// sharers counts requests that wait for a place within their customer's limit.
-	sharers int
+	mu           sync.Mutex
+	customers    map[ident.Customer]*customer
+	queues       map[ident.Model]*queue
+	serviceTimes serviceEstimates
+	lastSequence uint64
+	// sharesChanged is closed and replaced when a request that waits at its customer's limit should check it again.
+	sharesChanged chan struct{}
+	// shareWaiters is the number of requests that wait because their customers are at their limits.
+	shareWaiters int
 }
 
 const (
-	defaultQueue     = 256
-	defaultShareWait = 600 * time.Millisecond
-	minRetryAfter    = time.Second
+	defaultQueueLength = 256
+	defaultShareWait   = 600 * time.Millisecond
+	minRetryAfter      = time.Second
 )
 
-// NewController returns a gate without limits.
+// NewController returns a controller without customer limits.
 func NewController() *Controller {
 	return &Controller{
-		Now:         clock.Now,
-		Capacity:    func(ident.Model) int { return 1 },
-		QueueLength: func(ident.Class) int { return defaultQueue },
-		ShareWait:   defaultShareWait,
-		customers:   map[ident.Customer]*customer{},
-		queues:      map[ident.Model]*queue{},
-		learnt:      estimates{},
-		shares:      make(chan struct{}),
+		Now:           clock.Now,
+		Capacity:      func(ident.Model) int { return 1 },
+		QueueLength:   func(ident.Class) int { return defaultQueueLength },
+		ShareWait:     defaultShareWait,
+		customers:     map[ident.Customer]*customer{},
+		queues:        map[ident.Model]*queue{},
+		serviceTimes:  serviceEstimates{},
+		sharesChanged: make(chan struct{}),
 	}
 }
 
-// SetShares replaces the shares of all customers that it names.
+// SetShares replaces the shares of the customers in shares; others keep theirs.
 func (c *Controller) SetShares(shares map[ident.Customer]Share) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,22 +76,22 @@
 		c.customer(name).share = s
 	}
 	c.notifyShares()
-	c.pumpAll()
+	c.admitFromAll()
 }
 
-// Demands returns and forgets what customers used and wanted since the last call, by name.
+// Demands returns the customers' demands since the last call, sorted by customer, and resets them.
 func (c *Controller) Demands() []Demand {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var demands []Demand
 	for name, cust := range c.customers {
-		cust.noteDemand()
-		if cust.demand != (Demand{}) {
-			d := cust.demand
+		cust.updatePeakConcurrency()
+		if cust.unreportedDemand != (Demand{}) {
+			d := cust.unreportedDemand
 			d.Customer = name
 			demands = append(demands, d)
 		}
-		cust.demand = Demand{}
+		cust.unreportedDemand = Demand{}
 	}
 	sort.Slice(demands, func(i, j int) bool { return demands[i].Customer < demands[j].Customer })
 	return demands
@@ -114,10 +115,10 @@
 	return q
 }
 
-// Admit returns nil once a has a target; otherwise a refusal, after which nothing has run. Done must follow a nil.
+// Admit returns nil once a has a target, and Done must be called later; otherwise it returns an error, and the request has not run.
 func (c *Controller) Admit(ctx context.Context, a *Ask) error {
 	now := c.Now()
-	if err := c.passLimits(ctx, now, a); err != nil {
+	if err := c.acquireLimits(ctx, now, a); err != nil {
 		return err
 	}
 	w, err := c.enqueue(c.Now(), a)
@@ -127,26 +128,26 @@
 	return c.await(ctx, w)
 }
 
-// passLimits takes the request from its customer's limits, waiting a moment for a larger share.
-func (c *Controller) passLimits(ctx context.Context, now time.Time, a *Ask) error {
-	until := now.Add(c.ShareWait)
+// acquireLimits counts the request against its customer's limits. At the concurrency limit it first waits for up to ShareWait.
+func (c *Controller) acquireLimits(ctx context.Context, now time.Time, a *Ask) error {
+	waitUntil := now.Add(c.ShareWait)
 	for {
 		c.mu.Lock()
 		cust := c.customer(a.Customer)
 		if !cust.atLimit() {
-			err := c.takeRates(now, cust, a)
+			err := c.acquireRates(now, cust, a)
 			c.mu.Unlock()
 			return err
 		}
 		cust.waiting++
-		c.sharers++
-		cust.noteDemand()
-		changed := c.shares
+		c.shareWaiters++
+		cust.updatePeakConcurrency()
+		changed := c.sharesChanged
 		c.mu.Unlock()
-		err := c.awaitShare(ctx, changed, until, a)
+		err := c.awaitShare(ctx, changed, waitUntil, a)
 		c.mu.Lock()
 		cust.waiting--
-		c.sharers--
+		c.shareWaiters--
 		c.mu.Unlock()
 		if err != nil {
 			return err
@@ -155,12 +156,12 @@
 	}
 }
 
-func (c *Controller) awaitShare(ctx context.Context, changed <-chan struct{}, until time.Time, a *Ask) error {
-	left := until.Sub(c.Now())
-	if left <= 0 {
-		return Refuse(result.LimitExceeded, minRetryAfter, "customer %s runs as many requests as it may", a.Customer)
+func (c *Controller) awaitShare(ctx context.Context, changed <-chan struct{}, waitUntil time.Time, a *Ask) error {
+	remaining := waitUntil.Sub(c.Now())
+	if remaining <= 0 {
+		return Refuse(result.LimitExceeded, minRetryAfter, "customer %s is at its limit of concurrent requests", a.Customer)
 	}
-	timer := time.NewTimer(left)
+	timer := time.NewTimer(remaining)
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -168,48 +169,49 @@
 	case <-timer.C:
 		return nil
 	case <-ctx.Done():
-		return result.Wrap(ctx.Err(), result.Cancelled, "caller went away before the request ran")
+		return result.Wrap(ctx.Err(), result.Cancelled, "the caller cancelled the request before it ran")
 	}
 }
 
-func (c *Controller) takeRates(now time.Time, cust *customer, a *Ask) error {
-	if d := cust.rateWait(now, a.Tokens); d > 0 {
-		cust.demand.Requests++
-		return Refuse(result.LimitExceeded, d, "customer %s is over its rate", a.Customer)
+func (c *Controller) acquireRates(now time.Time, cust *customer, a *Ask) error {
+	if wait := cust.consumeRates(now, a.Tokens); wait > 0 {
+		cust.unreportedDemand.Requests++
+		return Refuse(result.LimitExceeded, wait, "customer %s is over its rate limit", a.Customer)
 	}
 	cust.running++
-	cust.demand.Requests++
-	cust.demand.Tokens += int(a.Tokens)
-	cust.noteDemand()
+	cust.unreportedDemand.Requests++
+	cust.unreportedDemand.Tokens += int(a.Tokens)
+	cust.updatePeakConcurrency()
 	return nil
 }
 
-// enqueue lets a run at once, or returns the place where it waits, or refuses it.
+// enqueue admits a at once and returns nil, or returns its waiter in the queue, or refuses it.
 func (c *Controller) enqueue(now time.Time, a *Ask) (*waiter, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cust := c.customer(a.Customer)
 	q := c.queue(a.Model)
-	service := c.learnt.service(a)
+	serviceSeconds := c.serviceTimes.expectedSeconds(a)
 	if len(q.items) == 0 {
-		done, err := c.tryNow(now, a)
-		if done || err != nil {
-			c.giveBack(cust, err)
+		admitted, err := c.tryReserve(now, a)
+		if admitted || err != nil {
+			c.releaseIfRefused(cust, err)
 			return nil, err
 		}
 	}
-	if err := c.checkWait(now, a, q, service); err != nil {
-		c.giveBack(cust, err)
+	if err := c.checkWait(now, a, q, serviceSeconds); err != nil {
+		c.releaseIfRefused(cust, err)
 		return nil, err
 	}
-	c.order++
-	w := &waiter{ask: a, customer: cust, service: service, order: c.order, granted: make(chan error, 1)}
+	c.lastSequence++
+	w := &waiter{request: a, customer: cust, serviceSeconds: serviceSeconds, sequence: c.lastSequence, answer: make(chan error, 1)}
 	q.push(w)
-	c.pump(q)
+	c.admitFrom(q)
 	return w, nil
 }
 
-func (c *Controller) giveBack(cust *customer, err error) {
+// releaseIfRefused releases the request's place within the concurrency limit if err is not nil.
+func (c *Controller) releaseIfRefused(cust *customer, err error) {
 	if err == nil {
 		return
 	}
@@ -217,16 +219,16 @@
 	c.notifyShares()
 }
 
-// notifyShares wakes those who wait for a place within their customer's limit.
+// notifyShares wakes the requests that wait because their customers are at their limits.
 func (c *Controller) notifyShares() {
-	if c.sharers == 0 {
+	if c.shareWaiters == 0 {
 		return
 	}
-	close(c.shares)
-	c.shares = make(chan struct{})
+	close(c.sharesChanged)
+	c.sharesChanged = make(chan struct{})
 }
 
-func (c *Controller) tryNow(now time.Time, a *Ask) (bool, error) {
+func (c *Controller) tryReserve(now time.Time, a *Ask) (bool, error) {
 	switch a.Reserve(now) {
 	case routing.Chosen:
 		return true, nil
@@ -240,121 +242,122 @@
 	return false, nil
 }
 
-// checkWait refuses what cannot finish in time, and makes room in a full queue.
-func (c *Controller) checkWait(now time.Time, a *Ask, q *queue, service float64) error {
-	wait := q.ahead(a) / float64(max(c.Capacity(a.Model), 1))
-	finish := now.Add(time.Duration((wait + service) * float64(time.Second)))
+// checkWait refuses a if it cannot finish before its deadline, and sheds a request if the queue is full.
+func (c *Controller) checkWait(now time.Time, a *Ask, q *queue, serviceSeconds float64) error {
+	waitSeconds := q.secondsAhead(a) / float64(max(c.Capacity(a.Model), 1))
+	finish := now.Add(time.Duration((waitSeconds + serviceSeconds) * float64(time.Second)))
 	if finish.After(a.Deadline) {
-		return Refuse(result.DeadlineUnreachable, seconds(wait), "needs about %.1f s, has %.1f s", wait+service, a.Deadline.Sub(now).Seconds())
+		return Refuse(result.DeadlineUnreachable, retryDelay(waitSeconds), "the request needs about %.1f s, its deadline is in %.1f s", waitSeconds+serviceSeconds, a.Deadline.Sub(now).Seconds())
 	}
-	if q.lengthOf(a) < c.QueueLength(a.Class) {
+	if q.classLength(a) < c.QueueLength(a.Class) {
 		return nil
 	}
-	return c.shed(a, q, wait)
+	return c.shed(a, q, waitSeconds)
 }
 
-// shed makes room by refusing the least important waiter, or a itself when nothing waits that is less important.
-func (c *Controller) shed(a *Ask, q *queue, wait float64) error {
-	last := q.last()
-	candidate := &waiter{ask: a, start: max(q.virtual, c.customer(a.Customer).finish), order: math.MaxUint64}
-	if last == nil || last.before(candidate) {
-		return Refuse(result.Overloaded, seconds(wait), "%d requests wait for model %q", len(q.items), a.Model)
+// shed refuses the least important waiter, or a itself if no waiter is less important.
+func (c *Controller) shed(a *Ask, q *queue, waitSeconds float64) error {
+	leastImportant := q.leastImportant()
+	candidate := &waiter{request: a, virtualStart: max(q.virtualTime, c.customer(a.Customer).virtualFinish), sequence: math.MaxUint64}
+	if leastImportant == nil || leastImportant.before(candidate) {
+		return Refuse(result.Overloaded, retryDelay(waitSeconds), "%d requests already wait for model %q", len(q.items), a.Model)
 	}
-	q.remove(last)
-	c.finishWaiter(last, Refuse(result.Overloaded, seconds(wait), "made room for a more important request"))
+	q.remove(leastImportant)
+	c.answerWaiter(leastImportant, Refuse(result.Overloaded, retryDelay(waitSeconds), "a more important request displaced this one from the full queue"))
 	return nil
 }
 
-// finishWaiter answers a waiter that has left the queue.
-func (c *Controller) finishWaiter(w *waiter, err error) {
-	c.giveBack(w.customer, err)
-	w.granted <- err
+// answerWaiter delivers the decision on a waiter that has been removed from the queue.
+func (c *Controller) answerWaiter(w *waiter, err error) {
+	c.releaseIfRefused(w.customer, err)
+	w.answer <- err
 }
 
-func seconds(s float64) time.Duration {
+func retryDelay(s float64) time.Duration {
 	return max(minRetryAfter, time.Duration(s*float64(time.Second)))
 }
 
-// await waits for a slot, and leaves the queue when the caller goes away or the deadline can no longer be met.
+// await waits for the decision on w, and abandons w when the caller cancels or the deadline can no longer be met.
 func (c *Controller) await(ctx context.Context, w *waiter) error {
-	latest := w.ask.Deadline.Add(-time.Duration(w.service * float64(time.Second)))
+	latest := w.request.Deadline.Add(-time.Duration(w.serviceSeconds * float64(time.Second)))
 	timer := time.NewTimer(max(0, latest.Sub(c.Now())))
 	defer timer.Stop()
 	select {
-	case err := <-w.granted:
+	case err := <-w.answer:
 		return err
 	case <-ctx.Done():
-		return c.leave(w, result.Wrap(ctx.Err(), result.Cancelled, "caller went away before the request ran"))
+		return c.abandon(w, result.Wrap(ctx.Err(), result.Cancelled, "the caller cancelled the request before it ran"))
 	case <-timer.C:
-		return c.leave(w, Refuse(result.DeadlineUnreachable, minRetryAfter, "waited until its deadline came too near"))
+		return c.abandon(w, Refuse(result.DeadlineUnreachable, minRetryAfter, "the deadline can no longer be met after waiting in the queue"))
 	}
 }
 
-// leave takes w out of the queue; when it was answered in the same moment, that answer counts.
-func (c *Controller) leave(w *waiter, err error) error {
+// abandon removes w from the queue and returns err; if w has been answered in the meantime, it returns that answer.
+func (c *Controller) abandon(w *waiter, err error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case answered := <-w.granted:
-		return answered
+	case answer := <-w.answer:
+		return answer
 	default:
 	}
-	c.queue(w.ask.Model).remove(w)
-	c.giveBack(w.customer, err)
+	c.queue(w.request.Model).remove(w)
+	c.releaseIfRefused(w.customer, err)
 	return err
 }
 
-// Done ends an admitted request: took is its whole time when it was answered, or zero; unused tokens go back to its customer.
-func (c *Controller) Done(a *Ask, took time.Duration, unused ident.Tokens) {
+// Done ends an admitted request. duration is its time since admission if it was answered, otherwise zero; unused tokens are returned
+// to the customer's rate limit.
+func (c *Controller) Done(a *Ask, duration time.Duration, unused ident.Tokens) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cust := c.customer(a.Customer)
 	cust.running--
 	cust.tokens.level += float64(unused)
-	if took > 0 {
-		c.learnt.learn(a, took)
+	if duration > 0 {
+		c.serviceTimes.record(a, duration)
 	}
 	c.notifyShares()
-	c.pump(c.queue(a.Model))
+	c.admitFrom(c.queue(a.Model))
 }
 
-// Pump lets waiting requests run when capacity may have changed for another reason than Done.
+// Pump admits waiting requests after a change of capacity other than by Done.
 func (c *Controller) Pump() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pumpAll()
+	c.admitFromAll()
 }
 
-func (c *Controller) pumpAll() {
+func (c *Controller) admitFromAll() {
 	for _, q := range c.queues {
-		c.pump(q)
+		c.admitFrom(q)
 	}
 }
 
-// pump serves the queue in order until the model has no free slot.
-func (c *Controller) pump(q *queue) {
+// admitFrom admits waiting requests in order until the model has no free slot.
+func (c *Controller) admitFrom(q *queue) {
 	for {
 		w := q.first()
 		if w == nil {
 			return
 		}
 		now := c.Now()
-		if expired(now, w) {
+		if deadlineUnreachable(now, w) {
 			q.remove(w)
-			c.finishWaiter(w, Refuse(result.DeadlineUnreachable, minRetryAfter, "its deadline came too near while it waited"))
+			c.answerWaiter(w, Refuse(result.DeadlineUnreachable, minRetryAfter, "the deadline can no longer be met after waiting in the queue"))
 			continue
 		}
-		done, err := c.tryNow(now, w.ask)
-		if !done && err == nil {
+		admitted, err := c.tryReserve(now, w.request)
+		if !admitted && err == nil {
 			return
 		}
 		q.remove(w)
-		q.served(w)
-		c.finishWaiter(w, err)
+		q.advanceVirtualTime(w)
+		c.answerWaiter(w, err)
 	}
 }
 
-// Waiting returns how many requests wait for a model.
+// Waiting returns how many requests wait for model.
 func (c *Controller) Waiting(model ident.Model) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,2 +1,2 @@
-// Package admission decides which request may run now, which waits, and which is refused at once as not run.
+// Package admission decides which requests run now, which wait, and which are refused before they run.
 package admission
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -7,7 +7,7 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// sizeClass groups requests whose token counts lie within a factor of two.
+// sizeClass is the same for token counts within a factor of two.
 func sizeClass(tokens ident.Tokens) int {
 	return bits.Len(uint(max(tokens, 0)))
 }
@@ -18,40 +18,40 @@
 	size  int
 }
 
-// estimates learns how long requests take by model, class and size.
-type estimates map[estimateKey]float64
+// serviceEstimates holds moving averages of the service time in seconds by model, class and size.
+type serviceEstimates map[estimateKey]float64
 
 const (
 	estimateWeight = 0.1
-	// estimateNear is how many neighbouring sizes may stand in for one that was never seen.
-	estimateNear = 3
+	// maxSizeDistance is how far the size class may differ of an estimate that is used for a class without one.
+	maxSizeDistance = 3
 )
 
-func (e estimates) learn(a *Ask, took time.Duration) {
+func (e serviceEstimates) record(a *Ask, duration time.Duration) {
 	key := estimateKey{a.Model, a.Class, sizeClass(a.Tokens)}
 	old, ok := e[key]
 	if !ok {
-		e[key] = took.Seconds()
+		e[key] = duration.Seconds()
 		return
 	}
-	e[key] = old + estimateWeight*(took.Seconds()-old)
+	e[key] = old + estimateWeight*(duration.Seconds()-old)
 }
 
-// service returns the expected seconds of a request, or zero when nothing like it was seen.
-func (e estimates) service(a *Ask) float64 {
+// expectedSeconds returns the expected service time of a request, zero if there is no similar one.
+func (e serviceEstimates) expectedSeconds(a *Ask) float64 {
 	key := estimateKey{a.Model, a.Class, sizeClass(a.Tokens)}
 	if s, ok := e[key]; ok {
 		return s
 	}
 	size := key.size
-	for d := 1; d <= estimateNear; d++ {
-		key.size = size - d
+	for distance := 1; distance <= maxSizeDistance; distance++ {
+		key.size = size - distance
 		if s, ok := e[key]; ok {
 			return s
 		}
-		key.size = size + d
+		key.size = size + distance
 		if s, ok := e[key]; ok {
-			return s / float64(uint(1)<<d)
+			return s / float64(uint(1)<<distance)
 		}
 	}
 	return 0
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -6,42 +6,42 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// Share is what one daemon may let one customer use; zero means no bound.
+// Share is one daemon's share of one customer's limits; zero fields mean no bound.
 type Share struct {
 	Weight            float64
 	Concurrent        int
 	RequestsPerSecond float64
 	TokensPerSecond   float64
-	// Bounded is set when Concurrent counts even when it is zero.
+	// Bounded makes Concurrent a bound even if it is zero.
 	Bounded bool
 }
 
-// Demand is what one customer has used and wanted at one daemon since the last report.
+// Demand is what one customer has used or requested at one daemon since the last report.
 type Demand struct {
 	Customer ident.Customer
-	// Concurrent is the largest number running and waiting at once.
+	// Concurrent is the maximum number of requests that were running or waiting at once.
 	Concurrent int
 	Requests   int
 	Tokens     int
 }
 
-// bucket is a token bucket that holds one second's worth, and may go into debt by one request.
+// bucket is a token bucket that holds one second of the rate; one request may make its level negative.
 type bucket struct {
-	level float64
-	at    time.Time
+	level      float64
+	refilledAt time.Time
 }
 
 func (b *bucket) refill(now time.Time, rate float64) {
-	full := max(rate, 1)
-	if b.at.IsZero() {
-		b.level = full
+	capacity := max(rate, 1)
+	if b.refilledAt.IsZero() {
+		b.level = capacity
 	} else {
-		b.level = min(full, b.level+rate*now.Sub(b.at).Seconds())
+		b.level = min(capacity, b.level+rate*now.Sub(b.refilledAt).Seconds())
 	}
-	b.at = now
+	b.refilledAt = now
 }
 
-// wait returns how long until the bucket lets a request through; zero is now.
+// wait returns how long until the bucket admits a request, zero for now.
 func (b *bucket) wait(now time.Time, rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
@@ -53,7 +53,7 @@
 	return time.Duration((-b.level + 1) / rate * float64(time.Second))
 }
 
-func (b *bucket) take(rate, n float64) {
+func (b *bucket) consume(rate, n float64) {
 	if rate > 0 {
 		b.level -= n
 	}
@@ -66,23 +66,23 @@
 	waiting  int
 	requests bucket
 	tokens   bucket
-	// finish is the virtual time at which the customer's queued work ends; see queue.go.
-	finish float64
-	demand Demand
+	// virtualFinish is the virtual time at which the customer's last queued request ends; see queue.go.
+	virtualFinish    float64
+	unreportedDemand Demand
 }
 
 func (c *customer) atLimit() bool {
 	return (c.share.Concurrent > 0 || c.share.Bounded) && c.running >= c.share.Concurrent
 }
 
-// rateWait returns how long the customer's rates make it wait, and takes the request from them when that is zero.
-func (c *customer) rateWait(now time.Time, tokens ident.Tokens) time.Duration {
-	d := max(c.requests.wait(now, c.share.RequestsPerSecond), c.tokens.wait(now, c.share.TokensPerSecond))
-	if d == 0 {
-		c.requests.take(c.share.RequestsPerSecond, 1)
-		c.tokens.take(c.share.TokensPerSecond, float64(tokens))
+// consumeRates counts one request against the customer's rates and returns zero, or returns how long the request must wait.
+func (c *customer) consumeRates(now time.Time, tokens ident.Tokens) time.Duration {
+	wait := max(c.requests.wait(now, c.share.RequestsPerSecond), c.tokens.wait(now, c.share.TokensPerSecond))
+	if wait == 0 {
+		c.requests.consume(c.share.RequestsPerSecond, 1)
+		c.tokens.consume(c.share.TokensPerSecond, float64(tokens))
 	}
-	return d
+	return wait
 }
 
 func (c *customer) weight() float64 {
@@ -92,6 +92,6 @@
 	return c.share.Weight
 }
 
-func (c *customer) noteDemand() {
-	c.demand.Concurrent = max(c.demand.Concurrent, c.running+c.waiting)
+func (c *customer) updatePeakConcurrency() {
+	c.unreportedDemand.Concurrent = max(c.unreportedDemand.Concurrent, c.running+c.waiting)
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -1,37 +1,39 @@
 package admission
 
-// Requests that wait for a slot of the same model stand in one queue, ordered
-// by priority and, within a priority, by start-time fair queueing (Goyal 1996):
-// each request gets a virtual start, the later of the queue's virtual time and
-// the end of its customer's last request, and an end that lies cost/weight
-// further. A customer that floods the queue moves only its own ends away; a
-// small customer's request starts at the present virtual time, before them.
+// Requests that wait for a slot of the same model are in one queue, ordered by
+// priority and, within a priority, by start-time fair queueing (Goyal 1996): the
+// virtual start of a request is the later of the queue's virtual time and the
+// virtual finish of its customer's last request; its virtual finish is
+// cost/weight after that. A customer that floods the queue delays only its own
+// requests: another customer's request starts at the current virtual time,
+// before them.
 //
-// When the queue is full, the request shed is the least important one with the
-// latest virtual start, which is the flooding customer's newest.
+// When the queue is full, the request of the lowest priority with the latest
+// virtual start is shed, which is the newest of the flooding customer.
 
 import (
 	"container/heap"
 	"time"
 )
 
+// queue holds the waiting requests of one model.
 type queue struct {
-	items   waiters
-	virtual float64
-	// work is the expected seconds of everything that waits.
-	work float64
+	items       waiters
+	virtualTime float64
+	// expectedSeconds is the expected service time of all waiting requests.
+	expectedSeconds float64
 }
 
 // waiter is one queued request.
 type waiter struct {
-	ask      *Ask
-	customer *customer
-	start    float64
-	service  float64
-	order    uint64
-	index    int
-	// granted receives nil when the request may run, or the refusal.
-	granted chan error
+	request        *Ask
+	customer       *customer
+	virtualStart   float64
+	serviceSeconds float64
+	sequence       uint64
+	index          int
+	// answer receives nil when the request is admitted, or its refusal.
+	answer chan error
 }
 
 type waiters []*waiter
@@ -45,14 +47,14 @@
 	w[i].index, w[j].index = i, j
 }
 
-// Push and Pop serve container/heap.
+// Push appends an item, for container/heap.
 func (w *waiters) Push(x any) {
 	item := x.(*waiter)
 	item.index = len(*w)
 	*w = append(*w, item)
 }
 
-// Pop removes the last item.
+// Pop removes the last item, for container/heap.
 func (w *waiters) Pop() any {
 	old := *w
 	item := old[len(old)-1]
@@ -63,23 +65,23 @@
 }
 
 func (a *waiter) before(b *waiter) bool {
-	if a.ask.Priority != b.ask.Priority {
-		return a.ask.Priority < b.ask.Priority
+	if a.request.Priority != b.request.Priority {
+		return a.request.Priority < b.request.Priority
 	}
-	if a.start != b.start {
-		return a.start < b.start
+	if a.virtualStart != b.virtualStart {
+		return a.virtualStart < b.virtualStart
 	}
-	return a.order < b.order
+	return a.sequence < b.sequence
 }
 
 func (q *queue) push(w *waiter) {
-	w.start = max(q.virtual, w.customer.finish)
-	w.customer.finish = w.start + cost(w.ask)/w.customer.weight()
-	q.work += w.service
+	w.virtualStart = max(q.virtualTime, w.customer.virtualFinish)
+	w.customer.virtualFinish = w.virtualStart + cost(w.request)/w.customer.weight()
+	q.expectedSeconds += w.serviceSeconds
 	heap.Push(&q.items, w)
 }
 
-// cost is what a request takes from the engines in units that all customers share.
+// cost is the estimated engine use of a request, in tokens.
 func cost(a *Ask) float64 {
 	return 1 + float64(a.Tokens)
 }
@@ -89,7 +91,7 @@
 		return
 	}
 	heap.Remove(&q.items, w.index)
-	q.work = max(0, q.work-w.service)
+	q.expectedSeconds = max(0, q.expectedSeconds-w.serviceSeconds)
 }
 
 func (q *queue) first() *waiter {
@@ -99,47 +101,48 @@
 	return q.items[0]
 }
 
-// served moves virtual time to the start of the request that was let through.
-func (q *queue) served(w *waiter) {
-	q.virtual = max(q.virtual, w.start)
+// advanceVirtualTime advances virtual time to the virtual start of w, which has just been removed.
+func (q *queue) advanceVirtualTime(w *waiter) {
+	q.virtualTime = max(q.virtualTime, w.virtualStart)
 }
 
-// last returns the least important waiter.
-func (q *queue) last() *waiter {
-	var last *waiter
+// leastImportant returns the waiter that would be admitted last, nil if the queue is empty.
+func (q *queue) leastImportant() *waiter {
+	var leastImportant *waiter
 	for _, w := range q.items {
-		if last == nil || last.before(w) {
-			last = w
+		if leastImportant == nil || leastImportant.before(w) {
+			leastImportant = w
 		}
 	}
-	return last
+	return leastImportant
 }
 
-// lengthOf returns how many of a class wait.
-func (q *queue) lengthOf(a *Ask) int {
+// classLength returns how many requests of a's class wait.
+func (q *queue) classLength(a *Ask) int {
 	n := 0
 	for _, w := range q.items {
-		if w.ask.Class == a.Class {
+		if w.request.Class == a.Class {
 			n++
 		}
 	}
 	return n
 }
 
-// ahead returns the expected seconds of the work that is at least as important as a.
-func (q *queue) ahead(a *Ask) float64 {
+// secondsAhead returns the expected service time of the waiting requests that are at least as important as a.
+func (q *queue) secondsAhead(a *Ask) float64 {
 	if a.Priority > 0 || len(q.items) == 0 {
-		return q.work
+		return q.expectedSeconds
 	}
 	sum := 0.0
 	for _, w := range q.items {
-		if w.ask.Priority <= a.Priority {
-			sum += w.service
+		if w.request.Priority <= a.Priority {
+			sum += w.serviceSeconds
 		}
 	}
 	return sum
 }
 
-func expired(now time.Time, w *waiter) bool {
-	return now.Add(time.Duration(w.service * float64(time.Second))).After(w.ask.Deadline)
+// deadlineUnreachable reports whether w would miss its deadline even if admitted now.
+func deadlineUnreachable(now time.Time, w *waiter) bool {
+	return now.Add(time.Duration(w.serviceSeconds * float64(time.Second))).After(w.request.Deadline)
 }
--- a/admission/refusal.go
+++ b/admission/refusal.go
@@ -9,33 +9,34 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// Refusal is a request that was not sent, with the time after which it is worth asking again.
+// Refusal is the error of a request that was not sent.
 type Refusal struct {
+	// After is how long the caller should wait before it retries.
 	After time.Duration
 	cause error
 }
 
-// Error returns the words of the refusal.
+// Error returns the message of the cause.
 func (r *Refusal) Error() string { return r.cause.Error() }
 
-// Unwrap returns the error with the code.
+// Unwrap returns the cause, which has the result code.
 func (r *Refusal) Unwrap() error { return r.cause }
 
-// Refuse returns a refusal that says when it is worth asking again.
+// Refuse returns a Refusal with a result code and the time to wait before a retry.
 func Refuse(code result.Code, after time.Duration, format string, args ...any) error {
 	return &Refusal{After: after, cause: result.New(code, format, args...)}
 }
 
-// AwaySpread is the part of the time by which callers are spread, so that they do not all come back when the first target may be tried.
+// AwaySpread is the fraction of the wait that is added as random jitter, so that callers do not all retry at the same moment.
 const AwaySpread = 0.5
 
-// RefuseAway returns the refusal of a request for a model all of whose targets asked for time, the first of them for so long.
-func RefuseAway(free time.Duration, model ident.Model) error {
-	after := free + time.Duration(AwaySpread*rand.Float64()*float64(free))
-	return Refuse(result.BackedOff, after, "all that serve model %q want nothing yet, the first for another %v", model, free)
+// RefuseAway returns the refusal of a request for a model whose targets are all backed off; the first is available in availableIn.
+func RefuseAway(availableIn time.Duration, model ident.Model) error {
+	retryAfter := availableIn + time.Duration(AwaySpread*rand.Float64()*float64(availableIn))
+	return Refuse(result.BackedOff, retryAfter, "all upstreams of model %q are backed off; the first is available in %v", model, availableIn)
 }
 
-// RetryAfter returns when it is worth asking again, or zero when err does not say.
+// RetryAfter returns how long to wait before a retry, zero if err is no Refusal.
 func RetryAfter(err error) time.Duration {
 	var r *Refusal
 	if errors.As(err, &r) {
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -1,16 +1,16 @@
 package admission
 
-// A customer's limit counts over all daemons together, but requests arrive at
-// any of them. The control leader leases each daemon a share of each limit, by
-// the demand that the daemon reports, and never more in sum than the limit:
-// a share that a daemon may still use counts against the limit until its lease
-// has run out or the daemon has reported with the smaller one.
+// A customer's limit applies to all daemons together, but requests arrive at any
+// of them. The control leader leases each daemon a share of each limit according
+// to the demand that the daemon reports. The shares never add up to more than
+// the limit: a share that a daemon may still use counts against the limit until
+// its lease expires or the daemon is granted a smaller one.
 //
-//	limit 12, daemons a (wants 10), b (wants 1), c (wants 0)
-//	floor for each: 1; the rest by demand: a 10, b 1, c 1
+//	limit 12, daemons a (demand 10), b (demand 1), c (demand 0)
+//	at least 1 for each, the rest by demand: a 9, b 2, c 1
 //
-// A daemon that has lost control falls back to limit/n, so that the sum stays
-// near the limit when all of them do.
+// A daemon without contact to the control leader falls back to limit/n, so that
+// the sum stays near the limit if all of them do.
 
 import (
 	"sort"
@@ -19,7 +19,7 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// Limit is one customer's bound over all daemons; zero fields mean no bound.
+// Limit is one customer's limit over all daemons together; zero fields mean no bound.
 type Limit struct {
 	Weight            float64
 	Concurrent        int
@@ -27,74 +27,76 @@
 	TokensPerSecond   float64
 }
 
-// Fallback returns the share of one daemon of n that has no lease.
+// Fallback returns the share of each of n daemons that have no leases.
 func (l Limit) Fallback(n int) Share {
-	parts := float64(max(n, 1))
+	daemons := float64(max(n, 1))
 	return Share{
 		Weight:            l.Weight,
 		Concurrent:        l.Concurrent / max(n, 1),
-		RequestsPerSecond: l.RequestsPerSecond / parts,
-		TokensPerSecond:   l.TokensPerSecond / parts,
+		RequestsPerSecond: l.RequestsPerSecond / daemons,
+		TokensPerSecond:   l.TokensPerSecond / daemons,
 		Bounded:           l.Concurrent > 0,
 	}
 }
 
+// lease is a share that a daemon may use until it expires.
 type lease struct {
 	share   Share
 	expires time.Time
 }
 
-// Allotment divides limits among daemons; it belongs to the control leader and needs no lock of its own.
+// Allotment divides customers' limits among daemons. It is used by the control leader and is not safe for concurrent use.
 type Allotment struct {
-	// Lease is how long a daemon may use a share without hearing again, Period how long a division holds.
-	Lease  time.Duration
+	// Lease is how long a daemon may use a share after a grant.
+	Lease time.Duration
+	// Period is how long a division of a limit is used before it is computed again.
 	Period time.Duration
 
-	// quiet is until when leases of an earlier leader may still be in use.
-	quiet     time.Time
-	divisions map[ident.Customer]*division
-	held      map[ident.Customer]*holdings
-	demands   map[ident.Customer]map[ident.Daemon]Demand
+	// noGrantsBefore is the time until which leases of an earlier leader may still be in use.
+	noGrantsBefore   time.Time
+	divisions        map[ident.Customer]*division
+	leasesByCustomer map[ident.Customer]*customerLeases
+	demands          map[ident.Customer]map[ident.Daemon]Demand
 }
 
-// division is one customer's limit divided by the demand of one moment. It is the same for every daemon, and working it
-// out for each of them anew would cost the square of their number.
+// division is one customer's limit divided by the demand at one time. It is shared by the grants to all daemons, since computing it for
+// each grant would have a cost quadratic in their number.
 type division struct {
-	at     time.Time
-	limit  Limit
-	live   int
-	places map[ident.Daemon]int
-	parts  map[ident.Daemon]float64
+	computedAt    time.Time
+	limit         Limit
+	liveDaemons   int
+	slots         map[ident.Daemon]int
+	rateFractions map[ident.Daemon]float64
 }
 
-// periodShare is the share of a lease for which a division holds.
-const periodShare = 4
+// divisionsPerLease is how many times a division is computed during a lease.
+const divisionsPerLease = 4
 
 // NewAllotment returns an allotment whose leases last for duration.
 func NewAllotment(duration time.Duration) *Allotment {
 	return &Allotment{
-		Lease:     duration,
-		Period:    duration / periodShare,
-		divisions: map[ident.Customer]*division{},
-		held:      map[ident.Customer]*holdings{},
-		demands:   map[ident.Customer]map[ident.Daemon]Demand{},
+		Lease:            duration,
+		Period:           duration / divisionsPerLease,
+		divisions:        map[ident.Customer]*division{},
+		leasesByCustomer: map[ident.Customer]*customerLeases{},
+		demands:          map[ident.Customer]map[ident.Daemon]Demand{},
 	}
 }
 
-// Begin starts the reign of a leader at now. What its predecessor has granted is not known here, so nothing is granted until
-// that has run out; daemons keep their leases meanwhile, and then fall back.
+// Begin starts a leader's term at now. The leases of its predecessor are not known here, so nothing is granted until they have expired;
+// daemons use those leases meanwhile, and then fall back.
 func (a *Allotment) Begin(now time.Time) {
-	a.quiet = now.Add(a.Lease)
+	a.noGrantsBefore = now.Add(a.Lease)
 	a.divisions = map[ident.Customer]*division{}
-	a.held = map[ident.Customer]*holdings{}
+	a.leasesByCustomer = map[ident.Customer]*customerLeases{}
 }
 
-// MayGrant reports whether every lease of an earlier leader has run out.
+// MayGrant reports whether all leases of earlier leaders have expired.
 func (a *Allotment) MayGrant(now time.Time) bool {
-	return now.After(a.quiet)
+	return now.After(a.noGrantsBefore)
 }
 
-// Report takes a daemon's demands; what it does not name it does not want.
+// Report replaces the demands of daemon d; customers that are not in demands have none.
 func (a *Allotment) Report(d ident.Daemon, demands []Demand) {
 	for _, byDaemon := range a.demands {
 		delete(byDaemon, d)
@@ -109,40 +111,40 @@
 	}
 }
 
-// Grant returns the share of one daemon among the live ones and leases it from now on.
+// Grant leases daemon d its share of a customer's limit, starting at now, and returns the share. live lists the live daemons.
 func (a *Allotment) Grant(now time.Time, d ident.Daemon, live []ident.Daemon, name ident.Customer, l Limit) Share {
-	div := a.divide(now, live, name, l)
-	h := a.holdings(name)
-	others := h.without(d)
-	part := div.parts[d]
+	div := a.currentDivision(now, live, name, l)
+	leases := a.customerLeases(name)
+	others := leases.sumWithout(d)
+	fraction := div.rateFractions[d]
 	share := Share{
 		Weight:            l.Weight,
 		Bounded:           l.Concurrent > 0,
-		Concurrent:        max(0, min(div.places[d], l.Concurrent-others.Concurrent)),
-		RequestsPerSecond: rate(part, l.RequestsPerSecond, others.RequestsPerSecond),
-		TokensPerSecond:   rate(part, l.TokensPerSecond, others.TokensPerSecond),
+		Concurrent:        max(0, min(div.slots[d], l.Concurrent-others.Concurrent)),
+		RequestsPerSecond: leasableRate(fraction, l.RequestsPerSecond, others.RequestsPerSecond),
+		TokensPerSecond:   leasableRate(fraction, l.TokensPerSecond, others.TokensPerSecond),
 	}
-	h.set(d, lease{share, now.Add(a.Lease)})
+	leases.set(d, lease{share, now.Add(a.Lease)})
 	return share
 }
 
-func (a *Allotment) holdings(name ident.Customer) *holdings {
-	h := a.held[name]
+func (a *Allotment) customerLeases(name ident.Customer) *customerLeases {
+	h := a.leasesByCustomer[name]
 	if h == nil {
-		h = &holdings{leases: map[ident.Daemon]lease{}}
-		a.held[name] = h
+		h = &customerLeases{leases: map[ident.Daemon]lease{}}
+		a.leasesByCustomer[name] = h
 	}
 	return h
 }
 
-// holdings are the leases of one customer and their sum. A lease that has run out counts until the next division looks
-// through them, which errs on the side of the limit.
-type holdings struct {
+// customerLeases holds the leases of one customer and their sum. An expired lease counts until the next division, so the sum is never
+// too low.
+type customerLeases struct {
 	leases map[ident.Daemon]lease
 	sum    Share
 }
 
-func (h *holdings) without(d ident.Daemon) Share {
+func (h *customerLeases) sumWithout(d ident.Daemon) Share {
 	own := h.leases[d].share
 	return Share{
 		Concurrent:        h.sum.Concurrent - own.Concurrent,
@@ -151,20 +153,20 @@
 	}
 }
 
-func (h *holdings) set(d ident.Daemon, l lease) {
-	h.sum = h.without(d)
+func (h *customerLeases) set(d ident.Daemon, l lease) {
+	h.sum = h.sumWithout(d)
 	h.add(l.share)
 	h.leases[d] = l
 }
 
-func (h *holdings) add(s Share) {
+func (h *customerLeases) add(s Share) {
 	h.sum.Concurrent += s.Concurrent
 	h.sum.RequestsPerSecond += s.RequestsPerSecond
 	h.sum.TokensPerSecond += s.TokensPerSecond
 }
 
-// expire drops leases that have run out and adds up the others anew.
-func (h *holdings) expire(now time.Time) {
+// dropExpired removes expired leases and recomputes the sum.
+func (h *customerLeases) dropExpired(now time.Time) {
 	h.sum = Share{}
 	for d, l := range h.leases {
 		if now.After(l.expires) {
@@ -176,75 +178,77 @@
 }
 
 const (
-	floorShare = 0.25
-	// leastPart keeps a share that is all used elsewhere from reading as no bound.
-	leastPart = 1e-6
+	// evenFraction is the fraction of a rate that is divided evenly, whatever the demand.
+	evenFraction = 0.25
+	// minRateFraction keeps a rate above zero, which would mean no bound, if other daemons hold all of the limit.
+	minRateFraction = 1e-6
 )
 
-func rate(part, limit, others float64) float64 {
-	return max(limit*leastPart, min(part*limit, limit-others))
+func leasableRate(fraction, limit, others float64) float64 {
+	return max(limit*minRateFraction, min(fraction*limit, limit-others))
 }
 
-// divide returns the division in force, made anew when it is old or no longer fits.
-func (a *Allotment) divide(now time.Time, live []ident.Daemon, name ident.Customer, l Limit) *division {
-	div := a.divisions[name]
-	if div == nil || now.Sub(div.at) >= a.Period || div.limit != l || div.live != len(live) {
-		div = &division{at: now, limit: l, live: len(live), places: a.places(live, name, l.Concurrent), parts: a.parts(live, name)}
-		a.divisions[name] = div
-		a.holdings(name).expire(now)
+// currentDivision returns the division of a customer's limit. It computes a new one if the last is too old, or if the limit or the
+// number of live daemons has changed.
+func (a *Allotment) currentDivision(now time.Time, live []ident.Daemon, name ident.Customer, l Limit) *division {
+	current := a.divisions[name]
+	if current == nil || now.Sub(current.computedAt) >= a.Period || current.limit != l || current.liveDaemons != len(live) {
+		current = &division{computedAt: now, limit: l, liveDaemons: len(live), slots: a.divideSlots(live, name, l.Concurrent), rateFractions: a.rateFractions(live, name)}
+		a.divisions[name] = current
+		a.customerLeases(name).dropExpired(now)
 	}
-	return div
+	return current
 }
 
-// parts returns the shares of a rate: a quarter is spread evenly, the rest follows demand.
-func (a *Allotment) parts(live []ident.Daemon, name ident.Customer) map[ident.Daemon]float64 {
+// rateFractions returns each live daemon's fraction of a rate: evenFraction is divided evenly, the rest in proportion to demand.
+func (a *Allotment) rateFractions(live []ident.Daemon, name ident.Customer) map[ident.Daemon]float64 {
 	total := 0.0
 	for _, d := range live {
 		total += float64(a.demands[name][d].Requests)
 	}
-	parts := make(map[ident.Daemon]float64, len(live))
+	fractions := make(map[ident.Daemon]float64, len(live))
 	even := 1 / float64(max(len(live), 1))
 	for _, d := range live {
-		parts[d] = even
+		fractions[d] = even
 		if total > 0 {
-			parts[d] = floorShare*even + (1-floorShare)*float64(a.demands[name][d].Requests)/total
+			fractions[d] = evenFraction*even + (1-evenFraction)*float64(a.demands[name][d].Requests)/total
 		}
 	}
-	return parts
+	return fractions
 }
 
-// places divides whole places: one for each daemon while they last, the rest by demand, remainders by name.
-func (a *Allotment) places(live []ident.Daemon, name ident.Customer, limit int) map[ident.Daemon]int {
-	places := map[ident.Daemon]int{}
+// divideSlots divides limit concurrent requests among the live daemons, starting with those of the highest demand.
+func (a *Allotment) divideSlots(live []ident.Daemon, name ident.Customer, limit int) map[ident.Daemon]int {
+	slots := map[ident.Daemon]int{}
 	if limit == 0 {
-		return places
+		return slots
 	}
-	names := append([]ident.Daemon(nil), live...)
-	sort.Slice(names, func(i, j int) bool {
-		x, y := a.demands[name][names[i]].Concurrent, a.demands[name][names[j]].Concurrent
-		if x != y {
-			return x > y
+	daemons := append([]ident.Daemon(nil), live...)
+	sort.Slice(daemons, func(i, j int) bool {
+		demandI, demandJ := a.demands[name][daemons[i]].Concurrent, a.demands[name][daemons[j]].Concurrent
+		if demandI != demandJ {
+			return demandI > demandJ
 		}
-		return names[i] < names[j]
+		return daemons[i] < daemons[j]
 	})
-	left := limit
-	// Places go round by round to those whose demand is not yet met, then evenly.
-	for left > 0 && len(names) > 0 {
-		given := 0
-		for _, n := range names {
-			if left > 0 && places[n] < a.demands[name][n].Concurrent+1 {
-				places[n]++
-				left--
-				given++
+	remaining := limit
+	// Each round gives one slot to each daemon that has no more than its demand. What remains is divided evenly.
+	for remaining > 0 && len(daemons) > 0 {
+		assigned := 0
+		for _, d := range daemons {
+			if remaining > 0 && slots[d] < a.demands[name][d].Concurrent+1 {
+				slots[d]++
+				remaining--
+				assigned++
 			}
 		}
-		if given == 0 {
+		if assigned == 0 {
 			break
 		}
 	}
-	for i := 0; left > 0 && len(names) > 0; i++ {
-		places[names[i%len(names)]]++
-		left--
+	for i := 0; remaining > 0 && len(daemons) > 0; i++ {
+		slots[daemons[i%len(daemons)]]++
+		remaining--
 	}
-	return places
+	return slots
 }
