--- a/ledger/book.go
+++ b/ledger/book.go
@@ -10,20 +10,21 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// Book is one daemon's access to the ledger; exported fields are set before use.
+// Book is one daemon's access to the ledger. Its exported fields are set before use.
 type Book struct {
 	Daemon      ident.Daemon
 	Incarnation ident.Incarnation
-	Retention   time.Duration
-	// KeptBytes is the largest answer that is kept.
+	// Retention is how long the ledger keeps a claim.
+	Retention time.Duration
+	// KeptBytes is the maximum size of an answer that is stored.
 	KeptBytes int
-	// Now is the wall clock, which dates claims.
+	// Now returns the wall-clock time, with which claims are dated.
 	Now func() time.Time
-	// Propose returns after the command is committed and applied, whichever member leads.
+	// Propose sends a command to the ledger's leader, and returns once it is committed and applied.
 	Propose func(ctx context.Context, key Key, data []byte) (Answer, error)
 }
 
-// Claim is a key that this daemon alone may use.
+// Claim is the exclusive right of this daemon to run the request with a key.
 type Claim struct {
 	book    *Book
 	key     Key
@@ -31,12 +32,12 @@
 }
 
 const (
-	// outcomeTimeout bounds the writing of an outcome, which goes on after the caller has gone.
-	outcomeTimeout = 5 * time.Second
-	proposeRetry   = 100 * time.Millisecond
+	// outcomeTimeout bounds the writing of an outcome, which continues after the caller has given up.
+	outcomeTimeout       = 5 * time.Second
+	proposeRetryInterval = 100 * time.Millisecond
 )
 
-// Claim returns the claim when the request may run; otherwise the stored answer, or the error that says why it may not.
+// Claim returns a claim if the request may run; otherwise it returns the stored answer, or an error with the reason.
 func (b *Book) Claim(ctx context.Context, key Key, digest Digest, deadline time.Time) (*Claim, []byte, error) {
 	c := &Claim{book: b, key: key, attempt: uuid.NewString()}
 	answer, err := b.propose(ctx, &Command{
@@ -44,7 +45,7 @@
 		Retention: b.Retention.Milliseconds(), Daemon: b.Daemon, Incarnation: b.Incarnation, Attempt: c.attempt,
 	})
 	if err != nil {
-		// The claim may have been written all the same; nothing was sent, so the key can be given back.
+		// The claim may have been committed despite the error. The request was not sent, so the key can be released.
 		go func() { _ = c.Release() }()
 		return nil, nil, err
 	}
@@ -58,12 +59,12 @@
 	case OtherRequest:
 		return nil, nil, result.New(result.KeyReused, "key %q was used with another request", key.ID)
 	case NotKept:
-		return nil, nil, result.New(result.AnswerNotKept, "the request with key %q ran to its end", key.ID)
+		return nil, nil, result.New(result.AnswerNotKept, "the request with key %q has finished, and its answer was not stored", key.ID)
 	}
 	return nil, nil, result.New(result.OutcomeUnknown, "the request with key %q may have run", key.ID)
 }
 
-// propose sends the command again while no leader is found; the attempt makes that harmless.
+// propose repeats the command until it reaches a leader. Repeats are harmless, since Command.Attempt identifies them.
 func (b *Book) propose(ctx context.Context, c *Command) (Answer, error) {
 	data, err := Encode(c)
 	if err != nil {
@@ -80,33 +81,33 @@
 		select {
 		case <-ctx.Done():
 			return Answer{}, err
-		case <-time.After(proposeRetry):
+		case <-time.After(proposeRetryInterval):
 		}
 	}
 }
 
-func (c *Claim) settle(kind Kind, answer []byte, dropped bool) error {
-	// The outcome is worth writing even when the caller has gone.
+func (c *Claim) proposeOutcome(kind Kind, answer []byte, dropped bool) error {
+	// The outcome is recorded even if the caller has given up, hence not its context.
 	ctx, cancel := context.WithTimeout(context.Background(), outcomeTimeout)
 	defer cancel()
 	_, err := c.book.propose(ctx, &Command{Kind: kind, Key: c.key, Attempt: c.attempt, Answer: answer, Dropped: dropped})
 	return err
 }
 
-// Done keeps the answer, or only the fact that there was one when it is too large.
+// Done stores the answer; of an answer larger than KeptBytes only the fact that there was one.
 func (c *Claim) Done(answer []byte) error {
 	if len(answer) > c.book.KeptBytes {
-		return c.settle(KindOutcome, nil, true)
+		return c.proposeOutcome(KindOutcome, nil, true)
 	}
-	return c.settle(KindOutcome, answer, false)
+	return c.proposeOutcome(KindOutcome, answer, false)
 }
 
-// Unknown notes that the request may have run.
+// Unknown records that the request may have run.
 func (c *Claim) Unknown() error {
-	return c.settle(KindUnknown, nil, false)
+	return c.proposeOutcome(KindUnknown, nil, false)
 }
 
-// Release gives the key back; only for a request that certainly did not run.
+// Release makes the key available again. The request must certainly not have run.
 func (c *Claim) Release() error {
-	return c.settle(KindRelease, nil, false)
+	return c.proposeOutcome(KindRelease, nil, false)
 }
--- a/ledger/machine.go
+++ b/ledger/machine.go
@@ -1,16 +1,16 @@
 package ledger
 
 // Before a not-repeatable request is sent to an upstream, its key is claimed in
-// a replicated and synced log. Whoever sends the same key again, through
-// whichever daemon, meets the claim:
+// a replicated and synced log. Any daemon that claims the same key again is
+// answered according to the first claim:
 //
 //	claim   -> granted | stored answer | in progress | outcome unknown | other request
-//	outcome -> the answer is kept (up to a size), or the outcome is unknown
-//	release -> the request certainly did not run; the key may be used again
+//	outcome -> the answer is stored (up to a size), or the outcome is unknown
+//	release -> the request certainly did not run; the key may be claimed again
 //
-// A claim without an outcome is never granted again. It reads as in progress
-// while the daemon that made it may still be working, and as unknown after its
-// deadline or after that daemon has started anew.
+// A claim without an outcome is not granted again while its record is retained.
+// It counts as in progress while its daemon may still be running the request,
+// and as unknown after its deadline or after that daemon has restarted.
 
 import (
 	"sync"
@@ -28,7 +28,7 @@
 	ID       string         `cbor:"2,keyasint"`
 }
 
-// Digest is the SHA-256 of everything that makes two requests the same.
+// Digest is the SHA-256 hash of everything in which two requests with the same key must agree.
 type Digest [32]byte
 
 // Kind says what a command does.
@@ -47,17 +47,17 @@
 type Command struct {
 	Kind Kind `cbor:"1,keyasint"`
 	Key  Key  `cbor:"2,keyasint"`
-	// At and Deadline are milliseconds since 1970 on the proposer's clock; Retention is in milliseconds.
+	// At and Deadline are Unix times in milliseconds on the proposer's clock; Retention is in milliseconds.
 	At          int64             `cbor:"3,keyasint,omitempty"`
 	Deadline    int64             `cbor:"4,keyasint,omitempty"`
 	Retention   int64             `cbor:"5,keyasint,omitempty"`
 	Digest      Digest            `cbor:"6,keyasint,omitempty"`
 	Daemon      ident.Daemon      `cbor:"7,keyasint,omitempty"`
 	Incarnation ident.Incarnation `cbor:"8,keyasint,omitempty"`
-	// Attempt tells a proposal that is sent again from another claim of the same key.
+	// Attempt distinguishes a repeated proposal from another claim of the same key.
 	Attempt string `cbor:"9,keyasint,omitempty"`
 	Answer  []byte `cbor:"10,keyasint,omitempty"`
-	// Dropped is set when the answer was too large to keep.
+	// Dropped is set if the answer was too large to store.
 	Dropped bool `cbor:"11,keyasint,omitempty"`
 }
 
@@ -74,7 +74,7 @@
 	NotKept
 )
 
-// Answer is what a command gives back; Data is the stored answer.
+// Answer is the result of a command; Data is the stored answer.
 type Answer struct {
 	Verdict Verdict
 	Data    []byte
@@ -88,7 +88,7 @@
 	phaseUnknown
 )
 
-type record struct {
+type claimRecord struct {
 	Key         Key               `cbor:"1,keyasint"`
 	Digest      Digest            `cbor:"2,keyasint"`
 	At          int64             `cbor:"3,keyasint"`
@@ -103,94 +103,94 @@
 	Released    bool              `cbor:"12,keyasint,omitempty"`
 }
 
-type stored struct {
-	Format  int       `cbor:"1,keyasint"`
-	Records []*record `cbor:"2,keyasint"`
+type snapshot struct {
+	Format  int            `cbor:"1,keyasint"`
+	Records []*claimRecord `cbor:"2,keyasint"`
 }
 
-const storedFormat = 1
+const snapshotFormat = 1
 
-// Machine is the state machine of one ledger shard; the same log gives the same state on each member.
+// Machine is the state machine of one ledger shard. The same log gives the same state on each member.
 type Machine struct {
 	mu      sync.RWMutex
-	records map[Key]*record
-	// line holds the records in order of their claims, for retention.
-	line []*record
-	// open holds the claims without an outcome.
-	open map[Key]*record
+	records map[Key]*claimRecord
+	// byClaimTime holds the records in the order of their claims, for retention.
+	byClaimTime []*claimRecord
+	// unresolved holds the records without an outcome.
+	unresolved map[Key]*claimRecord
 }
 
 // NewMachine returns an empty ledger.
 func NewMachine() *Machine {
-	return &Machine{records: map[Key]*record{}, open: map[Key]*record{}}
+	return &Machine{records: map[Key]*claimRecord{}, unresolved: map[Key]*claimRecord{}}
 }
 
-// Encode returns the log form of c.
+// Encode returns c as it is written to the log.
 func Encode(c *Command) ([]byte, error) {
 	return cbor.Marshal(c)
 }
 
-// MaxClockOffset is how far a claiming daemon's wall clock may be from the leader's.
+// MaxClockOffset is the maximum difference between a claiming daemon's wall clock and the leader's.
 const MaxClockOffset = 5 * time.Minute
 
-// CheckClock refuses a claim that is dated far from now. Retention goes by the dates in the log, so that one clock far in the
-// future would forget keys of which another daemon still sends again.
+// CheckClock refuses a claim whose time differs from now by more than MaxClockOffset. Retention uses the times in the log, so a clock
+// far ahead would drop keys for which other daemons may still receive repeats.
 func CheckClock(data []byte, now time.Time) error {
-	var c Command
-	if err := cbor.Unmarshal(data, &c); err != nil {
+	var command Command
+	if err := cbor.Unmarshal(data, &command); err != nil {
 		return result.Wrap(err, result.PeerRefused, "a ledger command cannot be decoded")
 	}
-	if c.Kind != KindClaim {
+	if command.Kind != KindClaim {
 		return nil
 	}
-	offset := time.UnixMilli(c.At).Sub(now)
+	offset := time.UnixMilli(command.At).Sub(now)
 	if offset.Abs() <= MaxClockOffset {
 		return nil
 	}
-	return result.New(result.PeerRefused, "the clock of daemon %s is %s from the leader's", c.Daemon, offset.Round(time.Second))
+	return result.New(result.PeerRefused, "the clock of daemon %s differs from the leader's by %s", command.Daemon, offset.Round(time.Second))
 }
 
-// Apply executes one command of the log; a command that cannot be decoded changes nothing.
+// Apply executes one command of the log. A command that cannot be decoded changes nothing.
 func (m *Machine) Apply(data []byte) Answer {
-	var c Command
-	if cbor.Unmarshal(data, &c) != nil {
+	var command Command
+	if cbor.Unmarshal(data, &command) != nil {
 		return Answer{}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	switch c.Kind {
+	switch command.Kind {
 	case KindClaim:
-		m.forget(c.At)
-		return m.claim(&c)
+		m.dropExpired(command.At)
+		return m.claim(&command)
 	case KindOutcome, KindUnknown:
-		return m.finish(&c)
+		return m.recordOutcome(&command)
 	case KindRelease:
-		return m.release(&c)
+		return m.release(&command)
 	case KindOrphan:
-		m.orphan(&c)
+		m.markOrphans(&command)
 	}
 	return Answer{}
 }
 
 func (m *Machine) claim(c *Command) Answer {
 	if r, ok := m.records[c.Key]; ok {
-		return m.meet(r, c)
+		return m.answerRepeatedClaim(r, c)
 	}
-	r := &record{
+	r := &claimRecord{
 		Key: c.Key, Digest: c.Digest, At: c.At, Deadline: c.Deadline, Expires: max(c.At+c.Retention, c.Deadline),
 		Daemon: c.Daemon, Incarnation: c.Incarnation, Attempt: c.Attempt,
 	}
 	m.records[c.Key] = r
-	m.line = append(m.line, r)
-	m.open[c.Key] = r
+	m.byClaimTime = append(m.byClaimTime, r)
+	m.unresolved[c.Key] = r
 	return Answer{Verdict: Granted}
 }
 
-// meet answers a claim of a key that is known already.
-func (m *Machine) meet(r *record, c *Command) Answer {
+// answerRepeatedClaim answers a claim of a key that has record r.
+func (m *Machine) answerRepeatedClaim(r *claimRecord, c *Command) Answer {
 	switch {
 	case r.Attempt == c.Attempt && r.Phase == phaseClaimed:
-		// The same proposal, sent again by its own daemon after a change of leader.
+		// The same proposal, repeated by its daemon after a change of leader.
 		return Answer{Verdict: Granted}
 	case r.Digest != c.Digest:
 		return Answer{Verdict: OtherRequest}
@@ -201,18 +201,18 @@
 	case r.Phase == phaseUnknown || c.At > r.Deadline:
 		return Answer{Verdict: Unknown}
 	case r.Daemon == c.Daemon && r.Incarnation != c.Incarnation:
-		// The daemon that claimed has started anew and no longer knows.
+		// The daemon that made the claim has restarted and no longer knows the outcome.
 		return Answer{Verdict: Unknown}
 	}
 	return Answer{Verdict: InProgress}
 }
 
-func (m *Machine) finish(c *Command) Answer {
+func (m *Machine) recordOutcome(c *Command) Answer {
 	r, ok := m.records[c.Key]
 	if !ok || r.Attempt != c.Attempt || r.Phase == phaseDone {
 		return Answer{}
 	}
-	delete(m.open, c.Key)
+	delete(m.unresolved, c.Key)
 	if c.Kind == KindUnknown {
 		r.Phase = phaseUnknown
 		return Answer{Verdict: Unknown}
@@ -223,7 +223,7 @@
 	return Answer{Verdict: Stored}
 }
 
-// release forgets a claim whose request certainly did not run.
+// release drops a claim whose request certainly did not run.
 func (m *Machine) release(c *Command) Answer {
 	r, ok := m.records[c.Key]
 	if !ok || r.Attempt != c.Attempt || r.Phase != phaseClaimed {
@@ -231,35 +231,35 @@
 	}
 	r.Released = true
 	delete(m.records, c.Key)
-	delete(m.open, c.Key)
+	delete(m.unresolved, c.Key)
 	return Answer{Verdict: Granted}
 }
 
-// orphan marks the open claims of a daemon's earlier incarnations as unknown.
-func (m *Machine) orphan(c *Command) {
-	for key, r := range m.open {
+// markOrphans marks the unresolved claims of a daemon's earlier incarnations as unknown.
+func (m *Machine) markOrphans(c *Command) {
+	for key, r := range m.unresolved {
 		if r.Daemon == c.Daemon && r.Incarnation != c.Incarnation {
 			r.Phase = phaseUnknown
-			delete(m.open, key)
+			delete(m.unresolved, key)
 		}
 	}
 }
 
-// forget drops records whose retention has ended, by the time that the log itself carries.
-func (m *Machine) forget(now int64) {
+// dropExpired drops records whose retention has ended. now is a time from the log, so that all members drop the same records.
+func (m *Machine) dropExpired(now int64) {
 	i := 0
-	for i < len(m.line) && (m.line[i].Released || m.line[i].Expires < now) {
-		if r := m.line[i]; !r.Released && m.records[r.Key] == r {
+	for i < len(m.byClaimTime) && (m.byClaimTime[i].Released || m.byClaimTime[i].Expires < now) {
+		if r := m.byClaimTime[i]; !r.Released && m.records[r.Key] == r {
 			delete(m.records, r.Key)
-			delete(m.open, r.Key)
+			delete(m.unresolved, r.Key)
 		}
-		m.line[i] = nil
+		m.byClaimTime[i] = nil
 		i++
 	}
-	m.line = m.line[i:]
+	m.byClaimTime = m.byClaimTime[i:]
 }
 
-// Len returns the number of remembered keys.
+// Len returns the number of keys that have records.
 func (m *Machine) Len() int {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -270,8 +270,8 @@
 func (m *Machine) Snapshot() ([]byte, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	s := stored{Format: storedFormat}
-	for _, r := range m.line {
+	s := snapshot{Format: snapshotFormat}
+	for _, r := range m.byClaimTime {
 		if !r.Released {
 			s.Records = append(s.Records, r)
 		}
@@ -279,24 +279,24 @@
 	return cbor.Marshal(s)
 }
 
-// Restore replaces the state by a snapshot; no bytes give the empty state.
+// Restore replaces the state by a snapshot; empty data gives the empty state.
 func (m *Machine) Restore(data []byte) error {
-	var s stored
+	var s snapshot
 	if len(data) > 0 {
 		if err := cbor.Unmarshal(data, &s); err != nil {
-			return result.Wrap(err, result.StorageDamaged, "the ledger's state cannot be decoded")
+			return result.Wrap(err, result.StorageDamaged, "the ledger snapshot cannot be decoded")
 		}
 	}
-	if s.Format > storedFormat {
-		return result.New(result.FormatTooNew, "ledger format %d is newer than %d", s.Format, storedFormat)
+	if s.Format > snapshotFormat {
+		return result.New(result.FormatTooNew, "ledger snapshot has format %d, the newest supported one is %d", s.Format, snapshotFormat)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.records, m.open, m.line = map[Key]*record{}, map[Key]*record{}, s.Records
+	m.records, m.unresolved, m.byClaimTime = map[Key]*claimRecord{}, map[Key]*claimRecord{}, s.Records
 	for _, r := range s.Records {
 		m.records[r.Key] = r
 		if r.Phase == phaseClaimed {
-			m.open[r.Key] = r
+			m.unresolved[r.Key] = r
 		}
 	}
 	return nil
