--- a/admission/controller.go
+++ b/admission/controller.go
@@ -115,7 +115,8 @@
 	return q
 }
 
-// Admit returns nil once a has a target, and Done must be called later; otherwise it returns an error, and the request has not run.
+// Admit returns nil once a has a target; the caller must report the end of the request. Otherwise it returns an error, and the request
+// has not run.
 func (c *Controller) Admit(ctx context.Context, a *Ask) error {
 	now := c.Now()
 	if err := c.acquireLimits(ctx, now, a); err != nil {
@@ -156,6 +157,7 @@
 	}
 }
 
+// awaitShare waits until shares may have changed. After waitUntil it returns the refusal of a.
 func (c *Controller) awaitShare(ctx context.Context, changed <-chan struct{}, waitUntil time.Time, a *Ask) error {
 	remaining := waitUntil.Sub(c.Now())
 	if remaining <= 0 {
@@ -173,6 +175,7 @@
 	}
 }
 
+// acquireRates counts the request as running, or refuses it if the customer is over a rate limit.
 func (c *Controller) acquireRates(now time.Time, cust *customer, a *Ask) error {
 	if wait := cust.consumeRates(now, a.Tokens); wait > 0 {
 		cust.unreportedDemand.Requests++
@@ -228,6 +231,7 @@
 	c.sharesChanged = make(chan struct{})
 }
 
+// tryReserve reports whether a has reserved a target, and returns a refusal if waiting would not help.
 func (c *Controller) tryReserve(now time.Time, a *Ask) (bool, error) {
 	switch a.Reserve(now) {
 	case routing.Chosen:
@@ -321,7 +325,7 @@
 	c.admitFrom(c.queue(a.Model))
 }
 
-// Pump admits waiting requests after a change of capacity other than by Done.
+// Pump admits waiting requests after capacity has changed for another reason than the end of a request.
 func (c *Controller) Pump() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -15,10 +15,11 @@
 // maxIncompleteChecks is how many checks in a row must find a group incomplete before its attempts are cancelled.
 const maxIncompleteChecks = 2
 
-// attempt is one attempt of a request that waits for its answer.
+// attempt is one attempt in progress: the request has been sent, and its answer is not complete.
 type attempt struct {
-	target           *routing.Target
-	cancel           context.CancelCauseFunc
+	target *routing.Target
+	cancel context.CancelCauseFunc
+	// incompleteChecks is how many checks in a row have found the group incomplete.
 	incompleteChecks int
 }
 
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -22,8 +22,9 @@
 	started       time.Time
 	targetRequest routing.Request
 	target        *routing.Target
-	text          strings.Builder
-	tokens        int
+	// text and tokens are the answer so far, which the next attempt of a deterministic request continues.
+	text   strings.Builder
+	tokens int
 	// forwarded is set once a token has been sent to the caller, mayHaveRun once an attempt may have run.
 	forwarded  bool
 	mayHaveRun bool
@@ -79,8 +80,8 @@
 	return j.reserveAgain(ctx)
 }
 
-// errorToReport chooses between err, the failure of the last attempt, and retryErr, the reason why there is no other target. The
-// answer is a refusal only if the last attempt certainly did not run.
+// errorToReport chooses between err, the failure of the last attempt, and retryErr, the reason why there is no other target. It returns
+// retryErr, usually a refusal, only if the last attempt certainly did not run.
 func (j *job) errorToReport(err, retryErr error) error {
 	if NotRun(err) {
 		return retryErr
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -61,12 +61,13 @@
 	Query    string
 	Header   map[string][]string
 	Body     []byte
-	// Repeatable allows a retry after the call may have run. Once makes the call run at most once and needs Key and Digest.
-	// A call with neither is not retried once it may have run, and leaves no record in the ledger.
+	// Repeatable allows a retry after the call may have run.
 	Repeatable bool
-	Once       bool
-	Key        string
-	Digest     ledger.Digest
+	// Once makes the call run at most once, under a claim in the ledger; it needs Key and Digest. A call that is not repeatable and has
+	// no claim is not retried once it may have run, and may run again if the caller repeats it.
+	Once   bool
+	Key    string
+	Digest ledger.Digest
 	// Content is the digest of the call's path and body.
 	Content ident.Content
 }
@@ -90,9 +91,11 @@
 	// Group and Epoch are those of the last attempt.
 	Group ident.Group
 	Epoch ident.Epoch
-	// Wait is the time until admission, First until the first token, Total until the end of the request.
-	Wait  time.Duration
+	// Wait is the time until admission, excluding the claim.
+	Wait time.Duration
+	// First is the time until the first token, excluding the claim; for calls it is the total time.
 	First time.Duration
+	// Total is the time until the end of the request.
 	Total time.Duration
 	// Tokens is the number of tokens generated.
 	Tokens int
--- a/ledger/machine.go
+++ b/ledger/machine.go
@@ -80,6 +80,7 @@
 	Data    []byte
 }
 
+// phase is what is known of the outcome of a claimed request.
 type phase uint8
 
 const (
@@ -88,6 +89,7 @@
 	phaseUnknown
 )
 
+// claimRecord is what the ledger keeps of one claim, also in snapshots.
 type claimRecord struct {
 	Key         Key               `cbor:"1,keyasint"`
 	Digest      Digest            `cbor:"2,keyasint"`
