--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -9,7 +9,7 @@
 	"github.com/dunlinquay/dunlinquay/quarantine"
 )
 
-// Request is one caller's request for a model's answer.
+// Request is one caller's request to a model.
 type Request struct {
 	ID       ident.Request
 	Customer ident.Customer
@@ -19,16 +19,16 @@
 	Model    ident.Model
 	Adapter  string
 	Chat     bool
-	// Prompt and Options are JSON as the caller sent them.
+	// Prompt and Options are the JSON that the caller sent.
 	Prompt    json.RawMessage
 	Options   json.RawMessage
 	MaxTokens ident.Tokens
 	// PromptTokens is an estimate from the prompt's length.
 	PromptTokens ident.Tokens
 	Streamed     bool
-	// Deterministic is set when the same request gives the same tokens, so that another group can go on with a stream.
+	// Deterministic is set if the same request gives the same tokens, so that another group can continue a stream.
 	Deterministic bool
-	// Repeatable requests may run more than once; the others need Key and Digest.
+	// Repeatable requests may run more than once; others run at most once and need Key and Digest.
 	Repeatable bool
 	Key        string
 	Digest     ledger.Digest
@@ -36,11 +36,11 @@
 	Content ident.Content
 }
 
-func (r *Request) work() quarantine.Fingerprint {
+func (r *Request) fingerprint() quarantine.Fingerprint {
 	return quarantine.Fingerprint{Customer: r.Customer, Content: r.Content}
 }
 
-// Answer is the whole answer to a request.
+// Answer is the complete answer to a request.
 type Answer struct {
 	Text         string `json:"text"`
 	Finish       string `json:"finish"`
@@ -61,38 +61,41 @@
 	Query    string
 	Header   map[string][]string
 	Body     []byte
-	// Repeatable calls may be sent again after they may have run; Once calls run at most once and need Key and Digest.
-	// A call that is neither is sent once and not remembered.
+	// Repeatable allows a retry after the call may have run.
 	Repeatable bool
-	Once       bool
-	Key        string
-	Digest     ledger.Digest
+	// Once makes the call run at most once, under a claim in the ledger; it needs Key and Digest. A call that is not repeatable and has
+	// no claim is not retried once it may have run, and may run again if the caller repeats it.
+	Once   bool
+	Key    string
+	Digest ledger.Digest
 	// Content is the digest of the call's path and body.
 	Content ident.Content
 }
 
-func (c *Call) work() quarantine.Fingerprint {
+func (c *Call) fingerprint() quarantine.Fingerprint {
 	return quarantine.Fingerprint{Customer: c.Customer, Content: c.Content}
 }
 
-// Reply is the whole answer of a plain service.
+// Reply is the complete reply of a plain service.
 type Reply struct {
 	Status int                 `json:"status"`
 	Header map[string][]string `json:"header"`
 	Body   []byte              `json:"body"`
 }
 
-// Timing is what one request took, for metrics and logs.
+// Timing describes one finished request for metrics and logs.
 type Timing struct {
 	Request  ident.Request
 	Customer ident.Customer
 	Class    ident.Class
-	// Group and Epoch are those of the last try.
+	// Group and Epoch are those of the last attempt.
 	Group ident.Group
 	Epoch ident.Epoch
-	// Wait is the time until admission, First until the first token, Total until the end.
-	Wait  time.Duration
+	// Wait is the time until admission, excluding the claim.
+	Wait time.Duration
+	// First is the time until the first token, excluding the claim; for calls it is the total time.
 	First time.Duration
+	// Total is the time until the end of the request.
 	Total time.Duration
 	// Tokens is the number of tokens generated.
 	Tokens int
