--- a/relay/backoff.go
+++ b/relay/backoff.go
@@ -56,23 +56,23 @@
 func (f *forwarder) applyBackpressure(resp *http.Response) {
 	s, now := f.x.s, f.x.s.Now()
 	f.status, f.notice = resp.StatusCode, backoff.ParseNotice(resp, s.Headers.Backpressure, time.Now())
-	a := &BackpressureEvent{Upstream: f.target.id, Group: f.target.group, RetryAfter: f.notice.RetryAfterText, RequestedDelay: f.notice.Backoff, Err: f.notice.BackoffErr}
+	event := &BackpressureEvent{Upstream: f.target.id, Group: f.target.group, RetryAfter: f.notice.RetryAfterText, RequestedDelay: f.notice.Backoff, Err: f.notice.BackoffErr}
 	if f.notice.Leaving && s.Backoff.NoteLeaving(now, f.target.id) {
-		s.sendBackpressureEvent(a, BackpressureLeaving)
+		s.sendBackpressureEvent(event, BackpressureLeaving)
 	}
 	if f.notice.BackoffErr != nil {
-		s.sendBackpressureEvent(a, BackpressureUnreadable)
+		s.sendBackpressureEvent(event, BackpressureUnreadable)
 	}
 	// A failure that asks for nothing is none of want of room.
-	refuses := backoff.IsRefusal(resp.StatusCode) && (f.notice.Backoff > 0 || resp.Header.Get(s.Headers.NotRun) != "")
-	if refuses && s.Backoff.NoteRefusal(now, f.target.id, f.notice.Backoff) {
-		s.sendBackpressureEvent(a, BackpressureDelay)
-		f.publishBackoff(a.EffectiveDelay)
+	refused := backoff.IsRefusal(resp.StatusCode) && (f.notice.Backoff > 0 || resp.Header.Get(s.Headers.NotRun) != "")
+	if refused && s.Backoff.NoteRefusal(now, f.target.id, f.notice.Backoff) {
+		s.sendBackpressureEvent(event, BackpressureDelay)
+		f.publishBackoff(event.EffectiveDelay)
 	}
 	f.applyLimit(now)
-	for _, word := range s.Unrecognized.AddHeaders(f.target.id, f.notice.Header) {
-		value := f.notice.Header.Get(word)
-		s.sendBackpressureEvent(&BackpressureEvent{Upstream: f.target.id, Group: f.target.group, HeaderName: word, HeaderValue: value[:min(maxHeaderValueLen, len(value))]}, BackpressureUnrecognized)
+	for _, name := range s.Unrecognized.AddHeaders(f.target.id, f.notice.Header) {
+		value := f.notice.Header.Get(name)
+		s.sendBackpressureEvent(&BackpressureEvent{Upstream: f.target.id, Group: f.target.group, HeaderName: name, HeaderValue: value[:min(maxHeaderValueLen, len(value))]}, BackpressureUnrecognized)
 	}
 }
 
@@ -81,17 +81,17 @@
 
 // applyLimit takes the limit that the upstream names.
 func (f *forwarder) applyLimit(now time.Time) {
-	s, a := f.x.s, &BackpressureEvent{Upstream: f.target.id, Group: f.target.group, Limit: f.notice.Limit, Err: f.notice.LimitErr}
-	if a.Err != nil {
-		s.sendBackpressureEvent(a, BackpressureUnreadable)
+	s, event := f.x.s, &BackpressureEvent{Upstream: f.target.id, Group: f.target.group, Limit: f.notice.Limit, Err: f.notice.LimitErr}
+	if event.Err != nil {
+		s.sendBackpressureEvent(event, BackpressureUnreadable)
 	}
 	if !f.notice.Limited {
 		return
 	}
-	if was, changed := s.Limits.Table.Record(f.target.id, f.notice.Limit, now); changed {
-		a.PreviousLimit, a.PreviousSince = was.Rate, was.Since
-		s.sendBackpressureEvent(a, BackpressureLimit)
-		if !was.Limited() || f.notice.Limit < was.Rate {
+	if previous, changed := s.Limits.Table.Record(f.target.id, f.notice.Limit, now); changed {
+		event.PreviousLimit, event.PreviousSince = previous.Rate, previous.Since
+		s.sendBackpressureEvent(event, BackpressureLimit)
+		if !previous.Limited() || f.notice.Limit < previous.Rate {
 			f.publishLimit(f.notice.Limit)
 		}
 	}
@@ -104,43 +104,43 @@
 	if f.notice.Limited || f.notice.LimitErr != nil || f.status >= http.StatusMultipleChoices {
 		return
 	}
-	if was, ended := s.Limits.Table.RecordUnlimited(f.target.id, f.sentAt, s.Now()); ended {
-		s.sendBackpressureEvent(&BackpressureEvent{Upstream: f.target.id, Group: f.target.group, PreviousLimit: was.Rate, PreviousSince: was.Since}, BackpressureLimitRemoved)
+	if previous, removed := s.Limits.Table.RecordUnlimited(f.target.id, f.sentAt, s.Now()); removed {
+		s.sendBackpressureEvent(&BackpressureEvent{Upstream: f.target.id, Group: f.target.group, PreviousLimit: previous.Rate, PreviousSince: previous.Since}, BackpressureLimitRemoved)
 		f.publishLimit(0)
 	}
 }
 
 // publishBackoff tells the other entries that the head of a group asked this one for time.
-func (f *forwarder) publishBackoff(left time.Duration) {
+func (f *forwarder) publishBackoff(remaining time.Duration) {
 	if f.target.group != "" {
-		f.x.s.SendUpdate(EntryUpdate{Head: f.target.id, BackoffMS: max(1, left.Milliseconds())}, f.target.users)
+		f.x.s.SendUpdate(EntryUpdate{Head: f.target.id, BackoffMS: max(1, remaining.Milliseconds())}, f.target.users)
 	}
 }
 
 // applyPeerBackoff notes that the head of a group asked another entry for time; the mutex is held. This one is not bound by it, but a head
 // that is overrun is better left alone where others have room: each of many entries would otherwise be refused there once.
 func (s *Relay) applyPeerBackoff(t *target, ms int64) {
-	left := time.Duration(min(ms, s.Backoff.Rule.Max.Milliseconds())) * time.Millisecond
+	delay := time.Duration(min(ms, s.Backoff.Rule.Max.Milliseconds())) * time.Millisecond
 	ts := s.stateOf(t)
-	if until := s.Now().Add(left); until.After(ts.peerBackoffUntil) {
+	if until := s.Now().Add(delay); until.After(ts.peerBackoffUntil) {
 		ts.peerBackoffUntil = until
 	}
 }
 
 // sendBackpressureEvent tells operators what an upstream asks for, and what is made of it.
-func (s *Relay) sendBackpressureEvent(a *BackpressureEvent, kind BackpressureKind) {
-	a.Kind, a.EffectiveDelay = kind, s.Backoff.StateOf(s.Now(), a.Upstream).Remaining
-	s.OnBackpressure(a)
+func (s *Relay) sendBackpressureEvent(event *BackpressureEvent, kind BackpressureKind) {
+	event.Kind, event.EffectiveDelay = kind, s.Backoff.StateOf(s.Now(), event.Upstream).Remaining
+	s.OnBackpressure(event)
 }
 
 // endBackoffProbe ends the try that finds out whether an upstream takes requests again, if the present one is that.
-func (x *exchange) endBackoffProbe(id ident.Incarnation, taken bool) {
+func (x *exchange) endBackoffProbe(id ident.Incarnation, accepted bool) {
 	if !x.backoffProbe {
 		return
 	}
 	x.backoffProbe = false
-	x.s.Backoff.EndProbe(id, taken)
-	if taken {
+	x.s.Backoff.EndProbe(id, accepted)
+	if accepted {
 		x.s.OnBackpressure(&BackpressureEvent{Kind: BackpressureCleared, Upstream: id})
 	}
 }
@@ -157,37 +157,37 @@
 }
 
 // addBackoff counts an upstream if it asked for nothing, and reports whether that is so. One that only refused is full for a moment.
-func (a *unavailable) addBackoff(s backoff.State) bool {
+func (a *unavailable) addBackoff(state backoff.State) bool {
 	switch {
-	case s.Remaining > 0 && s.Leaving:
+	case state.Remaining > 0 && state.Leaving:
 		a.leaving++
 		return true
-	case s.Remaining <= 0 || !s.Requested:
+	case state.Remaining <= 0 || !state.Requested:
 		return false
 	}
-	a.updateSoonest(s.Remaining)
+	a.updateSoonest(state.Remaining)
 	a.backedOff++
 	return true
 }
 
 // addLimit counts an upstream with a limit, and reports whether there is nothing to be had of it now.
-func (a *unavailable) addLimit(g ratelimit.Availability) bool {
-	if !g.Limited {
+func (a *unavailable) addLimit(availability ratelimit.Availability) bool {
+	if !availability.Limited {
 		return false
 	}
-	a.limitRate += g.Rate
-	if g.Available() {
+	a.limitRate += availability.Rate
+	if availability.Available() {
 		return false
 	}
-	a.updateSoonest(g.Remaining)
+	a.updateSoonest(availability.Remaining)
 	a.limited++
 	return true
 }
 
 // updateSoonest notes that an upstream may be tried again after a time.
-func (a *unavailable) updateSoonest(left time.Duration) {
-	if a.backedOff+a.limited == 0 || left < a.soonest {
-		a.soonest = left
+func (a *unavailable) updateSoonest(remaining time.Duration) {
+	if a.backedOff+a.limited == 0 || remaining < a.soonest {
+		a.soonest = remaining
 	}
 }
 
--- a/relay/budget.go
+++ b/relay/budget.go
@@ -70,17 +70,17 @@
 func (b *RetryBudget) AllowRetry(service ident.Service) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	slot := b.currentSecond(service)
-	requests, repeats := 0.0, 0.0
+	current := b.currentSecond(service)
+	requests, retries := 0.0, 0.0
 	for _, s := range b.secondsByService[service] {
 		requests += s.requests
-		repeats += s.retries
+		retries += s.retries
 	}
 	allowed := usableFraction * (b.Rule.Ratio*requests + b.Rule.Allowance/float64(b.entries))
-	if repeats+1 > allowed {
+	if retries+1 > allowed {
 		return false
 	}
-	slot.retries++
+	current.retries++
 	return true
 }
 
@@ -91,14 +91,14 @@
 	if b.start.IsZero() {
 		b.start = now
 	}
-	at := int64(now.Sub(b.start) / time.Second)
+	index := int64(now.Sub(b.start) / time.Second)
 	list := b.secondsByService[service]
-	oldest := at - int64(b.Rule.Window/time.Second)
+	oldest := index - int64(b.Rule.Window/time.Second)
 	for len(list) > 0 && list[0].index <= oldest {
 		list = list[1:]
 	}
-	if len(list) == 0 || list[len(list)-1].index != at {
-		list = append(list, secondCounts{index: at})
+	if len(list) == 0 || list[len(list)-1].index != index {
+		list = append(list, secondCounts{index: index})
 	}
 	b.secondsByService[service] = list
 	return &list[len(list)-1]
--- a/relay/room.go
+++ b/relay/capacity.go
@@ -72,33 +72,33 @@
 		defer s.mu.Unlock()
 		return s.reservePlain(x)
 	}
-	w, q := s.enqueue(x)
+	queued, q := s.enqueue(x)
 	s.mu.Unlock()
 	select {
-	case <-w.Value.done:
+	case <-queued.Value.done:
 	case <-x.r.Context().Done():
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		select {
-		case <-w.Value.done:
+		case <-queued.Value.done:
 		default:
-			q.Remove(w)
+			q.Remove(queued)
 			return choice{}, result.New(result.Cancelled, "the caller has left")
 		}
 	}
-	return w.Value.chosen, w.Value.err
+	return queued.Value.chosen, queued.Value.err
 }
 
 // reservePlain chooses a worker of a plain service; the mutex is held.
 func (s *Relay) reservePlain(x *exchange) (choice, error) {
 	now := s.Now()
-	t, err := s.chooseUntil(x, overload.InTime, x.plainDeadline(), now)
+	chosen, err := s.chooseUntil(x, overload.InTime, x.plainDeadline(), now)
 	if err == nil {
-		s.reserve(x, &t)
-		return t, nil
+		s.reserve(x, &chosen)
+		return chosen, nil
 	}
-	x.minRetryAfter = s.retryDelay(x, now, &t, err)
-	return t, err
+	x.minRetryAfter = s.retryDelay(x, now, &chosen, err)
+	return chosen, err
 }
 
 // plainDeadline is until when a request for a plain service may wait to be in time.
@@ -109,32 +109,32 @@
 // enqueue puts the request into the queue of its model and offers all that waits there to the groups; the mutex is held.
 func (s *Relay) enqueue(x *exchange) (*overload.Queued[*queuedRequest], *overload.Queue[*queuedRequest]) {
 	now := s.Now()
-	w := &queuedRequest{x: x, done: make(chan struct{})}
-	list := s.index.targets(x.service, x.model)
-	if len(list) == 0 {
+	req := &queuedRequest{x: x, done: make(chan struct{})}
+	targets := s.index.targets(x.service, x.model)
+	if len(targets) == 0 {
 		// Callers may name any model; queues are kept for those that there are.
-		w.complete(choice{}, noTargetError(0, 0, &unavailable{}))
-		return &overload.Queued[*queuedRequest]{Value: w}, nil
+		req.complete(choice{}, noTargetError(0, 0, &unavailable{}))
+		return &overload.Queued[*queuedRequest]{Value: req}, nil
 	}
-	x.setAimDeadline(now, &list[0].timing)
+	x.setAimDeadline(now, &targets[0].timing)
 	key := x.queueKey()
 	q := s.queues[key]
 	if q == nil {
 		q = &overload.Queue[*queuedRequest]{}
 		s.queues[key] = q
 	}
-	in := q.Add(now, x.queueRequest(now), w)
+	queued := q.Add(now, x.queueRequest(now), req)
 	s.dispatchQueue(q, now)
 	if !s.dispatchScheduled && q.Len() > 0 {
 		s.dispatchScheduled = true
 		time.AfterFunc(queueCheckInterval, s.offerPeriodically)
 	}
-	return in, q
+	return queued, q
 }
 
 // complete tells the request what became of it.
-func (w *queuedRequest) complete(t choice, err error) {
-	w.chosen, w.err = t, err
+func (w *queuedRequest) complete(chosen choice, err error) {
+	w.chosen, w.err = chosen, err
 	close(w.done)
 }
 
@@ -143,12 +143,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
-	left := 0
+	remaining := 0
 	for _, q := range s.queues {
 		s.dispatchQueue(q, now)
-		left += q.Len()
+		remaining += q.Len()
 	}
-	s.dispatchScheduled = left > 0
+	s.dispatchScheduled = remaining > 0
 	if s.dispatchScheduled {
 		time.AfterFunc(queueCheckInterval, s.offerPeriodically)
 	}
@@ -156,88 +156,88 @@
 
 // dispatchQueue offers the requests in q to the groups and refuses those that wait in vain; the mutex is held.
 func (s *Relay) dispatchQueue(q *overload.Queue[*queuedRequest], now time.Time) {
-	// idlest is the group where the first word of an empty prompt would come soonest, known once a request has found no room.
-	var idlest candidate
-	known := false
-	send := func(w *overload.Queued[*queuedRequest], rank overload.Rank) bool {
-		x := w.Value.x
-		if known && rank == overload.InTime && now.Add(idlest.firstEvent).After(x.aimDeadline) && !x.leavesCapacity(idlest.target, idlest.knownLoad) {
+	// leastLoaded is the group where the first word of an empty prompt would come soonest, known once a request has found no room.
+	var leastLoaded candidate
+	leastLoadedKnown := false
+	send := func(queued *overload.Queued[*queuedRequest], rank overload.Rank) bool {
+		x := queued.Value.x
+		if leastLoadedKnown && rank == overload.InTime && now.Add(leastLoaded.firstEvent).After(x.aimDeadline) && !x.leavesCapacity(leastLoaded.target, leastLoaded.knownLoad) {
 			return false
 		}
-		t, err := s.chooseUntil(x, rank, w.LatestSend(), now)
+		chosen, err := s.chooseUntil(x, rank, queued.LatestSend(), now)
 		switch code := result.CodeOf(err); {
-		case t.mustWait:
-		case err == nil && t.hasCapacity:
-			s.reserve(x, &t)
-			known = false
-			if s.hadSpareCapacity(x, &t) {
+		case chosen.mustWait:
+		case err == nil && chosen.hasCapacity:
+			s.reserve(x, &chosen)
+			leastLoadedKnown = false
+			if s.hadSpareCapacity(x, &chosen) {
 				q.NoteCapacity()
 			}
-		case code == result.BackedOff && now.Add(t.availableIn).Before(w.LatestSend()):
+		case code == result.BackedOff && now.Add(chosen.availableIn).Before(queued.LatestSend()):
 			return false
 		case err == nil || code == result.Overloaded:
-			if !known {
-				idlest, known = s.leastLoaded(x, now), true
+			if !leastLoadedKnown {
+				leastLoaded, leastLoadedKnown = s.leastLoaded(x, now), true
 			}
 			return false
 		}
-		x.minRetryAfter = s.retryDelay(x, now, &t, err)
-		w.Value.complete(t, err)
+		x.minRetryAfter = s.retryDelay(x, now, &chosen, err)
+		queued.Value.complete(chosen, err)
 		return true
 	}
-	q.Dispatch(now, send, func(w *overload.Queued[*queuedRequest]) {
-		x := w.Value.x
+	q.Dispatch(now, send, func(queued *overload.Queued[*queuedRequest]) {
+		x := queued.Value.x
 		x.minRetryAfter = q.RetryAfter(now)
-		waited := now.Sub(w.QueuedAt).Milliseconds()
-		w.Value.complete(choice{}, result.New(result.Overloaded, "no group has room for it, rank %d after %d ms", w.Rank(now), waited))
+		waitedMS := now.Sub(queued.QueuedAt).Milliseconds()
+		queued.Value.complete(choice{}, result.New(result.Overloaded, "no group has room for it, rank %d after %d ms", queued.Rank(now), waitedMS))
 	})
 }
 
 // leastLoaded returns the group of x at which the first word of an empty prompt would come soonest; the mutex is held.
 func (s *Relay) leastLoaded(x *exchange, now time.Time) candidate {
 	var best candidate
-	list := s.index.targets(x.service, x.model)
-	for i := range list {
-		if !x.regionAllowed(&list[i]) {
+	targets := s.index.targets(x.service, x.model)
+	for i := range targets {
+		if !x.regionAllowed(&targets[i]) {
 			continue
 		}
-		at := s.loadOf(&list[i], now)
-		first := list[i].timing.FirstEvent(at, 0) + max(s.Backoff.StateOf(now, list[i].id).Remaining, s.Limits.Availability(now, list[i].id).Remaining)
-		if best.target == nil || first < best.firstEvent {
-			best = candidate{target: &list[i], firstEvent: first, knownLoad: at}
+		load := s.loadOf(&targets[i], now)
+		firstEvent := targets[i].timing.FirstEvent(load, 0) + max(s.Backoff.StateOf(now, targets[i].id).Remaining, s.Limits.Availability(now, targets[i].id).Remaining)
+		if best.target == nil || firstEvent < best.firstEvent {
+			best = candidate{target: &targets[i], firstEvent: firstEvent, knownLoad: load}
 		}
 	}
 	return best
 }
 
 // setAimDeadline works out until when the request can be in time.
-func (x *exchange) setAimDeadline(now time.Time, idle *estimate.Group) {
+func (x *exchange) setAimDeadline(now time.Time, timing *estimate.Group) {
 	x.callerWaitStart = now
 	if !x.hasProgress() {
 		x.callerWaitStart = x.arrivedAt
 	}
-	came := x.arrivedAt.Add(-x.priorElapsed)
-	x.idleFirstEvent = idle.FirstEvent(estimate.Load{}, x.prefillTokens())
+	firstAttemptAt := x.arrivedAt.Add(-x.priorElapsed)
+	x.idleFirstEvent = timing.FirstEvent(estimate.Load{}, x.prefillTokens())
 	x.dispatchDelay = x.s.dispatchDelayOf(x.model)
-	usual := x.dispatchDelay.mean
-	x.aimDeadline = came.Add(max(x.route.Aim, x.idleFirstEvent+usual+time.Duration(longPromptSlack*float64(x.route.Aim))) - usual)
+	meanDelay := x.dispatchDelay.mean
+	x.aimDeadline = firstAttemptAt.Add(max(x.route.Aim, x.idleFirstEvent+meanDelay+time.Duration(longPromptSlack*float64(x.route.Aim))) - meanDelay)
 }
 
 // queueRequest returns what the order of those that wait goes by.
 func (x *exchange) queueRequest(now time.Time) overload.Request {
-	leaves := x.callerWaitStart.Add(x.callerPatience())
-	if leaves.After(x.deadline) {
-		leaves = x.deadline
+	expires := x.callerWaitStart.Add(x.callerPatience())
+	if expires.After(x.deadline) {
+		expires = x.deadline
 	}
-	leaves = leaves.Add(-x.idleFirstEvent - x.dispatchDelay.mean)
+	expires = expires.Add(-x.idleFirstEvent - x.dispatchDelay.mean)
 	due := x.aimDeadline.Add(-x.idleFirstEvent)
-	if due.After(leaves) {
-		due = leaves
+	if due.After(expires) {
+		due = expires
 	}
 	// One that lost its time at a group that had ended is not refused at once as one that was too many. It does not go before those
 	// that can be in time either, which would make these late where all groups are full.
-	last := x.heldAtStart || x.priorElapsed >= returningElapsed || x.displaced
-	return overload.Request{QueuedAt: now, Due: due, Expires: leaves, Started: x.hasProgress(), FinalAttempt: last}
+	finalAttempt := x.heldAtStart || x.priorElapsed >= returningElapsed || x.displaced
+	return overload.Request{QueuedAt: now, Due: due, Expires: expires, Started: x.hasProgress(), FinalAttempt: finalAttempt}
 }
 
 // hasProgress reports whether a refusal would lose what an upstream has done, or what the caller has.
@@ -255,30 +255,30 @@
 
 // hasCapacityAt reports whether t has room for a request of that rank with what is known to be there. A last try gets the room of one that can
 // be in time when it is its turn, and otherwise what late requests get.
-func (x *exchange) hasCapacityAt(t *target, rank overload.Rank, at estimate.Load, first time.Duration, now time.Time) bool {
-	if first == 0 || x.route.GapAim == 0 || at.PendingPrompt == 0 && at.Requests < t.slots || x.eventCount > 0 {
+func (x *exchange) hasCapacityAt(t *target, rank overload.Rank, load estimate.Load, firstEvent time.Duration, now time.Time) bool {
+	if firstEvent == 0 || x.route.GapAim == 0 || load.PendingPrompt == 0 && load.Requests < t.slots || x.eventCount > 0 {
 		return true
 	}
-	if x.leavesCapacity(t, at) {
+	if x.leavesCapacity(t, load) {
 		return true
 	}
 	if rank == overload.Late {
 		return false
 	}
-	limit := x.aimDeadline
+	latest := x.aimDeadline
 	if rank != overload.InTime {
-		limit = now.Add(x.route.Aim - x.dispatchDelay.mean)
+		latest = now.Add(x.route.Aim - x.dispatchDelay.mean)
 	}
-	pass := t.timing.IterationTime(at.PendingPrompt+x.prefillTokens(), at.Requests+1)
-	return pass <= x.route.GapAim && !now.Add(first+x.dispatchDelay.deviation).After(limit)
+	iteration := t.timing.IterationTime(load.PendingPrompt+x.prefillTokens(), load.Requests+1)
+	return iteration <= x.route.GapAim && !now.Add(firstEvent+x.dispatchDelay.deviation).After(latest)
 }
 
 // leavesCapacity reports whether t would leave room for others beside the request.
-func (x *exchange) leavesCapacity(t *target, at estimate.Load) bool {
+func (x *exchange) leavesCapacity(t *target, load estimate.Load) bool {
 	// A first word takes half a pass and a whole one.
-	most := min(x.route.GapAim, (x.route.Aim-x.dispatchDelay.mean-x.dispatchDelay.deviation)*2/3)
-	pass := t.timing.IterationTime(at.PendingPrompt+x.prefillTokens(), at.Requests+1)
-	return at.Requests < t.slots && float64(pass) <= lateIterationFraction*float64(most)
+	maxIteration := min(x.route.GapAim, (x.route.Aim-x.dispatchDelay.mean-x.dispatchDelay.deviation)*2/3)
+	iteration := t.timing.IterationTime(load.PendingPrompt+x.prefillTokens(), load.Requests+1)
+	return load.Requests < t.slots && float64(iteration) <= lateIterationFraction*float64(maxIteration)
 }
 
 // hadSpareCapacity reports whether the target of a request had room for a late one.
@@ -331,13 +331,13 @@
 }
 
 // estimatePriorElapsed returns what the caller of a class spent on earlier tries, as far as the time that it says it waits tells.
-func (s *Relay) estimatePriorElapsed(class ident.Class, told time.Duration) time.Duration {
+func (s *Relay) estimatePriorElapsed(class ident.Class, callerTimeout time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	u := s.typicalWaits[class]
-	if u == nil {
-		u = &overload.TypicalWait{}
-		s.typicalWaits[class] = u
+	typical := s.typicalWaits[class]
+	if typical == nil {
+		typical = &overload.TypicalWait{}
+		s.typicalWaits[class] = typical
 	}
-	return u.PriorElapsed(told, s.Now().Sub(s.lastRefusal) > noRefusalPeriod)
+	return typical.PriorElapsed(callerTimeout, s.Now().Sub(s.lastRefusal) > noRefusalPeriod)
 }
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -75,71 +75,71 @@
 
 // choose picks a target that was not tried yet and has room for a request of that rank, or says why there is none; the mutex is held.
 func (s *Relay) choose(x *exchange, rank overload.Rank, now time.Time) (choice, error) {
-	list := s.index.targets(x.service, x.model)
+	targets := s.index.targets(x.service, x.model)
 	c := &s.candidates
 	c.reset()
 	full := 0
-	var away unavailable
-	var gate ratelimit.Availability
-	limits := s.Limits.HasLimits()
-	for i := range list {
-		t := &list[i]
+	var unavail unavailable
+	var availability ratelimit.Availability
+	hasLimits := s.Limits.HasLimits()
+	for i := range targets {
+		t := &targets[i]
 		if !x.regionAllowed(t) {
-			away.outsideRegion++
+			unavail.outsideRegion++
 			continue
 		}
 		// Whoever asked for time was overrun, and gets nothing in it.
-		asked := s.Backoff.StateOf(now, t.id)
-		if limits {
-			gate = s.Limits.Availability(now, t.id)
+		backoffState := s.Backoff.StateOf(now, t.id)
+		if hasLimits {
+			availability = s.Limits.Availability(now, t.id)
 		}
-		if away.addBackoff(asked) || away.addLimit(gate) || x.wasAttempted(t.id) {
+		if unavail.addBackoff(backoffState) || unavail.addLimit(availability) || x.wasAttempted(t.id) {
 			continue
 		}
-		rated := s.scoreTarget(x, t, rank, now)
-		if !asked.Admits() || !x.hasQueueSpace(&rated) {
+		scored := s.scoreTarget(x, t, rank, now)
+		if !backoffState.Admits() || !x.hasQueueSpace(&scored) {
 			full++
 			continue
 		}
-		rated.hasCapacity = rated.hasCapacity && s.mayUseCapacity(x, t)
-		rated.limited = gate.Limited
-		c.add(rated)
+		scored.hasCapacity = scored.hasCapacity && s.mayUseCapacity(x, t)
+		scored.limited = availability.Limited
+		c.add(scored)
 	}
-	best := c.bestTier()
-	if len(best) == 0 {
-		return s.waitOrFail(x, list, full, &away, now)
+	tier := c.bestTier()
+	if len(tier) == 0 {
+		return s.waitOrFail(x, targets, full, &unavail, now)
 	}
-	x.skippedUpstreams = away.total()
-	if best[0].inSubset && s.entries != nil && !s.entries.AllUseAll() {
-		return choice{candidate: lowestScore(best), maxPermitWait: ratelimit.MaxWaitWithAlternatives}, nil
+	x.skippedUpstreams = unavail.total()
+	if tier[0].inSubset && s.entries != nil && !s.entries.AllUseAll() {
+		return choice{candidate: lowestScore(tier), maxPermitWait: ratelimit.MaxWaitWithAlternatives}, nil
 	}
-	return choice{candidate: preferLimited(best, s.betterOfTwo(best)), maxPermitWait: ratelimit.MaxWaitWithAlternatives}, nil
+	return choice{candidate: preferLimited(tier, s.betterOfTwo(tier)), maxPermitWait: ratelimit.MaxWaitWithAlternatives}, nil
 }
 
 // waitOrFail is the choice where no target takes the request now: it can wait for its turn at one with a limit, if there is any.
-func (s *Relay) waitOrFail(x *exchange, list []target, full int, away *unavailable, now time.Time) (choice, error) {
-	none := choice{availableIn: away.soonest, expectedRate: away.limitRate}
-	if t := s.soonestLimitedTarget(x, list, now); t != nil && full == 0 {
+func (s *Relay) waitOrFail(x *exchange, targets []target, full int, unavail *unavailable, now time.Time) (choice, error) {
+	fallback := choice{availableIn: unavail.soonest, expectedRate: unavail.limitRate}
+	if t := s.soonestLimitedTarget(x, targets, now); t != nil && full == 0 {
 		s.stateOf(t)
-		none.target, none.limited, none.mustWait = t, true, true
-		return none, nil
+		fallback.target, fallback.limited, fallback.mustWait = t, true, true
+		return fallback, nil
 	}
-	return none, noTargetError(len(list), full, away)
+	return fallback, noTargetError(len(targets), full, unavail)
 }
 
 // soonestLimitedTarget returns the upstream with a limit that may take a request soonest, of those that have not said that they can't take this one in
 // time.
-func (s *Relay) soonestLimitedTarget(x *exchange, list []target, now time.Time) *target {
+func (s *Relay) soonestLimitedTarget(x *exchange, targets []target, now time.Time) *target {
 	var next *target
 	var soonest time.Duration
-	for i := range list {
-		id := list[i].id
-		gate := s.Limits.Availability(now, id)
-		if !gate.Limited || !x.regionAllowed(&list[i]) || x.wasAttempted(id) || x.noPermitAt[id] || s.Backoff.StateOf(now, id).Remaining > 0 {
+	for i := range targets {
+		id := targets[i].id
+		availability := s.Limits.Availability(now, id)
+		if !availability.Limited || !x.regionAllowed(&targets[i]) || x.wasAttempted(id) || x.noPermitAt[id] || s.Backoff.StateOf(now, id).Remaining > 0 {
 			continue
 		}
-		if next == nil || gate.Remaining < soonest {
-			next, soonest = &list[i], gate.Remaining
+		if next == nil || availability.Remaining < soonest {
+			next, soonest = &targets[i], availability.Remaining
 		}
 	}
 	return next
@@ -226,11 +226,11 @@
 }
 
 // hasQueueSpace reports whether a target takes one more request: it has slots and a queue, and each request needs a connection of its own.
-func (x *exchange) hasQueueSpace(r *candidate) bool {
-	if takes := x.service.MaxConnections; takes > 0 && r.knownLoad.Requests >= takes {
+func (x *exchange) hasQueueSpace(c *candidate) bool {
+	if maxConns := x.service.MaxConnections; maxConns > 0 && c.knownLoad.Requests >= maxConns {
 		return false
 	}
-	return r.utilization < 1+queuePerSlot(x.service)
+	return c.utilization < 1+queuePerSlot(x.service)
 }
 
 func queuePerSlot(s *httproute.Service) float64 {
@@ -250,22 +250,22 @@
 	return len(homes) == 0 || slices.Contains(homes, region)
 }
 
-func noTargetError(known, full int, away *unavailable) error {
+func noTargetError(total, full int, unavail *unavailable) error {
 	switch {
-	case known > 0 && away.outsideRegion == known:
-		return result.New(result.OutOfHome, "all %d upstreams are in regions where the request may not go", known)
-	case full > 0 && away.total() > 0:
-		return result.New(result.Overloaded, "%d upstreams are full, %d want nothing", full, away.total())
+	case total > 0 && unavail.outsideRegion == total:
+		return result.New(result.OutOfHome, "all %d upstreams are in regions where the request may not go", total)
+	case full > 0 && unavail.total() > 0:
+		return result.New(result.Overloaded, "%d upstreams are full, %d want nothing", full, unavail.total())
 	case full > 0:
 		return result.New(result.Overloaded, "all %d upstreams are full", full)
-	case away.limited > 0:
+	case unavail.limited > 0:
 		return result.New(result.Limited, "%d of %d upstreams take nothing more within their limits, %d want nothing yet, the first for another %v",
-			away.limited, known, away.backedOff, away.soonest)
-	case away.backedOff > 0:
-		return result.New(result.BackedOff, "%d of %d upstreams want nothing yet, the first for another %v", away.backedOff, known, away.soonest)
-	case away.leaving > 0:
-		return result.New(result.NoWholeGroup, "the last %d upstreams leave", away.leaving)
-	case known > 0:
+			unavail.limited, total, unavail.backedOff, unavail.soonest)
+	case unavail.backedOff > 0:
+		return result.New(result.BackedOff, "%d of %d upstreams want nothing yet, the first for another %v", unavail.backedOff, total, unavail.soonest)
+	case unavail.leaving > 0:
+		return result.New(result.NoWholeGroup, "the last %d upstreams leave", unavail.leaving)
+	case total > 0:
 		return result.New(result.NoWholeGroup, "every upstream was tried")
 	}
 	return result.New(result.NoWholeGroup, "no upstream serves this")
@@ -274,10 +274,10 @@
 func (s *Relay) scoreTarget(x *exchange, t *target, rank overload.Rank, now time.Time) candidate {
 	ts := s.stateOf(t)
 	ts.decay(now)
-	at := s.loadOf(t, now)
-	load := float64(at.Requests) / float64(max(1, t.slots))
-	first := t.timing.FirstEvent(at, x.prefillTokens())
-	score := x.waitScore(t, first, load)
+	knownLoad := s.loadOf(t, now)
+	utilization := float64(knownLoad.Requests) / float64(max(1, t.slots))
+	firstEvent := t.timing.FirstEvent(knownLoad, x.prefillTokens())
+	score := x.waitScore(t, firstEvent, utilization)
 	if t.hall != s.Hall {
 		score += otherHallPenalty
 	}
@@ -293,20 +293,20 @@
 	if now.Before(ts.suspectUntil) || s.unresponsive(ts, now) || !ts.suspectedAt.IsZero() && now.Sub(ts.suspectedAt) < suspicionInterval {
 		score += suspectPenalty
 	}
-	fits := x.hasCapacityAt(t, rank, at, first, now)
-	return candidate{target: t, score: score, utilization: load, firstEvent: first, knownLoad: at, hasCapacity: fits, deprioritized: now.Before(ts.peerBackoffUntil)}
+	hasCapacity := x.hasCapacityAt(t, rank, knownLoad, firstEvent, now)
+	return candidate{target: t, score: score, utilization: utilization, firstEvent: firstEvent, knownLoad: knownLoad, hasCapacity: hasCapacity, deprioritized: now.Before(ts.peerBackoffUntil)}
 }
 
 // waitScore is the time to the first word in parts of the route's aim. Where the engine does not publish its figures, and at
 // plain workers, the load stands for it.
-func (x *exchange) waitScore(t *target, first time.Duration, load float64) float64 {
-	if first > 0 {
-		return x.fractionOfAim(first)
+func (x *exchange) waitScore(t *target, firstEvent time.Duration, utilization float64) float64 {
+	if firstEvent > 0 {
+		return x.fractionOfAim(firstEvent)
 	}
 	if t.crossDomain || t.hasSlowMember {
-		return groupSlowdown(x.service) * (load + 1/float64(max(1, t.slots)))
+		return groupSlowdown(x.service) * (utilization + 1/float64(max(1, t.slots)))
 	}
-	return load
+	return utilization
 }
 
 // fractionOfAim returns d in parts of the route's aim.
--- a/relay/heard.go
+++ b/relay/entry_update.go
@@ -57,75 +57,75 @@
 const peerPromptRetention = time.Second
 
 // Receive takes the news of another entry, which are told apart by their addresses.
-func (s *Relay) Receive(n EntryUpdate, from netip.AddrPort) {
-	if n.isLimit() {
-		s.receiveLimitUpdate(&n, from)
+func (s *Relay) Receive(update EntryUpdate, from netip.AddrPort) {
+	if update.isLimit() {
+		s.receiveLimitUpdate(&update, from)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n.QuarantineReport != nil {
-		s.applyQuarantineReport(n.QuarantineReport, from)
+	if update.QuarantineReport != nil {
+		s.applyQuarantineReport(update.QuarantineReport, from)
 		return
 	}
-	t := s.index.byHead[n.Head]
+	t := s.index.byHead[update.Head]
 	if t == nil {
 		return
 	}
-	if n.BackoffMS > 0 {
-		s.applyPeerBackoff(t, n.BackoffMS)
+	if update.BackoffMS > 0 {
+		s.applyPeerBackoff(t, update.BackoffMS)
 		return
 	}
-	if !n.IsPrompt() {
-		s.applySuspicion(t, &n, from)
+	if !update.IsPrompt() {
+		s.applySuspicion(t, &update, from)
 		return
 	}
 	ts := s.stateOf(t)
-	if n.PromptTokens <= 0 {
+	if update.PromptTokens <= 0 {
 		return
 	}
 	if len(ts.peerPrompts) >= maxPeerPrompts {
 		return
 	}
 	now := s.Now()
-	prompt := min(n.PromptTokens, maxPeerPromptTokens)
-	first := t.timing.FirstEvent(estimate.Load{PendingPrompt: ts.pendingTokensNow(now), Requests: ts.inflight}, prompt)
-	ts.peerPrompts = append(ts.peerPrompts, peerPrompt{prompt, now, now.Add(first + s.dispatchDelayOf(t.model).mean)})
+	tokens := min(update.PromptTokens, maxPeerPromptTokens)
+	firstEvent := t.timing.FirstEvent(estimate.Load{PendingPrompt: ts.pendingTokensNow(now), Requests: ts.inflight}, tokens)
+	ts.peerPrompts = append(ts.peerPrompts, peerPrompt{tokens, now, now.Add(firstEvent + s.dispatchDelayOf(t.model).mean)})
 	ts.notePromptSent(now)
 }
 
 // pendingTokensNow returns the tokens of this entry's prompts and of those heard of that are not read yet.
 func (ts *targetState) pendingTokensNow(now time.Time) ident.Tokens {
-	unread := ts.pendingTokens
+	pending := ts.pendingTokens
 	kept := ts.peerPrompts[:0]
-	for _, h := range ts.peerPrompts {
-		if now.Before(h.readBy) {
-			unread += h.tokens
+	for _, p := range ts.peerPrompts {
+		if now.Before(p.readBy) {
+			pending += p.tokens
 		}
-		if now.Before(h.readBy) || now.Sub(h.receivedAt) < peerPromptRetention {
-			kept = append(kept, h)
+		if now.Before(p.readBy) || now.Sub(p.receivedAt) < peerPromptRetention {
+			kept = append(kept, p)
 		}
 	}
 	ts.peerPrompts = kept
-	return unread
+	return pending
 }
 
 // maxPendingTokens bounds the tokens of prompts that are not read yet: those of other entries may take longer than the estimate.
 func (ts *targetState) maxPendingTokens(now time.Time) ident.Tokens {
-	unread := ts.pendingTokens
-	for _, h := range ts.peerPrompts {
-		if now.Sub(h.readBy) < iterationBoundSlack {
-			unread += h.tokens
+	pending := ts.pendingTokens
+	for _, p := range ts.peerPrompts {
+		if now.Sub(p.readBy) < iterationBoundSlack {
+			pending += p.tokens
 		}
 	}
-	return unread
+	return pending
 }
 
 // peerPromptsSince returns how many prompts other entries have sent since a time.
-func (ts *targetState) peerPromptsSince(at time.Time) int {
+func (ts *targetState) peerPromptsSince(since time.Time) int {
 	n := 0
 	for i := range ts.peerPrompts {
-		if ts.peerPrompts[i].receivedAt.After(at) {
+		if ts.peerPrompts[i].receivedAt.After(since) {
 			n++
 		}
 	}
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -154,15 +154,15 @@
 }
 
 func (x *exchange) findDeadline() error {
-	wait := x.route.Timeout
+	timeout := x.route.Timeout
 	if text := x.r.Header.Get(x.s.Headers.Deadline); text != "" {
 		ms, err := strconv.Atoi(text)
 		if err != nil {
 			return result.New(result.BadRequest, "the deadline is not a whole number of milliseconds")
 		}
-		wait = min(wait, time.Duration(ms)*time.Millisecond)
+		timeout = min(timeout, time.Duration(ms)*time.Millisecond)
 	}
-	x.deadline = x.arrivedAt.Add(wait)
+	x.deadline = x.arrivedAt.Add(timeout)
 	return nil
 }
 
@@ -231,31 +231,31 @@
 // tokenCounts returns the tokens of the prompt, and those expected of the answer: the caller's estimate within the most that it
 // allows, or without one what is usual. More than an engine can hold runs nowhere and counts for no more than that.
 func (x *exchange) tokenCounts() (prompt, answer ident.Tokens) {
-	before, after, _ := strings.Cut(x.r.Header.Get(x.s.Headers.Tokens), ",")
-	holds := ident.Tokens(maxClaimedTokens)
+	promptText, maxAnswerText, _ := strings.Cut(x.r.Header.Get(x.s.Headers.Tokens), ",")
+	capacity := ident.Tokens(maxClaimedTokens)
 	if x.service.Engine.Memory > 0 {
-		holds = x.service.Engine.Memory
+		capacity = x.service.Engine.Memory
 	}
-	prompt, _ = parseTokenCount(before, holds)
-	most, bounded := parseTokenCount(after, holds)
-	answer, known := parseTokenCount(x.r.Header.Get(x.s.Headers.AnswerEstimate), holds)
-	if !known {
+	prompt, _ = parseTokenCount(promptText, capacity)
+	maxAnswer, hasMax := parseTokenCount(maxAnswerText, capacity)
+	answer, hasEstimate := parseTokenCount(x.r.Header.Get(x.s.Headers.AnswerEstimate), capacity)
+	if !hasEstimate {
 		answer = x.service.Engine.Usual.Answer
 	}
-	if bounded {
-		answer = min(answer, most)
+	if hasMax {
+		answer = min(answer, maxAnswer)
 	}
 	return prompt, answer
 }
 
 // parseTokenCount reads a number of tokens, of which no more than most count; one that can't be read is not known here, the engine answers
 // for it.
-func parseTokenCount(text string, most ident.Tokens) (ident.Tokens, bool) {
+func parseTokenCount(text string, maxCount ident.Tokens) (ident.Tokens, bool) {
 	n, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil || n < 0 {
 		return 0, false
 	}
-	return min(ident.Tokens(n), most), true
+	return min(ident.Tokens(n), maxCount), true
 }
 
 // prefillTokens are the tokens that an engine has to read before the next event: the prompt, and what was written of the answer before.
@@ -264,11 +264,11 @@
 		// It is asked for each group, and reading no number costs an allocation.
 		return x.promptTokens
 	}
-	written, known := eventNumber(x.lastEventID)
-	if !known || x.service.Engine == nil {
+	receivedEvents, numbered := eventNumber(x.lastEventID)
+	if !numbered || x.service.Engine == nil {
 		return x.promptTokens
 	}
-	return x.promptTokens + ident.Tokens(min(written, maxClaimedEvents)*int64(max(1, x.service.Engine.Stride)))
+	return x.promptTokens + ident.Tokens(min(receivedEvents, maxClaimedEvents)*int64(max(1, x.service.Engine.Stride)))
 }
 
 // maxClaimedEvents bounds the events of an answer that a caller may claim to have: it is told to other entries, and engines turn away
--- a/relay/limit.go
+++ b/relay/limit.go
@@ -61,16 +61,16 @@
 }
 
 // receiveLimitUpdate takes news of limits.
-func (s *Relay) receiveLimitUpdate(n *EntryUpdate, from netip.AddrPort) {
+func (s *Relay) receiveLimitUpdate(update *EntryUpdate, from netip.AddrPort) {
 	switch {
-	case n.Limit != nil:
-		s.ApplyLimit(n.Head, n.Limit.Rate, time.Duration(n.Limit.AgeMS)*time.Millisecond)
-	case n.PermitReply != nil:
-		s.Limits.HandleReply(n.PermitReply)
+	case update.Limit != nil:
+		s.ApplyLimit(update.Head, update.Limit.Rate, time.Duration(update.Limit.AgeMS)*time.Millisecond)
+	case update.PermitReply != nil:
+		s.Limits.HandleReply(update.PermitReply)
 	default:
-		name := from.String()
-		if a, ok := s.Limits.HandleRequest(n.PermitRequest, name); ok {
-			s.SendUpdate(EntryUpdate{PermitReply: a}, []string{name})
+		address := from.String()
+		if reply, ok := s.Limits.HandleRequest(update.PermitRequest, address); ok {
+			s.SendUpdate(EntryUpdate{PermitReply: reply}, []string{address})
 		}
 	}
 }
@@ -87,12 +87,12 @@
 
 // limitObservation returns what is known of an upstream's limit.
 func (s *Relay) limitObservation(id ident.Incarnation, now time.Time) *LimitObservation {
-	w := s.Limits.Table.Effective(id)
-	if !w.Limited() {
+	limit := s.Limits.Table.Effective(id)
+	if !limit.Limited() {
 		return nil
 	}
-	counts, apart := s.Limits.Stats(id)
-	return &LimitObservation{Rate: w.Rate, Own: w.Direct, Said: now.Sub(w.LastSeen), Since: now.Sub(w.Since), Apart: apart, Counts: counts}
+	counts, localShare := s.Limits.Stats(id)
+	return &LimitObservation{Rate: limit.Rate, Own: limit.Direct, Said: now.Sub(limit.LastSeen), Since: now.Sub(limit.Since), Apart: localShare, Counts: counts}
 }
 
 // acquirePermit asks for a request within the limit of the target, waits for its turn, and counts it there; what was chosen may have a limit by
@@ -120,8 +120,8 @@
 
 // permitStillValid reports whether a turn that was waited for still counts: not where the limit has fallen meanwhile.
 func (s *Relay) permitStillValid(id ident.Incarnation, p ratelimit.Permit) bool {
-	w := s.Limits.Table.Effective(id)
-	return !w.Limited() || w.Rate >= p.Rate
+	limit := s.Limits.Table.Effective(id)
+	return !limit.Limited() || limit.Rate >= p.Rate
 }
 
 func (x *exchange) noteNoPermit(id ident.Incarnation) {
@@ -172,13 +172,13 @@
 // nextLimitRetry returns when a caller shall come back for what upstreams take within their limits: after those that were told to come back
 // before it. The mutex is held.
 func (s *Relay) nextLimitRetry(key queueKey, now time.Time, t *choice) time.Duration {
-	at := laterOf(now.Add(t.availableIn), s.limitRetryTimes[key])
-	back := min(maxLimitRetryAfter, at.Sub(now))
-	s.limitRetryTimes[key] = now.Add(back)
+	retryAt := laterOf(now.Add(t.availableIn), s.limitRetryTimes[key])
+	delay := min(maxLimitRetryAfter, retryAt.Sub(now))
+	s.limitRetryTimes[key] = now.Add(delay)
 	if t.expectedRate > 0 {
-		s.limitRetryTimes[key] = now.Add(min(maxLimitRetryAfter, back+t.expectedRate.Interval()))
+		s.limitRetryTimes[key] = now.Add(min(maxLimitRetryAfter, delay+t.expectedRate.Interval()))
 	}
-	return back
+	return delay
 }
 
 func laterOf(a, b time.Time) time.Time {
--- a/relay/limit_sight_test.go
+++ b/relay/limit_sight_test.go
@@ -47,7 +47,7 @@
 		{Kind: relay.BackpressureUnreadable, Upstream: id},
 		{Kind: relay.BackpressureLimitRemoved, Upstream: id, PreviousLimit: 1.8},
 	}
-	if diff := cmp.Diff(want, told, cmpopts.IgnoreFields(relay.BackpressureEvent{}, "Since", "Err")); diff != "" {
+	if diff := cmp.Diff(want, told, cmpopts.IgnoreFields(relay.BackpressureEvent{}, "PreviousSince", "Err")); diff != "" {
 		t.Errorf("told (-want +got):\n%s", diff)
 	}
 	if code := result.CodeOf(told[2].Err); code != result.LimitUnreadable {
--- a/relay/held.go
+++ b/relay/quarantine.go
@@ -45,11 +45,11 @@
 }
 
 func (x *exchange) fingerprint() quarantine.Fingerprint {
-	w := quarantine.Fingerprint{Content: x.content}
+	fp := quarantine.Fingerprint{Content: x.content}
 	if x.customer != nil {
-		w.Customer = x.customer.Name
+		fp.Customer = x.customer.Name
 	}
-	return w
+	return fp
 }
 
 // quarantineError is the error of a request whose work must not be sent to an upstream, nil of any other.
@@ -61,12 +61,12 @@
 
 // quarantineErrorLocked is held for callers that hold the mutex.
 func (x *exchange) quarantineErrorLocked(now time.Time) error {
-	left := x.s.Quarantine.Remaining(now, x.fingerprint())
-	if left <= 0 {
+	remaining := x.s.Quarantine.Remaining(now, x.fingerprint())
+	if remaining <= 0 {
 		return nil
 	}
-	x.minRetryAfter = left
-	return result.New(result.WorkHeld, "upstreams ended while they ran the same, content %v; held for another %v", x.content, left.Round(time.Millisecond))
+	x.minRetryAfter = remaining
+	return result.New(result.WorkHeld, "upstreams ended while they ran the same, content %v; held for another %v", x.content, remaining.Round(time.Millisecond))
 }
 
 // beginAttempt notes that the request is about to be sent, unless its work has come to be held meanwhile.
@@ -78,16 +78,16 @@
 	if err := x.quarantineErrorLocked(now); err != nil {
 		return err
 	}
-	if tell, ok := s.Quarantine.BeginTrial(now, x.fingerprint()); ok {
-		s.OnQuarantine(&QuarantineEvent{Report: tell})
-		s.publishQuarantine(&tell)
+	if report, ok := s.Quarantine.BeginTrial(now, x.fingerprint()); ok {
+		s.OnQuarantine(&QuarantineEvent{Report: report})
+		s.publishQuarantine(&report)
 	}
 	return nil
 }
 
 // noteEvidence takes what the end of a try says of the request's work.
-func (x *exchange) noteEvidence(t *target, f *forwarder, v attemptOutcome) {
-	switch v {
+func (x *exchange) noteEvidence(t *target, f *forwarder, outcome attemptOutcome) {
+	switch outcome {
 	case outcomeDone, outcomeFailed:
 		x.s.noteSurvived(x.fingerprint())
 	case outcomeBroken:
@@ -98,18 +98,18 @@
 }
 
 // noteSurvived notes that an upstream lives on after it has run the work.
-func (s *Relay) noteSurvived(w quarantine.Fingerprint) {
+func (s *Relay) noteSurvived(fingerprint quarantine.Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ends := s.Quarantine.Crashes(w)
-	tell, ok := s.Quarantine.Answered(s.Now(), w)
+	crashes := s.Quarantine.Crashes(fingerprint)
+	report, ok := s.Quarantine.Answered(s.Now(), fingerprint)
 	if !ok {
 		return
 	}
-	if ends >= s.Quarantine.Rule.Crashes {
-		s.OnQuarantine(&QuarantineEvent{Report: tell})
+	if crashes >= s.Quarantine.Rule.Crashes {
+		s.OnQuarantine(&QuarantineEvent{Report: report})
 	}
-	s.publishQuarantine(&tell)
+	s.publishQuarantine(&report)
 }
 
 // upstreamCrashed reports whether the upstream of t, which cut a connection off, has ended: nothing listens there any more. A connection may
@@ -122,76 +122,76 @@
 		s.mu.Unlock()
 		return true
 	}
-	p := ts.crashProbe
-	if p == nil {
-		p = &crashProbe{done: make(chan struct{})}
-		ts.crashProbe = p
+	probe := ts.crashProbe
+	if probe == nil {
+		probe = &crashProbe{done: make(chan struct{})}
+		ts.crashProbe = probe
 		s.mu.Unlock()
-		s.probeCrash(t, ts, p)
-		return p.crashed
+		s.probeCrash(t, ts, probe)
+		return probe.crashed
 	}
 	s.mu.Unlock()
-	<-p.done
-	return p.crashed
+	<-probe.done
+	return probe.crashed
 }
 
-func (s *Relay) probeCrash(t *target, ts *targetState, p *crashProbe) {
+func (s *Relay) probeCrash(t *target, ts *targetState, probe *crashProbe) {
 	ctx, cancel := context.WithTimeout(context.Background(), crashProbeTimeout)
 	defer cancel()
-	ended := transport.Refuses(ctx, s.pool.dial, t.address)
+	crashed := transport.Refuses(ctx, s.pool.dial, t.address)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p.crashed = ended
-	if p.crashed {
+	probe.crashed = crashed
+	if probe.crashed {
 		ts.connectionRefused = true
 	}
 	ts.crashProbe = nil
-	close(p.done)
+	close(probe.done)
 }
 
 // noteCrash notes that the life of an upstream ended while it ran the work, of which so many events had come from there.
-func (s *Relay) noteCrash(w quarantine.Fingerprint, life ident.Incarnation, events int) {
+func (s *Relay) noteCrash(fingerprint quarantine.Fingerprint, incarnation ident.Incarnation, eventCount int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
-	tell := s.Quarantine.Crashed(now, w, quarantine.CrashIDOf(life))
-	s.sendQuarantineEvent(now, &tell, netip.AddrPort{})
-	if len(tell.Ends) >= publishMinCrashes || events <= publishMaxEvents {
-		s.publishQuarantine(&tell)
+	report := s.Quarantine.Crashed(now, fingerprint, quarantine.CrashIDOf(incarnation))
+	s.sendQuarantineEvent(now, &report, netip.AddrPort{})
+	if len(report.Ends) >= publishMinCrashes || eventCount <= publishMaxEvents {
+		s.publishQuarantine(&report)
 		return
 	}
 	s.startQuarantineSync()
 }
 
 // sendQuarantineEvent passes on that the work of a report is held, if it is; the mutex is held.
-func (s *Relay) sendQuarantineEvent(now time.Time, n *quarantine.Report, from netip.AddrPort) {
-	if left := s.Quarantine.Remaining(now, n.Fingerprint()); left > 0 {
-		s.OnQuarantine(&QuarantineEvent{*n, left, from})
+func (s *Relay) sendQuarantineEvent(now time.Time, report *quarantine.Report, from netip.AddrPort) {
+	if remaining := s.Quarantine.Remaining(now, report.Fingerprint()); remaining > 0 {
+		s.OnQuarantine(&QuarantineEvent{*report, remaining, from})
 	}
 }
 
 // publishQuarantine tells all entries of one work; the mutex is held.
-func (s *Relay) publishQuarantine(n *quarantine.Report) {
-	s.SendUpdate(EntryUpdate{QuarantineReport: n}, nil)
+func (s *Relay) publishQuarantine(report *quarantine.Report) {
+	s.SendUpdate(EntryUpdate{QuarantineReport: report}, nil)
 	s.startQuarantineSync()
 }
 
 // ApplyQuarantineReports takes what another entry, or the leader, knows of works.
-func (s *Relay) ApplyQuarantineReports(list []quarantine.Report, from netip.AddrPort) {
+func (s *Relay) ApplyQuarantineReports(reports []quarantine.Report, from netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := range list {
-		s.applyQuarantineReport(&list[i], from)
+	for i := range reports {
+		s.applyQuarantineReport(&reports[i], from)
 	}
 }
 
 // applyQuarantineReport takes what somebody else knows of one work; the mutex is held.
-func (s *Relay) applyQuarantineReport(n *quarantine.Report, from netip.AddrPort) {
+func (s *Relay) applyQuarantineReport(report *quarantine.Report, from netip.AddrPort) {
 	now := s.Now()
-	if !s.Quarantine.Merge(now, n) {
+	if !s.Quarantine.Merge(now, report) {
 		return
 	}
-	s.sendQuarantineEvent(now, n, from)
+	s.sendQuarantineEvent(now, report, from)
 	s.startQuarantineSync()
 }
 
@@ -208,8 +208,8 @@
 func (s *Relay) syncQuarantine() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := s.Quarantine.ToSend(s.Now(), quarantineSyncBatch)
-	s.quarantineSyncScheduled = len(list) > 0
+	reports := s.Quarantine.ToSend(s.Now(), quarantineSyncBatch)
+	s.quarantineSyncScheduled = len(reports) > 0
 	if !s.quarantineSyncScheduled {
 		return
 	}
@@ -222,7 +222,7 @@
 		return
 	}
 	to := []string{others[s.RandomInt(len(others))]}
-	for i := range list {
-		s.SendUpdate(EntryUpdate{QuarantineReport: &list[i]}, to)
+	for i := range reports {
+		s.SendUpdate(EntryUpdate{QuarantineReport: &reports[i]}, to)
 	}
 }
--- a/relay/run.go
+++ b/relay/run.go
@@ -49,17 +49,17 @@
 		if err := x.quarantineError(); err != nil {
 			return err
 		}
-		t, err := x.reserveTarget()
+		chosen, err := x.reserveTarget()
 		if err != nil {
 			return x.finalError(err)
 		}
 		if x.sendCount > 0 && !x.retryCharged && !x.s.Budget.AllowRetry(x.service.Name) {
-			x.cancelReservation(&t)
+			x.cancelReservation(&chosen)
 			return x.finalError(result.New(result.Overloaded, "the budget for repeats is used up"))
 		}
 		x.retryCharged = x.sendCount > 0
-		v := x.attempt(&t)
-		switch v {
+		outcome := x.attempt(&chosen)
+		switch outcome {
 		case outcomeDone:
 			return nil
 		case outcomeCallerGone:
@@ -69,18 +69,18 @@
 		case outcomeQuarantined:
 			continue
 		case outcomeSkipped:
-			delete(x.triedUpstreams, t.id)
+			delete(x.triedUpstreams, chosen.id)
 			continue
 		}
-		if !x.mayRetry(v) {
-			return x.finalError(result.New(result.UpstreamFailed, "the last try: %s", v))
+		if !x.mayRetry(outcome) {
+			return x.finalError(result.New(result.UpstreamFailed, "the last try: %s", outcome))
 		}
 	}
 }
 
 // mayRetry reports whether the route allows another try after v.
-func (x *exchange) mayRetry(v attemptOutcome) bool {
-	switch v {
+func (x *exchange) mayRetry(outcome attemptOutcome) bool {
+	switch outcome {
 	case outcomeNeverSent:
 		return true
 	case outcomeNotRun:
@@ -114,16 +114,16 @@
 // attempt sends the request to t and follows the answer.
 func (x *exchange) attempt(t *choice) attemptOutcome {
 	x.triedUpstreams[t.id] = true
-	at := x.s.Now().Sub(x.arrivedAt)
+	elapsed := x.s.Now().Sub(x.arrivedAt)
 	if len(x.attempts) == 0 && t.firstEvent > 0 {
-		x.expectedFirstEvent = at + t.firstEvent
+		x.expectedFirstEvent = elapsed + t.firstEvent
 	}
 	x.attempts = append(x.attempts, Attempt{
-		Upstream: t.id, Group: t.group, StartMS: at.Milliseconds(), EstimateMS: t.firstEvent.Milliseconds(), PendingPrompt: t.knownLoad.PendingPrompt, Requests: t.knownLoad.Requests,
+		Upstream: t.id, Group: t.group, StartMS: elapsed.Milliseconds(), EstimateMS: t.firstEvent.Milliseconds(), PendingPrompt: t.knownLoad.PendingPrompt, Requests: t.knownLoad.Requests,
 		PassedOver: x.skippedUpstreams,
 	})
-	v, f := x.send(t)
-	if v == outcomeNoPermit {
+	outcome, f := x.send(t)
+	if outcome == outcomeNoPermit {
 		// Nothing was meant for it after all.
 		x.cancelReservation(t)
 		x.attempts = x.attempts[:len(x.attempts)-1]
@@ -132,12 +132,12 @@
 	x.countedAtTarget = false
 	x.endBackoffProbe(t.id, false)
 	x.clearPending(t.state)
-	x.s.noteAttemptEnd(x.s.Now(), t.state, v)
-	try := &x.attempts[len(x.attempts)-1]
-	try.Result = string(v)
-	try.setOutcome(f, x.s.Now())
-	x.noteEvidence(t.target, f, v)
-	return v
+	x.s.noteAttemptEnd(x.s.Now(), t.state, outcome)
+	record := &x.attempts[len(x.attempts)-1]
+	record.Result = string(outcome)
+	record.setOutcome(f, x.s.Now())
+	x.noteEvidence(t.target, f, outcome)
+	return outcome
 }
 
 // clearPending notes that the prompt was read, or that the try has ended.
@@ -153,11 +153,11 @@
 	x.pendingTokens = 0
 }
 
-func (s *Relay) noteAttemptEnd(now time.Time, ts *targetState, v attemptOutcome) {
+func (s *Relay) noteAttemptEnd(now time.Time, ts *targetState, outcome attemptOutcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ts.removeRequest()
-	switch v {
+	switch outcome {
 	case outcomeDone:
 		ts.noteOutcome(now, true)
 	case outcomeFailed:
--- a/relay/start.go
+++ b/relay/start.go
@@ -24,8 +24,8 @@
 // waiting.
 func (x *exchange) awaitFirstConfirmation() {
 	s := x.s
-	left := x.callerTimeout()
-	if x.r.Header.Get(s.Headers.EventID) == "" && (left <= 0 || float64(left)*callerRetryFraction >= float64(retryAfterNoConfig)) {
+	timeout := x.callerTimeout()
+	if x.r.Header.Get(s.Headers.EventID) == "" && (timeout <= 0 || float64(timeout)*callerRetryFraction >= float64(retryAfterNoConfig)) {
 		return
 	}
 	select {
@@ -33,15 +33,15 @@
 		return
 	default:
 	}
-	rest := s.createdAt.Add(maxStartHold).Sub(s.Now())
-	if left > 0 {
-		rest = min(rest, time.Duration(startHoldFraction*float64(left)))
+	maxHold := s.createdAt.Add(maxStartHold).Sub(s.Now())
+	if timeout > 0 {
+		maxHold = min(maxHold, time.Duration(startHoldFraction*float64(timeout)))
 	}
-	if rest <= 0 {
+	if maxHold <= 0 {
 		return
 	}
 	x.heldAtStart = true
-	timer := time.NewTimer(rest)
+	timer := time.NewTimer(maxHold)
 	defer timer.Stop()
 	select {
 	case <-s.firstConfirmation:
@@ -65,17 +65,17 @@
 	if !ok {
 		return // nothing serves it, and callers must not make up turns
 	}
-	turn := x.s.startSlot(x.model)
+	slot := x.s.startSlot(x.model)
 	timer := time.NewTimer(time.Duration(startHoldFraction * float64(x.timeLeft())))
 	defer timer.Stop()
 	select {
-	case turn <- struct{}{}:
+	case slot <- struct{}{}:
 	case <-timer.C:
 		return
 	case <-x.r.Context().Done():
 		return
 	}
-	time.AfterFunc(x.startSlotTime(m), func() { <-turn })
+	time.AfterFunc(x.startSlotTime(m), func() { <-slot })
 }
 
 // startSlot returns what the stream of a model whose turn it is holds.
--- a/relay/state.go
+++ b/relay/state.go
@@ -89,7 +89,7 @@
 	}
 }
 
-func (ts *targetState) addRequest(now time.Time, prompt ident.Tokens) {
+func (ts *targetState) addRequest(now time.Time, promptTokens ident.Tokens) {
 	if ts.inflight == 0 && ts.movedAwayAt.IsZero() {
 		ts.waitingSince = now
 	}
@@ -98,7 +98,7 @@
 		ts.peakPendingTokens, ts.sentSinceIteration = 0, 0
 	}
 	ts.inflight++
-	ts.pendingTokens += prompt
+	ts.pendingTokens += promptTokens
 	ts.notePromptSent(now)
 }
 
@@ -142,12 +142,12 @@
 
 // noteOutcome notes whether a request succeeded.
 func (ts *targetState) noteOutcome(now time.Time, ok bool) {
-	value := 1.0
+	failure := 1.0
 	if ok {
-		value = 0
+		failure = 0
 	}
 	ts.outcomeCount++
-	ts.failureRate += observationWeight * (value - ts.failureRate)
+	ts.failureRate += observationWeight * (failure - ts.failureRate)
 	ts.observedAt = now
 }
 
--- a/relay/suspect.go
+++ b/relay/suspect.go
@@ -59,9 +59,9 @@
 var thisEntry netip.AddrPort
 
 // marginFor returns what is learnt of when signs of a model come, of first words or of events; the mutex is held.
-func (s *Relay) marginFor(model ident.Model, running bool) *stall.Margin {
+func (s *Relay) marginFor(model ident.Model, streaming bool) *stall.Margin {
 	margins := s.firstEventMargins
-	if running {
+	if streaming {
 		margins = s.eventMargins
 	}
 	m := margins[model]
@@ -96,11 +96,11 @@
 // progressDue returns when the group must have given a sign: after that it is suspected. The mutex is held.
 func (f *forwarder) progressDue() (due time.Time, ok bool) {
 	s := f.x.s
-	expected, ok := f.maxTimeToProgress(s.Now())
+	maxWait, ok := f.maxTimeToProgress(s.Now())
 	if !ok {
 		return time.Time{}, false
 	}
-	due = f.waitingSince.Add(expected + s.marginFor(f.x.model, f.streaming).Current())
+	due = f.waitingSince.Add(maxWait + s.marginFor(f.x.model, f.streaming).Current())
 	if f.state.iterationEndedAt.After(f.waitingSince) {
 		// Another stream of this entry shows that the group works.
 		next := f.state.iterationEndedAt.Add(s.maxIterationTime(f.target, s.Now()) + s.marginFor(f.x.model, true).Current())
@@ -112,7 +112,7 @@
 }
 
 // checkSuspicion suspects the group when it is overdue, and reports whether it stands still and when to look again; the mutex is held.
-func (f *forwarder) checkSuspicion(now time.Time) (stands bool, again time.Duration) {
+func (f *forwarder) checkSuspicion(now time.Time) (stalled bool, recheckIn time.Duration) {
 	s, ts := f.x.s, f.state
 	due, ok := f.progressDue()
 	if !ok {
@@ -121,21 +121,21 @@
 	if s.declaredStalled(ts, now) {
 		return true, stalledCheckInterval
 	}
-	if rest := due.Sub(now); rest > 0 {
-		return false, rest
+	if remaining := due.Sub(now); remaining > 0 {
+		return false, remaining
 	}
 	s.suspectTarget(f.target, now, now.Sub(f.lastProgress()))
 	return s.declaredStalled(ts, now), suspicionInterval
 }
 
 // suspectTarget notes that t has been silent for too long, and tells the entries that use it; the mutex is held.
-func (s *Relay) suspectTarget(t *target, now time.Time, silent time.Duration) {
+func (s *Relay) suspectTarget(t *target, now time.Time, silentFor time.Duration) {
 	ts := s.stateOf(t)
-	ts.suspicions.Add(now, now.Add(-silent), thisEntry)
+	ts.suspicions.Add(now, now.Add(-silentFor), thisEntry)
 	ts.suspectedAt = now
 	if now.Sub(ts.suspicionSentAt) >= suspicionInterval {
 		ts.suspicionSentAt = now
-		s.SendUpdate(EntryUpdate{Head: t.id, SilentMS: max(1, silent.Milliseconds())}, t.users)
+		s.SendUpdate(EntryUpdate{Head: t.id, SilentMS: max(1, silentFor.Milliseconds())}, t.users)
 	}
 	s.evaluateStall(t, now)
 }
@@ -149,22 +149,22 @@
 }
 
 // applySuspicion takes what another entry says of whether the group of t works; the mutex is held.
-func (s *Relay) applySuspicion(t *target, n *EntryUpdate, from netip.AddrPort) {
+func (s *Relay) applySuspicion(t *target, update *EntryUpdate, from netip.AddrPort) {
 	now := s.Now()
 	ts := s.stateOf(t)
-	if n.ProgressAgeMS > 0 {
-		ts.noteConfirmedAlive(now.Add(-time.Duration(n.ProgressAgeMS) * time.Millisecond))
+	if update.ProgressAgeMS > 0 {
+		ts.noteConfirmedAlive(now.Add(-time.Duration(update.ProgressAgeMS) * time.Millisecond))
 		return
 	}
-	since := now.Add(-time.Duration(n.SilentMS) * time.Millisecond)
-	if stall.InLaterIteration(ts.iterationEndedAt, since) {
+	silentSince := now.Add(-time.Duration(update.SilentMS) * time.Millisecond)
+	if stall.InLaterIteration(ts.iterationEndedAt, silentSince) {
 		s.refuteSuspicion(t, now)
 		return
 	}
-	if stall.InLaterIteration(ts.confirmedAliveAt, since) {
+	if stall.InLaterIteration(ts.confirmedAliveAt, silentSince) {
 		return
 	}
-	ts.suspicions.Add(now, since, from)
+	ts.suspicions.Add(now, silentSince, from)
 	s.evaluateStall(t, now)
 }
 
@@ -182,11 +182,11 @@
 }
 
 // noteConfirmedAlive notes that the group gave another entry a sign at a time.
-func (ts *targetState) noteConfirmedAlive(at time.Time) {
-	if at.After(ts.confirmedAliveAt) {
-		ts.confirmedAliveAt = at
+func (ts *targetState) noteConfirmedAlive(progressAt time.Time) {
+	if progressAt.After(ts.confirmedAliveAt) {
+		ts.confirmedAliveAt = progressAt
 	}
-	if ts.suspicions.Refute(at) {
+	if ts.suspicions.Refute(progressAt) {
 		ts.stalledAt = time.Time{}
 	}
 }
@@ -209,17 +209,17 @@
 
 // tooManyStalled reports whether so many groups of the model of t stand still that it can't be true of one more; the mutex is held.
 func (s *Relay) tooManyStalled(t *target, now time.Time) bool {
-	standing, all := 0, 0
-	for _, o := range s.index.byHead {
-		if o.model != t.model {
+	stalled, total := 0, 0
+	for _, other := range s.index.byHead {
+		if other.model != t.model {
 			continue
 		}
-		all++
-		if s.declaredStalled(s.stateOf(o), now) {
-			standing++
+		total++
+		if s.declaredStalled(s.stateOf(other), now) {
+			stalled++
 		}
 	}
-	return standing > 0 && float64(standing+1) > maxStalledFraction*float64(all)
+	return stalled > 0 && float64(stalled+1) > maxStalledFraction*float64(total)
 }
 
 // userCount returns how many entries send requests to t.
@@ -244,13 +244,13 @@
 	if now.Sub(f.state.iterationEndedAt) < sameIterationSpan {
 		return !f.state.stalledAt.IsZero()
 	}
-	expected, ok := f.maxTimeToProgress(now)
+	maxWait, ok := f.maxTimeToProgress(now)
 	if !ok {
 		return false
 	}
-	late := now.Sub(f.waitingSince) - expected
+	lateBy := now.Sub(f.waitingSince) - maxWait
 	m := f.x.s.marginFor(f.x.model, f.streaming)
-	tooLate = f.streaming && late > m.Current()+slowGroupDelay
-	m.Observe(late)
+	tooLate = f.streaming && lateBy > m.Current()+slowGroupDelay
+	m.Observe(lateBy)
 	return tooLate
 }
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -104,13 +104,13 @@
 		return
 	}
 	now := s.Now()
-	stands, again := f.checkSuspicion(now)
-	rest := f.maxSilence() - now.Sub(f.waitingSince)
-	if rest > 0 && (!stands || !s.gainsByMoving(f, now)) {
-		f.timer.Reset(min(rest, again))
+	stalled, recheckIn := f.checkSuspicion(now)
+	remaining := f.maxSilence() - now.Sub(f.waitingSince)
+	if remaining > 0 && (!stalled || !s.gainsByMoving(f, now)) {
+		f.timer.Reset(min(remaining, recheckIn))
 		return
 	}
-	if rest <= 0 && !s.hasAlternative(f, now) {
+	if remaining <= 0 && !s.hasAlternative(f, now) {
 		f.timer.Reset(recheckInterval)
 		return
 	}
@@ -123,8 +123,8 @@
 // stream that has not begun leaves a group that still answers others only for one with room to spare: a long wait there is a long
 // pass, and what was read of its prompt would be lost.
 func (s *Relay) hasAlternative(f *forwarder, now time.Time) bool {
-	patient := f.x.service.Engine != nil && f.x.eventCount == 0 && !s.unresponsive(f.state, now)
-	return s.anyAlternative(f.x, now, func(c *candidate) bool { return c.hasCapacity || !patient })
+	needsCapacity := f.x.service.Engine != nil && f.x.eventCount == 0 && !s.unresponsive(f.state, now)
+	return s.anyAlternative(f.x, now, func(c *candidate) bool { return c.hasCapacity || !needsCapacity })
 }
 
 // gainsByMoving reports whether a request whose group stands still is better off at another one now: if it can still be in time there, or
@@ -132,24 +132,24 @@
 // not make others late. The mutex is held.
 func (s *Relay) gainsByMoving(f *forwarder, now time.Time) bool {
 	x := f.x
-	limit := x.aimDeadline
+	deadline := x.aimDeadline
 	if x.eventCount > 0 {
-		limit = x.lastEventAt.Add(x.route.GapAim - x.dispatchDelay.mean)
+		deadline = x.lastEventAt.Add(x.route.GapAim - x.dispatchDelay.mean)
 	}
 	return s.anyAlternative(x, now, func(c *candidate) bool {
-		return !now.Add(c.firstEvent).After(limit) || x.leavesCapacity(c.target, c.knownLoad)
+		return !now.Add(c.firstEvent).After(deadline) || x.leavesCapacity(c.target, c.knownLoad)
 	})
 }
 
 // anyAlternative reports whether a target that is neither tried, full nor suspect is good enough; the mutex is held.
-func (s *Relay) anyAlternative(x *exchange, now time.Time, enough func(c *candidate) bool) bool {
-	list := s.index.targets(x.service, x.model)
-	for i := range list {
-		if x.wasAttempted(list[i].id) || !s.Backoff.StateOf(now, list[i].id).Admits() || !s.Limits.Availability(now, list[i].id).Available() {
+func (s *Relay) anyAlternative(x *exchange, now time.Time, acceptable func(c *candidate) bool) bool {
+	targets := s.index.targets(x.service, x.model)
+	for i := range targets {
+		if x.wasAttempted(targets[i].id) || !s.Backoff.StateOf(now, targets[i].id).Admits() || !s.Limits.Availability(now, targets[i].id).Available() {
 			continue
 		}
-		c := s.scoreTarget(x, &list[i], overload.Late, now)
-		if c.score < suspectPenalty && c.utilization < 1 && enough(&c) {
+		c := s.scoreTarget(x, &targets[i], overload.Late, now)
+		if c.score < suspectPenalty && c.utilization < 1 && acceptable(&c) {
 			return true
 		}
 	}
@@ -172,10 +172,10 @@
 		return outcomeCallerGone
 	}
 	x.s.mu.Lock()
-	moved := f.abandoned
+	abandoned := f.abandoned
 	x.s.mu.Unlock()
 	switch {
-	case moved:
+	case abandoned:
 		return outcomeStalled
 	case x.timeLeft() <= 0:
 		return outcomeExpired
