--- a/relay/choose.go
+++ b/relay/choose.go
@@ -1,11 +1,14 @@
 package relay
 
-// A target's score is the time to the first word there in parts of the aim, or
-// the load of a plain worker; the pace at which its events come, failures seen
-// lately, and a little for another hall. What other entries have there is known
-// from their news, or from the leader two tenths of a second late; news may be
-// lost, and at a large site only some arrive. So an entry does not take the best
-// target, which would be everyone's, but the better one of two drawn at random.
+// A target's score is the estimated time to the first event as a fraction of the
+// route's aim, or the utilization of a plain worker. Slow events, recent failures
+// and a different hall add to the score; the lowest score wins.
+//
+// The load that other entries put on a target is known from their updates, some
+// of which are lost or, at a large site, not sent to this entry, and from the
+// leader's counts, which are 200 ms old. If every entry chose the best target,
+// all would choose the same one, so an entry chooses the better of two random
+// targets.
 
 import (
 	"cmp"
@@ -21,51 +24,55 @@
 )
 
 const (
-	// otherHallPenalty stands for the bytes between halls, in parts of the aim, or of a full plain worker.
+	// otherHallPenalty is the cost of traffic between halls, as a fraction of the aim, or of the slots of a plain worker.
 	otherHallPenalty = 0.08
-	// failureRateWeight weighs the share of failures, eventGapWeight the pause between events against the route's aim.
+	// failureRateWeight weights the failure rate, eventGapWeight the average event gap as a fraction of the route's gap aim.
 	failureRateWeight = 3.0
 	eventGapWeight    = 0.6
-	// noReportPenalty puts an upstream that does not report behind those that do.
+	// noReportPenalty ranks upstreams that send no reports behind those that do.
 	noReportPenalty = 0.5
-	// crossDomainSlowdown is how many times slower a group across domains is taken to be when the engine does not say.
+	// crossDomainSlowdown is the assumed slowdown of a group across domains whose engine declares none.
 	crossDomainSlowdown = 3.0
-	// limitedTolerance is how much worse an upstream with a limit may be than the one that is chosen in its place.
+	// limitedTolerance is how much worse than the chosen target an upstream with a limit may score and still be preferred.
 	limitedTolerance = 0.1
-	// suspectPenalty puts a target that failed a moment ago behind all others.
+	// suspectPenalty ranks targets that failed recently or are suspected behind all others.
 	suspectPenalty = 100
-	// engineQueuePerSlot is the part of the slots that may wait at an engine beyond those that it works on.
+	// engineQueuePerSlot is how many requests may queue at an engine for each of its slots.
 	engineQueuePerSlot = 0.2
-	// plainQueuePerSlot is the same for a plain worker, in requests for each slot.
+	// plainQueuePerSlot is the same for a plain worker.
 	plainQueuePerSlot = 1.0
 )
 
+// candidate is a target with its score for one request.
 type candidate struct {
 	*target
-	score       float64
+	score float64
+	// utilization is the number of requests for each slot.
 	utilization float64
-	// firstEvent is the time to the first word by the estimate, 0 where there is none; at is what it was worked out from.
+	// firstEvent is the estimated time to the first event at knownLoad, 0 where there is no estimate.
 	firstEvent time.Duration
 	knownLoad  estimate.Load
-	// hasCapacity is set when there is room, spared when the upstream asked other entries for time, limited when it has named a limit.
+	// hasCapacity is set when the target has capacity for a request of its rank, deprioritized when the upstream requested a backoff
+	// from another entry, limited when the upstream advertised a limit.
 	hasCapacity   bool
 	deprioritized bool
 	limited       bool
 }
 
-// choice is where a request goes next.
+// choice is the target chosen for a request.
 type choice struct {
 	candidate
-	// maxPermitWait is how long it waits for its turn at an upstream with a limit, waits is set where it has nowhere else to go.
+	// maxPermitWait is how long the request may wait for a permit of an upstream with a limit, mustWait is set when no other target is
+	// available.
 	maxPermitWait time.Duration
 	mustWait      bool
-	// availableIn is, where there is no target, or one to wait for, how long until the first one takes requests again, 0 when that is not known;
-	// rate is then how many requests a second can be expected within limits.
+	// availableIn and expectedRate are set when no target is available now: the time until the first one is, 0 if unknown, and the
+	// requests per second that this entry can expect within all limits.
 	availableIn  time.Duration
 	expectedRate ratelimit.Rate
 }
 
-// targets returns where a request for service and model can go.
+// targets returns the targets that serve a model of a service.
 func (f *targetIndex) targets(s *httproute.Service, model ident.Model) []target {
 	if s.Engine == nil {
 		return f.plainTargets[s.Name]
@@ -73,7 +80,8 @@
 	return f.groupTargets[s.Name][model]
 }
 
-// choose picks a target that was not tried yet and has room for a request of that rank, or says why there is none; the mutex is held.
+// choose returns a target that was not attempted yet and has capacity for a request of that rank, or an error that says why there is
+// none; the mutex is held.
 func (s *Relay) choose(x *exchange, rank overload.Rank, now time.Time) (choice, error) {
 	targets := s.index.targets(x.service, x.model)
 	c := &s.candidates
@@ -88,7 +96,7 @@
 			unavail.outsideRegion++
 			continue
 		}
-		// Whoever asked for time was overrun, and gets nothing in it.
+		// An upstream that requested a backoff is overloaded and gets no request until the backoff ends.
 		backoffState := s.Backoff.StateOf(now, t.id)
 		if hasLimits {
 			availability = s.Limits.Availability(now, t.id)
@@ -116,7 +124,7 @@
 	return choice{candidate: preferLimited(tier, s.betterOfTwo(tier)), maxPermitWait: ratelimit.MaxWaitWithAlternatives}, nil
 }
 
-// waitOrFail is the choice where no target takes the request now: it can wait for its turn at one with a limit, if there is any.
+// waitOrFail returns the choice for a request that no target can take now: an upstream with a limit to wait for, or else an error.
 func (s *Relay) waitOrFail(x *exchange, targets []target, full int, unavail *unavailable, now time.Time) (choice, error) {
 	fallback := choice{availableIn: unavail.soonest, expectedRate: unavail.limitRate}
 	if t := s.soonestLimitedTarget(x, targets, now); t != nil && full == 0 {
@@ -127,8 +135,7 @@
 	return fallback, noTargetError(len(targets), full, unavail)
 }
 
-// soonestLimitedTarget returns the upstream with a limit that may take a request soonest, of those that have not said that they can't take this one in
-// time.
+// soonestLimitedTarget returns the upstream with a limit that is available soonest, without those that denied this request a permit.
 func (s *Relay) soonestLimitedTarget(x *exchange, targets []target, now time.Time) *target {
 	var next *target
 	var soonest time.Duration
@@ -145,14 +152,14 @@
 	return next
 }
 
-// mayUseCapacity reports whether the request may take room of a target that this entry does not use: a stream that has begun goes on wherever it
-// can. The mutex is held.
+// mayUseCapacity reports whether the request may be sent to a target with capacity: outside this entry's subset only if the request
+// continues a stream, spill credit is left, or the subset has no group of the model. The mutex is held.
 func (s *Relay) mayUseCapacity(x *exchange, t *target) bool {
 	return t.inSubset || x.eventCount > 0 || x.service.Engine == nil || s.peerCounts.spillCredit[x.model] >= 1 || !s.index.usedModels[x.model]
 }
 
-// preferLimited returns an upstream with a limit that is hardly worse than the chosen one, if there is any. What it takes is little and can't be
-// saved up: if it were tried only as often as others are, a part of it would be lost while the others do its work.
+// preferLimited returns an upstream with a limit whose score is close to that of the chosen target, or else the chosen target. Unused
+// permits are lost, so an upstream chosen only as often as others would not receive all requests that its limit allows.
 func preferLimited(list []candidate, chosen candidate) candidate {
 	for i := range list {
 		if list[i].limited && list[i].score <= chosen.score+limitedTolerance && !chosen.limited {
@@ -162,8 +169,8 @@
 	return chosen
 }
 
-// lowestScore returns the target with the lowest score: where an entry uses a few groups and hears of all that others send there, the
-// best one is not the best for everybody.
+// lowestScore returns the target with the lowest score. This is used within a subset, where this entry receives the updates of all
+// entries that share a group and entries with other subsets have another best target.
 func lowestScore(list []candidate) candidate {
 	best := 0
 	for i := range list {
@@ -174,14 +181,16 @@
 	return list[best]
 }
 
-// candidates are the targets of one choice that are not full; the lists are used again for the next one. Elsewhere are those with
-// room that this entry does not use, spared those with room that asked other entries for time.
+// candidates are the targets of one choice that are not full; the slices are reused for the next choice. The targets in withCapacity,
+// outsideSubset and deprioritized have capacity: those of this entry's subset, those outside it, and those that requested a backoff
+// from another entry.
 type candidates struct {
 	withCapacity, outsideSubset, deprioritized, atCapacity, suspect []candidate
 }
 
 func (c *candidates) reset() {
-	c.withCapacity, c.outsideSubset, c.deprioritized, c.atCapacity, c.suspect = c.withCapacity[:0], c.outsideSubset[:0], c.deprioritized[:0], c.atCapacity[:0], c.suspect[:0]
+	c.withCapacity, c.outsideSubset, c.deprioritized, c.atCapacity, c.suspect =
+		c.withCapacity[:0], c.outsideSubset[:0], c.deprioritized[:0], c.atCapacity[:0], c.suspect[:0]
 }
 
 func (c *candidates) add(t candidate) {
@@ -199,7 +208,7 @@
 	}
 }
 
-// bestTier returns those with room, or else all that are sound, or else those that failed a moment ago.
+// bestTier returns the first non-empty list: targets with capacity, targets at capacity, and last the suspect ones.
 func (c *candidates) bestTier() []candidate {
 	for _, list := range [][]candidate{c.withCapacity, c.outsideSubset, c.deprioritized, c.atCapacity} {
 		if len(list) > 0 {
@@ -209,7 +218,7 @@
 	return c.suspect
 }
 
-// betterOfTwo draws two different targets and returns the one with the lower score.
+// betterOfTwo returns the target with the lower score of two different random ones.
 func (s *Relay) betterOfTwo(list []candidate) candidate {
 	first := s.RandomInt(len(list))
 	if len(list) == 1 {
@@ -225,7 +234,8 @@
 	return list[first]
 }
 
-// hasQueueSpace reports whether a target takes one more request: it has slots and a queue, and each request needs a connection of its own.
+// hasQueueSpace reports whether a target can take one more request: both its queue and its connections are bounded, and each request
+// needs a connection of its own.
 func (x *exchange) hasQueueSpace(c *candidate) bool {
 	if maxConns := x.service.MaxConnections; maxConns > 0 && c.knownLoad.Requests >= maxConns {
 		return false
@@ -240,37 +250,39 @@
 	return engineQueuePerSlot
 }
 
-// regionAllowed reports whether the homes of the route and of the customer allow the region of a target.
+// regionAllowed reports whether the homes of the route and of the customer include the region of a target.
 func (x *exchange) regionAllowed(t *target) bool {
 	return homesInclude(x.route.Homes, x.s.Regions[t.hall]) && (x.customer == nil || homesInclude(x.customer.Homes, x.s.Regions[t.hall]))
 }
 
-// homesInclude reports whether a region is among the homes, or there are none.
+// homesInclude reports whether a region is among the homes; without homes every region is.
 func homesInclude(homes []ident.Region, region ident.Region) bool {
 	return len(homes) == 0 || slices.Contains(homes, region)
 }
 
+// noTargetError returns the error for a request that none of total targets can take, of which full are full.
 func noTargetError(total, full int, unavail *unavailable) error {
 	switch {
 	case total > 0 && unavail.outsideRegion == total:
-		return result.New(result.OutOfHome, "all %d upstreams are in regions where the request may not go", total)
+		return result.New(result.OutOfHome, "all %d upstreams are outside the home regions of the request", total)
 	case full > 0 && unavail.total() > 0:
-		return result.New(result.Overloaded, "%d upstreams are full, %d want nothing", full, unavail.total())
+		return result.New(result.Overloaded, "%d upstreams are full, %d accept no requests now", full, unavail.total())
 	case full > 0:
 		return result.New(result.Overloaded, "all %d upstreams are full", full)
 	case unavail.limited > 0:
-		return result.New(result.Limited, "%d of %d upstreams take nothing more within their limits, %d want nothing yet, the first for another %v",
+		return result.New(result.Limited, "%d of %d upstreams are at their limits, %d are backed off; the first is available in %v",
 			unavail.limited, total, unavail.backedOff, unavail.soonest)
 	case unavail.backedOff > 0:
-		return result.New(result.BackedOff, "%d of %d upstreams want nothing yet, the first for another %v", unavail.backedOff, total, unavail.soonest)
+		return result.New(result.BackedOff, "%d of %d upstreams are backed off; the first is available in %v", unavail.backedOff, total, unavail.soonest)
 	case unavail.leaving > 0:
-		return result.New(result.NoWholeGroup, "the last %d upstreams leave", unavail.leaving)
+		return result.New(result.NoWholeGroup, "the last %d upstreams are shutting down", unavail.leaving)
 	case total > 0:
-		return result.New(result.NoWholeGroup, "every upstream was tried")
+		return result.New(result.NoWholeGroup, "all upstreams were attempted")
 	}
-	return result.New(result.NoWholeGroup, "no upstream serves this")
+	return result.New(result.NoWholeGroup, "no upstream serves the requested model or service")
 }
 
+// scoreTarget rates t for the request; the mutex is held.
 func (s *Relay) scoreTarget(x *exchange, t *target, rank overload.Rank, now time.Time) candidate {
 	ts := s.stateOf(t)
 	ts.decay(now)
@@ -294,11 +306,14 @@
 		score += suspectPenalty
 	}
 	hasCapacity := x.hasCapacityAt(t, rank, knownLoad, firstEvent, now)
-	return candidate{target: t, score: score, utilization: utilization, firstEvent: firstEvent, knownLoad: knownLoad, hasCapacity: hasCapacity, deprioritized: now.Before(ts.peerBackoffUntil)}
+	return candidate{
+		target: t, score: score, utilization: utilization, firstEvent: firstEvent, knownLoad: knownLoad, hasCapacity: hasCapacity,
+		deprioritized: now.Before(ts.peerBackoffUntil),
+	}
 }
 
-// waitScore is the time to the first word in parts of the route's aim. Where the engine does not publish its figures, and at
-// plain workers, the load stands for it.
+// waitScore returns the estimated time to the first event as a fraction of the route's aim, or the utilization where there is no
+// estimate: at plain workers and engines that publish no timing figures.
 func (x *exchange) waitScore(t *target, firstEvent time.Duration, utilization float64) float64 {
 	if firstEvent > 0 {
 		return x.fractionOfAim(firstEvent)
@@ -309,15 +324,15 @@
 	return utilization
 }
 
-// fractionOfAim returns d in parts of the route's aim.
+// fractionOfAim returns d as a fraction of the route's aim.
 func (x *exchange) fractionOfAim(d time.Duration) float64 {
 	return float64(d) / float64(cmp.Or(x.route.Aim, defaultAim))
 }
 
-// defaultAim stands for the aim of a route that declares none.
+// defaultAim replaces the aim of a route that declares none.
 const defaultAim = time.Second
 
-// groupSlowdown is how many times slower a group across domains is, or one with a member that is slow.
+// groupSlowdown is how many times slower a group is that spans domains or has a slow member.
 func groupSlowdown(s *httproute.Service) float64 {
 	if s.Engine != nil && s.Engine.FarFactor > 0 {
 		return s.Engine.FarFactor
@@ -325,12 +340,12 @@
 	return crossDomainSlowdown
 }
 
-// unresponsive reports whether requests wait there for longer than an engine that works would let them, here or at enough entries.
+// unresponsive reports whether requests of this entry have waited at the target for too long, or enough entries suspect the target.
 func (s *Relay) unresponsive(ts *targetState, now time.Time) bool {
 	return ts.waitWithoutProgress(now) > silenceLimit || s.declaredStalled(ts, now)
 }
 
-// stateOf returns what is known of a target, which is looked for once: a choice asks several times for each of hundreds.
+// stateOf returns the state of a target and caches it there, since a choice reads the state of hundreds of targets several times.
 func (s *Relay) stateOf(t *target) *targetState {
 	if t.state == nil {
 		t.state = s.stateFor(t.id)
