--- a/relay/capacity.go
+++ b/relay/capacity.go
@@ -1,11 +1,12 @@
 package relay
 
-// An engine takes what it is sent, and reads all of it in its next pass. When
-// more comes than groups can read, every pass grows, and all requests are late
-// together. So a request goes to a group only while that keeps the pauses of the
-// streams there within their aim, and one that is late already only into what
-// others leave. What finds no room waits at the entry, where it harms nobody;
-// package overload says in which order it goes on, and what is refused.
+// An engine accepts every request and prefills all pending prompts in its next
+// iteration. When more requests arrive than the groups can prefill, iterations
+// grow longer and all requests are late together. So a request is sent to a group
+// only while the event gaps of the group's streams stay within their aim, and a
+// late request only if it leaves capacity for others. Other requests wait at the
+// entry, where they delay no stream; package overload decides in which order they
+// are sent and which are refused.
 
 import (
 	"cmp"
@@ -20,35 +21,35 @@
 )
 
 const (
-	// lateIterationFraction is the part of the longest pass that still is in time which a pass may take with a late request.
+	// lateIterationFraction bounds an iteration with a late request, as a fraction of the longest iteration within the aims.
 	lateIterationFraction = 0.5
-	// queueCheckInterval is how often the requests that wait are offered to the groups: several times in a pass.
+	// queueCheckInterval is how often queued requests are offered to the groups: several times per iteration.
 	queueCheckInterval = 10 * time.Millisecond
-	// longPromptSlack is the part of its aim that a request has beyond the time that its prompt takes at an idle group, when that takes
-	// all of the aim: long prompts can't be in time, but must not always go behind the others.
+	// longPromptSlack extends the deadline of a request whose prefill at an idle group uses up the aim, by a fraction of the aim.
+	// Otherwise long prompts would always be late and always rank behind other requests.
 	longPromptSlack = 0.25
-	// plainWaitFraction is the part of its aim that a request for a plain service may wait: how long workers take is not published.
+	// plainWaitFraction is the fraction of its aim that a request for a plain service may wait; workers publish no timing figures.
 	plainWaitFraction = 0.5
-	// Callers leave a stream that is silent for minCallerPatience, callerPatienceAims times its aim or callerPatienceGaps times its aim for pauses,
-	// whichever is longest.
+	// Callers are assumed to abandon a stream without events for minCallerPatience, callerPatienceAims times its aim or
+	// callerPatienceGaps times its gap aim, whichever is longest.
 	minCallerPatience  = 2 * time.Second
 	callerPatienceAims = 4
 	callerPatienceGaps = 8
-	// noRefusalPeriod is how long after the last refusal here nearly all requests are first tries again: the longest time that
-	// callers are told to stay away, and some more, since other entries refuse too.
+	// noRefusalPeriod is how long after this entry's last refusal nearly all requests are first attempts again: longer than the longest
+	// Retry-After, since other entries refuse requests too.
 	noRefusalPeriod = 5 * time.Second
-	// returningElapsed is the time that a caller must have spent before to count as one that came back as it was told: the shortest
-	// time that it is told.
+	// returningElapsed is the time on earlier attempts from which a caller counts as returning: the shortest Retry-After.
 	returningElapsed = retryAfterFull
 )
 
-// queueKey names those that wait for the same upstreams: the groups of a model, or the workers of a plain service, which has none.
+// queueKey identifies a queue of requests for the same upstreams: the groups of a model, or the workers of a plain service, which has no
+// model.
 type queueKey struct {
 	service ident.Service
 	model   ident.Model
 }
 
-// queueKey returns the line in which the request waits; callers may name any model to a plain service.
+// queueKey returns the key of the request's queue. The model that a caller names to a plain service is ignored.
 func (x *exchange) queueKey() queueKey {
 	if x.service.Engine == nil {
 		return queueKey{service: x.service.Name}
@@ -56,7 +57,7 @@
 	return queueKey{x.service.Name, x.model}
 }
 
-// queuedRequest is a request for a group, until it is known what becomes of it.
+// queuedRequest is a request that waits for a group; done is closed when chosen and err are set.
 type queuedRequest struct {
 	x      *exchange
 	done   chan struct{}
@@ -64,7 +65,7 @@
 	err    error
 }
 
-// reserveTarget chooses where the request goes next, and waits for room where there is none yet. The request counts as sent there.
+// reserveTarget chooses the next target of the request and waits until one has capacity. The request then counts as sent to the target.
 func (x *exchange) reserveTarget() (choice, error) {
 	s := x.s
 	s.mu.Lock()
@@ -83,7 +84,7 @@
 		case <-queued.Value.done:
 		default:
 			q.Remove(queued)
-			return choice{}, result.New(result.Cancelled, "the caller has left")
+			return choice{}, result.New(result.Cancelled, "the caller disconnected while the request was queued")
 		}
 	}
 	return queued.Value.chosen, queued.Value.err
@@ -101,18 +102,18 @@
 	return chosen, err
 }
 
-// plainDeadline is until when a request for a plain service may wait to be in time.
+// plainDeadline is the latest time to send a request for a plain service within its aim.
 func (x *exchange) plainDeadline() time.Time {
 	return x.arrivedAt.Add(time.Duration(plainWaitFraction*float64(cmp.Or(x.route.Aim, defaultAim))) - x.priorElapsed)
 }
 
-// enqueue puts the request into the queue of its model and offers all that waits there to the groups; the mutex is held.
+// enqueue adds the request to the queue of its model and offers all requests in the queue to the groups; the mutex is held.
 func (s *Relay) enqueue(x *exchange) (*overload.Queued[*queuedRequest], *overload.Queue[*queuedRequest]) {
 	now := s.Now()
 	req := &queuedRequest{x: x, done: make(chan struct{})}
 	targets := s.index.targets(x.service, x.model)
 	if len(targets) == 0 {
-		// Callers may name any model; queues are kept for those that there are.
+		// Callers may name any model; only models that are served get a queue.
 		req.complete(choice{}, noTargetError(0, 0, &unavailable{}))
 		return &overload.Queued[*queuedRequest]{Value: req}, nil
 	}
@@ -132,13 +133,13 @@
 	return queued, q
 }
 
-// complete tells the request what became of it.
+// complete ends the wait of the request.
 func (w *queuedRequest) complete(chosen choice, err error) {
 	w.chosen, w.err = chosen, err
 	close(w.done)
 }
 
-// offerPeriodically offers what waits to the groups as long as anything does.
+// offerPeriodically offers all queued requests to the groups and repeats this until no request is queued.
 func (s *Relay) offerPeriodically() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,14 +155,16 @@
 	}
 }
 
-// dispatchQueue offers the requests in q to the groups and refuses those that wait in vain; the mutex is held.
+// dispatchQueue offers the requests in q to the groups and refuses those that cannot be sent in time; the mutex is held.
 func (s *Relay) dispatchQueue(q *overload.Queue[*queuedRequest], now time.Time) {
-	// leastLoaded is the group where the first word of an empty prompt would come soonest, known once a request has found no room.
+	// leastLoaded is computed once a request has found no capacity; later requests that would be late even there are not scored at all
+	// targets.
 	var leastLoaded candidate
 	leastLoadedKnown := false
 	send := func(queued *overload.Queued[*queuedRequest], rank overload.Rank) bool {
 		x := queued.Value.x
-		if leastLoadedKnown && rank == overload.InTime && now.Add(leastLoaded.firstEvent).After(x.aimDeadline) && !x.leavesCapacity(leastLoaded.target, leastLoaded.knownLoad) {
+		if leastLoadedKnown && rank == overload.InTime && now.Add(leastLoaded.firstEvent).After(x.aimDeadline) &&
+			!x.leavesCapacity(leastLoaded.target, leastLoaded.knownLoad) {
 			return false
 		}
 		chosen, err := s.chooseUntil(x, rank, queued.LatestSend(), now)
@@ -189,11 +192,12 @@
 		x := queued.Value.x
 		x.minRetryAfter = q.RetryAfter(now)
 		waitedMS := now.Sub(queued.QueuedAt).Milliseconds()
-		queued.Value.complete(choice{}, result.New(result.Overloaded, "no group has room for it, rank %d after %d ms", queued.Rank(now), waitedMS))
+		queued.Value.complete(choice{}, result.New(result.Overloaded, "no group has capacity for the request, rank %d after %d ms", queued.Rank(now), waitedMS))
 	})
 }
 
-// leastLoaded returns the group of x at which the first word of an empty prompt would come soonest; the mutex is held.
+// leastLoaded returns the group with the shortest estimated time to the first event of an empty prompt, backoffs and limits included; the
+// mutex is held.
 func (s *Relay) leastLoaded(x *exchange, now time.Time) candidate {
 	var best candidate
 	targets := s.index.targets(x.service, x.model)
@@ -202,7 +206,8 @@
 			continue
 		}
 		load := s.loadOf(&targets[i], now)
-		firstEvent := targets[i].timing.FirstEvent(load, 0) + max(s.Backoff.StateOf(now, targets[i].id).Remaining, s.Limits.Availability(now, targets[i].id).Remaining)
+		firstEvent := targets[i].timing.FirstEvent(load, 0) +
+			max(s.Backoff.StateOf(now, targets[i].id).Remaining, s.Limits.Availability(now, targets[i].id).Remaining)
 		if best.target == nil || firstEvent < best.firstEvent {
 			best = candidate{target: &targets[i], firstEvent: firstEvent, knownLoad: load}
 		}
@@ -210,7 +215,8 @@
 	return best
 }
 
-// setAimDeadline works out until when the request can be in time.
+// setAimDeadline sets the deadline for the request's first event, and the estimates that the queue needs. The timing is that of a group of
+// the model.
 func (x *exchange) setAimDeadline(now time.Time, timing *estimate.Group) {
 	x.callerWaitStart = now
 	if !x.hasProgress() {
@@ -223,7 +229,7 @@
 	x.aimDeadline = firstAttemptAt.Add(max(x.route.Aim, x.idleFirstEvent+meanDelay+time.Duration(longPromptSlack*float64(x.route.Aim))) - meanDelay)
 }
 
-// queueRequest returns what the order of those that wait goes by.
+// queueRequest returns the request's deadlines and flags by which package overload orders the queue.
 func (x *exchange) queueRequest(now time.Time) overload.Request {
 	expires := x.callerWaitStart.Add(x.callerPatience())
 	if expires.After(x.deadline) {
@@ -234,18 +240,18 @@
 	if due.After(expires) {
 		due = expires
 	}
-	// One that lost its time at a group that had ended is not refused at once as one that was too many. It does not go before those
-	// that can be in time either, which would make these late where all groups are full.
+	// A request that lost time at a crashed or stalled group ranks as a final attempt: it is not refused at once like other late requests.
+	// It does not rank before requests that can be in time, since that would make those late when all groups are full.
 	finalAttempt := x.heldAtStart || x.priorElapsed >= returningElapsed || x.displaced
 	return overload.Request{QueuedAt: now, Due: due, Expires: expires, Started: x.hasProgress(), FinalAttempt: finalAttempt}
 }
 
-// hasProgress reports whether a refusal would lose what an upstream has done, or what the caller has.
+// hasProgress reports whether a refusal would waste work of an upstream, or events that the caller has received.
 func (x *exchange) hasProgress() bool {
 	return x.eventCount > 0 || x.mayHaveRun || x.r.Header.Get(x.s.Headers.EventID) != ""
 }
 
-// callerPatience is how long the caller waits for an event.
+// callerPatience is how long the caller is assumed to wait for an event.
 func (x *exchange) callerPatience() time.Duration {
 	if x.route.Kind != httproute.KindStream {
 		return x.route.Timeout
@@ -253,8 +259,8 @@
 	return max(minCallerPatience, callerPatienceAims*x.route.Aim, callerPatienceGaps*x.route.GapAim)
 }
 
-// hasCapacityAt reports whether t has room for a request of that rank with what is known to be there. A last try gets the room of one that can
-// be in time when it is its turn, and otherwise what late requests get.
+// hasCapacityAt reports whether t, at a known load, has capacity for a request of that rank. A late request must leave capacity for others.
+// A final attempt may use the capacity for requests in time when package overload offers the request with that rank.
 func (x *exchange) hasCapacityAt(t *target, rank overload.Rank, load estimate.Load, firstEvent time.Duration, now time.Time) bool {
 	if firstEvent == 0 || x.route.GapAim == 0 || load.PendingPrompt == 0 && load.Requests < t.slots || x.eventCount > 0 {
 		return true
@@ -273,27 +279,28 @@
 	return iteration <= x.route.GapAim && !now.Add(firstEvent+x.dispatchDelay.deviation).After(latest)
 }
 
-// leavesCapacity reports whether t would leave room for others beside the request.
+// leavesCapacity reports whether t would have capacity left for other requests beside this one.
 func (x *exchange) leavesCapacity(t *target, load estimate.Load) bool {
-	// A first word takes half a pass and a whole one.
+	// The first event takes one and a half iterations on average: half of the running one and the whole next one.
 	maxIteration := min(x.route.GapAim, (x.route.Aim-x.dispatchDelay.mean-x.dispatchDelay.deviation)*2/3)
 	iteration := t.timing.IterationTime(load.PendingPrompt+x.prefillTokens(), load.Requests+1)
 	return load.Requests < t.slots && float64(iteration) <= lateIterationFraction*float64(maxIteration)
 }
 
-// hadSpareCapacity reports whether the target of a request had room for a late one.
+// hadSpareCapacity reports whether the target of a request had capacity for a late request.
 func (s *Relay) hadSpareCapacity(x *exchange, t *choice) bool {
 	return t.firstEvent == 0 || x.route.GapAim == 0 || x.leavesCapacity(t.target, t.knownLoad)
 }
 
-// reserve counts the request at t and tells the other entries, unless it has yet to be let go there; the mutex is held.
+// reserve counts the request at t and notifies the other entries. At an upstream with a limit this is done once the request has a permit.
+// The mutex is held.
 func (s *Relay) reserve(x *exchange, t *choice) {
 	if !t.limited {
 		s.countAtTarget(x, t)
 	}
 }
 
-// countAtTarget is take for a request that is let go; the mutex is held.
+// countAtTarget counts the request at t and notifies the other entries; the mutex is held.
 func (s *Relay) countAtTarget(x *exchange, t *choice) {
 	x.countedAtTarget = true
 	x.pendingTokens = x.prefillTokens()
@@ -303,12 +310,12 @@
 		s.SendUpdate(EntryUpdate{Head: t.id, PromptTokens: x.pendingTokens}, t.users)
 	}
 	if !t.inSubset {
-		// Streams that have begun, and entries that use no group of the model, go on without any left.
+		// Streams that continue, and entries whose subset has no group of the model, need no credit.
 		s.peerCounts.spillCredit[x.model] = max(0, s.peerCounts.spillCredit[x.model]-1)
 	}
 }
 
-// cancelReservation undoes take.
+// cancelReservation undoes reserve.
 func (x *exchange) cancelReservation(t *choice) {
 	if !x.countedAtTarget {
 		return
@@ -321,7 +328,7 @@
 	t.state.removeRequest()
 }
 
-// dropUndeclaredClasses drops what is known of classes that are not declared any more; the mutex is held.
+// dropUndeclaredClasses drops the typical waits of classes that the configuration no longer declares; the mutex is held.
 func (s *Relay) dropUndeclaredClasses(cfg *httproute.Config) {
 	declared := map[ident.Class]bool{}
 	for i := range cfg.Routes {
@@ -330,7 +337,8 @@
 	maps.DeleteFunc(s.typicalWaits, func(class ident.Class, _ *overload.TypicalWait) bool { return !declared[class] })
 }
 
-// estimatePriorElapsed returns what the caller of a class spent on earlier tries, as far as the time that it says it waits tells.
+// estimatePriorElapsed estimates how long the caller has spent on earlier attempts, from how long callers of its class typically say they
+// wait and how long this one says it waits.
 func (s *Relay) estimatePriorElapsed(class ident.Class, callerTimeout time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
