--- a/relay/state.go
+++ b/relay/state.go
@@ -11,90 +11,92 @@
 const (
 	// observationWeight is the weight of a new observation in the averages of a target.
 	observationWeight = 0.15
-	// decayInterval halves what is known of a target that is not used, so that it is tried again.
+	// decayInterval is the time without observations after which the averages of a target are halved, so that it is used again.
 	decayInterval = 2 * time.Second
 	// suspectPeriod is how long a target that failed is avoided.
 	suspectPeriod = 1500 * time.Millisecond
-	// movedAwayPeriod is how long the wait of a request that was moved away goes on counting.
+	// movedAwayPeriod is how long the wait of a request that was moved to another target keeps counting as a wait at the first one.
 	movedAwayPeriod = 2 * time.Second
-	// minOutcomes is the number of outcomes from which on a failure rate is believed.
+	// minOutcomes is the number of outcomes from which the failure rate is used.
 	minOutcomes = 4
 )
 
-// targetState is what this entry knows of one life of an upstream; it is guarded by the relay's mutex.
+// targetState is what this entry knows of one incarnation of an upstream; it is guarded by the relay's mutex.
 type targetState struct {
-	// group is the group that the upstream was the head of when the state was last used.
+	// group is the group that the upstream was the head of when the roster last changed.
 	group ident.Group
-	// groupSince is when this entry heard of that group.
+	// groupSince is when this entry first saw that group in the roster.
 	groupSince time.Time
-	// inflight counts the requests that this entry has there.
+	// inflight counts this entry's requests at the target.
 	inflight int
-	// pendingTokens are the tokens of the prompts among them of which no word came yet.
+	// pendingTokens are the prompt tokens of those requests that have no event yet.
 	pendingTokens ident.Tokens
-	// peerPrompts are prompts that other entries sent there.
+	// peerPrompts are prompts that other entries sent to the target.
 	peerPrompts []peerPrompt
-	// waitingSince is when the first of the requests that wait without any sign began to wait.
+	// waitingSince is when the target last made progress, or since when requests have waited there if that is later.
 	waitingSince time.Time
-	// movedAwayAt is set when a request was moved away because nothing came; its wait goes on counting until something does.
+	// movedAwayAt is when a request was moved to another target because this one was silent. That wait counts until progress.
 	movedAwayAt time.Time
-	// lastContact is when the upstream last sent anything.
+	// lastContact is when the upstream last sent an answer or an event.
 	lastContact time.Time
-	// eventGap is the average time between events, failures the average share of failed requests.
+	// eventGap and failureRate are moving averages, observedAt is when they were last updated or halved.
 	eventGap     time.Duration
 	failureRate  float64
 	outcomeCount int
 	observedAt   time.Time
-	// iterationEndedAt is when the last pass ended, by the events of any request. Peak are the most tokens that were unread there since,
-	// came the requests that were sent there since.
+	// iterationEndedAt is when the last iteration ended, as shown by an event of any request. Since then at most peakPendingTokens were
+	// pending, and sentSinceIteration requests were sent to the target.
 	iterationEndedAt   time.Time
 	peakPendingTokens  ident.Tokens
 	sentSinceIteration int
-	// suspects are the entries that wait in vain, this one since suspected; suspicionSentAt is when it last said so, stalledAt when there
-	// were enough of them.
+	// suspicions are those of all entries. suspectedAt is when this entry last suspected the target, suspicionSentAt when it last notified
+	// the others, and stalledAt when enough entries suspected the target for it to count as stalled.
 	suspicions      stall.Suspicions[netip.AddrPort]
 	suspectedAt     time.Time
 	suspicionSentAt time.Time
 	stalledAt       time.Time
-	// lastStalledAt is when there last were, stallRepeats how often before that within a short time.
+	// lastStalledAt is stalledAt without being reset on progress, stallRepeats how often the target had stalled shortly before.
 	lastStalledAt time.Time
 	stallRepeats  int
-	// confirmedAliveAt is when the group gave a sign to another entry that said so, or to this one when it last did.
+	// confirmedAliveAt is the latest progress that another entry, or this one, has announced to the others.
 	confirmedAliveAt time.Time
-	// forwarders watch the tries that wait there.
+	// forwarders are the attempts at the target that can be moved.
 	forwarders map[*forwarder]struct{}
-	// eventCount and pauses are the number of events and the time between them since the leader was told.
+	// eventCount and eventGapTotal are the events, and the sum of the gaps before them, since the last observation sent to the leader.
 	eventCount    int
 	eventGapTotal time.Duration
-	// suspectUntil is until when the target is avoided.
+	// suspectUntil is until when the target is avoided after a failure.
 	suspectUntil time.Time
-	// connectionRefused is set when nothing listens there any more, proof while that is being found out.
+	// connectionRefused is set when no process listens at the address any more, crashProbe while this is being checked.
 	connectionRefused bool
 	crashProbe        *crashProbe
-	blamedMember      string
-	// peerBackoffUntil is until when the upstream wants nothing from other entries.
+	// blamedMember is the member that the head named as the cause of a failure.
+	blamedMember string
+	// peerBackoffUntil is the end of the backoff that the upstream requested from other entries.
 	peerBackoffUntil time.Time
 }
 
-// resetForGroup forgets what was seen when the upstream was the head of another group.
+// resetForGroup drops all observations made while the upstream was the head of another group.
 func (ts *targetState) resetForGroup(now time.Time, group ident.Group) {
 	if ts.group == group {
 		return
 	}
 	*ts = targetState{
-		group: group, groupSince: now, inflight: ts.inflight, pendingTokens: ts.pendingTokens, outcomeCount: ts.outcomeCount, failureRate: ts.failureRate, waitingSince: ts.waitingSince,
-		forwarders: ts.forwarders, crashProbe: ts.crashProbe,
+		group: group, groupSince: now, inflight: ts.inflight, pendingTokens: ts.pendingTokens, outcomeCount: ts.outcomeCount,
+		failureRate: ts.failureRate, waitingSince: ts.waitingSince, forwarders: ts.forwarders, crashProbe: ts.crashProbe,
 	}
 	if ts.inflight == 0 {
 		ts.waitingSince = time.Time{}
 	}
 }
 
+// addRequest counts a request that is about to be sent to the target.
 func (ts *targetState) addRequest(now time.Time, promptTokens ident.Tokens) {
 	if ts.inflight == 0 && ts.movedAwayAt.IsZero() {
 		ts.waitingSince = now
 	}
 	if ts.inflight == 0 {
-		// Nothing has shown the ends of passes meanwhile.
+		// Without requests no event has shown the end of an iteration.
 		ts.peakPendingTokens, ts.sentSinceIteration = 0, 0
 	}
 	ts.inflight++
@@ -102,13 +104,14 @@
 	ts.notePromptSent(now)
 }
 
-// notePromptSent notes that a prompt was sent there, by any entry.
+// notePromptSent counts a prompt that any entry sent to the target.
 func (ts *targetState) notePromptSent(now time.Time) {
 	ts.peakPendingTokens = max(ts.peakPendingTokens, ts.maxPendingTokens(now))
 	ts.sentSinceIteration++
 }
 
-// noteIteration notes that a pass ended. One that took far too long ends no suspicion of how the group works.
+// noteIteration records the end of an iteration and clears all suspicions. After an iteration that took too long, the target stays suspect
+// and stalled.
 func (ts *targetState) noteIteration(now time.Time, tooLong bool) {
 	ts.peakPendingTokens, ts.sentSinceIteration = ts.maxPendingTokens(now), 0
 	ts.iterationEndedAt = now
@@ -122,7 +125,7 @@
 	ts.inflight--
 }
 
-// noteProgress notes that the upstream sent something.
+// noteProgress records that the upstream sent an answer or an event.
 func (ts *targetState) noteProgress(now time.Time) {
 	ts.lastContact = now
 	ts.waitingSince = now
@@ -131,7 +134,7 @@
 	ts.blamedMember = ""
 }
 
-// noteEvent notes a pause between two events of one stream.
+// noteEvent records a gap between two events of one stream.
 func (ts *targetState) noteEvent(now time.Time, gap time.Duration) {
 	ts.noteProgress(now)
 	ts.eventGap += time.Duration(observationWeight * float64(gap-ts.eventGap))
@@ -140,7 +143,7 @@
 	ts.observedAt = now
 }
 
-// noteOutcome notes whether a request succeeded.
+// noteOutcome records whether a request succeeded.
 func (ts *targetState) noteOutcome(now time.Time, ok bool) {
 	failure := 1.0
 	if ok {
@@ -151,7 +154,7 @@
 	ts.observedAt = now
 }
 
-// decay lets old observations fade.
+// decay halves the averages for each decayInterval without observations.
 func (ts *targetState) decay(now time.Time) {
 	for now.Sub(ts.observedAt) > decayInterval && !ts.observedAt.IsZero() {
 		ts.eventGap /= 2
@@ -167,7 +170,7 @@
 	ts.suspectUntil = now.Add(suspectPeriod)
 }
 
-// waitWithoutProgress is how long requests have waited there without any sign.
+// waitWithoutProgress is how long requests have waited at the target without progress.
 func (ts *targetState) waitWithoutProgress(now time.Time) time.Duration {
 	if now.Sub(ts.movedAwayAt) > movedAwayPeriod {
 		ts.movedAwayAt = time.Time{}
--- a/relay/suspect.go
+++ b/relay/suspect.go
@@ -1,18 +1,19 @@
 package relay
 
-// A group of which a member is lost takes requests and answers none of them,
-// for seconds, and nobody says so. Each entry has one or two streams there, all
-// of which miss the same pass. So an entry whose streams at a group are overdue
-// tells the others that it suspects the group; when enough of those that have
-// requests there do, it stands still for everybody: streams and prompts move,
-// and nothing new is sent there.
+// A group that has lost a member accepts requests for seconds without answering
+// any. Each entry has one or two streams there, and all of them miss the same
+// iteration. An entry whose streams at a group are overdue therefore sends the
+// other entries a suspicion. When enough of the entries with requests at the
+// group suspect it, all entries treat it as stalled: its streams and prompts move
+// to other groups, and it gets no new requests.
 //
-//	last pass    next one due   + margin          all move
-//	    |-------------|-----------|--- suspicions ------|
-//	    0             45          70                75 ms
+//	last iteration   next one due   + margin      all move
+//	    |-----------------|-----------|--- suspicions ---|
+//	    0                 45          70             75 ms
 //
-// A sign of the group ends all suspicion of it; who has one tells the others,
-// since those that suspect it may be cut off from a group that serves the rest.
+// An event of the group ends all suspicions. An entry that receives one refutes
+// the others' suspicions, since these entries may be cut off from a group that
+// serves the rest.
 
 import (
 	"net/netip"
@@ -23,42 +24,42 @@
 )
 
 const (
-	// suspicionInterval is how often an entry that waits says again that it suspects a group: before its last word counts no more.
+	// suspicionInterval is how often an entry repeats its suspicion of a group: before the previous one expires.
 	suspicionInterval = 150 * time.Millisecond
-	// targetRefuters is how many entries with a sign of a group tell those who suspect it so, on average, and refuteInterval how old the last
-	// such word is at least: where a part of the entries is cut off from a group, they suspect it all the time.
+	// targetRefuters is how many entries refute a suspicion on average, refuteInterval the minimum interval between refutations: entries
+	// that are cut off from a working group suspect it all the time.
 	targetRefuters = 4
 	refuteInterval = 100 * time.Millisecond
-	// stallPeriod is how long a group that stands still is avoided when nothing more is heard of it: the leader ends it within a
-	// second, and one that works again has to be found out.
+	// stallPeriod is how long a stalled group is avoided without further news: the leader closes it within a second, and a group that has
+	// recovered must be used again.
 	stallPeriod = 1500 * time.Millisecond
-	// maxStallDoublings is how often that time doubles for a group that is found to stand still again and again, no more than stallRepeatWindow
-	// apart: at most the time after which an engine itself ends a group that stands still.
+	// maxStallDoublings is how often stallPeriod doubles for a group that stalls repeatedly within stallRepeatWindow. The longest period is
+	// no longer than the time after which an engine itself closes a stalled group.
 	maxStallDoublings = 2
 	stallRepeatWindow = 8 * time.Second
-	// newGroupGrace is how long a group is not suspected after this entry heard of it: what entries that heard sooner send there is not
-	// known, and the leader tells all of them within 100 ms.
+	// newGroupGrace is how long a group is not suspected after this entry first saw it. Prompts sent by entries that saw the group earlier
+	// are not known; the leader notifies all entries within 100 ms.
 	newGroupGrace = 300 * time.Millisecond
-	// stalledCheckInterval is how often one whose group stands still looks for room elsewhere: some times in a pass.
+	// stalledCheckInterval is how often a request at a stalled group looks for capacity at another one: several times per iteration.
 	stalledCheckInterval = 20 * time.Millisecond
-	// newEntryGrace is how long nothing is suspected after this entry heard of another one: until all know each other, they do not tell
-	// each other of all prompts, and groups that work would be taken for standing still.
+	// newEntryGrace is how long no group is suspected after this entry first saw another entry. Until all entries know each other, they do
+	// not exchange all prompts, and working groups would appear stalled.
 	newEntryGrace = 600 * time.Millisecond
-	// maxStalledFraction is the part of the groups of a model that may be taken for standing still at once: a domain that goes dark is a
-	// third of a small site, and beyond that it is rather the bound of passes that does not hold.
+	// maxStalledFraction bounds the groups of a model that count as stalled at the same time. A failed domain is a third of a small site;
+	// beyond that the bound on the iteration time is more likely to be wrong.
 	maxStalledFraction = 0.4
-	// iterationBoundSlack is how much longer than estimated a prompt of another entry may be unread when a pass is bounded.
+	// iterationBoundSlack is how much longer than estimated a prompt of another entry counts as pending in the bound on an iteration.
 	iterationBoundSlack = 15 * time.Millisecond
-	// slowGroupDelay is how late beyond the margin an event must be to show a slow group and not only one long pass.
+	// slowGroupDelay is how late beyond the margin an event must be to indicate a slow group rather than one long iteration.
 	slowGroupDelay = 50 * time.Millisecond
-	// sameIterationSpan is how far apart events of one pass arrive at one entry at most.
+	// sameIterationSpan is the longest time between the arrivals of events of one iteration at one entry.
 	sameIterationSpan = 10 * time.Millisecond
 )
 
-// thisEntry stands for this entry among those that suspect a group.
+// thisEntry identifies this entry's own suspicions; those of others are identified by address.
 var thisEntry netip.AddrPort
 
-// marginFor returns what is learnt of when signs of a model come, of first words or of events; the mutex is held.
+// marginFor returns the learned margin of a model, for streaming requests or for first events; the mutex is held.
 func (s *Relay) marginFor(model ident.Model, streaming bool) *stall.Margin {
 	margins := s.firstEventMargins
 	if streaming {
@@ -72,16 +73,16 @@
 	return m
 }
 
-// maxIterationTime bounds the length of the pass in progress at t: it may read all that was unread at any time since the last one ended. What
-// was sent while that one was on its way is a closer bound, but misses what an engine leaves for the next pass: streams
-// would be moved off groups that work.
+// maxIterationTime bounds the current iteration at t, which may prefill all prompts that were pending at any time since the last iteration
+// ended. Counting only the prompts sent during the last iteration would be a tighter bound, but an engine may defer prompts to the next
+// iteration, and streams would be moved off working groups.
 func (s *Relay) maxIterationTime(t *target, now time.Time) time.Duration {
 	ts := s.stateOf(t)
 	return t.timing.IterationTime(max(ts.peakPendingTokens, ts.maxPendingTokens(now)), s.loadOf(t, now).Requests+ts.sentSinceIteration)
 }
 
-// maxTimeToProgress bounds the time from the last sign of this try to the next one, as far as the passes of its group tell; ok is false where
-// that is not known. The mutex is held.
+// maxTimeToProgress bounds the time from the attempt's last progress to its next one; ok is false where the iterations of the group cannot
+// be bounded. The mutex is held.
 func (f *forwarder) maxTimeToProgress(now time.Time) (d time.Duration, ok bool) {
 	if f.firstEventEstimate == 0 || !f.target.inSubset || now.Sub(f.state.groupSince) < newGroupGrace || now.Sub(f.x.s.newEntryAt) < newEntryGrace {
 		return 0, false
@@ -89,11 +90,11 @@
 	if f.streaming {
 		return f.x.s.maxIterationTime(f.target, now), true
 	}
-	// One more pass than the estimate counts: others may have sent there at the same moment.
+	// One iteration more than estimated, since other entries may have sent prompts at the same moment.
 	return f.firstEventEstimate + f.target.timing.IterationTime(f.x.prefillTokens(), f.target.slots) + f.x.dispatchDelay.mean, true
 }
 
-// progressDue returns when the group must have given a sign: after that it is suspected. The mutex is held.
+// progressDue returns the time after which the group is suspected unless it makes progress. The mutex is held.
 func (f *forwarder) progressDue() (due time.Time, ok bool) {
 	s := f.x.s
 	maxWait, ok := f.maxTimeToProgress(s.Now())
@@ -102,7 +103,7 @@
 	}
 	due = f.waitingSince.Add(maxWait + s.marginFor(f.x.model, f.streaming).Current())
 	if f.state.iterationEndedAt.After(f.waitingSince) {
-		// Another stream of this entry shows that the group works.
+		// Another stream of this entry has shown progress of the group.
 		next := f.state.iterationEndedAt.Add(s.maxIterationTime(f.target, s.Now()) + s.marginFor(f.x.model, true).Current())
 		if next.After(due) {
 			due = next
@@ -111,7 +112,7 @@
 	return due, true
 }
 
-// checkSuspicion suspects the group when it is overdue, and reports whether it stands still and when to look again; the mutex is held.
+// checkSuspicion suspects the group if it is overdue, and returns whether it is stalled and when to check again; the mutex is held.
 func (f *forwarder) checkSuspicion(now time.Time) (stalled bool, recheckIn time.Duration) {
 	s, ts := f.x.s, f.state
 	due, ok := f.progressDue()
@@ -128,7 +129,7 @@
 	return s.declaredStalled(ts, now), suspicionInterval
 }
 
-// suspectTarget notes that t has been silent for too long, and tells the entries that use it; the mutex is held.
+// suspectTarget records that t has been silent for too long, and notifies the entries that use it; the mutex is held.
 func (s *Relay) suspectTarget(t *target, now time.Time, silentFor time.Duration) {
 	ts := s.stateOf(t)
 	ts.suspicions.Add(now, now.Add(-silentFor), thisEntry)
@@ -140,7 +141,7 @@
 	s.evaluateStall(t, now)
 }
 
-// lastProgress is when the group last gave this entry a sign, or the request was sent.
+// lastProgress is when the group last made progress for this entry, or when the request was sent.
 func (f *forwarder) lastProgress() time.Time {
 	if f.state.iterationEndedAt.After(f.waitingSince) {
 		return f.state.iterationEndedAt
@@ -148,7 +149,7 @@
 	return f.waitingSince
 }
 
-// applySuspicion takes what another entry says of whether the group of t works; the mutex is held.
+// applySuspicion applies another entry's suspicion of the group of t, or its refutation of one; the mutex is held.
 func (s *Relay) applySuspicion(t *target, update *EntryUpdate, from netip.AddrPort) {
 	now := s.Now()
 	ts := s.stateOf(t)
@@ -168,7 +169,7 @@
 	s.evaluateStall(t, now)
 }
 
-// refuteSuspicion tells the others that the group of t works, as some of those do who have streams there.
+// refuteSuspicion notifies the other entries of the last progress of t. Only a random few of the entries with streams there do so.
 func (s *Relay) refuteSuspicion(t *target, now time.Time) {
 	ts := s.stateOf(t)
 	if now.Sub(ts.confirmedAliveAt) < refuteInterval {
@@ -181,7 +182,7 @@
 	s.SendUpdate(EntryUpdate{Head: t.id, ProgressAgeMS: max(1, now.Sub(ts.iterationEndedAt).Milliseconds())}, t.users)
 }
 
-// noteConfirmedAlive notes that the group gave another entry a sign at a time.
+// noteConfirmedAlive records that the group made progress for another entry.
 func (ts *targetState) noteConfirmedAlive(progressAt time.Time) {
 	if progressAt.After(ts.confirmedAliveAt) {
 		ts.confirmedAliveAt = progressAt
@@ -191,10 +192,12 @@
 	}
 }
 
-// evaluateStall decides whether the group of t stands still by all suspicion of it, and lets those look who wait there; the mutex is held.
+// evaluateStall decides by all suspicions whether the group of t is stalled. If so, all attempts there check at once whether to move. The
+// mutex is held.
 func (s *Relay) evaluateStall(t *target, now time.Time) {
 	ts := s.stateOf(t)
-	if s.declaredStalled(ts, now) || ts.suspicions.Count(now) < stall.RequiredSuspicions(s.loadOf(t, now).Requests, s.userCount(t)) || s.tooManyStalled(t, now) {
+	if s.declaredStalled(ts, now) || ts.suspicions.Count(now) < stall.RequiredSuspicions(s.loadOf(t, now).Requests, s.userCount(t)) ||
+		s.tooManyStalled(t, now) {
 		return
 	}
 	ts.stallRepeats = min(maxStallDoublings, ts.stallRepeats+1)
@@ -207,7 +210,7 @@
 	}
 }
 
-// tooManyStalled reports whether so many groups of the model of t stand still that it can't be true of one more; the mutex is held.
+// tooManyStalled reports whether one more stalled group of the model of t would exceed maxStalledFraction; the mutex is held.
 func (s *Relay) tooManyStalled(t *target, now time.Time) bool {
 	stalled, total := 0, 0
 	for _, other := range s.index.byHead {
@@ -233,13 +236,13 @@
 	return len(t.users) + 1
 }
 
-// declaredStalled reports whether a group stands still by what several entries saw; the mutex is held.
+// declaredStalled reports whether a group counts as stalled by the suspicions of several entries; the mutex is held.
 func (s *Relay) declaredStalled(ts *targetState, now time.Time) bool {
 	return !ts.stalledAt.IsZero() && now.Sub(ts.stalledAt) < stallPeriod<<ts.stallRepeats
 }
 
-// learnProgress takes how long after it was due an event came, and reports whether that was too late for a group that works: one with a
-// member that is several times slower than usual gives signs, but none in time. The mutex is held.
+// learnProgress updates the margin with how late an event was, and reports whether it was too late for a working group: a group with a
+// member that is several times slower than usual makes progress, but never in time. The mutex is held.
 func (f *forwarder) learnProgress(now time.Time) (tooLate bool) {
 	if now.Sub(f.state.iterationEndedAt) < sameIterationSpan {
 		return !f.state.stalledAt.IsZero()
