--- a/relay/watch.go
+++ b/relay/watch.go
@@ -1,10 +1,11 @@
 package relay
 
-// A try is watched from the moment it is sent: the caller may leave, its time
-// may be up, and the upstream may go silent. A request that may be repeated is
-// then taken to another upstream, if one has room. Of a group of engines it is
-// known when its next sign is due (suspect.go); where it is not, and where only
-// this one connection is silent, fixed limits hold.
+// An attempt is watched from the moment when the request is sent: the caller may
+// disconnect, the deadline may pass, and the upstream may become silent. If the
+// upstream is silent, a repeatable request moves to another upstream with
+// capacity. For a group of engines the time of the next progress is estimated
+// (suspect.go). Where there is no estimate, or only this one connection is silent,
+// fixed time-outs apply.
 
 import (
 	"context"
@@ -15,7 +16,7 @@
 	"github.com/dunlinquay/dunlinquay/overload"
 )
 
-// forwarder follows the answer of one try.
+// forwarder watches one attempt and forwards the upstream's answer to the caller.
 type forwarder struct {
 	x      *exchange
 	target *target
@@ -24,26 +25,27 @@
 
 	timer           *time.Timer
 	stopCallerWatch func() bool
-	// abandoned is set when the watch gave the upstream up, after it was silent for so long and so many suspected its group.
+	// abandoned is set when the watch ended the attempt because the upstream was silent. silentFor is for how long, suspicionCount how
+	// many entries suspected the group then.
 	abandoned      bool
 	silentFor      time.Duration
 	suspicionCount int
 	ended          bool
-	// waitingSince is when the last sign came, or the request was sent.
+	// waitingSince is when the attempt last made progress, or when the request was sent.
 	waitingSince time.Time
-	// firstEventEstimate is the time to the first word of this try, 0 where there is none; running is set with its first event.
+	// firstEventEstimate is the estimated time to the first event, 0 where there is none; streaming is set with the first event.
 	firstEventEstimate time.Duration
 	streaming          bool
-	// sentAt is when the request was sent, events how many came of this try, cut the error that ended it.
+	// eventCount is the number of events in this attempt, cutErr the error that ended it.
 	sentAt     time.Time
 	eventCount int
 	cutErr     error
-	// status and notice are the status of the upstream's answer and what it asked for with it.
+	// status and notice are the status of the upstream's answer and the backpressure signals in it.
 	status int
 	notice backoff.Notice
 }
 
-// watch closes the connection when the caller leaves, the time is up, or the upstream is silent and another one is free.
+// watch ends the attempt when the caller disconnects, the deadline passes, or the upstream is silent and another one is available.
 func (f *forwarder) watch() {
 	f.waitingSince = f.x.s.Now()
 	f.sentAt = f.waitingSince
@@ -76,7 +78,7 @@
 	_ = f.conn.SetDeadline(time.Unix(1, 0))
 }
 
-// maxSilence is how long the upstream may be silent.
+// maxSilence is the fixed time-out for an upstream without progress.
 func (f *forwarder) maxSilence() time.Duration {
 	switch {
 	case f.x.route.Kind != httproute.KindStream:
@@ -87,7 +89,7 @@
 	return eventGapTimeout
 }
 
-// firstCheckDelay is when the watch looks for the first time.
+// firstCheckDelay is the time until the first checkProgress.
 func (f *forwarder) firstCheckDelay() time.Duration {
 	if due, ok := f.progressDue(); ok {
 		return max(0, min(f.maxSilence(), due.Sub(f.waitingSince)))
@@ -95,7 +97,7 @@
 	return f.maxSilence()
 }
 
-// checkProgress gives the upstream up when it has been silent for too long, or its group stands still, and another one could take over.
+// checkProgress ends the attempt if the upstream has been silent for too long, or its group is stalled, and another target is better.
 func (f *forwarder) checkProgress() {
 	s := f.x.s
 	s.mu.Lock()
@@ -119,17 +121,17 @@
 	f.interrupt()
 }
 
-// hasAlternative reports whether the request is better off at another target, which is neither tried nor suspect; the mutex is held. A
-// stream that has not begun leaves a group that still answers others only for one with room to spare: a long wait there is a long
-// pass, and what was read of its prompt would be lost.
+// hasAlternative reports whether the request should move to another target; the mutex is held. A stream without events leaves a group that
+// still answers other requests only for a group with spare capacity: a long wait there is a long iteration, and the prefill done so far
+// would be lost.
 func (s *Relay) hasAlternative(f *forwarder, now time.Time) bool {
 	needsCapacity := f.x.service.Engine != nil && f.x.eventCount == 0 && !s.unresponsive(f.state, now)
 	return s.anyAlternative(f.x, now, func(c *candidate) bool { return c.hasCapacity || !needsCapacity })
 }
 
-// gainsByMoving reports whether a request whose group stands still is better off at another one now: if it can still be in time there, or
-// there is room to spare. Where all groups are full, one that is late in any case waits until its group is replaced, so that it does
-// not make others late. The mutex is held.
+// gainsByMoving reports whether a request at a stalled group should move now: if it can be in time at another group, or another group has
+// spare capacity. When all groups are full, a request that is late anyway waits until its group is replaced, so that it does not make
+// others late. The mutex is held.
 func (s *Relay) gainsByMoving(f *forwarder, now time.Time) bool {
 	x := f.x
 	deadline := x.aimDeadline
@@ -141,7 +143,7 @@
 	})
 }
 
-// anyAlternative reports whether a target that is neither tried, full nor suspect is good enough; the mutex is held.
+// anyAlternative reports whether a target that is neither attempted, full nor suspect is acceptable; the mutex is held.
 func (s *Relay) anyAlternative(x *exchange, now time.Time, acceptable func(c *candidate) bool) bool {
 	targets := s.index.targets(x.service, x.model)
 	for i := range targets {
@@ -156,7 +158,7 @@
 	return false
 }
 
-// noteProgress notes that the upstream sent something.
+// noteProgress records that the upstream sent an answer or an event.
 func (f *forwarder) noteProgress() {
 	s := f.x.s
 	s.mu.Lock()
@@ -165,7 +167,7 @@
 	f.state.noteProgress(f.waitingSince)
 }
 
-// brokenOutcome is the verdict on a connection that failed with err: it may have been ended from here.
+// brokenOutcome returns the outcome of an attempt whose connection failed with err, which may have been ended by this entry.
 func (f *forwarder) brokenOutcome(err error) attemptOutcome {
 	x := f.x
 	if x.r.Context().Err() != nil {
