--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -15,7 +15,7 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// exchange is one request on its way through the relay.
+// exchange is one caller's request and its answer, over all attempts.
 type exchange struct {
 	s         *Relay
 	w         http.ResponseWriter
@@ -28,64 +28,65 @@
 	customer  *httproute.Customer
 	model     ident.Model
 	body      []byte
-	// bodyTimedOut is set when the time was up before the body had arrived; net/http then ends the request as if its caller had left.
+	// bodyTimedOut is set when the deadline passed before the body had arrived. net/http then cancels the request's context, as it does
+	// when the caller disconnects.
 	bodyTimedOut bool
 	// content is the digest of path and body.
 	content   ident.Content
 	requestID string
-	// promptTokens and answer are the tokens that it brings and those that are expected of the answer.
+	// promptTokens is the size of the prompt, answerTokens the expected size of the answer.
 	promptTokens ident.Tokens
 	answerTokens ident.Tokens
-	// dispatchDelay is what first words take beyond the estimate, as it was known when the request looked for a group.
+	// dispatchDelay is by how much times to the first event exceed the estimate, as known when the request was queued.
 	dispatchDelay dispatchDelay
-	// priorElapsed is what the caller spent on earlier tries, as far as that is known; limit is when the first word must come by the
-	// estimate to be in time, idle when it would come at a group with nothing to do, lost when the caller began to wait for it.
+	// priorElapsed is the estimated time that the caller spent on earlier requests. An estimated first event by aimDeadline is in time;
+	// idleFirstEvent is the estimate for an idle group. callerWaitStart is since when the caller has waited for the next event.
 	priorElapsed    time.Duration
 	aimDeadline     time.Time
 	idleFirstEvent  time.Duration
 	callerWaitStart time.Time
-	// pendingTokens is the part of the prompt that counts as unread at the target of the present try.
+	// pendingTokens are the prompt tokens that count as pending at the target of the current attempt.
 	pendingTokens ident.Tokens
 
 	attempts       []Attempt
 	triedUpstreams map[ident.Incarnation]bool
-	sendCount      int
-	runCount       int
+	// sendCount is how often the request was sent, runCount how often an upstream may have worked on it.
+	sendCount int
+	runCount  int
 	// mayHaveRun is set once an upstream may have worked on the request.
 	mayHaveRun bool
-	// displaced is set once it was sent to a group that has ended, or stands still.
+	// displaced is set once the request was sent to a group that had failed.
 	displaced bool
-	// failureAnswer is an upstream's own failure that is passed on when nothing better comes.
+	// failureAnswer is an upstream's failure answer, forwarded if no later attempt succeeds.
 	failureAnswer *answer
 
-	// headSent is set once the head of the answer went to the caller.
+	// headSent is set once the head of the answer was sent to the caller.
 	headSent        bool
 	lastEventID     string
 	lastEventAt     time.Time
 	eventCount      int
 	firstEventAfter time.Duration
-	// expectedFirstEvent is when the first word was to come by the estimate of the first try.
+	// expectedFirstEvent is the estimated time to the first event at the first attempt, from the arrival of the request.
 	expectedFirstEvent time.Duration
 	longestGap         time.Duration
 	sentRetryAfter     time.Duration
-	// minRetryAfter is the least time after which the caller shall come back, when that is known.
+	// minRetryAfter is the minimum Retry-After of a refusal, where it is known.
 	minRetryAfter time.Duration
 	status        int
-	// heldAtStart is set when the request waited for the entry's first confirmation.
+	// heldAtStart is set when the request waited for the leader's first confirmation to this entry.
 	heldAtStart bool
-	// backoffProbe is set while the present try finds out whether an upstream takes requests again, skippedUpstreams is how many others wanted
-	// nothing when it was chosen.
+	// backoffProbe is set while the current attempt tests whether an upstream accepts requests again after a backoff. skippedUpstreams is
+	// how many upstreams were unavailable when the target was chosen.
 	backoffProbe     bool
 	skippedUpstreams int
-	// countedAtTarget is set while it counts at the target of the present try.
+	// countedAtTarget is set while the request counts at the target of the current attempt.
 	countedAtTarget bool
-	// noPermitAt are the upstreams that take no more within their limits in the time that it can wait, permitDenials how often there was nothing
-	// to be had.
+	// noPermitAt are the upstreams without a permit in the time that the request can wait, permitDenials is how often a permit was denied.
 	noPermitAt    map[ident.Incarnation]bool
 	permitDenials int
-	// bodyBytes and answerBytes are the bytes that are counted for it.
+	// bodyBytes and answerBytes are the bytes counted against the memory bounds.
 	bodyBytes, answerBytes int64
-	// retryCharged is set while the budget for repeats has let the next try go.
+	// retryCharged is set while the retry budget has been charged for an attempt that was not sent yet.
 	retryCharged bool
 }
 
@@ -96,11 +97,11 @@
 	}
 }
 
-// admit finds out what the request is and whether it may run.
+// admit determines the route, customer, deadline and service of the request and reads the body, or returns why the request is refused.
 func (x *exchange) admit() error {
 	x.awaitFirstConfirmation()
 	if x.table == nil {
-		return result.New(result.ControlUnreachable, "no configuration has arrived yet")
+		return result.New(result.ControlUnreachable, "this entry has not received a configuration yet")
 	}
 	if err := x.findRoute(); err != nil {
 		return err
@@ -123,36 +124,38 @@
 	return x.readBody()
 }
 
-// findRoute refuses an unknown route as unknown only while the configuration is certainly the newest.
+// findRoute finds the route for the host and path. Without one the error is NotFound only if the configuration is certain to be current.
 func (x *exchange) findRoute() error {
 	x.route = x.table.Route(x.r.Host, x.r.URL.Path)
 	switch {
 	case x.route != nil:
 		return nil
 	case x.s.ConfirmedAge() > staleConfigAge:
-		return result.New(result.ControlUnreachable, "no route here, and newer configuration may not have arrived")
+		return result.New(result.ControlUnreachable, "no route for this host and path in a configuration that may be outdated")
 	}
 	return result.New(result.NotFound, "no route for this host and path")
 }
 
+// findCustomer finds the customer by the caller's key. Keys that were not confirmed for too long are not accepted.
 func (x *exchange) findCustomer() error {
 	if x.route.Public || !x.table.NeedsKeys() {
 		return nil
 	}
 	age := x.s.ConfirmedAge()
 	if age > x.s.KeyValidity {
-		return result.New(result.ControlUnreachable, "keys were last confirmed %s ago", age)
+		return result.New(result.ControlUnreachable, "keys are not accepted: last confirmed by the leader %s ago", age)
 	}
 	x.customer = x.table.Owner(x.r.Header.Get(x.s.Headers.Key))
 	switch {
 	case x.customer != nil:
 		return nil
 	case age > staleConfigAge:
-		return result.New(result.ControlUnreachable, "the key is not known, and newer configuration may not have arrived")
+		return result.New(result.ControlUnreachable, "unknown key in a configuration that may be outdated")
 	}
-	return result.New(result.Unauthorized, "the key is not known")
+	return result.New(result.Unauthorized, "unknown key")
 }
 
+// findDeadline sets the deadline: the route's time-out, or the caller's deadline if that is sooner.
 func (x *exchange) findDeadline() error {
 	timeout := x.route.Timeout
 	if text := x.r.Header.Get(x.s.Headers.Deadline); text != "" {
@@ -166,6 +169,7 @@
 	return nil
 }
 
+// readBody reads the whole body and computes the digest of the request's content.
 func (x *exchange) readBody() error {
 	limit := x.table.Config.Limits.BodyBytes
 	if limit <= 0 {
@@ -177,27 +181,27 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		x.bodyTimedOut = true
 		x.w.Header().Set("Connection", "close")
-		return result.New(result.DeadlineUnreachable, "the body had not arrived when the time was up")
+		return result.New(result.DeadlineUnreachable, "the deadline passed before the body had arrived")
 	case errors.As(err, &tooLarge):
-		return result.New(result.TooLarge, "the body is over %d bytes", limit)
+		return result.New(result.TooLarge, "the body is larger than %d bytes", limit)
 	case errors.Is(err, errMemoryLimit):
 		x.w.Header().Set("Connection", "close")
-		return result.Wrap(err, result.Overloaded, "the body can't be held")
+		return result.Wrap(err, result.Overloaded, "no memory for the body")
 	case err != nil:
-		return result.Wrap(err, result.Cancelled, "the body did not arrive whole")
+		return result.Wrap(err, result.Cancelled, "reading the body")
 	}
 	x.body = body
 	x.content = quarantine.ContentOf(x.r.RequestURI, body)
 	return nil
 }
 
-// readBodyBytes reads the body by the time at which the request must have its answer.
+// readBodyBytes reads the body until the request's deadline.
 func (x *exchange) readBodyBytes(limit int64) ([]byte, error) {
 	if x.r.ContentLength == 0 {
 		return nil, nil
 	}
 	control := http.NewResponseController(x.w)
-	// Where the connection can't have a deadline, the caller's own time bounds it.
+	// A connection without read deadlines is bounded only by how long the caller waits.
 	_ = control.SetReadDeadline(time.Now().Add(x.timeLeft()))
 	body, err := io.ReadAll(&bodyReader{http.MaxBytesReader(x.w, x.r.Body, limit), x})
 	if err == nil {
@@ -206,10 +210,10 @@
 	return body, err
 }
 
-// defaultMaxBodyBytes bounds a body where the configuration does not.
+// defaultMaxBodyBytes bounds a body where the configuration has no bound.
 const defaultMaxBodyBytes = 4 << 20
 
-// countDemand notes what the request asks of its model, whether it will be served or not.
+// countDemand adds the request to the demand for its model, whether it will be served or not.
 func (x *exchange) countDemand() {
 	if x.service.Engine == nil {
 		return
@@ -224,12 +228,12 @@
 	x.s.demand[x.model] = d
 }
 
-// maxClaimedTokens bounds the tokens that a caller may claim where an engine does not say what it can hold. Without a bound one request
-// with the largest number made the demand of its model, which the leader plans by, negative.
+// maxClaimedTokens bounds the token counts that a caller can claim where the engine declares no capacity. Without a bound, one request with
+// a very large count made the sum of its model's demand overflow to a negative number, and the leader plans by that sum.
 const maxClaimedTokens = 1 << 20
 
-// tokenCounts returns the tokens of the prompt, and those expected of the answer: the caller's estimate within the most that it
-// allows, or without one what is usual. More than an engine can hold runs nowhere and counts for no more than that.
+// tokenCounts returns the prompt's tokens and the expected tokens of the answer: the caller's estimate, or the service's typical answer, but
+// no more than the caller allows. No count exceeds the capacity of an engine, which no larger request can use.
 func (x *exchange) tokenCounts() (prompt, answer ident.Tokens) {
 	promptText, maxAnswerText, _ := strings.Cut(x.r.Header.Get(x.s.Headers.Tokens), ",")
 	capacity := ident.Tokens(maxClaimedTokens)
@@ -248,8 +252,8 @@
 	return prompt, answer
 }
 
-// parseTokenCount reads a number of tokens, of which no more than most count; one that can't be read is not known here, the engine answers
-// for it.
+// parseTokenCount parses a number of tokens and bounds it to maxCount. An invalid number is reported as unknown; the engine checks the
+// header itself.
 func parseTokenCount(text string, maxCount ident.Tokens) (ident.Tokens, bool) {
 	n, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil || n < 0 {
@@ -258,10 +262,10 @@
 	return min(ident.Tokens(n), maxCount), true
 }
 
-// prefillTokens are the tokens that an engine has to read before the next event: the prompt, and what was written of the answer before.
+// prefillTokens are the tokens that an engine must prefill before the next event: the prompt and the events of the answer so far.
 func (x *exchange) prefillTokens() ident.Tokens {
 	if x.lastEventID == "" {
-		// It is asked for each group, and reading no number costs an allocation.
+		// This method is called for each group, and parsing an empty string allocates an error.
 		return x.promptTokens
 	}
 	receivedEvents, numbered := eventNumber(x.lastEventID)
@@ -271,15 +275,15 @@
 	return x.promptTokens + ident.Tokens(min(receivedEvents, maxClaimedEvents)*int64(max(1, x.service.Engine.Stride)))
 }
 
-// maxClaimedEvents bounds the events of an answer that a caller may claim to have: it is told to other entries, and engines turn away
-// what does not fit.
+// maxClaimedEvents bounds the events that a caller can claim to have received, since the sum is sent to other entries. Engines refuse
+// requests that exceed their capacity.
 const maxClaimedEvents = 10_000
 
 func (x *exchange) wasAttempted(id ident.Incarnation) bool {
 	return x.triedUpstreams[id]
 }
 
-// timeLeft is the time until the request must have its final answer.
+// timeLeft is the time until the request's deadline.
 func (x *exchange) timeLeft() time.Duration {
 	return x.deadline.Sub(x.s.Now())
 }
