--- a/relay/run.go
+++ b/relay/run.go
@@ -9,43 +9,43 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// attemptOutcome is what one try came to.
+// attemptOutcome is how one attempt ended.
 type attemptOutcome string
 
 const (
-	// outcomeDone means that the caller has its whole answer.
+	// outcomeDone means that the caller has the complete answer.
 	outcomeDone attemptOutcome = "done"
-	// outcomeNeverSent means that no byte left.
+	// outcomeNeverSent means that no byte of the request was sent.
 	outcomeNeverSent attemptOutcome = "never-sent"
-	// outcomeNotRun means that the upstream said it did not run the request.
+	// outcomeNotRun means that the upstream refused the request without running it.
 	outcomeNotRun attemptOutcome = "not-run"
-	// outcomeFailed means that the upstream answered with a failure of its own.
+	// outcomeFailed means that the upstream answered with a server error.
 	outcomeFailed attemptOutcome = "failed"
-	// outcomeBroken means that the upstream may have run the request and its answer is lost or cannot be used.
+	// outcomeBroken means that the upstream may have run the request, and its answer is lost or unusable.
 	outcomeBroken attemptOutcome = "broken"
-	// outcomeStalled is the same for an upstream that went silent.
+	// outcomeStalled means the same for an upstream that was silent for too long.
 	outcomeStalled attemptOutcome = "stalled"
-	// outcomeExpired means that the time is up.
+	// outcomeExpired means that the request's deadline passed.
 	outcomeExpired attemptOutcome = "expired"
-	// outcomeQuarantined means that the request was not sent, because its work is held.
+	// outcomeQuarantined means that the request was not sent because its fingerprint is quarantined.
 	outcomeQuarantined attemptOutcome = "held"
-	// outcomeSkipped means that it was not sent, because the upstream has come to want nothing since it was chosen.
+	// outcomeSkipped means that the request was not sent because the upstream became unavailable after it was chosen.
 	outcomeSkipped attemptOutcome = "passed-over"
-	// outcomeNoPermit means that it was not sent, because the upstream takes nothing more within its limit now.
+	// outcomeNoPermit means that the request was not sent because the upstream's limit is used up.
 	outcomeNoPermit attemptOutcome = "nothing-to-have"
-	// outcomeCallerGone means that the caller has left.
+	// outcomeCallerGone means that the caller disconnected.
 	outcomeCallerGone attemptOutcome = "caller-gone"
 )
 
-// run sends the request to one upstream after another until it has an answer or may not be sent again.
+// run sends the request to one upstream after another until it has an answer or must not be sent again.
 func (x *exchange) run() error {
 	x.paceHeldStream()
 	for {
 		if x.timeLeft() <= 0 {
 			return x.expiredError()
 		}
-		// Work under which upstreams ended, at whichever entries, goes to no other one: without this a request that comes again and
-		// again ends one after the other.
+		// A request whose fingerprint is quarantined is sent to no upstream. A request that crashes upstreams and is repeated by its
+		// caller would otherwise crash one after the other.
 		if err := x.quarantineError(); err != nil {
 			return err
 		}
@@ -55,7 +55,7 @@
 		}
 		if x.sendCount > 0 && !x.retryCharged && !x.s.Budget.AllowRetry(x.service.Name) {
 			x.cancelReservation(&chosen)
-			return x.finalError(result.New(result.Overloaded, "the budget for repeats is used up"))
+			return x.finalError(result.New(result.Overloaded, "the retry budget of the service is used up"))
 		}
 		x.retryCharged = x.sendCount > 0
 		outcome := x.attempt(&chosen)
@@ -63,7 +63,7 @@
 		case outcomeDone:
 			return nil
 		case outcomeCallerGone:
-			return result.New(result.Cancelled, "the caller has left")
+			return result.New(result.Cancelled, "the caller disconnected")
 		case outcomeExpired:
 			return x.expiredError()
 		case outcomeQuarantined:
@@ -73,12 +73,12 @@
 			continue
 		}
 		if !x.mayRetry(outcome) {
-			return x.finalError(result.New(result.UpstreamFailed, "the last try: %s", outcome))
+			return x.finalError(result.New(result.UpstreamFailed, "the last attempt ended as %s", outcome))
 		}
 	}
 }
 
-// mayRetry reports whether the route allows another try after v.
+// mayRetry reports whether the route allows another attempt after one with that outcome.
 func (x *exchange) mayRetry(outcome attemptOutcome) bool {
 	switch outcome {
 	case outcomeNeverSent:
@@ -89,15 +89,15 @@
 	return x.route.Repeatable() && x.runCount < x.route.Attempts && x.sendCount < maxSends
 }
 
-// expiredError is the end of a request whose time is up.
+// expiredError returns the error of a request whose deadline has passed.
 func (x *exchange) expiredError() error {
 	if x.mayHaveRun {
-		return result.New(result.TimedOut, "no whole answer in time")
+		return result.New(result.TimedOut, "no complete answer before the deadline")
 	}
-	return result.New(result.DeadlineUnreachable, "no upstream took the request in time")
+	return result.New(result.DeadlineUnreachable, "no upstream accepted the request before the deadline")
 }
 
-// finalError is the end of a request that no upstream is left for; only one that certainly did not run is called so.
+// finalError returns the error of a request that is not attempted again; its code says "not run" only if that is certain.
 func (x *exchange) finalError(err error) error {
 	switch {
 	case !x.mayHaveRun:
@@ -111,7 +111,7 @@
 	return result.Wrap(err, result.OutcomeUnknown, "may have run")
 }
 
-// attempt sends the request to t and follows the answer.
+// attempt sends the request to t, forwards the answer and records the outcome.
 func (x *exchange) attempt(t *choice) attemptOutcome {
 	x.triedUpstreams[t.id] = true
 	elapsed := x.s.Now().Sub(x.arrivedAt)
@@ -119,12 +119,12 @@
 		x.expectedFirstEvent = elapsed + t.firstEvent
 	}
 	x.attempts = append(x.attempts, Attempt{
-		Upstream: t.id, Group: t.group, StartMS: elapsed.Milliseconds(), EstimateMS: t.firstEvent.Milliseconds(), PendingPrompt: t.knownLoad.PendingPrompt, Requests: t.knownLoad.Requests,
-		PassedOver: x.skippedUpstreams,
+		Upstream: t.id, Group: t.group, StartMS: elapsed.Milliseconds(), EstimateMS: t.firstEvent.Milliseconds(),
+		PendingPrompt: t.knownLoad.PendingPrompt, Requests: t.knownLoad.Requests, PassedOver: x.skippedUpstreams,
 	})
 	outcome, f := x.send(t)
 	if outcome == outcomeNoPermit {
-		// Nothing was meant for it after all.
+		// Without a permit this does not count as an attempt.
 		x.cancelReservation(t)
 		x.attempts = x.attempts[:len(x.attempts)-1]
 		return outcomeSkipped
@@ -140,19 +140,20 @@
 	return outcome
 }
 
-// clearPending notes that the prompt was read, or that the try has ended.
+// clearPending removes the prompt from the pending tokens of its target, once it was prefilled or the attempt has ended.
 func (x *exchange) clearPending(ts *targetState) {
 	x.s.mu.Lock()
 	defer x.s.mu.Unlock()
 	x.clearPendingLocked(ts)
 }
 
-// clearPendingLocked is read for callers that hold the mutex.
+// clearPendingLocked is clearPending for callers that hold the mutex.
 func (x *exchange) clearPendingLocked(ts *targetState) {
 	ts.pendingTokens -= x.pendingTokens
 	x.pendingTokens = 0
 }
 
+// noteAttemptEnd updates the target's state with the outcome of an attempt.
 func (s *Relay) noteAttemptEnd(now time.Time, ts *targetState, outcome attemptOutcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,10 +173,11 @@
 	}
 }
 
+// send sends the request to t and forwards the answer. The forwarder is nil if the request was not sent.
 func (x *exchange) send(t *choice) (attemptOutcome, *forwarder) {
 	ts := t.state
-	// An upstream that has named its limit takes that from all entries together, of which each sees only its own requests: what is to be
-	// sent is let go by one of them for all.
+	// The limit of an upstream applies to the sum of all entries' requests, and each entry sees only its own. One entry, the coordinator,
+	// therefore grants the permits for all entries.
 	permit := x.acquirePermit(t)
 	if !permit.OK {
 		return outcomeNoPermit, nil
@@ -191,12 +193,12 @@
 		x.displaced = true
 		return outcomeNeverSent, nil
 	}
-	// Keys may have lapsed while this process stood still; nothing goes out on old ones.
+	// Keys may have lapsed while this process was suspended; no request is sent on lapsed keys.
 	if x.customer != nil && x.s.ConfirmedAge() > x.s.KeyValidity {
 		conn.Close()
 		return outcomeNeverSent, nil
 	}
-	// The upstream may have asked for time or named a limit, or its hall may have been drained, while the connection was opened.
+	// The upstream may have requested a backoff or advertised a limit, or its hall may have been drained, while the connection was opened.
 	if x.s.Backoff.StateOf(x.s.Now(), t.id).Remaining > 0 || x.limitAppeared(t, permit) || x.s.isDrained(t.hall) {
 		conn.Close()
 		return outcomeSkipped, nil
@@ -219,8 +221,8 @@
 	return f.forwardAnswer(), f
 }
 
-// noteDialError notes that no connection could be opened. Where it was refused nothing listens any more; where nobody answered, the
-// upstream may be dark, and other entries need not try it as well.
+// noteDialError records that a connection could not be opened. If it was refused, no process listens there any more. Otherwise the upstream
+// may be unreachable, and the suspicion keeps other entries from sending requests there.
 func (s *Relay) noteDialError(t *target, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
