--- a/relay/limit.go
+++ b/relay/limit.go
@@ -1,9 +1,10 @@
 package relay
 
-// An upstream may take so many requests a second from all entries together
-// (package ratelimit). Before a request goes to it, the entry that coordinates
-// the upstream is asked; this file says which one that is, carries questions and
-// answers as news, and tells all entries when a limit begins and ends.
+// An upstream can limit the requests per second of all entries together (package
+// ratelimit). Before sending a request to such an upstream, an entry requests a
+// permit from the upstream's coordinator, one of the entries. This file connects
+// the limiter to the relay: it sends permit requests and replies as entry updates,
+// and notifies all entries when a limit is set, lowered or removed.
 
 import (
 	"context"
@@ -18,14 +19,15 @@
 )
 
 const (
-	// coordinatorLapse is how old the leader's newest confirmation may be until an entry takes no part of an upstream's limit for granted: by
-	// the time the leader has dropped it from the list, and another one coordinates the upstream, it has stopped.
+	// coordinatorLapse is the age of the leader's newest confirmation from which an entry stops coordinating upstreams. It stops before the
+	// leader drops it from the list of entries and another entry becomes coordinator.
 	coordinatorLapse = 2500 * time.Millisecond
-	// maxLimitRetryAfter bounds the time to come back that is worked out from limits.
+	// maxLimitRetryAfter bounds a Retry-After that is computed from limits.
 	maxLimitRetryAfter = time.Minute
 )
 
-// LimitUpdate tells of an upstream's limit, 0 when it has none any more, and how long ago it said so, in ms.
+// LimitUpdate is an upstream's limit as sent to other entries. Rate is 0 if the upstream has no limit any more, AgeMS is how long ago the
+// upstream advertised the limit.
 type LimitUpdate struct {
 	Rate  ratelimit.Rate `cbor:"1,keyasint"`
 	AgeMS int64          `cbor:"2,keyasint,omitempty"`
@@ -34,18 +36,21 @@
 // LimitObservation is what an entry knows of an upstream's limit.
 type LimitObservation struct {
 	Rate ratelimit.Rate
-	// Own is set when the upstream said so to this entry; Said is how long ago it last did, Since how long ago it first did.
+	// Own is set when the upstream advertised the limit to this entry; Said is how long ago it last did, Since how long ago it first did.
 	Own   bool
 	Said  time.Duration
 	Since time.Duration
-	// Apart is set when this entry can't reach the one that coordinates the upstream, and goes by its own part of the limit.
+	// Apart is set when this entry cannot reach the upstream's coordinator and uses its local share of the limit.
 	Apart bool
 	ratelimit.Counts
 }
 
 // newLimiter returns the limiter of this entry.
 func (s *Relay) newLimiter() *ratelimit.Limiter[ident.Incarnation] {
-	s.coordinators = &ratelimit.Coordinators{Now: func() time.Time { return s.Now() }, MayCoordinate: func() bool { return s.ConfirmedAge() < coordinatorLapse }}
+	s.coordinators = &ratelimit.Coordinators{
+		Now:           func() time.Time { return s.Now() },
+		MayCoordinate: func() bool { return s.ConfirmedAge() < coordinatorLapse },
+	}
 	l := ratelimit.NewLimiter[ident.Incarnation]()
 	l.Now = func() time.Time { return s.Now() }
 	l.Random = rand.Float64
@@ -60,7 +65,7 @@
 	return n.Limit != nil || n.PermitRequest != nil || n.PermitReply != nil
 }
 
-// receiveLimitUpdate takes news of limits.
+// receiveLimitUpdate handles an update about a limit, a permit request or a permit reply.
 func (s *Relay) receiveLimitUpdate(update *EntryUpdate, from netip.AddrPort) {
 	switch {
 	case update.Limit != nil:
@@ -75,17 +80,17 @@
 	}
 }
 
-// ApplyLimit takes what others know of an upstream's limit, 0 for none any more, and how long ago it said so.
+// ApplyLimit merges an upstream's limit that another process saw at that age; a rate of 0 means that the limit was removed.
 func (s *Relay) ApplyLimit(id ident.Incarnation, rate ratelimit.Rate, age time.Duration) {
 	s.Limits.Table.Merge(id, rate, s.Now().Add(-max(0, age)))
 }
 
-// publishLimit tells all entries that a limit has begun, or ended. How it changes they hear with the answers to their questions.
+// publishLimit notifies all entries of a limit that is new, lower or removed. They receive a higher limit with the next permit reply.
 func (f *forwarder) publishLimit(rate ratelimit.Rate) {
 	f.x.s.SendUpdate(EntryUpdate{Head: f.target.id, Limit: &LimitUpdate{Rate: rate}}, nil)
 }
 
-// limitObservation returns what is known of an upstream's limit.
+// limitObservation returns what this entry knows of an upstream's limit, nil if there is none.
 func (s *Relay) limitObservation(id ident.Incarnation, now time.Time) *LimitObservation {
 	limit := s.Limits.Table.Effective(id)
 	if !limit.Limited() {
@@ -95,8 +100,8 @@
 	return &LimitObservation{Rate: limit.Rate, Own: limit.Direct, Said: now.Sub(limit.LastSeen), Since: now.Sub(limit.Since), Apart: localShare, Counts: counts}
 }
 
-// acquirePermit asks for a request within the limit of the target, waits for its turn, and counts it there; what was chosen may have a limit by
-// now that it had not when it was chosen.
+// acquirePermit requests a permit for the target, waits until the permit is valid, and counts the request at the target. Targets without a
+// limit grant it at once; a target may have got a limit since it was chosen.
 func (x *exchange) acquirePermit(t *choice) ratelimit.Permit {
 	s := x.s
 	p := s.Limits.Acquire(x.r.Context(), t.id, max(t.maxPermitWait, ratelimit.MaxWaitWithAlternatives))
@@ -118,7 +123,7 @@
 	return p
 }
 
-// permitStillValid reports whether a turn that was waited for still counts: not where the limit has fallen meanwhile.
+// permitStillValid reports whether a permit that was waited for can be used: not if the limit was lowered meanwhile.
 func (s *Relay) permitStillValid(id ident.Incarnation, p ratelimit.Permit) bool {
 	limit := s.Limits.Table.Effective(id)
 	return !limit.Limited() || limit.Rate >= p.Rate
@@ -131,8 +136,8 @@
 	x.noPermitAt[id] = true
 }
 
-// chooseUntil is choose for a request that is worth sending until a time: where it has to wait for its turn at an upstream with a limit, it
-// waits as long as that, or not at all. The mutex is held.
+// chooseUntil is choose for a request that must be sent by a time. If the request must wait for a permit, it waits at most until then; if
+// no permit is due by then, the result is an error. The mutex is held.
 func (s *Relay) chooseUntil(x *exchange, rank overload.Rank, until, now time.Time) (choice, error) {
 	t, err := s.choose(x, rank, now)
 	if err != nil || !t.mustWait {
@@ -141,12 +146,12 @@
 	t.maxPermitWait = until.Sub(now)
 	if t.maxPermitWait <= max(t.availableIn, ratelimit.MaxWaitWithAlternatives) {
 		t.mustWait = false
-		return t, result.New(result.Limited, "no upstream takes it within its limit in time, the first one takes another in %v", t.availableIn)
+		return t, result.New(result.Limited, "no upstream has a permit in time, the first one is due in %v", t.availableIn)
 	}
 	return t, nil
 }
 
-// retryDelay returns when the caller of a request that is refused shall come back, 0 when that is not known; the mutex is held.
+// retryDelay returns the minimum Retry-After for a refused request, 0 if unknown; the mutex is held.
 func (s *Relay) retryDelay(x *exchange, now time.Time, t *choice, err error) time.Duration {
 	if result.CodeOf(err) == result.Limited {
 		return s.nextLimitRetry(x.queueKey(), now, t)
@@ -154,7 +159,7 @@
 	return t.availableIn
 }
 
-// sleepContext waits for d, or until ctx ends.
+// sleepContext sleeps for d or until ctx is cancelled.
 func sleepContext(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -164,13 +169,13 @@
 	}
 }
 
-// limitAppeared reports whether the target has come to have a limit that the request was not counted against.
+// limitAppeared reports whether the target got a limit after the permit was acquired.
 func (x *exchange) limitAppeared(t *choice, p ratelimit.Permit) bool {
 	return !p.Limited && x.s.Limits.Table.Effective(t.id).Limited()
 }
 
-// nextLimitRetry returns when a caller shall come back for what upstreams take within their limits: after those that were told to come back
-// before it. The mutex is held.
+// nextLimitRetry returns the Retry-After for a request refused because of limits. Successive callers get successive times, spaced by the
+// expected rate. The mutex is held.
 func (s *Relay) nextLimitRetry(key queueKey, now time.Time, t *choice) time.Duration {
 	retryAt := laterOf(now.Add(t.availableIn), s.limitRetryTimes[key])
 	delay := min(maxLimitRetryAfter, retryAt.Sub(now))
--- a/relay/start.go
+++ b/relay/start.go
@@ -9,19 +9,18 @@
 )
 
 const (
-	// maxStartHold is how long after its start an entry keeps requests for its first confirmation by control, which comes
-	// within a second when everything is started again at once.
+	// maxStartHold is how long after its start an entry holds requests until the leader's first confirmation, which arrives within a second
+	// when all processes of a site are restarted together.
 	maxStartHold = 1500 * time.Millisecond
-	// callerRetryFraction is the part of their time that callers wait before they come back, by the platform's word.
+	// callerRetryFraction is the fraction of their time-out that callers wait at most before a retry, as the platform documents.
 	callerRetryFraction = 1.0 / 3
-	// startHoldFraction is the part of its time that a request is kept at most.
+	// startHoldFraction is the longest hold as a fraction of a request's time-out.
 	startHoldFraction = 0.4
 )
 
-// awaitFirstConfirmation keeps a request that comes while this entry has not heard from control since its start, if a refusal would be
-// its end: a stream that its caller takes up again, because callers come back only so often; and one whose caller has less
-// time than it would be told to wait. Any other is refused at once with a time to come back at which it is served without
-// waiting.
+// awaitFirstConfirmation holds a request that arrives before the leader's first confirmation to this entry, if a refusal would be final: a
+// stream that its caller resumes, because callers retry only a few times, and a request whose caller has less time left than the
+// Retry-After. Other requests are refused at once with a Retry-After, after which they are served without waiting.
 func (x *exchange) awaitFirstConfirmation() {
 	s := x.s
 	timeout := x.callerTimeout()
@@ -51,19 +50,19 @@
 	x.table = s.table.Load()
 }
 
-// heldThroughputShare is the part of a model's throughput that streams which were held at the start may take. Most other callers were told
-// to come back a little later, so there is room, and with less of it more held streams run out of time.
+// heldThroughputShare is the fraction of a model's throughput that streams held at the start may use. Most other callers were told to retry
+// later, so capacity is free, and with a smaller share more held streams miss their deadlines.
 const heldThroughputShare = 1.0
 
-// paceHeldStream lets held streams of a model go on one after the other. All entries that were started together let theirs go at the
-// same moment, so each takes its part of the throughput.
+// paceHeldStream releases the held streams of a model one after the other. Entries that were started together release theirs at the same
+// moment, so each entry uses only its share of the throughput.
 func (x *exchange) paceHeldStream() {
 	if !x.heldAtStart || x.service.Engine == nil {
 		return
 	}
 	m, ok := x.service.Engine.Model(x.model)
 	if !ok {
-		return // nothing serves it, and callers must not make up turns
+		return // the engine does not serve the model; callers must not create slots for arbitrary models
 	}
 	slot := x.s.startSlot(x.model)
 	timer := time.NewTimer(time.Duration(startHoldFraction * float64(x.timeLeft())))
@@ -78,7 +77,7 @@
 	time.AfterFunc(x.startSlotTime(m), func() { <-slot })
 }
 
-// startSlot returns what the stream of a model whose turn it is holds.
+// startSlot returns the semaphore that serializes the held streams of a model.
 func (s *Relay) startSlot(model ident.Model) chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,8 +87,8 @@
 	return s.startSlots[model]
 }
 
-// startSlotTime is how long the next held stream waits: this one's work on all groups of the model, times the entries that send
-// them some.
+// startSlotTime is how long this stream holds the slot: its engine time divided among the groups of the model, times the number of entries
+// that release streams to these groups.
 func (x *exchange) startSlotTime(m *httproute.Model) time.Duration {
 	x.s.mu.Lock()
 	groups := len(x.s.index.targets(x.service, x.model))
@@ -101,14 +100,14 @@
 	return time.Duration(seconds * float64(x.s.Budget.Entries()) * float64(time.Second))
 }
 
-// callerTimeout is how long the caller says that it waits, 0 when it does not say.
+// callerTimeout is how long the caller says that it waits, 0 if it names no time.
 func (x *exchange) callerTimeout() time.Duration {
-	// A number that can't be read is refused when the request is admitted.
+	// An invalid number is refused by findDeadline.
 	ms, _ := strconv.Atoi(x.r.Header.Get(x.s.Headers.Deadline))
 	return time.Duration(ms) * time.Millisecond
 }
 
-// signalFirstConfirmation lets requests that wait for the first word go on once there is a configuration with it; the mutex is held.
+// signalFirstConfirmation releases held requests once there are both a configuration and a confirmation; the mutex is held.
 func (s *Relay) signalFirstConfirmation() {
 	if s.table.Load() == nil || s.confirmedAt.Load() == nil {
 		return
