--- a/relay/backoff.go
+++ b/relay/backoff.go
@@ -1,8 +1,9 @@
 package relay
 
-// What upstreams ask of this entry in their answers is kept by package backoff.
-// This file reads it off the answers, and says of those that want nothing when
-// the first of them may be tried again.
+// Upstreams send backpressure signals in their answers: a requested backoff, a
+// limit, or that they are shutting down. This file applies the signals to packages
+// backoff and ratelimit, reports changes for the log, and counts the upstreams that
+// are unavailable when a target is chosen.
 
 import (
 	"net/http"
@@ -13,57 +14,60 @@
 	"github.com/dunlinquay/dunlinquay/ratelimit"
 )
 
-// BackpressureKind is what changed of what an upstream asks for.
+// BackpressureKind says which backpressure signal of an upstream changed. The value is logged and is a label of a metric.
 type BackpressureKind string
 
-// What changes.
+// The kinds of changes.
 const (
-	// BackpressureDelay means that it wants nothing for a time.
+	// BackpressureDelay means that the upstream requested a backoff.
 	BackpressureDelay BackpressureKind = "asked for time"
-	// BackpressureCleared means that it takes requests again.
+	// BackpressureCleared means that the upstream accepted a request after its backoff.
 	BackpressureCleared BackpressureKind = "takes requests again"
-	// BackpressureLeaving means that it leaves.
+	// BackpressureLeaving means that the upstream is shutting down.
 	BackpressureLeaving BackpressureKind = "leaves"
-	// BackpressureUnreadable means that what it asks for can't be read.
+	// BackpressureUnreadable means that a backoff or limit header cannot be parsed.
 	BackpressureUnreadable BackpressureKind = "asks for something unreadable"
-	// BackpressureLimit means that it names a limit, or another one than before; BackpressureLimitRemoved that it names none any more.
+	// BackpressureLimit means that the upstream advertised a new limit, BackpressureLimitRemoved that it no longer advertises one.
 	BackpressureLimit        BackpressureKind = "names a limit"
 	BackpressureLimitRemoved BackpressureKind = "names no limit any more"
-	// BackpressureUnrecognized means that it says something that nothing here reads.
+	// BackpressureUnrecognized means that the upstream sent a header that the relay does not recognize.
 	BackpressureUnrecognized BackpressureKind = "says what nothing reads"
 )
 
-// BackpressureEvent tells operators that what an upstream asks of this entry has changed.
+// BackpressureEvent is a change of an upstream's backpressure signals, for the log.
 type BackpressureEvent struct {
 	Kind     BackpressureKind
 	Upstream ident.Incarnation
 	Group    ident.Group
-	// RetryAfter is what it said, as it came, Asked how long that is, and For how long nothing is sent there.
+	// RetryAfter is the header as received, RequestedDelay its duration, and EffectiveDelay how long no request is sent to the upstream.
 	RetryAfter     string
 	RequestedDelay time.Duration
 	EffectiveDelay time.Duration
 	Err            error
-	// Limit is the limit that it names, Was the one before, which it had named first at Since.
+	// Limit is the advertised limit, PreviousLimit the one before, first advertised at PreviousSince.
 	Limit         ratelimit.Rate
 	PreviousLimit ratelimit.Rate
 	PreviousSince time.Time
-	// HeaderName is a header that nothing reads, Value what stands in it.
+	// HeaderName and HeaderValue are an unrecognized header.
 	HeaderName  string
 	HeaderValue string
 }
 
-// applyBackpressure takes what the upstream asks for in the head of an answer, also of one to an earlier request on the connection.
+// applyBackpressure applies the signals in the head of an answer, including a late answer to an earlier request on the connection.
 func (f *forwarder) applyBackpressure(resp *http.Response) {
 	s, now := f.x.s, f.x.s.Now()
 	f.status, f.notice = resp.StatusCode, backoff.ParseNotice(resp, s.Headers.Backpressure, time.Now())
-	event := &BackpressureEvent{Upstream: f.target.id, Group: f.target.group, RetryAfter: f.notice.RetryAfterText, RequestedDelay: f.notice.Backoff, Err: f.notice.BackoffErr}
+	event := &BackpressureEvent{
+		Upstream: f.target.id, Group: f.target.group, RetryAfter: f.notice.RetryAfterText, RequestedDelay: f.notice.Backoff,
+		Err: f.notice.BackoffErr,
+	}
 	if f.notice.Leaving && s.Backoff.NoteLeaving(now, f.target.id) {
 		s.sendBackpressureEvent(event, BackpressureLeaving)
 	}
 	if f.notice.BackoffErr != nil {
 		s.sendBackpressureEvent(event, BackpressureUnreadable)
 	}
-	// A failure that asks for nothing is none of want of room.
+	// A 503 or 429 that neither requests a backoff nor says that the request was not run does not indicate overload.
 	refused := backoff.IsRefusal(resp.StatusCode) && (f.notice.Backoff > 0 || resp.Header.Get(s.Headers.NotRun) != "")
 	if refused && s.Backoff.NoteRefusal(now, f.target.id, f.notice.Backoff) {
 		s.sendBackpressureEvent(event, BackpressureDelay)
@@ -72,14 +76,16 @@
 	f.applyLimit(now)
 	for _, name := range s.Unrecognized.AddHeaders(f.target.id, f.notice.Header) {
 		value := f.notice.Header.Get(name)
-		s.sendBackpressureEvent(&BackpressureEvent{Upstream: f.target.id, Group: f.target.group, HeaderName: name, HeaderValue: value[:min(maxHeaderValueLen, len(value))]}, BackpressureUnrecognized)
+		s.sendBackpressureEvent(&BackpressureEvent{
+			Upstream: f.target.id, Group: f.target.group, HeaderName: name, HeaderValue: value[:min(maxHeaderValueLen, len(value))],
+		}, BackpressureUnrecognized)
 	}
 }
 
-// maxHeaderValueLen bounds what is told of a word that nothing reads.
+// maxHeaderValueLen bounds the logged value of an unrecognized header, in bytes.
 const maxHeaderValueLen = 80
 
-// applyLimit takes the limit that the upstream names.
+// applyLimit applies the limit that the upstream advertised.
 func (f *forwarder) applyLimit(now time.Time) {
 	s, event := f.x.s, &BackpressureEvent{Upstream: f.target.id, Group: f.target.group, Limit: f.notice.Limit, Err: f.notice.LimitErr}
 	if event.Err != nil {
@@ -97,28 +103,30 @@
 	}
 }
 
-// noteNoLimit takes an answer to this request that names no limit. Only a success says that there is none any more: a failure may come from
-// something before the upstream that knows of no limit.
+// noteNoLimit applies an answer to this request without a limit. Only a successful answer removes the limit: a failure may come from a
+// proxy in front of the upstream that knows no limit.
 func (f *forwarder) noteNoLimit() {
 	s := f.x.s
 	if f.notice.Limited || f.notice.LimitErr != nil || f.status >= http.StatusMultipleChoices {
 		return
 	}
 	if previous, removed := s.Limits.Table.RecordUnlimited(f.target.id, f.sentAt, s.Now()); removed {
-		s.sendBackpressureEvent(&BackpressureEvent{Upstream: f.target.id, Group: f.target.group, PreviousLimit: previous.Rate, PreviousSince: previous.Since}, BackpressureLimitRemoved)
+		s.sendBackpressureEvent(&BackpressureEvent{
+			Upstream: f.target.id, Group: f.target.group, PreviousLimit: previous.Rate, PreviousSince: previous.Since,
+		}, BackpressureLimitRemoved)
 		f.publishLimit(0)
 	}
 }
 
-// publishBackoff tells the other entries that the head of a group asked this one for time.
+// publishBackoff notifies the other entries of a backoff that the head of a group requested from this entry.
 func (f *forwarder) publishBackoff(remaining time.Duration) {
 	if f.target.group != "" {
 		f.x.s.SendUpdate(EntryUpdate{Head: f.target.id, BackoffMS: max(1, remaining.Milliseconds())}, f.target.users)
 	}
 }
 
-// applyPeerBackoff notes that the head of a group asked another entry for time; the mutex is held. This one is not bound by it, but a head
-// that is overrun is better left alone where others have room: each of many entries would otherwise be refused there once.
+// applyPeerBackoff records a backoff that the head of a group requested from another entry; the mutex is held. It does not bind this entry,
+// but deprioritizes the overloaded head while others have capacity. Otherwise each of many entries would be refused there once.
 func (s *Relay) applyPeerBackoff(t *target, ms int64) {
 	delay := time.Duration(min(ms, s.Backoff.Rule.Max.Milliseconds())) * time.Millisecond
 	ts := s.stateOf(t)
@@ -127,13 +135,13 @@
 	}
 }
 
-// sendBackpressureEvent tells operators what an upstream asks for, and what is made of it.
+// sendBackpressureEvent completes a change and passes it to OnBackpressure.
 func (s *Relay) sendBackpressureEvent(event *BackpressureEvent, kind BackpressureKind) {
 	event.Kind, event.EffectiveDelay = kind, s.Backoff.StateOf(s.Now(), event.Upstream).Remaining
 	s.OnBackpressure(event)
 }
 
-// endBackoffProbe ends the try that finds out whether an upstream takes requests again, if the present one is that.
+// endBackoffProbe ends the probe of an upstream after its backoff, if the current attempt is one.
 func (x *exchange) endBackoffProbe(id ident.Incarnation, accepted bool) {
 	if !x.backoffProbe {
 		return
@@ -145,18 +153,19 @@
 	}
 }
 
-// unavailable counts the upstreams that want nothing at a choice.
+// unavailable counts the upstreams that accept no request when a target is chosen.
 type unavailable struct {
 	backedOff, leaving, limited int
-	// outsideRegion are those in regions where the request may not go.
+	// outsideRegion counts those outside the home regions of the request.
 	outsideRegion int
-	// soonest is when the first of those that only asked for time, or take nothing more within their limits, may be tried again.
+	// soonest is the time until the first backed-off or limited upstream is available.
 	soonest time.Duration
-	// limitRate is what this entry can expect of all limits.
+	// limitRate is the requests per second that this entry can expect within all limits.
 	limitRate ratelimit.Rate
 }
 
-// addBackoff counts an upstream if it asked for nothing, and reports whether that is so. One that only refused is full for a moment.
+// addBackoff counts an upstream that requested a backoff or is leaving, and reports whether that is so. An upstream that refused a request
+// without naming a time counts as full instead.
 func (a *unavailable) addBackoff(state backoff.State) bool {
 	switch {
 	case state.Remaining > 0 && state.Leaving:
@@ -170,7 +179,7 @@
 	return true
 }
 
-// addLimit counts an upstream with a limit, and reports whether there is nothing to be had of it now.
+// addLimit counts an upstream at its limit, and reports whether that is so.
 func (a *unavailable) addLimit(availability ratelimit.Availability) bool {
 	if !availability.Limited {
 		return false
@@ -184,7 +193,7 @@
 	return true
 }
 
-// updateSoonest notes that an upstream may be tried again after a time.
+// updateSoonest applies the time until an upstream is available.
 func (a *unavailable) updateSoonest(remaining time.Duration) {
 	if a.backedOff+a.limited == 0 || remaining < a.soonest {
 		a.soonest = remaining
