--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -1,9 +1,10 @@
 package relay
 
-// Work under which upstreams ended, at any entry, is held (package quarantine).
-// This file finds out whether an upstream has ended, and tells the entries: all
-// of them at once, and by turns again and again, since datagrams are lost and
-// entries start. The leader passes the same reports on with its syncs.
+// A request under which upstreams crashed, at any entry, is quarantined by its
+// fingerprint (package quarantine). This file detects crashes of upstreams and sends
+// reports of them to the other entries: once to all, and then periodically to one
+// random entry, since datagrams are lost and entries restart. The leader forwards
+// the same reports with its syncs.
 
 import (
 	"context"
@@ -17,28 +18,28 @@
 )
 
 const (
-	// quarantineSyncInterval is how often one other entry is told of works by turns, quarantineSyncBatch of how many: an entry that has just started hears
-	// of what is held from each of the others four times a second, shared by their number.
+	// Every quarantineSyncInterval an entry sends quarantineSyncBatch reports to one other entry. An entry that has just started thus
+	// receives four batches per second on average.
 	quarantineSyncInterval = 250 * time.Millisecond
 	quarantineSyncBatch    = 4
-	// crashProbeTimeout bounds the question whether an upstream has ended: a VM whose process is gone refuses within a round trip.
+	// crashProbeTimeout bounds a crash probe: a VM whose process has ended refuses connections within a round trip.
 	crashProbeTimeout = dialTimeout
-	// publishMinCrashes is from how many ends on, and publishMaxEvents until how many events, all entries are told at once. Of a batch that is cut off
-	// most have had events for many passes; of those that could be at fault a few.
+	// A crash is published to all entries at once from publishMinCrashes crashes on, or if the request had at most publishMaxEvents events.
+	// Most requests in a crashed batch have had events for many iterations; only the few without could be the cause.
 	publishMinCrashes = 2
 	publishMaxEvents  = 1
 )
 
-// QuarantineEvent tells operators that work is held, was let in once more, or has been cleared.
+// QuarantineEvent says that a fingerprint was quarantined, admitted for one trial, or cleared, for the log.
 type QuarantineEvent struct {
 	quarantine.Report
-	// Remaining is how long it is held, 0 when it is not.
+	// Remaining is the remaining quarantine, 0 if there is none.
 	Remaining time.Duration
-	// From is the entry that told of it, invalid for this one.
+	// From is the entry that sent the report, invalid for this entry and the leader.
 	From netip.AddrPort
 }
 
-// crashProbe is the question whether an upstream that cut a connection off has ended.
+// crashProbe checks whether an upstream whose connection broke has crashed; crashed is valid once done is closed.
 type crashProbe struct {
 	done    chan struct{}
 	crashed bool
@@ -52,24 +53,24 @@
 	return fp
 }
 
-// quarantineError is the error of a request whose work must not be sent to an upstream, nil of any other.
+// quarantineError returns an error if the request's fingerprint is quarantined.
 func (x *exchange) quarantineError() error {
 	x.s.mu.Lock()
 	defer x.s.mu.Unlock()
 	return x.quarantineErrorLocked(x.s.Now())
 }
 
-// quarantineErrorLocked is held for callers that hold the mutex.
+// quarantineErrorLocked is quarantineError for callers that hold the mutex.
 func (x *exchange) quarantineErrorLocked(now time.Time) error {
 	remaining := x.s.Quarantine.Remaining(now, x.fingerprint())
 	if remaining <= 0 {
 		return nil
 	}
 	x.minRetryAfter = remaining
-	return result.New(result.WorkHeld, "upstreams ended while they ran the same, content %v; held for another %v", x.content, remaining.Round(time.Millisecond))
+	return result.New(result.WorkHeld, "upstreams crashed while they ran the same request, content %v; quarantined for another %v", x.content, remaining.Round(time.Millisecond))
 }
 
-// beginAttempt notes that the request is about to be sent, unless its work has come to be held meanwhile.
+// beginAttempt records that the request is about to be sent, unless its fingerprint has been quarantined meanwhile.
 func (x *exchange) beginAttempt() error {
 	s := x.s
 	s.mu.Lock()
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// noteEvidence takes what the end of a try says of the request's work.
+// noteEvidence records whether the upstream survived the request or crashed under it.
 func (x *exchange) noteEvidence(t *target, f *forwarder, outcome attemptOutcome) {
 	switch outcome {
 	case outcomeDone, outcomeFailed:
@@ -97,7 +98,7 @@
 	}
 }
 
-// noteSurvived notes that an upstream lives on after it has run the work.
+// noteSurvived records that an upstream answered a request with the fingerprint.
 func (s *Relay) noteSurvived(fingerprint quarantine.Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,9 +113,9 @@
 	s.publishQuarantine(&report)
 }
 
-// upstreamCrashed reports whether the upstream of t, which cut a connection off, has ended: nothing listens there any more. A connection may
-// also be cut by a link, a proxy or an upstream that goes on, and work must not be held for that. The request waits for the answer, a
-// round trip, because its next try would end one more upstream.
+// upstreamCrashed reports whether the upstream of t, whose connection broke, has crashed: no process listens at its address any more. A
+// connection can also be broken by a link, a proxy or an upstream that still runs, which must not lead to quarantine. The request waits for
+// the result, one round trip, because its next attempt could crash one more upstream.
 func (s *Relay) upstreamCrashed(t *target) bool {
 	s.mu.Lock()
 	ts := s.stateOf(t)
@@ -135,6 +136,7 @@
 	return probe.crashed
 }
 
+// probeCrash runs the probe p and records its result.
 func (s *Relay) probeCrash(t *target, ts *targetState, probe *crashProbe) {
 	ctx, cancel := context.WithTimeout(context.Background(), crashProbeTimeout)
 	defer cancel()
@@ -149,7 +151,7 @@
 	close(probe.done)
 }
 
-// noteCrash notes that the life of an upstream ended while it ran the work, of which so many events had come from there.
+// noteCrash records that an incarnation crashed while it ran a request with the fingerprint, after eventCount events of the request.
 func (s *Relay) noteCrash(fingerprint quarantine.Fingerprint, incarnation ident.Incarnation, eventCount int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,20 +165,20 @@
 	s.startQuarantineSync()
 }
 
-// sendQuarantineEvent passes on that the work of a report is held, if it is; the mutex is held.
+// sendQuarantineEvent passes a report to OnQuarantine if its fingerprint is quarantined; the mutex is held.
 func (s *Relay) sendQuarantineEvent(now time.Time, report *quarantine.Report, from netip.AddrPort) {
 	if remaining := s.Quarantine.Remaining(now, report.Fingerprint()); remaining > 0 {
 		s.OnQuarantine(&QuarantineEvent{*report, remaining, from})
 	}
 }
 
-// publishQuarantine tells all entries of one work; the mutex is held.
+// publishQuarantine sends a report to all entries; the mutex is held.
 func (s *Relay) publishQuarantine(report *quarantine.Report) {
 	s.SendUpdate(EntryUpdate{QuarantineReport: report}, nil)
 	s.startQuarantineSync()
 }
 
-// ApplyQuarantineReports takes what another entry, or the leader, knows of works.
+// ApplyQuarantineReports merges the reports of another entry or the leader.
 func (s *Relay) ApplyQuarantineReports(reports []quarantine.Report, from netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,7 +187,7 @@
 	}
 }
 
-// applyQuarantineReport takes what somebody else knows of one work; the mutex is held.
+// applyQuarantineReport merges one report of another process; the mutex is held.
 func (s *Relay) applyQuarantineReport(report *quarantine.Report, from netip.AddrPort) {
 	now := s.Now()
 	if !s.Quarantine.Merge(now, report) {
@@ -195,7 +197,7 @@
 	s.startQuarantineSync()
 }
 
-// startQuarantineSync begins to tell other entries again and again, as long as there is something to tell; the mutex is held.
+// startQuarantineSync starts to send reports periodically, until no report is left to send; the mutex is held.
 func (s *Relay) startQuarantineSync() {
 	if s.quarantineSyncScheduled {
 		return
@@ -204,7 +206,7 @@
 	time.AfterFunc(quarantineSyncInterval, s.syncQuarantine)
 }
 
-// syncQuarantine tells one other entry of some works.
+// syncQuarantine sends a batch of reports to one random entry and schedules the next batch.
 func (s *Relay) syncQuarantine() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
