--- a/relay/budget.go
+++ b/relay/budget.go
@@ -1,8 +1,8 @@
 package relay
 
-// Repeats are bounded over all entries together. Each entry may use its own
-// part: a share of the requests that it took itself, and an equal part of the
-// fixed allowance. Counts are kept by second, so the window slides.
+// Retries are bounded over all entries together. Each entry may use its local
+// share: a ratio of the requests that it received itself, and an equal part of the
+// fixed allowance. Counts are kept per second, so the window slides.
 
 import (
 	"sync"
@@ -12,15 +12,15 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// RetryBudgetRule bounds the repeats of one service within each window.
+// RetryBudgetRule bounds the retries of one service within each window: Ratio of its requests plus Allowance.
 type RetryBudgetRule struct {
 	Ratio  float64
 	Window time.Duration
-	// Allowance is the number of repeats beyond the ratio, over all entries.
+	// Allowance is the number of retries beyond the ratio, over all entries.
 	Allowance float64
 }
 
-// usableFraction is the part of the rule that is used: entries come and go, and clocks of windows differ.
+// usableFraction is the fraction of the rule that entries use, since the number of entries changes and their windows are not aligned.
 const usableFraction = 0.85
 
 type secondCounts struct {
@@ -29,7 +29,7 @@
 	retries  float64
 }
 
-// RetryBudget counts requests and repeats of each service; exported fields are set before use.
+// RetryBudget counts requests and retries of each service; exported fields are set before use.
 type RetryBudget struct {
 	Rule RetryBudgetRule
 	Now  func() time.Time
@@ -45,7 +45,7 @@
 	return &RetryBudget{Rule: rule, Now: clock.Now, entries: 1, secondsByService: map[ident.Service][]secondCounts{}}
 }
 
-// SetEntries tells how many entries share the rule.
+// SetEntries sets how many entries share the rule.
 func (b *RetryBudget) SetEntries(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -66,7 +66,7 @@
 	b.currentSecond(service).requests++
 }
 
-// AllowRetry reports whether a request may be sent once more, and counts that.
+// AllowRetry reports whether the budget allows one more retry, and counts the retry if so.
 func (b *RetryBudget) AllowRetry(service ident.Service) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -84,9 +84,9 @@
 	return true
 }
 
-// currentSecond returns the present second of a service and forgets those outside the window.
+// currentSecond returns the counts of the current second of a service and drops those outside the window.
 func (b *RetryBudget) currentSecond(service ident.Service) *secondCounts {
-	// Differences of Now follow the steady clock, which the time of day does not.
+	// Differences of Now follow the monotonic clock, unlike the time of day.
 	now := b.Now()
 	if b.start.IsZero() {
 		b.start = now
--- a/relay/entry_update.go
+++ b/relay/entry_update.go
@@ -1,9 +1,9 @@
 package relay
 
-// A prompt is read within a tenth of a second or two, so what the leader tells
-// of other entries comes too late to say what waits at a group. Entries
-// therefore tell each other of every prompt when they send it. What is lost on
-// the way only makes an estimate worse.
+// A prompt is prefilled within 100 to 200 ms, so the leader's counts arrive too
+// late to show the prompts that are pending at a group. Entries therefore notify
+// each other of every prompt that they send. A lost update only makes an estimate
+// less accurate.
 
 import (
 	"net/netip"
@@ -15,48 +15,48 @@
 	"github.com/dunlinquay/dunlinquay/ratelimit"
 )
 
-// EntryUpdate is what an entry tells of the head of a group: that it sent a prompt there, that it waits in vain for a sign, or that the head
-// asked it for time; or of an upstream with a limit.
+// EntryUpdate is a datagram from one entry to others. It carries one of: a prompt sent to the head of a group, a suspicion of the group or its
+// refutation, a backoff that the head requested, a quarantine report, an upstream's limit, a permit request or a permit reply.
 type EntryUpdate struct {
 	Head         ident.Incarnation `cbor:"1,keyasint"`
 	PromptTokens ident.Tokens      `cbor:"2,keyasint,omitempty"`
-	// SilentMS is how long the head has been silent for the sender, in ms, when it suspects that the group works.
+	// SilentMS is how long the head has been silent for the sender, in ms, when the sender suspects the group.
 	SilentMS int64 `cbor:"3,keyasint,omitempty"`
-	// QuarantineReport tells of work under which upstreams ended.
+	// QuarantineReport is about a request under which upstreams crashed.
 	QuarantineReport *quarantine.Report `cbor:"5,keyasint,omitempty"`
-	// ProgressAgeMS is how long ago the group gave the sender a sign, in ms and at least 1, when others suspect that it works.
+	// ProgressAgeMS is how long ago the group made progress for the sender, in ms and at least 1, when others suspect the group.
 	ProgressAgeMS int64 `cbor:"4,keyasint,omitempty"`
-	// BackoffMS is for how long the head wants nothing from the sender, in ms.
+	// BackoffMS is the backoff that the head requested from the sender, in ms.
 	BackoffMS int64 `cbor:"6,keyasint,omitempty"`
-	// Limit tells of the limit of an upstream, Question and Answer are about one request within it.
+	// Limit is the limit of the upstream Head; PermitRequest and PermitReply concern one request within a limit.
 	Limit         *LimitUpdate                                `cbor:"7,keyasint,omitempty"`
 	PermitRequest *ratelimit.PermitRequest[ident.Incarnation] `cbor:"8,keyasint,omitempty"`
 	PermitReply   *ratelimit.PermitReply[ident.Incarnation]   `cbor:"9,keyasint,omitempty"`
 }
 
-// IsPrompt reports whether n tells of a prompt.
+// IsPrompt reports whether the update announces a prompt.
 func (n *EntryUpdate) IsPrompt() bool {
 	return n.SilentMS == 0 && n.ProgressAgeMS == 0 && n.BackoffMS == 0 && n.QuarantineReport == nil && !n.isLimit()
 }
 
 const (
-	// maxPeerPromptTokens bounds what is believed of one prompt, maxPeerPrompts the prompts remembered of one head: several times what
-	// fits into a pass.
+	// maxPeerPromptTokens bounds the accepted size of one prompt, maxPeerPrompts the prompts stored for one head: several times what an
+	// iteration can prefill.
 	maxPeerPromptTokens = 1 << 20
 	maxPeerPrompts      = 256
 )
 
-// peerPrompt is a prompt that another entry sent: when this entry heard of it, and until when it is probably read.
+// peerPrompt is a prompt that another entry sent; prefilledBy is when its prefill is estimated to end.
 type peerPrompt struct {
-	tokens     ident.Tokens
-	receivedAt time.Time
-	readBy     time.Time
+	tokens      ident.Tokens
+	receivedAt  time.Time
+	prefilledBy time.Time
 }
 
-// peerPromptRetention is how long a prompt is remembered that was read: until the leader's counts have it, at the largest site.
+// peerPromptRetention is how long a prefilled prompt is stored: until the leader's counts include the request, at the largest site.
 const peerPromptRetention = time.Second
 
-// Receive takes the news of another entry, which are told apart by their addresses.
+// Receive applies an update from another entry, identified by its address.
 func (s *Relay) Receive(update EntryUpdate, from netip.AddrPort) {
 	if update.isLimit() {
 		s.receiveLimitUpdate(&update, from)
@@ -94,15 +94,15 @@
 	ts.notePromptSent(now)
 }
 
-// pendingTokensNow returns the tokens of this entry's prompts and of those heard of that are not read yet.
+// pendingTokensNow returns the pending tokens of this entry's prompts and of other entries' prompts, and drops expired prompts.
 func (ts *targetState) pendingTokensNow(now time.Time) ident.Tokens {
 	pending := ts.pendingTokens
 	kept := ts.peerPrompts[:0]
 	for _, p := range ts.peerPrompts {
-		if now.Before(p.readBy) {
+		if now.Before(p.prefilledBy) {
 			pending += p.tokens
 		}
-		if now.Before(p.readBy) || now.Sub(p.receivedAt) < peerPromptRetention {
+		if now.Before(p.prefilledBy) || now.Sub(p.receivedAt) < peerPromptRetention {
 			kept = append(kept, p)
 		}
 	}
@@ -110,18 +110,18 @@
 	return pending
 }
 
-// maxPendingTokens bounds the tokens of prompts that are not read yet: those of other entries may take longer than the estimate.
+// maxPendingTokens bounds the pending tokens: prompts of other entries can take longer than estimated.
 func (ts *targetState) maxPendingTokens(now time.Time) ident.Tokens {
 	pending := ts.pendingTokens
 	for _, p := range ts.peerPrompts {
-		if now.Sub(p.readBy) < iterationBoundSlack {
+		if now.Sub(p.prefilledBy) < iterationBoundSlack {
 			pending += p.tokens
 		}
 	}
 	return pending
 }
 
-// peerPromptsSince returns how many prompts other entries have sent since a time.
+// peerPromptsSince returns how many prompts of other entries were received after a time.
 func (ts *targetState) peerPromptsSince(since time.Time) int {
 	n := 0
 	for i := range ts.peerPrompts {
