--- a/relay/backoff_test.go
+++ b/relay/backoff_test.go
@@ -89,16 +89,16 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		extra, refuses := u.admit()
-		if refuses {
+		headers, refused := u.admit()
+		if refused {
 			time.Sleep(upstreamRoundTrip)
-			_, err = io.WriteString(c, answerHead(r, 503, append(extra, "Not-Run: 1", "Content-Length: 0")...))
+			_, err = io.WriteString(c, answerHead(r, 503, append(headers, "Not-Run: 1", "Content-Length: 0")...))
 		} else {
 			time.Sleep(upstreamServiceTime)
-			extra = u.complete(extra)
-			extra = append(extra, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
-			piece := eventText(1, 2)
-			_, err = io.WriteString(c, answerHead(r, 200, extra...)+fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(piece), piece))
+			headers = u.complete(headers)
+			headers = append(headers, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
+			chunk := eventText(1, 2)
+			_, err = io.WriteString(c, answerHead(r, 200, headers...)+fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(chunk), chunk))
 		}
 		if err != nil {
 			return
@@ -107,48 +107,48 @@
 }
 
 // admit notes that a request came and returns what the answer says beside, and whether it is a refusal.
-func (u *signalingUpstream) admit() (extra []string, refuses bool) {
+func (u *signalingUpstream) admit() (headers []string, refused bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := time.Now()
 	u.arrivedAt = append(u.arrivedAt, now)
 	if u.leaving {
-		extra = append(extra, "Leaving: 1")
+		headers = append(headers, "Leaving: 1")
 		if u.leavingSaidAt.IsZero() {
 			u.leavingSaidAt = now.Add(upstreamServiceTime)
 		}
 	}
 	if !now.Before(u.busyUntil) {
-		return extra, false
+		return headers, false
 	}
-	extra = u.addLimit(extra)
+	headers = u.addLimit(headers)
 	u.refusedAt = append(u.refusedAt, now)
 	u.servedAt = time.Time{}
 	if u.retryAfter != "" {
-		extra = append(extra, "Retry-After: "+u.retryAfter)
+		headers = append(headers, "Retry-After: "+u.retryAfter)
 	}
-	return extra, true
+	return headers, true
 }
 
 // complete notes that an answer leaves and returns what it says beside.
-func (u *signalingUpstream) complete(extra []string) []string {
+func (u *signalingUpstream) complete(headers []string) []string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.servedAt.IsZero() {
 		u.servedAt = time.Now()
 	}
-	return u.addLimit(extra)
+	return u.addLimit(headers)
 }
 
 // addLimit adds the limit to what an answer says; the mutex is held.
-func (u *signalingUpstream) addLimit(extra []string) []string {
+func (u *signalingUpstream) addLimit(headers []string) []string {
 	if u.limit == "" {
-		return extra
+		return headers
 	}
 	if u.limitNamedAt.IsZero() {
 		u.limitNamedAt = time.Now()
 	}
-	return append(extra, "Limit: "+u.limit)
+	return append(headers, "Limit: "+u.limit)
 }
 
 // setLimit lets an upstream name a limit, or none.
@@ -285,22 +285,22 @@
 }
 
 // runSignals plays p before three upstreams.
-func runSignals(t *testing.T, p signalScenario) *signalEntry {
+func runSignals(t *testing.T, scenario signalScenario) *signalEntry {
 	t.Helper()
 	var s *signalEntry
 	synctest.Test(t, func(*testing.T) {
 		s = newSignalEntry(3)
-		time.AfterFunc(signalAt, func() { p.act(s, s.upstreams[0]) })
-		s.load(p.path)
+		time.AfterFunc(signalAt, func() { scenario.act(s, s.upstreams[0]) })
+		s.load(scenario.path)
 	})
 	return s
 }
 
 // setBusy lets an upstream turn away what comes for a time, and ask for rest.
-func (u *signalingUpstream) setBusy(d time.Duration, asks string) {
+func (u *signalingUpstream) setBusy(d time.Duration, retryAfter string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.busyUntil, u.retryAfter = time.Now().Add(d), asks
+	u.busyUntil, u.retryAfter = time.Now().Add(d), retryAfter
 }
 
 func (u *signalingUpstream) setLeaving() {
@@ -311,37 +311,37 @@
 
 // An upstream that has asked an entry for rest is reached by nothing that the entry sends before that time is over.
 func TestBackoffIsKept(t *testing.T) {
-	const asked = 3 * time.Second
-	asksForTime := func(_ *signalEntry, u *signalingUpstream) { u.setBusy(asked-time.Second, "3") }
-	changes := func(s *signalEntry, u *signalingUpstream) {
-		asksForTime(s, u)
+	const requested = 3 * time.Second
+	requestsBackoff := func(_ *signalEntry, u *signalingUpstream) { u.setBusy(requested-time.Second, "3") }
+	changesRoster := func(s *signalEntry, u *signalingUpstream) {
+		requestsBackoff(s, u)
 		time.AfterFunc(700*time.Millisecond, func() { s.setRoster(map[int]bool{0: true}, "") })
 		time.AfterFunc(900*time.Millisecond, func() { s.setRoster(nil, " again") })
 	}
-	slow := func(s *signalEntry, u *signalingUpstream) {
-		asksForTime(s, u)
+	slowDial := func(s *signalEntry, u *signalingUpstream) {
+		requestsBackoff(s, u)
 		u.extraDialTime = 40 * time.Millisecond
 		for n := range 12 {
 			go s.send("/safe/x", "at once "+strconv.Itoa(n))
 		}
 	}
-	for name, play := range map[string]signalScenario{
-		"connections open slowly":         {"/safe/x", slow},
-		"a plain worker":                  {"/safe/x", asksForTime},
-		"a plain worker, once":            {"/unsafe/x", asksForTime},
-		"the head of a group":             {"/stream/x", asksForTime},
-		"the list misses it for a moment": {"/safe/x", changes},
-		"its group is formed again":       {"/stream/x", changes},
+	for name, scenario := range map[string]signalScenario{
+		"connections open slowly":         {"/safe/x", slowDial},
+		"a plain worker":                  {"/safe/x", requestsBackoff},
+		"a plain worker, once":            {"/unsafe/x", requestsBackoff},
+		"the head of a group":             {"/stream/x", requestsBackoff},
+		"the list misses it for a moment": {"/safe/x", changesRoster},
+		"its group is formed again":       {"/stream/x", changesRoster},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := runSignals(t, play)
+			s := runSignals(t, scenario)
 			u := s.upstreams[0]
 			if len(u.refusedAt) == 0 {
 				t.Fatal("nothing came while it turned requests away: the test shows nothing")
 			}
 			for _, at := range u.refusedAt {
-				if n := u.countBetween(at.Add(maxInFlight), at.Add(asked)); n > 0 {
-					t.Errorf("%d requests reached it in the %v that it had asked for at %v", n, asked, at.Sub(u.refusedAt[0]))
+				if n := u.countBetween(at.Add(maxInFlight), at.Add(requested)); n > 0 {
+					t.Errorf("%d requests reached it in the %v that it had asked for at %v", n, requested, at.Sub(u.refusedAt[0]))
 				}
 			}
 			if u.servedAt.IsZero() {
@@ -352,25 +352,25 @@
 }
 
 // An upstream that says that it leaves gets nothing new, whether or not the roster tells.
-func TestALeavingUpstreamGetsNothingNew(t *testing.T) {
+func TestLeavingUpstreamGetsNoRequests(t *testing.T) {
 	leaves := func(_ *signalEntry, u *signalingUpstream) { u.setLeaving() }
-	changes := func(s *signalEntry, u *signalingUpstream) {
+	changesRoster := func(s *signalEntry, u *signalingUpstream) {
 		u.setLeaving()
 		time.AfterFunc(700*time.Millisecond, func() { s.setRoster(map[int]bool{0: true}, "") })
 		time.AfterFunc(900*time.Millisecond, func() { s.setRoster(nil, " again") })
 	}
-	turnsAway := func(_ *signalEntry, u *signalingUpstream) {
+	refuses := func(_ *signalEntry, u *signalingUpstream) {
 		u.setLeaving()
 		u.setBusy(time.Second, "")
 	}
-	for name, play := range map[string]signalScenario{
+	for name, scenario := range map[string]signalScenario{
 		"a plain worker":                  {"/safe/x", leaves},
 		"the head of a group":             {"/stream/x", leaves},
-		"the list misses it for a moment": {"/stream/x", changes},
-		"it says so in refusals":          {"/stream/x", turnsAway},
+		"the list misses it for a moment": {"/stream/x", changesRoster},
+		"it says so in refusals":          {"/stream/x", refuses},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := runSignals(t, play)
+			s := runSignals(t, scenario)
 			u := s.upstreams[0]
 			if u.leavingSaidAt.IsZero() {
 				t.Fatal("nothing came once it was leaving: the test shows nothing")
@@ -384,14 +384,14 @@
 
 // Where all upstreams have asked for more time than a request has, it is refused at once and told when the first of them may be tried;
 // callers do not all come back at that moment.
-func TestAllAskedForTime(t *testing.T) {
-	const asked = 4 * time.Second
+func TestAllUpstreamsBackedOff(t *testing.T) {
+	const requested = 4 * time.Second
 	for name, path := range map[string]string{"plain workers": "/safe/x", "heads of groups": "/stream/x"} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newSignalEntry(3)
 				for _, u := range s.upstreams {
-					u.setBusy(asked, "4")
+					u.setBusy(requested, "4")
 				}
 				s.send(path, "asks all")
 				time.Sleep(100 * time.Millisecond)
@@ -403,22 +403,22 @@
 					if w.Code != http.StatusServiceUnavailable || err != nil {
 						t.Fatalf("status %d, %v, want 503 with Retry-After", w.Code, err)
 					}
-					back := time.Duration(seconds * float64(time.Second))
+					retryAfter := time.Duration(seconds * float64(time.Second))
 					if n == 0 {
-						earliest, latest = back, back
+						earliest, latest = retryAfter, retryAfter
 					}
-					earliest, latest = min(earliest, back), max(latest, back)
+					earliest, latest = min(earliest, retryAfter), max(latest, retryAfter)
 				}
 				s.relay.Wait()
-				if held := time.Since(began); held > 0 {
-					t.Errorf("refused after %v, want at once", held)
+				if waited := time.Since(began); waited > 0 {
+					t.Errorf("refused after %v, want at once", waited)
 				}
-				first := asked
+				firstAvailable := requested
 				for _, u := range s.upstreams {
-					first = min(first, u.refusedAt[0].Add(asked).Sub(began))
+					firstAvailable = min(firstAvailable, u.refusedAt[0].Add(requested).Sub(began))
 				}
-				if earliest < first || latest > first*3/2+upstreamRoundTrip*4 || latest-earliest < first/8 {
-					t.Errorf("callers are told to come back after %v to %v, the first upstream may be tried after %v", earliest, latest, first)
+				if earliest < firstAvailable || latest > firstAvailable*3/2+upstreamRoundTrip*4 || latest-earliest < firstAvailable/8 {
+					t.Errorf("callers are told to come back after %v to %v, the first upstream may be tried after %v", earliest, latest, firstAvailable)
 				}
 				for _, r := range s.records[1:] {
 					if r.Code != result.BackedOff || len(r.Attempts) > 0 {
@@ -426,7 +426,7 @@
 					}
 				}
 				for i, u := range s.upstreams {
-					if n := u.countBetween(began, began.Add(asked)); n > 0 {
+					if n := u.countBetween(began, began.Add(requested)); n > 0 {
 						t.Errorf("%d requests reached upstream %d", n, i)
 					}
 				}
@@ -440,7 +440,7 @@
 
 // Where upstreams may be tried again before a request is late, it waits for that; then they get one request each until they have taken
 // one, and not all that has waited.
-func TestWhatWaitedDoesNotComeAtOnce(t *testing.T) {
+func TestQueuedRequestsProbeAfterBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSignalEntry(3)
 		for _, u := range s.upstreams {
@@ -456,11 +456,11 @@
 		wg.Wait()
 		s.relay.Wait()
 		for i, u := range s.upstreams {
-			over := u.refusedAt[0].Add(500 * time.Millisecond)
-			if n := u.countBetween(began, over); n > 0 {
+			backoffEnd := u.refusedAt[0].Add(500 * time.Millisecond)
+			if n := u.countBetween(began, backoffEnd); n > 0 {
 				t.Errorf("%d requests reached upstream %d before its time was over", n, i)
 			}
-			if n := u.countBetween(over, u.servedAt); n > 1 {
+			if n := u.countBetween(backoffEnd, u.servedAt); n > 1 {
 				t.Errorf("%d requests reached upstream %d before it had taken one, want 1", n, i)
 			}
 		}
@@ -480,7 +480,7 @@
 }
 
 // What an upstream asks for is not lengthened by a suspension of this VM, and not forgotten by one: its clock counts meanwhile.
-func TestASuspensionCountsAsBackoff(t *testing.T) {
+func TestSuspensionCountsAsBackoff(t *testing.T) {
 	vm := &suspendableClock{startedAt: time.Now()}
 	busy := true
 	u := newUpstream(t, always(func(c net.Conn, r *http.Request) bool {
@@ -511,7 +511,7 @@
 }
 
 // Another life of an upstream has asked for nothing.
-func TestANewLifeHasAskedForNothing(t *testing.T) {
+func TestNewIncarnationHasNoBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSignalEntry(1)
 		u := s.upstreams[0]
--- a/relay/budget_test.go
+++ b/relay/budget_test.go
@@ -11,56 +11,56 @@
 
 // The repeats of all entries together stay within the rule in every window, however unevenly requests come, while entries come and go and the
 // others hear of it up to three seconds later.
-func TestRepeatsOfAllEntriesTogether(t *testing.T) {
+func TestRetriesOfAllEntries(t *testing.T) {
 	rule := relay.RetryBudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 50}
 	for _, entries := range []int{1, 8, 100, 300} {
 		t.Run(fmt.Sprintf("%d entries", entries), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(uint64(entries), 1))
 			now := time.Unix(1000, 0)
-			var list []*relay.RetryBudget
-			add := func(known int) {
+			var budgets []*relay.RetryBudget
+			add := func(knownEntries int) {
 				b := relay.NewRetryBudget(rule)
 				b.Now = func() time.Time { return now }
-				b.SetEntries(known)
-				list = append(list, b)
+				b.SetEntries(knownEntries)
+				budgets = append(budgets, b)
 			}
 			for range entries {
 				add(entries)
 			}
-			var requests, repeats []int
+			var requests, retries []int
 			for second := range 60 {
-				came, again := 0, 0
-				for i, b := range list {
-					wanted := random.IntN(2 + 400/(1+i%40))
-					for range wanted {
+				requestCount, retryCount := 0, 0
+				for i, b := range budgets {
+					newRequests := random.IntN(2 + 400/(1+i%40))
+					for range newRequests {
 						b.CountRequest("s")
-						came++
+						requestCount++
 						for b.AllowRetry("s") && random.IntN(3) > 0 {
-							again++
+							retryCount++
 						}
 					}
 				}
-				requests, repeats = append(requests, came), append(repeats, again)
+				requests, retries = append(requests, requestCount), append(retries, retryCount)
 				now = now.Add(time.Second)
-				if second%10 == 4 && len(list) > 1 {
-					list = list[1:]
+				if second%10 == 4 && len(budgets) > 1 {
+					budgets = budgets[1:]
 				}
 				if second%10 == 7 {
-					known := len(list)
-					for _, b := range list {
-						b.SetEntries(known)
+					knownEntries := len(budgets)
+					for _, b := range budgets {
+						b.SetEntries(knownEntries)
 					}
-					add(known + 1)
+					add(knownEntries + 1)
 				}
 			}
 			for from := range requests {
-				came, again := 0, 0
+				requestCount, retryCount := 0, 0
 				for i := from; i < min(from+10, len(requests)); i++ {
-					came += requests[i]
-					again += repeats[i]
+					requestCount += requests[i]
+					retryCount += retries[i]
 				}
-				if most := rule.Ratio*float64(came) + rule.Allowance; float64(again) > most {
-					t.Errorf("%d repeats in the window from %d s, %d requests allow %.0f", again, from, came, most)
+				if allowed := rule.Ratio*float64(requestCount) + rule.Allowance; float64(retryCount) > allowed {
+					t.Errorf("%d repeats in the window from %d s, %d requests allow %.0f", retryCount, from, requestCount, allowed)
 				}
 			}
 		})
--- a/relay/room_test.go
+++ b/relay/capacity_test.go
@@ -15,23 +15,23 @@
 
 // busyGroupEntry is a site with one group that reads a prompt which takes longer than streams there may pause, and a second request.
 // It returns once the second one is at the group, or was twice found no room for.
-func busyGroupEntry(t *testing.T) (s *testEntry, second chan reply, reached *atomic.Bool, elapse func(time.Duration), release func()) {
+func busyGroupEntry(t *testing.T) (s *testEntry, second chan reply, secondArrived *atomic.Bool, advance func(time.Duration), release func()) {
 	t.Helper()
 	return busyGroupEntryWithDeadline(t, "5000")
 }
 
 // busyGroupEntryWithDeadline is crowded with a caller of the second request that waits for so many ms.
-func busyGroupEntryWithDeadline(t *testing.T, deadline string) (s *testEntry, second chan reply, reached *atomic.Bool, elapse func(time.Duration), release func()) {
+func busyGroupEntryWithDeadline(t *testing.T, deadline string) (s *testEntry, second chan reply, secondArrived *atomic.Bool, advance func(time.Duration), release func()) {
 	t.Helper()
-	held := make(chan struct{})
+	hold := make(chan struct{})
 	arrived := make(chan struct{}, 2)
-	reached = &atomic.Bool{}
+	secondArrived = &atomic.Bool{}
 	u := newUpstream(t, always(func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("Request") == "second" {
-			reached.Store(true)
+			secondArrived.Store(true)
 		}
 		arrived <- struct{}{}
-		<-held
+		<-hold
 		return respondStream(c, r, 1, 2, true)
 	}))
 	s = newTestEntry(t, nil, []*upstream{u})
@@ -40,9 +40,9 @@
 	s.relay.SetConfig(cfg)
 	var skipped atomic.Int64
 	s.relay.Now = func() time.Time { return time.Now().Add(time.Duration(skipped.Load())) }
-	looks := make(chan struct{}, 1000)
+	choices := make(chan struct{}, 1000)
 	s.relay.RandomInt = func(int) int {
-		looks <- struct{}{}
+		choices <- struct{}{}
 		return 0
 	}
 	var wg sync.WaitGroup
@@ -56,41 +56,41 @@
 		wg.Go(func() { got <- s.do(r) })
 		return got
 	}
-	release = sync.OnceFunc(func() { close(held) })
+	release = sync.OnceFunc(func() { close(hold) })
 	t.Cleanup(func() {
 		release()
 		wg.Wait()
 	})
 	send("first", "20000,10")
 	<-arrived
-	<-looks
+	<-choices
 	second = send("second", "500,10")
 	for range 2 {
 		select {
-		case <-looks:
+		case <-choices:
 		case <-arrived:
 		}
 	}
-	return s, second, reached, func(d time.Duration) { skipped.Add(int64(d)) }, release
+	return s, second, secondArrived, func(d time.Duration) { skipped.Add(int64(d)) }, release
 }
 
 // A request that would make the pauses of a group's streams too long waits at the entry until there is room.
-func TestARequestWaitsForRoom(t *testing.T) {
-	_, second, reached, _, release := busyGroupEntry(t)
-	early := reached.Load()
+func TestRequestWaitsForCapacity(t *testing.T) {
+	_, second, secondArrived, _, release := busyGroupEntry(t)
+	sentEarly := secondArrived.Load()
 	release()
 	got := <-second
-	if diff := cmp.Diff([]any{false, 200, true}, []any{early, got.Status, got.Complete}); diff != "" {
+	if diff := cmp.Diff([]any{false, 200, true}, []any{sentEarly, got.Status, got.Complete}); diff != "" {
 		t.Errorf("sent before there was room, status, whole (-want +got):\n%s", diff)
 	}
 }
 
 // One that finds none within its aim of two seconds is refused as not run, and told to come back.
-func TestARequestThatFindsNoRoom(t *testing.T) {
-	s, second, reached, elapse, _ := busyGroupEntry(t)
-	elapse(2500 * time.Millisecond)
+func TestRequestRefusedWithoutCapacity(t *testing.T) {
+	s, second, secondArrived, advance, _ := busyGroupEntry(t)
+	advance(2500 * time.Millisecond)
 	got := <-second
-	if diff := cmp.Diff([]any{503, false}, []any{got.Status, reached.Load()}); diff != "" {
+	if diff := cmp.Diff([]any{503, false}, []any{got.Status, secondArrived.Load()}); diff != "" {
 		t.Fatalf("status, sent (-want +got):\n%s", diff)
 	}
 	s.mu.Lock()
@@ -102,11 +102,11 @@
 }
 
 // A request whose time is up while it waits is refused at once, however long it could still wait for room.
-func TestARequestWhoseTimeIsUpWhileItWaits(t *testing.T) {
-	s, second, reached, elapse, _ := busyGroupEntryWithDeadline(t, "300")
-	elapse(400 * time.Millisecond)
+func TestQueuedRequestExpires(t *testing.T) {
+	s, second, secondArrived, advance, _ := busyGroupEntryWithDeadline(t, "300")
+	advance(400 * time.Millisecond)
 	got := <-second
-	if diff := cmp.Diff([]any{503, false}, []any{got.Status, reached.Load()}); diff != "" {
+	if diff := cmp.Diff([]any{503, false}, []any{got.Status, secondArrived.Load()}); diff != "" {
 		t.Fatalf("status, sent (-want +got):\n%s", diff)
 	}
 	s.mu.Lock()
--- a/relay/choose_test.go
+++ b/relay/choose_test.go
@@ -12,7 +12,7 @@
 
 // All entries hear of loads at the same late moment: what is best then must not get all of their requests, and what is worst
 // gets none.
-func TestRequestsSpread(t *testing.T) {
+func TestRequestsSpreadByLoad(t *testing.T) {
 	const targets = 5
 	var upstreams []*upstream
 	for range targets {
@@ -20,11 +20,11 @@
 	}
 	s := newTestEntry(t, upstreams, nil)
 	s.relay.RandomInt = rand.New(rand.NewPCG(1, 1)).IntN
-	others := map[ident.Incarnation]int{}
+	peerCounts := map[ident.Incarnation]int{}
 	for i := range targets {
-		others[ident.Incarnation("p"+strconv.Itoa(i))] = i
+		peerCounts[ident.Incarnation("p"+strconv.Itoa(i))] = i
 	}
-	s.relay.SetPeerCounts(others)
+	s.relay.SetPeerCounts(peerCounts)
 	const requests = 300
 	for i := range requests {
 		s.do(s.request("GET", "/safe/x", strconv.Itoa(i), ""))
--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -79,8 +79,8 @@
 	lateRecords []*relay.Record
 }
 
-func newCrashCluster(p crashScenario) *crashCluster {
-	c := &crashCluster{scenario: p, startedAt: time.Now(), incarnations: make([]int, crashGroups), gone: make([]bool, crashGroups)}
+func newCrashCluster(scenario crashScenario) *crashCluster {
+	c := &crashCluster{scenario: scenario, startedAt: time.Now(), incarnations: make([]int, crashGroups), gone: make([]bool, crashGroups)}
 	byAddress := map[string]*iterationEngine{}
 	for i := range crashGroups {
 		e := &iterationEngine{slots: excessSlots}
@@ -88,19 +88,19 @@
 		c.engines = append(c.engines, e)
 		byAddress["h"+strconv.Itoa(i)] = e
 	}
-	names := make([]string, p.entries)
-	for i := range names {
-		names[i] = "10.0.0." + strconv.Itoa(i) + ":7"
+	addresses := make([]string, scenario.entries)
+	for i := range addresses {
+		addresses[i] = "10.0.0." + strconv.Itoa(i) + ":7"
 	}
 	random := rand.New(rand.NewPCG(5, 5))
-	for i := range names {
+	for i := range addresses {
 		s := relayForEngines(byAddress)
-		s.SendUpdate = func(n relay.EntryUpdate, to []string) { c.deliver(random, names, i, n, to) }
+		s.SendUpdate = func(n relay.EntryUpdate, to []string) { c.deliver(random, addresses, i, n, to) }
 		s.Observe = c.observe
-		s.Budget.SetEntries(p.entries)
+		s.Budget.SetEntries(scenario.entries)
 		s.SetConfig(crashConfig())
 		s.SetConfirmed(time.Now())
-		s.SetEntries(sharing.New(names[i], map[ident.Hall][]string{"hall": names}))
+		s.SetEntries(sharing.New(addresses[i], map[ident.Hall][]string{"hall": addresses}))
 		c.entries = append(c.entries, s)
 	}
 	c.publishRoster()
@@ -120,15 +120,15 @@
 }
 
 // deliver carries news from one entry to others.
-func (c *crashCluster) deliver(random *rand.Rand, names []string, from int, n relay.EntryUpdate, to []string) {
-	for j, o := range c.entries {
+func (c *crashCluster) deliver(random *rand.Rand, addresses []string, from int, update relay.EntryUpdate, to []string) {
+	for j, peer := range c.entries {
 		c.mu.Lock()
 		lost := random.Float64() < c.scenario.lossRate
 		c.mu.Unlock()
-		if j == from || lost || to != nil && !slices.Contains(to, names[j]) {
+		if j == from || lost || to != nil && !slices.Contains(to, addresses[j]) {
 			continue
 		}
-		time.AfterFunc(datagramDelay, func() { o.Receive(n, netip.MustParseAddrPort(names[from])) })
+		time.AfterFunc(datagramDelay, func() { peer.Receive(update, netip.MustParseAddrPort(addresses[from])) })
 	}
 }
 
@@ -244,12 +244,12 @@
 }
 
 // runCrash plays p and returns what became of it.
-func runCrash(t *testing.T, p crashScenario) *crashCluster {
+func runCrash(t *testing.T, scenario crashScenario) *crashCluster {
 	t.Helper()
 	var c *crashCluster
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		c = newCrashCluster(p)
+		c = newCrashCluster(scenario)
 		var running sync.WaitGroup
 		for _, e := range c.engines {
 			running.Go(func() { e.run(ctx) })
@@ -266,8 +266,8 @@
 }
 
 // A request that has ended three upstreams reaches at most three more, wherever it comes again, and the others are served.
-func TestARequestThatEndsWhatRunsIt(t *testing.T) {
-	for name, p := range map[string]crashScenario{
+func TestRequestThatCrashesUpstreams(t *testing.T) {
+	for name, scenario := range map[string]crashScenario{
 		"nine entries":                 {entries: 9, copies: 1, path: "/stream/x"},
 		"thirty entries":               {entries: 30, copies: 1, path: "/stream/x"},
 		"copies side by side":          {entries: 9, copies: 3, path: "/stream/x"},
@@ -275,7 +275,7 @@
 		"may run once":                 {entries: 9, copies: 1, path: "/once/x"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := runCrash(t, p)
+			c := runCrash(t, scenario)
 			t.Logf("%d upstreams ended, %d tries later than %v after the third end", len(c.crashes), c.lateRuns(), crashGrace)
 			if c.lateRuns() > maxLateCrashes {
 				t.Errorf("%d tries later than %v after the third end, want %d at most", c.lateRuns(), crashGrace, maxLateCrashes)
--- a/relay/flood_test.go
+++ b/relay/flood_test.go
@@ -61,24 +61,24 @@
 func (e *iterationEngine) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		e.mu.Lock()
-		read := e.waiting
+		prefill := e.waiting
 		if e.slots > 0 {
-			read = read[:min(len(read), e.slots-len(e.decoding))]
+			prefill = prefill[:min(len(prefill), e.slots-len(e.decoding))]
 		}
-		e.waiting = e.waiting[len(read):]
-		e.decoding = append(e.decoding, read...)
-		n := len(e.decoding)
+		e.waiting = e.waiting[len(prefill):]
+		e.decoding = append(e.decoding, prefill...)
+		decoding := len(e.decoding)
 		e.mu.Unlock()
-		if n == 0 || e.stalled() {
+		if decoding == 0 || e.stalled() {
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		pass := 30*time.Millisecond + time.Duration(n)*time.Millisecond
-		for _, s := range read {
-			pass += time.Duration(s.prompt) * time.Second / 50_000
+		iteration := 30*time.Millisecond + time.Duration(decoding)*time.Millisecond
+		for _, seq := range prefill {
+			iteration += time.Duration(seq.prompt) * time.Second / 50_000
 		}
-		time.Sleep(pass * e.slowdownNow())
-		if e.anyCrashes(read) {
+		time.Sleep(iteration * e.slowdownNow())
+		if e.anyCrashes(prefill) {
 			e.crash()
 			continue
 		}
@@ -94,10 +94,10 @@
 }
 
 // slow lets passes take so many times longer for a time.
-func (e *iterationEngine) slow(pace time.Duration, d time.Duration) {
+func (e *iterationEngine) slow(slowdown time.Duration, d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.slowdown, e.slowUntil = pace, time.Now().Add(d)
+	e.slowdown, e.slowUntil = slowdown, time.Now().Add(d)
 }
 
 func (e *iterationEngine) slowdownNow() time.Duration {
@@ -118,26 +118,26 @@
 func (e *iterationEngine) endIteration() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var rest []*sequence
-	for _, s := range e.decoding {
-		s.event <- floodEvents - s.eventsLeft + 1
-		s.eventsLeft--
-		if s.eventsLeft > 0 {
-			rest = append(rest, s)
+	var running []*sequence
+	for _, seq := range e.decoding {
+		seq.event <- floodEvents - seq.eventsLeft + 1
+		seq.eventsLeft--
+		if seq.eventsLeft > 0 {
+			running = append(running, seq)
 		}
 	}
-	e.decoding = rest
+	e.decoding = running
 }
 
 // anyCrashes reports whether one of those that were just read ends the engine.
-func (e *iterationEngine) anyCrashes(read []*sequence) bool {
-	ends := false
-	for _, s := range read {
-		if e.onRun != nil && e.onRun(s.body) {
-			ends = true
+func (e *iterationEngine) anyCrashes(prefilled []*sequence) bool {
+	crashes := false
+	for _, seq := range prefilled {
+		if e.onRun != nil && e.onRun(seq.body) {
+			crashes = true
 		}
 	}
-	return ends
+	return crashes
 }
 
 // crash ends the engine: all connections close, and new ones are refused until restart.
@@ -145,8 +145,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.down = true
-	for _, s := range append(e.waiting, e.decoding...) {
-		close(s.crashed)
+	for _, seq := range append(e.waiting, e.decoding...) {
+		close(seq.crashed)
 	}
 	e.waiting, e.decoding = nil, nil
 	for _, c := range e.conns {
@@ -180,8 +180,8 @@
 		if err != nil {
 			return
 		}
-		before, _, _ := strings.Cut(r.Header.Get("Tokens"), ",")
-		prompt, err := strconv.Atoi(before)
+		promptText, _, _ := strings.Cut(r.Header.Get("Tokens"), ",")
+		prompt, err := strconv.Atoi(promptText)
 		if err != nil {
 			return
 		}
@@ -189,7 +189,7 @@
 		if err != nil {
 			return
 		}
-		s := &sequence{string(body), prompt, floodEvents, make(chan int, floodEvents), make(chan struct{})}
+		seq := &sequence{string(body), prompt, floodEvents, make(chan int, floodEvents), make(chan struct{})}
 		e.mu.Lock()
 		if e.down {
 			e.mu.Unlock()
@@ -199,7 +199,7 @@
 		if full {
 			e.rejected++
 		} else {
-			e.waiting = append(e.waiting, s)
+			e.waiting = append(e.waiting, seq)
 		}
 		e.mu.Unlock()
 		if full {
@@ -208,30 +208,30 @@
 			}
 			continue
 		}
-		if !s.write(c, r) {
+		if !seq.write(c, r) {
 			return
 		}
 	}
 }
 
 func (s *sequence) write(c net.Conn, r *http.Request) bool {
-	text := answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
+	out := answerHead(r, 200, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
 	for range floodEvents {
-		var n int
+		var number int
 		select {
-		case n = <-s.event:
+		case number = <-s.event:
 		case <-s.crashed:
 			return false
 		}
-		piece := eventText(n, n)
-		text += fmt.Sprintf("%x\r\n%s\r\n", len(piece), piece)
-		if n == floodEvents {
-			text += "0\r\n\r\n"
+		chunk := eventText(number, number)
+		out += fmt.Sprintf("%x\r\n%s\r\n", len(chunk), chunk)
+		if number == floodEvents {
+			out += "0\r\n\r\n"
 		}
-		if _, err := io.WriteString(c, text); err != nil {
+		if _, err := io.WriteString(c, out); err != nil {
 			return false
 		}
-		text = ""
+		out = ""
 	}
 	return true
 }
@@ -256,11 +256,11 @@
 }
 
 // countInAim plays so many times the usual traffic and returns how many requests were answered within both aims.
-func countInAim(t *testing.T, times float64) int {
+func countInAim(t *testing.T, loadFactor float64) int {
 	t.Helper()
 	var (
-		mu   sync.Mutex
-		good int
+		mu    sync.Mutex
+		inAim int
 	)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -281,30 +281,30 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if r.Code == 0 && r.FirstEvent <= 400*time.Millisecond && r.MaxEventGap <= 200*time.Millisecond {
-				good++
+				inAim++
 			}
 		}
 		s.SetConfig(cfg)
 		setGroups(s, 1, floodGroups)
 		s.SetConfirmed(time.Now())
-		sendFlood(s, times)
+		sendFlood(s, loadFactor)
 		for _, e := range engines {
 			e.close()
 		}
 		cancel()
 		running.Wait()
 	})
-	return good
+	return inAim
 }
 
 // sendFlood sends requests at random moments, with prompts that differ by twenty times in size, and waits for their ends.
-func sendFlood(s *relay.Relay, times float64) {
+func sendFlood(s *relay.Relay, loadFactor float64) {
 	random := rand.New(rand.NewPCG(2, 2))
 	prompts := []int{200, 400, 800, 1600, 4000}
 	began := time.Now()
 	var wg sync.WaitGroup
 	for n := 0; time.Since(began) < floodDuration; n++ {
-		time.Sleep(time.Duration(random.ExpFloat64() / (floodRate * times) * float64(time.Second)))
+		time.Sleep(time.Duration(random.ExpFloat64() / (floodRate * loadFactor) * float64(time.Second)))
 		r := httptest.NewRequest(http.MethodPost, "/stream/x", http.NoBody)
 		r.Host = "h"
 		r.Header.Set("Request", strconv.Itoa(n))
@@ -320,14 +320,14 @@
 }
 
 // In a flood as many requests are answered in time as at full load.
-func TestAFlood(t *testing.T) {
-	full := countInAim(t, 1)
-	if full < floodRate*int(floodDuration.Seconds())*8/10 {
-		t.Fatalf("%d requests are in time at full load: the test asks for too much", full)
+func TestFlood(t *testing.T) {
+	atFullLoad := countInAim(t, 1)
+	if atFullLoad < floodRate*int(floodDuration.Seconds())*8/10 {
+		t.Fatalf("%d requests are in time at full load: the test asks for too much", atFullLoad)
 	}
-	for _, times := range []float64{2, 3} {
-		if got := countInAim(t, times); float64(got) < 0.95*float64(full) {
-			t.Errorf("%d requests in time at %v times the traffic, %d without", got, times, full)
+	for _, loadFactor := range []float64{2, 3} {
+		if got := countInAim(t, loadFactor); float64(got) < 0.95*float64(atFullLoad) {
+			t.Errorf("%d requests in time at %v times the traffic, %d without", got, loadFactor, atFullLoad)
 		}
 	}
 }
--- a/relay/lapse_test.go
+++ b/relay/key_lapse_test.go
@@ -7,7 +7,7 @@
 )
 
 // An entry that is cut off from control sends new callers elsewhere, and those on its connections, before its keys lapse; until then it serves.
-func TestAnEntryCutOffLetsCallersGoInTime(t *testing.T) {
+func TestEntryCutOffFromControlClosesConnections(t *testing.T) {
 	for _, c := range []struct {
 		age    time.Duration
 		ready  bool
--- a/relay/limit_sight_test.go
+++ b/relay/limit_events_test.go
@@ -18,27 +18,27 @@
 )
 
 // Operators are told once when a limit begins, changes and ends, each time when it can't be read, and with each try what was named.
-func TestLimitsAreTold(t *testing.T) {
-	says := []string{"Limit: 3.6", "Limit: 3.6", "Limit: 1.8", "Limit: few", "Vary: y", "Vary: y"}
+func TestLimitChangesAreReported(t *testing.T) {
+	headers := []string{"Limit: 3.6", "Limit: 3.6", "Limit: 1.8", "Limit: few", "Vary: y", "Vary: y"}
 	n := 0
 	u := newUpstream(t, always(func(c net.Conn, r *http.Request) bool {
 		body := "answer to " + r.Header.Get("Request")
-		_, err := io.WriteString(c, answerHead(r, 200, signature, says[n], fmt.Sprintf("Content-Length: %d", len(body)))+body)
+		_, err := io.WriteString(c, answerHead(r, 200, signature, headers[n], fmt.Sprintf("Content-Length: %d", len(body)))+body)
 		n++
 		return err == nil
 	}))
 	s := newTestEntry(t, []*upstream{u}, nil)
-	var told []relay.BackpressureEvent
-	s.relay.OnBackpressure = func(a *relay.BackpressureEvent) { told = append(told, *a) }
-	for n := range says {
+	var events []relay.BackpressureEvent
+	s.relay.OnBackpressure = func(a *relay.BackpressureEvent) { events = append(events, *a) }
+	for n := range headers {
 		if got := s.do(s.request("POST", "/safe/x", fmt.Sprint(n), "")); got.Status != http.StatusOK {
 			t.Fatalf("status %d", got.Status)
 		}
 		s.relay.Wait()
 	}
-	var tried []ratelimit.Rate
+	var limits []ratelimit.Rate
 	for _, r := range s.records {
-		tried = append(tried, r.Attempts[0].Limit)
+		limits = append(limits, r.Attempts[0].Limit)
 	}
 	id := ident.Incarnation("p0")
 	want := []relay.BackpressureEvent{
@@ -47,19 +47,19 @@
 		{Kind: relay.BackpressureUnreadable, Upstream: id},
 		{Kind: relay.BackpressureLimitRemoved, Upstream: id, PreviousLimit: 1.8},
 	}
-	if diff := cmp.Diff(want, told, cmpopts.IgnoreFields(relay.BackpressureEvent{}, "PreviousSince", "Err")); diff != "" {
+	if diff := cmp.Diff(want, events, cmpopts.IgnoreFields(relay.BackpressureEvent{}, "PreviousSince", "Err")); diff != "" {
 		t.Errorf("told (-want +got):\n%s", diff)
 	}
-	if code := result.CodeOf(told[2].Err); code != result.LimitUnreadable {
+	if code := result.CodeOf(events[2].Err); code != result.LimitUnreadable {
 		t.Errorf("code %d, want %d", code, result.LimitUnreadable)
 	}
-	if diff := cmp.Diff([]ratelimit.Rate{3.6, 3.6, 1.8, 0, 0, 0}, tried); diff != "" {
+	if diff := cmp.Diff([]ratelimit.Rate{3.6, 3.6, 1.8, 0, 0, 0}, limits); diff != "" {
 		t.Errorf("limits of the tries (-want +got):\n%s", diff)
 	}
 }
 
 // What an upstream says that nothing reads is told once; what is between the application and its callers is not.
-func TestWordsThatNothingReadsAreTold(t *testing.T) {
+func TestUnrecognizedHeadersAreReported(t *testing.T) {
 	u := newUpstream(t, always(func(c net.Conn, r *http.Request) bool {
 		body := "answer to " + r.Header.Get("Request")
 		_, err := io.WriteString(c, answerHead(r, 200, signature, "Queue-Hint: 7", "Weights: 3", "Limit: 50", fmt.Sprintf("Content-Length: %d", len(body)))+body)
@@ -69,10 +69,10 @@
 	n := headerNames()
 	n.Application = []string{"weights"}
 	s.relay.Unrecognized = unread.New[ident.Incarnation](n.Recognized()...)
-	var told []relay.BackpressureEvent
+	var events []relay.BackpressureEvent
 	s.relay.OnBackpressure = func(a *relay.BackpressureEvent) {
 		if a.Kind == relay.BackpressureUnrecognized {
-			told = append(told, *a)
+			events = append(events, *a)
 		}
 	}
 	for n := range 3 {
@@ -80,7 +80,7 @@
 		s.relay.Wait()
 	}
 	want := []relay.BackpressureEvent{{Kind: relay.BackpressureUnrecognized, Upstream: "p0", HeaderName: "Queue-Hint", HeaderValue: "7"}}
-	if diff := cmp.Diff(want, told); diff != "" {
+	if diff := cmp.Diff(want, events); diff != "" {
 		t.Errorf("told (-want +got):\n%s", diff)
 	}
 }
--- a/relay/limit_faults_test.go
+++ b/relay/limit_faults_test.go
@@ -33,10 +33,10 @@
 }
 
 // isolate takes an entry from all others, and from its callers when dead is set.
-func (g *cluster) isolate(i int, dead bool) {
+func (g *cluster) isolate(i int, withoutCallers bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.isolated[i], g.unconfirmed[i], g.withoutCallers[i] = true, true, dead
+	g.isolated[i], g.unconfirmed[i], g.withoutCallers[i] = true, true, withoutCallers
 }
 
 // reconnect undoes away.
@@ -49,13 +49,13 @@
 }
 
 // publishEntries gives all entries a list of some of them, one after the other within so long.
-func (g *cluster) publishEntries(members []int, spread time.Duration) {
+func (g *cluster) publishEntries(members []int, within time.Duration) {
 	var names []string
 	for _, i := range members {
 		names = append(names, g.addresses[i])
 	}
 	for _, i := range members {
-		time.AfterFunc(time.Duration(g.randomFraction()*float64(spread)), func() {
+		time.AfterFunc(time.Duration(g.randomFraction()*float64(within)), func() {
 			g.mu.Lock()
 			defer g.mu.Unlock()
 			g.entries[i].relay.SetEntries(sharing.New(g.addresses[i], map[ident.Hall][]string{"": names}))
@@ -64,10 +64,10 @@
 }
 
 // setLossRate lets a part of the news be lost.
-func (g *cluster) setLossRate(part float64) {
+func (g *cluster) setLossRate(rate float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.lossRate = part
+	g.lossRate = rate
 }
 
 // others returns all entries but one.
@@ -99,10 +99,10 @@
 	const faultAt = 5 * time.Second
 	for _, c := range []struct {
 		name   string
-		strike func(g *cluster, u *signalingUpstream, coordinator int)
-		// most is by how many requests the limit may be exceeded in any span, 0 where only the bound for limitSpan holds; used is the least
+		inject func(g *cluster, u *signalingUpstream, coordinator int)
+		// maxOver is by how many requests the limit may be exceeded in any span, 0 where only the bound for limitSpan holds; used is the least
 		// part of it that is used.
-		most, used float64
+		maxOver, minUsed float64
 	}{
 		{"the coordinator ends", func(g *cluster, _ *signalingUpstream, n int) {
 			g.isolate(n, true)
@@ -151,24 +151,24 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				const limit, lasts = ratelimit.Rate(3), 16 * time.Second
+				const limit, duration = ratelimit.Rate(3), 16 * time.Second
 				g := newCluster(8, limitHeads)
 				u := g.entries[0].upstreams[0]
 				began := time.Now()
 				time.AfterFunc(signalAt, func() { u.setLimit(limit) })
-				time.AfterFunc(faultAt, func() { c.strike(g, u, g.coordinator("/safe/x")) })
-				g.load("/safe/x", limitPerSecond, lasts)
-				known := u.arrivals(u.limitNamedAt.Add(limitKnown), began.Add(lasts))
-				over, used := maxExcess(known, limit), float64(len(known))/(float64(limit)*(lasts-signalAt).Seconds())
-				t.Logf("%.1f beyond the limit, %d in %v, %.2f of it used", over, maxInSpan(known, limitSpan), limitSpan, used)
-				if got, most := maxInSpan(known, limitSpan), float64(limit)*limitSpan.Seconds()*1.5+5; float64(got) > most {
-					t.Errorf("%d requests in %v, want %.0f at most", got, limitSpan, most)
+				time.AfterFunc(faultAt, func() { c.inject(g, u, g.coordinator("/safe/x")) })
+				g.load("/safe/x", limitPerSecond, duration)
+				arrivals := u.arrivals(u.limitNamedAt.Add(limitKnown), began.Add(duration))
+				excess, used := maxExcess(arrivals, limit), float64(len(arrivals))/(float64(limit)*(duration-signalAt).Seconds())
+				t.Logf("%.1f beyond the limit, %d in %v, %.2f of it used", excess, maxInSpan(arrivals, limitSpan), limitSpan, used)
+				if got, allowed := maxInSpan(arrivals, limitSpan), float64(limit)*limitSpan.Seconds()*1.5+5; float64(got) > allowed {
+					t.Errorf("%d requests in %v, want %.0f at most", got, limitSpan, allowed)
 				}
-				if c.most > 0 && over > c.most {
-					t.Errorf("%.1f requests beyond the limit in some span, want %.0f at most", over, c.most)
+				if c.maxOver > 0 && excess > c.maxOver {
+					t.Errorf("%.1f requests beyond the limit in some span, want %.0f at most", excess, c.maxOver)
 				}
-				if used < c.used {
-					t.Errorf("%.2f of the limit was used, want %.2f", used, c.used)
+				if used < c.minUsed {
+					t.Errorf("%.2f of the limit was used, want %.2f", used, c.minUsed)
 				}
 			})
 		})
@@ -176,7 +176,7 @@
 }
 
 // The newest limit counts, at all entries, whichever heard of it: a lower one at once, a higher one and none within a second or so.
-func TestALimitThatChanges(t *testing.T) {
+func TestChangingLimit(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/stream/x"} {
 		for _, entries := range []int{1, 8, 40} {
 			t.Run(strconv.Itoa(entries)+" entries, "+path, func(t *testing.T) {
@@ -185,20 +185,20 @@
 					u := g.entries[0].upstreams[0]
 					began := time.Now()
 					steps := []ratelimit.Rate{5, 1, 12, 0}
-					const each = 5 * time.Second
+					const stepDuration = 5 * time.Second
 					for n, rate := range steps {
-						time.AfterFunc(signalAt+time.Duration(n)*each, func() { u.setLimit(rate) })
+						time.AfterFunc(signalAt+time.Duration(n)*stepDuration, func() { u.setLimit(rate) })
 					}
-					g.load(path, limitPerSecond, signalAt+time.Duration(len(steps))*each)
+					g.load(path, limitPerSecond, signalAt+time.Duration(len(steps))*stepDuration)
 					// A change is known with the next answer; at a low limit that takes a while.
-					const known = 1500 * time.Millisecond
+					const settleTime = 1500 * time.Millisecond
 					for n, rate := range steps {
-						from, to := began.Add(signalAt+time.Duration(n)*each+known), began.Add(signalAt+time.Duration(n+1)*each)
+						from, to := began.Add(signalAt+time.Duration(n)*stepDuration+settleTime), began.Add(signalAt+time.Duration(n+1)*stepDuration)
 						got := u.arrivals(from, to)
-						if over := maxExcess(got, rate); rate > 0 && over > 1 {
-							t.Errorf("%.1f beyond a limit of %v", over, rate)
+						if excess := maxExcess(got, rate); rate > 0 && excess > 1 {
+							t.Errorf("%.1f beyond a limit of %v", excess, rate)
 						}
-						if least := 0.8*float64(rate)*(each-known).Seconds() - 1; float64(len(got)) < least || rate == 0 && len(got) < 50 {
+						if minRequests := 0.8*float64(rate)*(stepDuration-settleTime).Seconds() - 1; float64(len(got)) < minRequests || rate == 0 && len(got) < 50 {
 							t.Errorf("%d requests at a limit of %v", len(got), rate)
 						}
 					}
@@ -209,7 +209,7 @@
 }
 
 // What an upstream named ends with its life.
-func TestANewLifeHasNoLimit(t *testing.T) {
+func TestNewIncarnationHasNoLimit(t *testing.T) {
 	s := newSignalEntry(1)
 	s.relay.ApplyLimit("p0", 0.1, 0)
 	if g := s.relay.Limits.Availability(time.Now(), "p0@2"); g.Limited {
--- a/relay/limit_test.go
+++ b/relay/limit_test.go
@@ -103,14 +103,14 @@
 }
 
 // receiver returns who hears news of an entry in the place of another one, nobody when they are lost.
-func (g *cluster) receiver(from *signalEntry, i, j int) *signalEntry {
+func (g *cluster) receiver(from *signalEntry, sender, receiver int) *signalEntry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	lost := g.lossRate > 0 && g.random.Float64() < g.lossRate
-	if lost || g.entries[i] != from || g.isolated[i] || g.isolated[j] {
+	if lost || g.entries[sender] != from || g.isolated[sender] || g.isolated[receiver] {
 		return nil
 	}
-	return g.entries[j]
+	return g.entries[receiver]
 }
 
 // pickEntry returns one that takes a request, the first ones more often than the last ones.
@@ -132,16 +132,16 @@
 }
 
 // load lets requests come to entries, and returns when all have ended.
-func (g *cluster) load(path string, perSecond float64, lasts time.Duration) {
+func (g *cluster) load(path string, perSecond float64, duration time.Duration) {
 	began := time.Now()
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		for time.Since(began) < lasts {
+		for time.Since(began) < duration {
 			g.syncWithLeader()
 			time.Sleep(leaderSyncInterval)
 		}
 	})
-	for n := 0; time.Since(began) < lasts; n++ {
+	for n := 0; time.Since(began) < duration; n++ {
 		time.Sleep(time.Duration(-math.Log(1-g.randomFraction()) / perSecond * float64(time.Second)))
 		s := g.pickEntry()
 		wg.Go(func() { s.send(path, strconv.Itoa(n)) })
@@ -156,22 +156,22 @@
 func (g *cluster) syncWithLeader() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	totals, apart := map[ident.Incarnation]int{}, map[ident.Incarnation]int{}
-	own := make([]map[ident.Incarnation]int, len(g.entries))
+	totals, localShares := map[ident.Incarnation]int{}, map[ident.Incarnation]int{}
+	inflight := make([]map[ident.Incarnation]int, len(g.entries))
 	for i, s := range g.entries {
-		own[i] = map[ident.Incarnation]int{}
+		inflight[i] = map[ident.Incarnation]int{}
 		seen, _ := s.relay.CollectObservations()
-		for _, one := range seen {
-			own[i][one.ID] = one.Inflight
-			totals[one.ID] += one.Inflight
-			if one.Limit == nil || g.unconfirmed[i] {
+		for _, observation := range seen {
+			inflight[i][observation.ID] = observation.Inflight
+			totals[observation.ID] += observation.Inflight
+			if observation.Limit == nil || g.unconfirmed[i] {
 				continue
 			}
-			if one.Limit.Apart {
-				apart[one.ID]++
+			if observation.Limit.Apart {
+				localShares[observation.ID]++
 			}
-			if one.Limit.Own {
-				g.leaderLimits.Merge(one.ID, one.Limit.Rate, time.Now().Add(-one.Limit.Said))
+			if observation.Limit.Own {
+				g.leaderLimits.Merge(observation.ID, observation.Limit.Rate, time.Now().Add(-observation.Limit.Said))
 			}
 		}
 	}
@@ -181,10 +181,10 @@
 		}
 		others := map[ident.Incarnation]int{}
 		for id, total := range totals {
-			others[id] = total - own[i][id]
+			others[id] = total - inflight[i][id]
 		}
 		s.relay.SetPeerCounts(others)
-		s.relay.Limits.SetLocalShares(apart)
+		s.relay.Limits.SetLocalShares(localShares)
 		g.sendLimits(s)
 		s.relay.SetConfirmed(time.Now())
 	}
@@ -192,9 +192,9 @@
 
 // sendLimits tells an entry of the limits that the leader has heard of lately.
 func (g *cluster) sendLimits(s *signalEntry) {
-	g.leaderLimits.Each(func(id ident.Incarnation, w ratelimit.Limit) {
-		if age := time.Since(w.LastSeen); w.Limited() && age < 5*time.Second {
-			s.relay.ApplyLimit(id, w.Rate, age)
+	g.leaderLimits.Each(func(id ident.Incarnation, limit ratelimit.Limit) {
+		if age := time.Since(limit.LastSeen); limit.Limited() && age < 5*time.Second {
+			s.relay.ApplyLimit(id, limit.Rate, age)
 		}
 	})
 }
@@ -223,27 +223,27 @@
 }
 
 // maxInSpan returns the most arrivals in any span of that length.
-func maxInSpan(list []time.Time, span time.Duration) int {
-	most, first := 0, 0
-	for i := range list {
-		for list[i].Sub(list[first]) >= span {
+func maxInSpan(arrivals []time.Time, span time.Duration) int {
+	highest, first := 0, 0
+	for i := range arrivals {
+		for arrivals[i].Sub(arrivals[first]) >= span {
 			first++
 		}
-		most = max(most, i-first+1)
+		highest = max(highest, i-first+1)
 	}
-	return most
+	return highest
 }
 
 // maxExcess returns by how many requests the arrivals are beyond the rate in the span where they are furthest beyond it.
-func maxExcess(list []time.Time, rate ratelimit.Rate) float64 {
-	most := 0.0
-	for i := range list {
+func maxExcess(arrivals []time.Time, rate ratelimit.Rate) float64 {
+	highest := 0.0
+	for i := range arrivals {
 		for j := range i + 1 {
-			t := list[i].Sub(list[j]) + limitJitter
-			most = max(most, float64(i-j+1)-float64(rate)*t.Seconds())
+			span := arrivals[i].Sub(arrivals[j]) + limitJitter
+			highest = max(highest, float64(i-j+1)-float64(rate)*span.Seconds())
 		}
 	}
-	return most
+	return highest
 }
 
 // limitCase is a site, a route and a limit.
@@ -259,7 +259,7 @@
 
 // An upstream that names a limit gets no more than that from all entries together, from when they can know of it: in any span of time its
 // rate and one request more. It gets nearly all of that, and no request is worse off while others have room.
-func TestALimitIsKeptByAllTogether(t *testing.T) {
+func TestLimitIsKeptByAllEntries(t *testing.T) {
 	for _, c := range []limitCase{
 		{1, "/safe/x", 3.6}, {1, "/stream/x", 0.5}, {1, "/stream/x", 25},
 		{8, "/safe/x", 3.6}, {8, "/unsafe/x", 1.8}, {8, "/stream/x", 1.8}, {8, "/stream/x", 0.5}, {8, "/stream/x", 25},
@@ -275,17 +275,17 @@
 				if u.limitNamedAt.IsZero() {
 					t.Fatal("nothing came once it named a limit: the test shows nothing")
 				}
-				known := u.arrivals(u.limitNamedAt.Add(limitKnown), began.Add(limitTestDuration))
+				arrivals := u.arrivals(u.limitNamedAt.Add(limitKnown), began.Add(limitTestDuration))
 				const span = 4 * time.Second
-				if got, most := maxInSpan(known, span), float64(c.limit)*span.Seconds()*1.5+5; float64(got) > most {
+				if got, most := maxInSpan(arrivals, span), float64(c.limit)*span.Seconds()*1.5+5; float64(got) > most {
 					t.Errorf("%d requests in %v, want %.0f at most", got, span, most)
 				}
-				if got := maxExcess(known, c.limit); got > 1 {
+				if got := maxExcess(arrivals, c.limit); got > 1 {
 					t.Errorf("%.1f requests beyond the limit in some span, want 1 at most", got)
 				}
-				wants := float64(c.limit) * (limitTestDuration - signalAt).Seconds()
-				if got := float64(len(known)); got < 0.9*wants-1 {
-					t.Errorf("%.0f requests in all, want nine tenths of %.0f", got, wants)
+				allowed := float64(c.limit) * (limitTestDuration - signalAt).Seconds()
+				if got := float64(len(arrivals)); got < 0.9*allowed-1 {
+					t.Errorf("%.0f requests in all, want nine tenths of %.0f", got, allowed)
 				}
 				for _, r := range g.records() {
 					if r.Code != 0 || r.FirstEvent > config().Routes[0].Aim {
--- a/relay/excess_test.go
+++ b/relay/overload_test.go
@@ -68,25 +68,25 @@
 
 // call returns when the first word came after the first try, 0 if none did, the longest pause after it, and how long tries were held
 // in vain.
-func (c *excessCaller) call(records *sync.Map) (first, gap, held time.Duration) {
+func (c *excessCaller) call(records *sync.Map) (firstEvent, maxGap, held time.Duration) {
 	began := time.Now()
-	tries := 2
+	maxAttempts := 2
 	if c.impatient {
-		tries = 4
+		maxAttempts = 4
 	}
-	for n := range tries {
-		left := excessCallerTimeout - time.Since(began)
-		if left <= 0 {
+	for n := range maxAttempts {
+		remaining := excessCallerTimeout - time.Since(began)
+		if remaining <= 0 {
 			break
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), left)
+		ctx, cancel := context.WithTimeout(context.Background(), remaining)
 		r := httptest.NewRequest(http.MethodPost, "/stream/x", http.NoBody).WithContext(ctx)
 		r.Host = "h"
 		id := c.id + "." + strconv.Itoa(n)
-		for name, value := range map[string]string{
-			"Request": id, "Key": "secret", "Model": "m", "Tokens": c.tokens, "Deadline": strconv.Itoa(int(left.Milliseconds())),
+		for name, found := range map[string]string{
+			"Request": id, "Key": "secret", "Model": "m", "Tokens": c.tokens, "Deadline": strconv.Itoa(int(remaining.Milliseconds())),
 		} {
-			r.Header.Set(name, value)
+			r.Header.Set(name, found)
 		}
 		w := httptest.NewRecorder()
 		sent := time.Now()
@@ -95,8 +95,8 @@
 			c.entry.ServeHTTP(w, r)
 		}()
 		cancel()
-		value, _ := records.Load(id)
-		if rec, ok := value.(*relay.Record); ok && rec.Code == 0 {
+		found, _ := records.Load(id)
+		if rec, ok := found.(*relay.Record); ok && rec.Code == 0 {
 			return sent.Sub(began) + rec.FirstEvent, rec.MaxEventGap, 0
 		}
 		held += time.Since(sent)
@@ -174,28 +174,28 @@
 	got := excessResult{bySize: map[int][2]int{}}
 	for n := 0; time.Since(began) < p.duration; n++ {
 		time.Sleep(time.Duration(random.ExpFloat64() / (excessRate * p.loadFactor(time.Since(began))) * float64(time.Second)))
-		c := &excessCaller{entry: s, id: strconv.Itoa(n), impatient: p.impatient}
+		caller := &excessCaller{entry: s, id: strconv.Itoa(n), impatient: p.impatient}
 		prompt := prompts[random.IntN(len(prompts))]
-		c.tokens = strconv.Itoa(prompt) + ",40"
-		at := time.Since(began)
+		caller.tokens = strconv.Itoa(prompt) + ",40"
+		start := time.Since(began)
 		wg.Go(func() {
-			first, gap, held := c.call(records)
-			if at < p.from || at >= p.to {
+			firstEvent, maxGap, held := caller.call(records)
+			if start < p.from || start >= p.to {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			got.total++
-			size := got.bySize[prompt]
-			size[0]++
-			defer func() { got.bySize[prompt] = size }()
+			counts := got.bySize[prompt]
+			counts[0]++
+			defer func() { got.bySize[prompt] = counts }()
 			switch {
-			case first == 0:
+			case firstEvent == 0:
 				got.refused++
 				got.heldTotal += held
-			case first <= excessAim && gap <= excessGapAim:
+			case firstEvent <= excessAim && maxGap <= excessGapAim:
 				got.inAim++
-				size[1]++
+				counts[1]++
 				got.tokens += prompt
 			default:
 				got.late++
@@ -206,15 +206,15 @@
 	return got
 }
 
-func constantLoad(times float64) func(time.Duration) float64 {
-	return func(time.Duration) float64 { return times }
+func constantLoad(loadFactor float64) func(time.Duration) float64 {
+	return func(time.Duration) float64 { return loadFactor }
 }
 
 // loadBetween is times within a span, and once outside.
-func loadBetween(from, to time.Duration, times float64) func(time.Duration) float64 {
-	return func(at time.Duration) float64 {
-		if at >= from && at < to {
-			return times
+func loadBetween(from, to time.Duration, loadFactor float64) func(time.Duration) float64 {
+	return func(elapsed time.Duration) float64 {
+		if elapsed >= from && elapsed < to {
+			return loadFactor
 		}
 		return 1
 	}
@@ -222,16 +222,16 @@
 
 // Loads that are more than the groups take: more callers than usual are answered in time meanwhile, those that are refused for good
 // are not held for long (2.9 s and more without package overload), and soon after it nearly all is as usual.
-func TestExcess(t *testing.T) {
-	s := time.Second
+func TestOverload(t *testing.T) {
+	sec := time.Second
 	for _, p := range []excessPattern{
-		{name: "usual", duration: 6 * s, loadFactor: constantLoad(1), to: 6 * s, minInAim: 0.97},
-		{name: "a burst of 1.7 times for 3 s", duration: 8 * s, loadFactor: loadBetween(2*s, 5*s, 1.7), from: 2 * s, to: 5 * s, minInAim: 1.3, maxHeld: 700 * time.Millisecond},
-		{name: "three times for 10 s", duration: 12 * s, loadFactor: loadBetween(s, 11*s, 3), from: s, to: 11 * s, minInAim: 1.2, maxHeld: 700 * time.Millisecond},
-		{name: "after three times for 10 s", duration: 15 * s, loadFactor: loadBetween(0, 10*s, 3), from: 11 * s, to: 15 * s, minInAim: 0.75},
-		{name: "half of the groups gone for 3 s", duration: 8 * s, loadFactor: constantLoad(1), lostGroups: 2, lostAt: 2 * s, lostFor: 3 * s, from: 2 * s, to: 5 * s, minInAim: 0.6, maxHeld: 700 * time.Millisecond},
-		{name: "everybody back after 2 s", duration: 8 * s, loadFactor: loadBetween(2*s, 2100*time.Millisecond, 20), from: 2200 * time.Millisecond, to: 5 * s, minInAim: 0.9, maxHeld: 1500 * time.Millisecond},
-		{name: "callers that come back at once, three times", duration: 8 * s, loadFactor: loadBetween(s, 7*s, 2), impatient: true, from: s, to: 7 * s, minInAim: 1.2, maxHeld: 700 * time.Millisecond},
+		{name: "usual", duration: 6 * sec, loadFactor: constantLoad(1), to: 6 * sec, minInAim: 0.97},
+		{name: "a burst of 1.7 times for 3 s", duration: 8 * sec, loadFactor: loadBetween(2*sec, 5*sec, 1.7), from: 2 * sec, to: 5 * sec, minInAim: 1.3, maxHeld: 700 * time.Millisecond},
+		{name: "three times for 10 s", duration: 12 * sec, loadFactor: loadBetween(sec, 11*sec, 3), from: sec, to: 11 * sec, minInAim: 1.2, maxHeld: 700 * time.Millisecond},
+		{name: "after three times for 10 s", duration: 15 * sec, loadFactor: loadBetween(0, 10*sec, 3), from: 11 * sec, to: 15 * sec, minInAim: 0.75},
+		{name: "half of the groups gone for 3 s", duration: 8 * sec, loadFactor: constantLoad(1), lostGroups: 2, lostAt: 2 * sec, lostFor: 3 * sec, from: 2 * sec, to: 5 * sec, minInAim: 0.6, maxHeld: 700 * time.Millisecond},
+		{name: "everybody back after 2 s", duration: 8 * sec, loadFactor: loadBetween(2*sec, 2100*time.Millisecond, 20), from: 2200 * time.Millisecond, to: 5 * sec, minInAim: 0.9, maxHeld: 1500 * time.Millisecond},
+		{name: "callers that come back at once, three times", duration: 8 * sec, loadFactor: loadBetween(sec, 7*sec, 2), impatient: true, from: sec, to: 7 * sec, minInAim: 1.2, maxHeld: 700 * time.Millisecond},
 	} {
 		t.Run(p.name, func(t *testing.T) {
 			got := runExcess(t, &p)
--- a/relay/spared_test.go
+++ b/relay/peer_backoff_test.go
@@ -26,7 +26,7 @@
 
 // A head that asked one entry for time is spared by the others as long as the rest have room: with many entries, each of which knows
 // only what it was asked itself, a head that is overrun would be reached as often as before.
-func TestOtherEntriesSpareWhoAskedForTime(t *testing.T) {
+func TestPeersDeprioritizeBackedOffHeads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sites := newCluster(backoffEntries, backoffHeads).entries
 		heads := sites[0].upstreams
@@ -45,10 +45,10 @@
 		}
 		wg.Wait()
 		// Each time that a head asks for costs the request that it refuses, and one that is sent before the news have come.
-		most := busyHeads * 2 * int(busyTime/busyRetryAfter+1)
-		turned, served := 0, 0
+		maxRefused := busyHeads * 2 * int(busyTime/busyRetryAfter+1)
+		refused, served := 0, 0
 		for _, u := range heads[:busyHeads] {
-			turned += len(u.refusedAt)
+			refused += len(u.refusedAt)
 			if u.servedAt.IsZero() {
 				t.Error("a head serves nothing after its time is over")
 			}
@@ -60,9 +60,9 @@
 				}
 			}
 		}
-		t.Logf("%d turned away, %d served", turned, served)
-		if turned > most {
-			t.Errorf("%d requests turned away, want %d at most", turned, most)
+		t.Logf("%d turned away, %d served", refused, served)
+		if refused > maxRefused {
+			t.Errorf("%d requests turned away, want %d at most", refused, maxRefused)
 		}
 		for _, u := range heads {
 			u.close()
@@ -71,7 +71,7 @@
 }
 
 // What a head asked of another entry does not bind this one: where nobody else has room it is tried.
-func TestASparedHeadIsTriedWhereNoOtherHasRoom(t *testing.T) {
+func TestDeprioritizedHeadIsUsedWithoutAlternative(t *testing.T) {
 	s := newSignalEntry(2)
 	cfg := config()
 	s.relay.SetConfig(cfg)
--- a/relay/place_test.go
+++ b/relay/pending_test.go
@@ -26,16 +26,16 @@
 // holdingHeads returns heads that keep requests until release is called, and where each request arrived, in order.
 func holdingHeads(t *testing.T, n int) (heads []*upstream, arrived chan ident.Incarnation, release func()) {
 	t.Helper()
-	held := make(chan struct{})
+	hold := make(chan struct{})
 	arrived = make(chan ident.Incarnation, 16)
 	for range n {
 		heads = append(heads, newUpstream(t, always(func(c net.Conn, r *http.Request) bool {
 			arrived <- ident.Incarnation(r.Header.Get("Life"))
-			<-held
+			<-hold
 			return respondStream(c, r, 1, 2, true)
 		})))
 	}
-	return heads, arrived, sync.OnceFunc(func() { close(held) })
+	return heads, arrived, sync.OnceFunc(func() { close(hold) })
 }
 
 // A long prompt that is still to be read weighs more than two short ones: the next request goes to where these are.
@@ -55,10 +55,10 @@
 		wg.Go(func() { s.do(r) })
 		return <-arrived
 	}
-	long := send("long", "20000,10")
+	longPromptHead := send("long", "20000,10")
 	var got []bool
 	for _, id := range []string{"a", "b", "c"} {
-		got = append(got, send(id, "200,10") == long)
+		got = append(got, send(id, "200,10") == longPromptHead)
 	}
 	if diff := cmp.Diff([]bool{false, false, false}, got); diff != "" {
 		t.Errorf("short prompts beside the long one (-want +got):\n%s", diff)
@@ -66,14 +66,14 @@
 }
 
 // What another entry sent a moment ago counts like an own prompt, until it is read.
-func TestRequestsAvoidPromptsOfOthers(t *testing.T) {
+func TestRequestsAvoidPromptsOfPeers(t *testing.T) {
 	heads, arrived, release := holdingHeads(t, 2)
 	s := newTestEntry(t, nil, heads)
 	cfg := timedConfig()
 	cfg.Routes[2].Attempts = 1
 	s.relay.SetConfig(cfg)
-	var told []relay.EntryUpdate
-	s.relay.SendUpdate = func(n relay.EntryUpdate, _ []string) { told = append(told, n) }
+	var sentUpdates []relay.EntryUpdate
+	s.relay.SendUpdate = func(n relay.EntryUpdate, _ []string) { sentUpdates = append(sentUpdates, n) }
 	now := time.Now()
 	s.relay.Now = func() time.Time { return now }
 	var wg sync.WaitGroup
@@ -95,13 +95,13 @@
 		t.Errorf("where requests went beside 20,000 tokens of another entry at h0 (-want +got):\n%s", diff)
 	}
 	want := []relay.EntryUpdate{{Head: "h1", PromptTokens: 2000}, {Head: "h1", PromptTokens: 2000}, {Head: "h0", PromptTokens: 2000}}
-	if diff := cmp.Diff(want, told); diff != "" {
+	if diff := cmp.Diff(want, sentUpdates); diff != "" {
 		t.Errorf("what the other entries are told (-want +got):\n%s", diff)
 	}
 }
 
 // What the leader counted a while ago is brought up to date by what was heard since: some of it has ended, more has come.
-func TestCountsAreBroughtUpToDate(t *testing.T) {
+func TestPeerCountsAreCorrectedByUpdates(t *testing.T) {
 	heads, arrived, release := holdingHeads(t, 1)
 	s := newTestEntry(t, nil, heads)
 	cfg := timedConfig()
@@ -114,13 +114,13 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer release()
-	ask := func(id string) {
+	send := func(id string) {
 		r := s.request("POST", "/stream/x", id, "")
 		r.Header.Set("Tokens", "100,10")
 		wg.Go(func() { s.do(r) })
 		<-arrived
 	}
-	ask("first")
+	send("first")
 	s.relay.SetPeerCounts(map[ident.Incarnation]int{"h0": 2})
 	now = now.Add(1400 * time.Millisecond)
 	for range 2 {
--- a/relay/priority_test.go
+++ b/relay/priority_test.go
@@ -15,7 +15,7 @@
 	for _, c := range []struct {
 		name  string
 		event string
-		took  time.Duration
+		delay time.Duration
 		want  string
 	}{
 		{"new", "", 0, "3"},
@@ -32,14 +32,14 @@
 			s := newTestEntry(t, nil, []*upstream{u})
 			// The second look at the clock is the one at which the request is sent on.
 			start := time.Now()
-			var looks atomic.Int64
+			var clockReads atomic.Int64
 			s.relay.Now = func() time.Time {
-				if looks.Add(1) == 1 {
+				if clockReads.Add(1) == 1 {
 					return start
 				}
-				return start.Add(c.took)
+				return start.Add(c.delay)
 			}
-			s.relay.SetConfirmed(start.Add(c.took))
+			s.relay.SetConfirmed(start.Add(c.delay))
 			r := s.request("POST", "/stream/x", "1", "")
 			r.Header.Set("Event", c.event)
 			s.do(r)
--- a/relay/start_test.go
+++ b/relay/start_test.go
@@ -20,14 +20,14 @@
 
 // An entry that has just started refuses new requests at once, and keeps a stream that is taken up again for the first word
 // from control, but not for long.
-func TestTheFirstWord(t *testing.T) {
+func TestFirstConfirmation(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		event    string
-		deadline string
-		word     time.Duration
-		status   int
-		answered time.Duration
+		name           string
+		event          string
+		deadline       string
+		confirmedAfter time.Duration
+		status         int
+		answeredAfter  time.Duration
 	}{
 		{"a new request", "", "", 300 * time.Millisecond, 503, 0},
 		{"a request with time to come back", "", "6000", 300 * time.Millisecond, 503, 0},
@@ -41,11 +41,11 @@
 				s := relay.New(headerNames(), transport.TCP())
 				s.KeyValidity = 4 * time.Second
 				s.Budget = relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0.2, Window: time.Second, Allowance: 1})
-				word := time.AfterFunc(c.word, func() {
+				confirmation := time.AfterFunc(c.confirmedAfter, func() {
 					s.SetConfig(config())
 					s.SetConfirmed(time.Now())
 				})
-				defer word.Stop()
+				defer confirmation.Stop()
 				start := time.Now()
 				r := httptest.NewRequest("POST", "/stream/x", nil)
 				r.Host = "h"
@@ -53,8 +53,8 @@
 				r.Header.Set("Deadline", c.deadline)
 				w := httptest.NewRecorder()
 				s.ServeHTTP(w, r)
-				if got := time.Since(start); w.Code != c.status || got != c.answered {
-					t.Errorf("status %d after %v, want %d after %v", w.Code, got, c.status, c.answered)
+				if got := time.Since(start); w.Code != c.status || got != c.answeredAfter {
+					t.Errorf("status %d after %v, want %d after %v", w.Code, got, c.status, c.answeredAfter)
 				}
 			})
 		})
@@ -62,7 +62,7 @@
 }
 
 // Streams that were held at the start go on one after the other; nothing that comes later waits for them.
-func TestHeldStreamsTakeTurns(t *testing.T) {
+func TestHeldStreamsArePaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		var sent []time.Duration
@@ -77,7 +77,7 @@
 		s.KeyValidity = 4 * time.Second
 		s.Budget = relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0.2, Window: time.Second, Allowance: 1})
 		s.Budget.SetEntries(8)
-		ask := func(event string) {
+		send := func(event string) {
 			r := httptest.NewRequest("POST", "/stream/x", nil)
 			r.Host = "h"
 			for name, value := range map[string]string{"Key": "secret", "Model": "m", "Event": event, "Deadline": "6000", "Tokens": "1000,100"} {
@@ -87,7 +87,7 @@
 		}
 		var held sync.WaitGroup
 		for range 4 {
-			held.Go(func() { ask("4") })
+			held.Go(func() { send("4") })
 		}
 		time.Sleep(200 * time.Millisecond)
 		cfg := config()
@@ -102,7 +102,7 @@
 		s.ApplyRoster(&d)
 		s.SetConfirmed(time.Now())
 		time.Sleep(50 * time.Millisecond)
-		ask("")
+		send("")
 		held.Wait()
 		// Every one is refused by both groups.
 		ms := time.Millisecond
--- a/relay/share_test.go
+++ b/relay/subset_test.go
@@ -36,18 +36,18 @@
 
 // sendHeld sends so many requests, which are held until release, and returns which groups they went to, by the news of them, and who
 // was told.
-func sendHeld(t *testing.T, s *testEntry, release func(), n int) (heads map[ident.Incarnation]int, told map[ident.Incarnation][]string) {
+func sendHeld(t *testing.T, s *testEntry, release func(), n int) (heads map[ident.Incarnation]int, recipients map[ident.Incarnation][]string) {
 	t.Helper()
 	var wg sync.WaitGroup
 	t.Cleanup(func() {
 		release()
 		wg.Wait()
 	})
-	heads, told = map[ident.Incarnation]int{}, map[ident.Incarnation][]string{}
+	heads, recipients = map[ident.Incarnation]int{}, map[ident.Incarnation][]string{}
 	sent := make(chan struct{}, n)
-	s.relay.SendUpdate = func(news relay.EntryUpdate, to []string) {
-		heads[news.Head]++
-		told[news.Head] = to
+	s.relay.SendUpdate = func(update relay.EntryUpdate, to []string) {
+		heads[update.Head]++
+		recipients[update.Head] = to
 		sent <- struct{}{}
 	}
 	for i := range n {
@@ -59,18 +59,18 @@
 		wg.Go(func() { s.relay.ServeHTTP(httptest.NewRecorder(), r) })
 		<-sent
 	}
-	return heads, told
+	return heads, recipients
 }
 
 // At a large site an entry uses a few groups, and tells of a prompt only those that use the group too.
-func TestGroupsAreSharedOut(t *testing.T) {
+func TestEntriesUseSubsets(t *testing.T) {
 	s, release := newLargeSiteEntry(t)
 	s.relay.SetPeerCounts(map[ident.Incarnation]int{})
-	heads, told := sendHeld(t, s, release, 12)
+	heads, recipients := sendHeld(t, s, release, 12)
 	if len(heads) != 4 {
 		t.Errorf("requests went to %v, want four of eight groups", heads)
 	}
-	for head, to := range told {
+	for head, to := range recipients {
 		if len(to) < 25 || len(to) > 75 {
 			t.Errorf("%d entries are told of prompts at %s, want about half of 99", len(to), head)
 		}
@@ -78,23 +78,23 @@
 }
 
 // When the groups that an entry uses are full it sends to others, but no more than its part of the room that all entries see there.
-func TestWhatOthersHaveRoomForIsDivided(t *testing.T) {
+func TestCapacityOutsideSubsetIsDivided(t *testing.T) {
 	s, release := newLargeSiteEntry(t)
 	s.relay.SetPeerCounts(map[ident.Incarnation]int{})
-	own, _ := sendHeld(t, s, release, 4)
-	others := map[ident.Incarnation]int{}
+	subset, _ := sendHeld(t, s, release, 4)
+	peerCounts := map[ident.Incarnation]int{}
 	for i := range 8 {
-		if head := ident.Incarnation("h" + strconv.Itoa(i)); own[head] > 0 {
-			others[head] = 4
+		if head := ident.Incarnation("h" + strconv.Itoa(i)); subset[head] > 0 {
+			peerCounts[head] = 4
 		}
 	}
 	// Four groups with four free slots each, of which half may be filled: each word gives every one of 100 entries 0.08 of a
 	// request, and one came before.
-	for word := 1; word <= 20; word++ {
-		s.relay.SetPeerCounts(others)
+	for round := 1; round <= 20; round++ {
+		s.relay.SetPeerCounts(peerCounts)
 		head, fits := relay.ChooseGroup(s.relay, &timedConfig().Routes[2], "m", 100)
-		if elsewhere := fits && own[head] == 0; elsewhere != (word >= 12) {
-			t.Errorf("word %d: the choice is %s, which has room: %v; want another group from the twelfth word on", word, head, fits)
+		if outsideSubset := fits && subset[head] == 0; outsideSubset != (round >= 12) {
+			t.Errorf("word %d: the choice is %s, which has room: %v; want another group from the twelfth word on", round, head, fits)
 		}
 	}
 }
--- a/relay/suspect_test.go
+++ b/relay/suspect_test.go
@@ -94,19 +94,19 @@
 }
 
 // record notes the end of a request that came at a time.
-func (r *stallResult) record(rec *relay.Record, came time.Duration) {
+func (r *stallResult) record(rec *relay.Record, arrivedAt time.Duration) {
 	r.total++
 	if rec.Code != 0 || rec.FirstEvent > stallFirstEventAim || rec.MaxEventGap > stallGapAim {
 		r.late++
 	}
-	for _, try := range rec.Attempts {
-		at := came + time.Duration(try.StartMS)*time.Millisecond
-		if try.Result == "stalled" {
+	for _, attempt := range rec.Attempts {
+		startedAt := arrivedAt + time.Duration(attempt.StartMS)*time.Millisecond
+		if attempt.Result == "stalled" {
 			r.moved++
-			r.silent = append(r.silent, time.Duration(try.SilentMS)*time.Millisecond)
+			r.silent = append(r.silent, time.Duration(attempt.SilentMS)*time.Millisecond)
 		}
-		if try.Upstream == "h0" && at > stallAt && at < stallAt+stallDuration {
-			r.sentAfter = max(r.sentAfter, at-stallAt)
+		if attempt.Upstream == "h0" && startedAt > stallAt && startedAt < stallAt+stallDuration {
+			r.sentAfter = max(r.sentAfter, startedAt-stallAt)
 		}
 	}
 }
@@ -114,23 +114,23 @@
 // newStallEntries returns entries that tell each other of prompts and suspicions.
 func newStallEntries(p stallScenario, engines map[string]*iterationEngine) []*relay.Relay {
 	random := rand.New(rand.NewPCG(3, 3))
-	names := make([]string, stallEntries)
-	for i := range names {
-		names[i] = "10.0.0." + strconv.Itoa(i) + ":7"
+	addresses := make([]string, stallEntries)
+	for i := range addresses {
+		addresses[i] = "10.0.0." + strconv.Itoa(i) + ":7"
 	}
-	var drop sync.Mutex
+	var mu sync.Mutex
 	entries := make([]*relay.Relay, stallEntries)
 	for i := range entries {
-		s := relayForEngines(engines)
-		entries[i] = s
-		from := netip.MustParseAddrPort(names[i])
-		s.SendUpdate = func(n relay.EntryUpdate, _ []string) {
-			for j, o := range entries {
-				drop.Lock()
+		entry := relayForEngines(engines)
+		entries[i] = entry
+		from := netip.MustParseAddrPort(addresses[i])
+		entry.SendUpdate = func(update relay.EntryUpdate, _ []string) {
+			for j, peer := range entries {
+				mu.Lock()
 				lost := random.Float64() < p.lossRate
-				drop.Unlock()
+				mu.Unlock()
 				if j != i && !lost {
-					time.AfterFunc(datagramDelay, func() { o.Receive(n, from) })
+					time.AfterFunc(datagramDelay, func() { peer.Receive(update, from) })
 				}
 			}
 		}
@@ -142,10 +142,10 @@
 		cfg.Routes[0].Aim = stallFirstEventAim
 		cfg.Routes[0].GapAim = stallGapAim
 		cfg.Routes[0].Timeout = excessCallerTimeout
-		s.SetConfig(cfg)
-		s.SetConfirmed(time.Now())
-		setGroups(s, 1, stallGroups)
-		s.SetEntries(sharing.New(names[i], map[ident.Hall][]string{"hall": names}))
+		entry.SetConfig(cfg)
+		entry.SetConfirmed(time.Now())
+		setGroups(entry, 1, stallGroups)
+		entry.SetEntries(sharing.New(addresses[i], map[ident.Hall][]string{"hall": addresses}))
 	}
 	return entries
 }
@@ -158,7 +158,7 @@
 	var wg sync.WaitGroup
 	for n := 0; time.Since(began) < stallTestDuration; n++ {
 		time.Sleep(time.Duration(random.ExpFloat64() / stallRate * float64(time.Second)))
-		s := entries[random.IntN(len(entries))]
+		entry := entries[random.IntN(len(entries))]
 		r := httptest.NewRequest(http.MethodPost, "/stream/x", http.NoBody)
 		r.Host = "h"
 		for name, value := range map[string]string{
@@ -169,7 +169,7 @@
 		}
 		wg.Go(func() {
 			defer func() { _ = recover() }() // an answer that is cut off ends in a panic, as in net/http
-			s.ServeHTTP(httptest.NewRecorder(), r)
+			entry.ServeHTTP(httptest.NewRecorder(), r)
 		})
 	}
 	wg.Wait()
@@ -177,9 +177,9 @@
 
 // A group stops without a word, and for three seconds nobody ends it: those that wait there go on elsewhere within some passes. With
 // fixed limits of 900 ms for first words and 550 ms for events all that were moved, 18 and 21, were late.
-func TestAGroupThatStops(t *testing.T) {
-	for _, drops := range []float64{0, 0.02} {
-		got := runStall(t, stallScenario{stalls: true, lossRate: drops})
+func TestStalledGroup(t *testing.T) {
+	for _, lossRate := range []float64{0, 0.02} {
+		got := runStall(t, stallScenario{stalls: true, lossRate: lossRate})
 		t.Logf("%d asked, %d late, %d moved after %v, last sent after %v", got.total, got.late, got.moved, got.silent, got.sentAfter)
 		if got.moved == 0 {
 			t.Fatal("nothing was moved")
@@ -194,14 +194,14 @@
 }
 
 // While all groups work, and some news are lost, nothing is moved.
-func TestFalseAlarms(t *testing.T) {
+func TestNoMovesWithoutStall(t *testing.T) {
 	if got := runStall(t, stallScenario{lossRate: 0.02}); got.moved > 0 {
 		t.Errorf("%d of %d moved although every group works", got.moved, got.total)
 	}
 }
 
 // Where nine in ten news are lost nobody knows how long passes take; few are moved in vain all the same, and most groups stay in use.
-func TestNewsThatDoNotCome(t *testing.T) {
+func TestLostUpdates(t *testing.T) {
 	got := runStall(t, stallScenario{lossRate: 0.9})
 	t.Logf("%d asked, %d late, %d moved after %v", got.total, got.late, got.moved, got.silent)
 	if got.moved > got.total/100 {
@@ -210,7 +210,7 @@
 }
 
 // A group that turns twelve times slower gives signs, each far too late: those that wait there move, and few are late.
-func TestASlowGroup(t *testing.T) {
+func TestSlowGroup(t *testing.T) {
 	got := runStall(t, stallScenario{slows: true})
 	t.Logf("%d asked, %d late, %d moved after %v", got.total, got.late, got.moved, got.silent)
 	if got.moved == 0 || got.late > 12 {
--- a/relay/suspended_test.go
+++ b/relay/suspension_test.go
@@ -25,7 +25,7 @@
 
 // An entry that was suspended past the lapse of keys serves none on what it had heard before: a key may have been taken away
 // meanwhile.
-func TestASuspendedEntryServesNoOldKeys(t *testing.T) {
+func TestSuspendedEntryRejectsLapsedKeys(t *testing.T) {
 	vm := &suspendableClock{startedAt: time.Now()}
 	u := newUpstream(t, always(respondComplete))
 	s := newTestEntry(t, []*upstream{u}, nil)
