--- a/relay/backoff_test.go
+++ b/relay/backoff_test.go
@@ -249,7 +249,7 @@
 		r.Header.Set(name, value)
 	}
 	w := httptest.NewRecorder()
-	defer func() { _ = recover() }() // an answer that is cut off ends in a panic, as in net/http
+	defer func() { _ = recover() }() // an aborted answer panics, as in net/http
 	s.relay.ServeHTTP(w, r)
 	return w
 }
--- a/relay/capacity_test.go
+++ b/relay/capacity_test.go
@@ -13,14 +13,14 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// busyGroupEntry is a site with one group that reads a prompt which takes longer than streams there may pause, and a second request.
-// It returns once the second one is at the group, or was twice found no room for.
+// busyGroupEntry starts an entry with one group, which prefills a prompt for longer than the gap aim of streams allows, and sends a second
+// request. It returns once the second request has arrived at the group or has twice found no capacity.
 func busyGroupEntry(t *testing.T) (s *testEntry, second chan reply, secondArrived *atomic.Bool, advance func(time.Duration), release func()) {
 	t.Helper()
 	return busyGroupEntryWithDeadline(t, "5000")
 }
 
-// busyGroupEntryWithDeadline is crowded with a caller of the second request that waits for so many ms.
+// busyGroupEntryWithDeadline is busyGroupEntry with a deadline in ms for the second request.
 func busyGroupEntryWithDeadline(t *testing.T, deadline string) (s *testEntry, second chan reply, secondArrived *atomic.Bool, advance func(time.Duration), release func()) {
 	t.Helper()
 	hold := make(chan struct{})
@@ -74,18 +74,18 @@
 	return s, second, secondArrived, func(d time.Duration) { skipped.Add(int64(d)) }, release
 }
 
-// A request that would make the pauses of a group's streams too long waits at the entry until there is room.
+// A request that would make the event gaps of a group's streams too long waits at the entry until the group has capacity.
 func TestRequestWaitsForCapacity(t *testing.T) {
 	_, second, secondArrived, _, release := busyGroupEntry(t)
 	sentEarly := secondArrived.Load()
 	release()
 	got := <-second
 	if diff := cmp.Diff([]any{false, 200, true}, []any{sentEarly, got.Status, got.Complete}); diff != "" {
-		t.Errorf("sent before there was room, status, whole (-want +got):\n%s", diff)
+		t.Errorf("sent before there was capacity, status, complete answer (-want +got):\n%s", diff)
 	}
 }
 
-// One that finds none within its aim of two seconds is refused as not run, and told to come back.
+// A request that finds no capacity within its aim of 2 s is refused as not run, with a Retry-After.
 func TestRequestRefusedWithoutCapacity(t *testing.T) {
 	s, second, secondArrived, advance, _ := busyGroupEntry(t)
 	advance(2500 * time.Millisecond)
@@ -97,11 +97,11 @@
 	defer s.mu.Unlock()
 	r := s.records[0]
 	if r.Code != result.Overloaded || r.RetryAfter <= 0 || len(r.Attempts) != 0 {
-		t.Errorf("code %d, to come back after %v, tries %v; want code %d, a time and no try", r.Code, r.RetryAfter, r.Attempts, result.Overloaded)
+		t.Errorf("code %d, Retry-After %v, attempts %v; want code %d, a positive Retry-After and no attempt", r.Code, r.RetryAfter, r.Attempts, result.Overloaded)
 	}
 }
 
-// A request whose time is up while it waits is refused at once, however long it could still wait for room.
+// A queued request is refused as soon as its deadline passes, even if its aim leaves more time to wait for capacity.
 func TestQueuedRequestExpires(t *testing.T) {
 	s, second, secondArrived, advance, _ := busyGroupEntryWithDeadline(t, "300")
 	advance(400 * time.Millisecond)
@@ -112,6 +112,6 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r := s.records[0]; len(r.Attempts) != 0 || r.Total > time.Second {
-		t.Errorf("tries %v after %v; want none, and an answer when the time is up", r.Attempts, r.Total)
+		t.Errorf("attempts %v after %v; want none, and a refusal at the deadline", r.Attempts, r.Total)
 	}
 }
--- a/relay/choose_test.go
+++ b/relay/choose_test.go
@@ -10,8 +10,8 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// All entries hear of loads at the same late moment: what is best then must not get all of their requests, and what is worst
-// gets none.
+// All entries receive the same outdated load counts at the same time. If each chose the best target, that target would get the requests of
+// all entries until the next counts. The least loaded target must get only a part, and the most loaded target none.
 func TestRequestsSpreadByLoad(t *testing.T) {
 	const targets = 5
 	var upstreams []*upstream
@@ -34,14 +34,14 @@
 		got[r.Attempts[0].Upstream]++
 	}
 	if got["p0"] > requests/2 || got["p0"] < requests/4 {
-		t.Errorf("the least loaded of %d got %d of %d requests, want between a quarter and half", targets, got["p0"], requests)
+		t.Errorf("the least loaded of %d targets got %d of %d requests, want between a quarter and half", targets, got["p0"], requests)
 	}
 	if got["p4"] > 0 {
-		t.Errorf("the most loaded got %d requests", got["p4"])
+		t.Errorf("the most loaded target got %d requests, want 0", got["p4"])
 	}
 	delete(got, "p4")
 	order := []bool{got["p0"] > got["p1"], got["p1"] > got["p2"], got["p2"] > got["p3"], got["p3"] > 0}
 	if diff := cmp.Diff([]bool{true, true, true, true}, order); diff != "" {
-		t.Errorf("a lower load gets more requests (-want +got), %v:\n%s", got, diff)
+		t.Errorf("targets with a lower load get more requests (-want +got), requests by target %v:\n%s", got, diff)
 	}
 }
--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -202,7 +202,7 @@
 	} {
 		r.Header.Set(name, value)
 	}
-	defer func() { _ = recover() }() // an answer that is cut off ends in a panic, as in net/http
+	defer func() { _ = recover() }() // an aborted answer panics, as in net/http
 	s.ServeHTTP(httptest.NewRecorder(), r)
 }
 
--- a/relay/flood_test.go
+++ b/relay/flood_test.go
@@ -24,24 +24,25 @@
 const (
 	floodGroups = 3
 	floodEvents = 8
-	// floodRate is about what the groups carry in time, floodDuration how long it lasts.
+	// floodRate is about the load in requests per second that the groups can answer in time, floodDuration how long the load lasts.
 	floodRate     = 60
 	floodDuration = 10 * time.Second
 )
 
-// iterationEngine works as the published engine model says: each pass reads all that waits and has a slot, then every sequence has an
-// event.
+// iterationEngine simulates an engine with continuous batching: each iteration prefills the waiting prompts that have a slot, and then
+// every running sequence has one event.
 type iterationEngine struct {
-	// slots bounds the sequences that write, 0 does not. What waits for them beyond as many again is turned away.
+	// slots bounds the decoding sequences, 0 means no bound. As many again may wait; further requests are rejected.
 	slots int
 
 	mu           sync.Mutex
 	stalledUntil time.Time
-	// slowdown is how many times longer a pass takes until slowUntil.
+	// slowdown is the factor by which iterations take longer until slowUntil.
 	slowdown  time.Duration
 	slowUntil time.Time
 	rejected  int
-	// down is set while the engine has ended, ran is told of each body that it begins to run; when that returns true it ends.
+	// down is set after a crash until restart. onRun is called with the body of each request that the engine starts to run; the engine
+	// crashes if it returns true.
 	down     bool
 	onRun    func(body string) bool
 	waiting  []*sequence
@@ -54,7 +55,7 @@
 	prompt     int
 	eventsLeft int
 	event      chan int
-	// crashed is closed when the engine ends.
+	// crashed is closed when the engine crashes.
 	crashed chan struct{}
 }
 
@@ -86,14 +87,14 @@
 	}
 }
 
-// stall lets nothing come of the engine for a time, whatever it takes.
+// stall stops all iterations for a time, while the engine still accepts requests.
 func (e *iterationEngine) stall(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.stalledUntil = time.Now().Add(d)
 }
 
-// slow lets passes take so many times longer for a time.
+// slow makes iterations take longer by a factor for a time.
 func (e *iterationEngine) slow(slowdown time.Duration, d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -129,7 +130,7 @@
 	e.decoding = running
 }
 
-// anyCrashes reports whether one of those that were just read ends the engine.
+// anyCrashes reports whether one of the prefilled requests crashes the engine.
 func (e *iterationEngine) anyCrashes(prefilled []*sequence) bool {
 	crashes := false
 	for _, seq := range prefilled {
@@ -140,7 +141,7 @@
 	return crashes
 }
 
-// crash ends the engine: all connections close, and new ones are refused until restart.
+// crash closes all connections; new ones are refused until restart.
 func (e *iterationEngine) crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -244,7 +245,7 @@
 	}
 }
 
-// relayForEngines returns a relay whose upstreams are engines, by their addresses.
+// relayForEngines returns a relay that connects to the engines by their addresses.
 func relayForEngines(engines map[string]*iterationEngine) *relay.Relay {
 	s := relay.New(headerNames(), func(ctx context.Context, address string) (net.Conn, error) {
 		return engines[address].dial(ctx, address)
@@ -255,7 +256,7 @@
 	return s
 }
 
-// countInAim plays so many times the usual traffic and returns how many requests were answered within both aims.
+// countInAim runs a load of loadFactor times floodRate and returns how many requests were answered within both aims.
 func countInAim(t *testing.T, loadFactor float64) int {
 	t.Helper()
 	var (
@@ -297,7 +298,7 @@
 	return inAim
 }
 
-// sendFlood sends requests at random moments, with prompts that differ by twenty times in size, and waits for their ends.
+// sendFlood sends requests at random times, with prompts of 200 to 4000 tokens, and waits until all have ended.
 func sendFlood(s *relay.Relay, loadFactor float64) {
 	random := rand.New(rand.NewPCG(2, 2))
 	prompts := []int{200, 400, 800, 1600, 4000}
@@ -312,22 +313,22 @@
 		r.Header.Set("Model", "m")
 		r.Header.Set("Tokens", strconv.Itoa(prompts[random.IntN(len(prompts))])+",40")
 		wg.Go(func() {
-			defer func() { _ = recover() }() // an answer that is cut off ends in a panic, as in net/http
+			defer func() { _ = recover() }() // an aborted answer panics, as in net/http
 			s.ServeHTTP(httptest.NewRecorder(), r)
 		})
 	}
 	wg.Wait()
 }
 
-// In a flood as many requests are answered in time as at full load.
+// In a flood nearly as many requests are answered in time as at full load.
 func TestFlood(t *testing.T) {
 	atFullLoad := countInAim(t, 1)
 	if atFullLoad < floodRate*int(floodDuration.Seconds())*8/10 {
-		t.Fatalf("%d requests are in time at full load: the test asks for too much", atFullLoad)
+		t.Fatalf("%d requests in time at full load, want at least 80%%: floodRate exceeds the capacity", atFullLoad)
 	}
 	for _, loadFactor := range []float64{2, 3} {
 		if got := countInAim(t, loadFactor); float64(got) < 0.95*float64(atFullLoad) {
-			t.Errorf("%d requests in time at %v times the traffic, %d without", got, loadFactor, atFullLoad)
+			t.Errorf("%d requests in time at %v times the load, %d at full load", got, loadFactor, atFullLoad)
 		}
 	}
 }
--- a/relay/overload_test.go
+++ b/relay/overload_test.go
@@ -20,45 +20,45 @@
 const (
 	excessGroups = 4
 	excessSlots  = 26
-	// excessRate is what the groups carry with room for a burst, in requests a second.
+	// excessRate is the usual load in requests per second, which leaves capacity for a burst.
 	excessRate = 60
-	// excessAim and excessGapAim are within what the first word must come, and the others after it.
+	// excessAim bounds the time to the first event of an answer in time, excessGapAim the gaps between its events.
 	excessAim    = 400 * time.Millisecond
 	excessGapAim = 200 * time.Millisecond
 	// excessCallerTimeout is how long callers wait for an answer.
 	excessCallerTimeout = 6 * time.Second
 )
 
-// excessPattern is a load that is more than the groups take.
+// excessPattern is a load that exceeds the capacity of the groups.
 type excessPattern struct {
 	name string
-	// duration is how long callers come, times how many times the usual traffic comes at a moment.
+	// duration is how long callers arrive, loadFactor the load as a multiple of the usual one at a time since the start.
 	duration   time.Duration
 	loadFactor func(at time.Duration) float64
-	// lostGroups is how many groups are gone from lostAt on for lostFor.
+	// lostGroups is the number of groups that are missing from lostAt on for lostFor.
 	lostGroups int
 	lostAt     time.Duration
 	lostFor    time.Duration
-	// impatient is set when callers come back at once and three times as often, whatever they are told.
+	// impatient is set when callers ignore Retry-After and retry at once, three times.
 	impatient bool
-	// countInAim is the least part of the usual traffic that must be answered in time, of the callers that came from its start to its end.
+	// Of the callers that arrived between from and to, at least the fraction minInAim of the usual load must be answered in time.
 	from, to time.Duration
 	minInAim float64
-	// maxHeld is the longest time on average that requests which are refused for good may have been held.
+	// maxHeld bounds how long finally refused callers may have been kept waiting by their attempts, on average.
 	maxHeld time.Duration
 }
 
-// excessResult is what became of the callers that came within the time that counts.
+// excessResult counts how the requests of the callers between from and to ended.
 type excessResult struct {
 	total, inAim, late, refused int
-	// heldTotal is the time for which tries of refused callers were kept, in all.
+	// heldTotal is the sum of the times that refused callers were kept waiting.
 	heldTotal time.Duration
-	// bySize counts by prompt those that asked and those that were in time, tokens are the prompts of these.
+	// bySize has, by prompt size, the number of callers and of those answered in time; tokens is the sum of the latter's prompts.
 	bySize map[int][2]int
 	tokens int
 }
 
-// caller sends one request, and again when it is told to come back.
+// excessCaller sends one request and retries it after a refusal.
 type excessCaller struct {
 	entry     *relay.Relay
 	id        string
@@ -66,8 +66,8 @@
 	impatient bool
 }
 
-// call returns when the first word came after the first try, 0 if none did, the longest pause after it, and how long tries were held
-// in vain.
+// call returns the time to the first event from the first attempt, 0 if there was none, the longest gap between events, and the total time
+// of refused attempts.
 func (c *excessCaller) call(records *sync.Map) (firstEvent, maxGap, held time.Duration) {
 	began := time.Now()
 	maxAttempts := 2
@@ -91,7 +91,7 @@
 		w := httptest.NewRecorder()
 		sent := time.Now()
 		func() {
-			defer func() { _ = recover() }() // an answer that is cut off ends in a panic, as in net/http
+			defer func() { _ = recover() }() // an aborted answer panics, as in net/http
 			c.entry.ServeHTTP(w, r)
 		}()
 		cancel()
@@ -111,7 +111,7 @@
 	return 0, 0, held
 }
 
-// runExcess plays a pattern before engines with slots.
+// runExcess runs a load pattern against an entry with simulated engines.
 func runExcess(t *testing.T, p *excessPattern) excessResult {
 	t.Helper()
 	var got excessResult
@@ -151,7 +151,7 @@
 	return got
 }
 
-// setGroups lets the first groups serve, and no others.
+// setGroups applies a roster with the first n groups only.
 func setGroups(s *relay.Relay, revision roster.Revision, n int) {
 	d := roster.Delta{Full: true, Revision: revision}
 	for i := range n {
@@ -164,7 +164,7 @@
 	s.ApplyRoster(&d)
 }
 
-// sendExcess lets callers come at random moments, with prompts that differ by twenty times in size, and waits for their ends.
+// sendExcess starts callers at random times, with prompts of 200 to 4000 tokens, and waits until all have ended.
 func sendExcess(s *relay.Relay, p *excessPattern, records *sync.Map) excessResult {
 	random := rand.New(rand.NewPCG(2, 2))
 	prompts := []int{200, 400, 800, 1600, 4000}
@@ -210,7 +210,7 @@
 	return func(time.Duration) float64 { return loadFactor }
 }
 
-// loadBetween is times within a span, and once outside.
+// loadBetween is a load of loadFactor from one time to another, and the usual load otherwise.
 func loadBetween(from, to time.Duration, loadFactor float64) func(time.Duration) float64 {
 	return func(elapsed time.Duration) float64 {
 		if elapsed >= from && elapsed < to {
@@ -220,30 +220,30 @@
 	}
 }
 
-// Loads that are more than the groups take: more callers than usual are answered in time meanwhile, those that are refused for good
-// are not held for long (2.9 s and more without package overload), and soon after it nearly all is as usual.
+// During an overload more callers than usual are answered in time, finally refused callers are not kept waiting for long, and soon after the
+// overload nearly all requests are in time again. Without package overload, callers would wait for seconds before their final refusal.
 func TestOverload(t *testing.T) {
 	sec := time.Second
 	for _, p := range []excessPattern{
-		{name: "usual", duration: 6 * sec, loadFactor: constantLoad(1), to: 6 * sec, minInAim: 0.97},
-		{name: "a burst of 1.7 times for 3 s", duration: 8 * sec, loadFactor: loadBetween(2*sec, 5*sec, 1.7), from: 2 * sec, to: 5 * sec, minInAim: 1.3, maxHeld: 700 * time.Millisecond},
-		{name: "three times for 10 s", duration: 12 * sec, loadFactor: loadBetween(sec, 11*sec, 3), from: sec, to: 11 * sec, minInAim: 1.2, maxHeld: 700 * time.Millisecond},
-		{name: "after three times for 10 s", duration: 15 * sec, loadFactor: loadBetween(0, 10*sec, 3), from: 11 * sec, to: 15 * sec, minInAim: 0.75},
-		{name: "half of the groups gone for 3 s", duration: 8 * sec, loadFactor: constantLoad(1), lostGroups: 2, lostAt: 2 * sec, lostFor: 3 * sec, from: 2 * sec, to: 5 * sec, minInAim: 0.6, maxHeld: 700 * time.Millisecond},
-		{name: "everybody back after 2 s", duration: 8 * sec, loadFactor: loadBetween(2*sec, 2100*time.Millisecond, 20), from: 2200 * time.Millisecond, to: 5 * sec, minInAim: 0.9, maxHeld: 1500 * time.Millisecond},
-		{name: "callers that come back at once, three times", duration: 8 * sec, loadFactor: loadBetween(sec, 7*sec, 2), impatient: true, from: sec, to: 7 * sec, minInAim: 1.2, maxHeld: 700 * time.Millisecond},
+		{name: "usual load", duration: 6 * sec, loadFactor: constantLoad(1), to: 6 * sec, minInAim: 0.97},
+		{name: "1.7 times the load for 3 s", duration: 8 * sec, loadFactor: loadBetween(2*sec, 5*sec, 1.7), from: 2 * sec, to: 5 * sec, minInAim: 1.3, maxHeld: 700 * time.Millisecond},
+		{name: "three times the load for 10 s", duration: 12 * sec, loadFactor: loadBetween(sec, 11*sec, 3), from: sec, to: 11 * sec, minInAim: 1.2, maxHeld: 700 * time.Millisecond},
+		{name: "after three times the load for 10 s", duration: 15 * sec, loadFactor: loadBetween(0, 10*sec, 3), from: 11 * sec, to: 15 * sec, minInAim: 0.75},
+		{name: "half of the groups missing for 3 s", duration: 8 * sec, loadFactor: constantLoad(1), lostGroups: 2, lostAt: 2 * sec, lostFor: 3 * sec, from: 2 * sec, to: 5 * sec, minInAim: 0.6, maxHeld: 700 * time.Millisecond},
+		{name: "all callers retry after 2 s", duration: 8 * sec, loadFactor: loadBetween(2*sec, 2100*time.Millisecond, 20), from: 2200 * time.Millisecond, to: 5 * sec, minInAim: 0.9, maxHeld: 1500 * time.Millisecond},
+		{name: "callers retry at once, three times", duration: 8 * sec, loadFactor: loadBetween(sec, 7*sec, 2), impatient: true, from: sec, to: 7 * sec, minInAim: 1.2, maxHeld: 700 * time.Millisecond},
 	} {
 		t.Run(p.name, func(t *testing.T) {
 			got := runExcess(t, &p)
 			usual := excessRate * (p.to - p.from).Seconds()
 			held := got.heldTotal / time.Duration(max(1, got.refused))
-			t.Logf("%d asked: %d in time (%.2f of usual, %d tokens, by prompt %v), %d late, %d refused after %v on average", got.total, got.inAim,
+			t.Logf("%d callers: %d in time (%.2f of the usual load, %d tokens, by prompt size %v), %d late, %d refused after %v on average", got.total, got.inAim,
 				float64(got.inAim)/usual, got.tokens, got.bySize, got.late, got.refused, held.Round(time.Millisecond))
 			if float64(got.inAim) < p.minInAim*usual {
-				t.Errorf("%d answered in time, want %.2f of the usual %.0f", got.inAim, p.minInAim, usual)
+				t.Errorf("%d callers answered in time, want at least %.2f of the usual %.0f", got.inAim, p.minInAim, usual)
 			}
 			if held > p.maxHeld && p.maxHeld > 0 {
-				t.Errorf("held for %v on average before the last refusal, want %v at most", held, p.maxHeld)
+				t.Errorf("refused callers waited %v on average, want at most %v", held, p.maxHeld)
 			}
 		})
 	}
--- a/relay/pending_test.go
+++ b/relay/pending_test.go
@@ -15,7 +15,7 @@
 	"github.com/dunlinquay/dunlinquay/relay"
 )
 
-// timedConfig is config with an engine that reads 50 tokens a ms and plays passes of 30 ms.
+// timedConfig is config with an engine that prefills 50 tokens per ms and has iterations of 30 ms without prefill.
 func timedConfig() *httproute.Config {
 	cfg := config()
 	e := cfg.Services[1].Engine
@@ -23,7 +23,7 @@
 	return cfg
 }
 
-// holdingHeads returns heads that keep requests until release is called, and where each request arrived, in order.
+// holdingHeads returns heads that hold all requests until release is called, and a channel with the head of each request in order of arrival.
 func holdingHeads(t *testing.T, n int) (heads []*upstream, arrived chan ident.Incarnation, release func()) {
 	t.Helper()
 	hold := make(chan struct{})
@@ -38,11 +38,11 @@
 	return heads, arrived, sync.OnceFunc(func() { close(hold) })
 }
 
-// A long prompt that is still to be read weighs more than two short ones: the next request goes to where these are.
+// A long pending prompt counts more than two short ones: the next requests are sent to the group with the short ones.
 func TestRequestsAvoidLongPrompts(t *testing.T) {
 	heads, arrived, release := holdingHeads(t, 2)
 	s := newTestEntry(t, nil, heads)
-	// Requests are not to be moved while they are held.
+	// A single attempt, so that held requests are not moved.
 	cfg := timedConfig()
 	cfg.Routes[2].Attempts = 1
 	s.relay.SetConfig(cfg)
@@ -61,11 +61,11 @@
 		got = append(got, send(id, "200,10") == longPromptHead)
 	}
 	if diff := cmp.Diff([]bool{false, false, false}, got); diff != "" {
-		t.Errorf("short prompts beside the long one (-want +got):\n%s", diff)
+		t.Errorf("short prompts sent to the group with the long one (-want +got):\n%s", diff)
 	}
 }
 
-// What another entry sent a moment ago counts like an own prompt, until it is read.
+// A prompt that another entry has just sent counts like this entry's own until it is prefilled.
 func TestRequestsAvoidPromptsOfPeers(t *testing.T) {
 	heads, arrived, release := holdingHeads(t, 2)
 	s := newTestEntry(t, nil, heads)
@@ -92,15 +92,15 @@
 	now = now.Add(time.Second)
 	got = append(got, send("c"))
 	if diff := cmp.Diff([]ident.Incarnation{"h1", "h1", "h0"}, got); diff != "" {
-		t.Errorf("where requests went beside 20,000 tokens of another entry at h0 (-want +got):\n%s", diff)
+		t.Errorf("targets with 20,000 tokens of another entry pending at h0 (-want +got):\n%s", diff)
 	}
 	want := []relay.EntryUpdate{{Head: "h1", PromptTokens: 2000}, {Head: "h1", PromptTokens: 2000}, {Head: "h0", PromptTokens: 2000}}
 	if diff := cmp.Diff(want, sentUpdates); diff != "" {
-		t.Errorf("what the other entries are told (-want +got):\n%s", diff)
+		t.Errorf("updates to the other entries (-want +got):\n%s", diff)
 	}
 }
 
-// What the leader counted a while ago is brought up to date by what was heard since: some of it has ended, more has come.
+// The leader's outdated counts are corrected: some of the counted requests have ended, and updates have announced new ones.
 func TestPeerCountsAreCorrectedByUpdates(t *testing.T) {
 	heads, arrived, release := holdingHeads(t, 1)
 	s := newTestEntry(t, nil, heads)
@@ -127,7 +127,8 @@
 		s.relay.Receive(relay.EntryUpdate{Head: "h0", PromptTokens: 100}, netip.AddrPort{})
 	}
 	now = now.Add(200 * time.Millisecond)
-	// An answer of 100 tokens stays for 1.4 s with all slots taken: after 1.6 s one of two is left, and two were sent since.
+	// An answer of 100 tokens takes 1.4 s with all slots in use: after 1.6 s one of two requests remains, two were sent since, and one is
+	// this entry's own.
 	if diff := cmp.Diff(4, relay.RequestsAt(s.relay, "h0")); diff != "" {
 		t.Errorf("requests at the group (-want +got):\n%s", diff)
 	}
--- a/relay/start_test.go
+++ b/relay/start_test.go
@@ -18,8 +18,8 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// An entry that has just started refuses new requests at once, and keeps a stream that is taken up again for the first word
-// from control, but not for long.
+// Before the leader's first confirmation an entry refuses new requests at once, but holds a resumed stream until the confirmation or a short
+// time-out.
 func TestFirstConfirmation(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -30,11 +30,11 @@
 		answeredAfter  time.Duration
 	}{
 		{"a new request", "", "", 300 * time.Millisecond, 503, 0},
-		{"a request with time to come back", "", "6000", 300 * time.Millisecond, 503, 0},
-		{"a request without time to come back", "", "3000", 300 * time.Millisecond, 401, 300 * time.Millisecond},
-		{"one that cannot wait for long either", "", "500", 300 * time.Millisecond, 503, 200 * time.Millisecond},
-		{"a stream that goes on", "4", "6000", 300 * time.Millisecond, 401, 300 * time.Millisecond},
-		{"a stream that goes on, and no word comes", "4", "6000", time.Hour, 503, 1500 * time.Millisecond},
+		{"a request with time for a retry", "", "6000", 300 * time.Millisecond, 503, 0},
+		{"a request without time for a retry", "", "3000", 300 * time.Millisecond, 401, 300 * time.Millisecond},
+		{"a request without time to be held", "", "500", 300 * time.Millisecond, 503, 200 * time.Millisecond},
+		{"a resumed stream", "4", "6000", 300 * time.Millisecond, 401, 300 * time.Millisecond},
+		{"a resumed stream without confirmation", "4", "6000", time.Hour, 503, 1500 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// Streams that were held at the start go on one after the other; nothing that comes later waits for them.
+// Streams held at the start are sent one after the other; later requests do not wait for them.
 func TestHeldStreamsArePaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
@@ -91,7 +91,8 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 		cfg := config()
-		// A prompt of 1000 tokens is read in 15 ms, which counts as 25 ms; eight entries and two groups make 100 ms of it.
+		// A prompt of 1000 tokens is prefilled in 15 ms, which counts as 25 ms of engine time; with eight entries and two groups a slot
+		// is held for 100 ms.
 		cfg.Services[1].Engine.ReadRate = 1000 / 0.015
 		s.SetConfig(cfg)
 		d := roster.Delta{Full: true, Revision: 1}
@@ -104,11 +105,11 @@
 		time.Sleep(50 * time.Millisecond)
 		send("")
 		held.Wait()
-		// Every one is refused by both groups.
+		// Each request is refused by both groups.
 		ms := time.Millisecond
 		want := []time.Duration{200 * ms, 200 * ms, 250 * ms, 250 * ms, 300 * ms, 300 * ms, 400 * ms, 400 * ms, 500 * ms, 500 * ms}
 		if diff := cmp.Diff(want, sent); diff != "" {
-			t.Errorf("sent (-want +got):\n%s", diff)
+			t.Errorf("times of attempts (-want +got):\n%s", diff)
 		}
 	})
 }
--- a/relay/suspect_test.go
+++ b/relay/suspect_test.go
@@ -22,37 +22,37 @@
 const (
 	stallEntries = 12
 	stallGroups  = 6
-	// stallRate is what the groups carry with room to spare, in requests a second, stallTestDuration how long callers come.
+	// stallRate is a load in requests per second that leaves spare capacity, stallTestDuration how long callers arrive.
 	stallRate         = 90
 	stallTestDuration = 8 * time.Second
-	// stallAt is when a group stops, stallDuration how long nothing comes of it.
+	// stallAt is when a group stalls or slows down, stallDuration for how long.
 	stallAt       = 4 * time.Second
 	stallDuration = 3 * time.Second
-	// stallFirstEventAim and stallGapAim are within what the first word must come, and the others after it.
+	// stallFirstEventAim bounds the time to the first event of an answer in time, stallGapAim the gaps between its events.
 	stallFirstEventAim = 400 * time.Millisecond
 	stallGapAim        = 300 * time.Millisecond
-	// datagramDelay is how long news take from entry to entry.
+	// datagramDelay is how long an update takes from entry to entry.
 	datagramDelay = time.Millisecond
 )
 
-// stallScenario is what happens at a site of several entries before groups of engines.
+// stallScenario is a fault at a site with several entries and groups.
 type stallScenario struct {
-	// stalls is set when a group stops, slows when it takes twelve times as long.
+	// stalls is set when a group stalls, slows when its iterations take twelve times as long.
 	stalls, slows bool
-	// lossRate is the part of the news that is lost.
+	// lossRate is the fraction of the updates that is lost.
 	lossRate float64
 }
 
-// stallResult is what became of the callers.
+// stallResult counts how the requests ended.
 type stallResult struct {
 	total, late, moved int
-	// silent is how long tries that were moved had been silent.
+	// silent is, for each moved attempt, how long its upstream had been silent.
 	silent []time.Duration
-	// sentAfter is when the last request went to the group after it had stopped.
+	// sentAfter is the time from the fault to the last request that was sent to the group during the fault.
 	sentAfter time.Duration
 }
 
-// runStall plays callers who come to entries at random.
+// runStall runs a scenario with callers at random entries.
 func runStall(t *testing.T, p stallScenario) stallResult {
 	t.Helper()
 	var got stallResult
@@ -93,7 +93,7 @@
 	return got
 }
 
-// record notes the end of a request that came at a time.
+// record counts a finished request by its arrival time.
 func (r *stallResult) record(rec *relay.Record, arrivedAt time.Duration) {
 	r.total++
 	if rec.Code != 0 || rec.FirstEvent > stallFirstEventAim || rec.MaxEventGap > stallGapAim {
@@ -111,7 +111,7 @@
 	}
 }
 
-// newStallEntries returns entries that tell each other of prompts and suspicions.
+// newStallEntries returns entries that send each other updates.
 func newStallEntries(p stallScenario, engines map[string]*iterationEngine) []*relay.Relay {
 	random := rand.New(rand.NewPCG(3, 3))
 	addresses := make([]string, stallEntries)
@@ -150,7 +150,7 @@
 	return entries
 }
 
-// sendToEntries lets callers come to random entries at random moments, and waits for their ends.
+// sendToEntries sends requests to random entries at random times, and waits until all have ended.
 func sendToEntries(entries []*relay.Relay) {
 	random := rand.New(rand.NewPCG(2, 2))
 	prompts := []int{200, 400, 800, 1600}
@@ -168,52 +168,52 @@
 			r.Header.Set(name, value)
 		}
 		wg.Go(func() {
-			defer func() { _ = recover() }() // an answer that is cut off ends in a panic, as in net/http
+			defer func() { _ = recover() }() // an aborted answer panics, as in net/http
 			entry.ServeHTTP(httptest.NewRecorder(), r)
 		})
 	}
 	wg.Wait()
 }
 
-// A group stops without a word, and for three seconds nobody ends it: those that wait there go on elsewhere within some passes. With
-// fixed limits of 900 ms for first words and 550 ms for events all that were moved, 18 and 21, were late.
+// A group stalls for 3 s while it still accepts requests: its requests move to other groups within a few iterations. With fixed time-outs
+// alone (firstEventTimeout, eventGapTimeout) all moved requests are late.
 func TestStalledGroup(t *testing.T) {
 	for _, lossRate := range []float64{0, 0.02} {
 		got := runStall(t, stallScenario{stalls: true, lossRate: lossRate})
-		t.Logf("%d asked, %d late, %d moved after %v, last sent after %v", got.total, got.late, got.moved, got.silent, got.sentAfter)
+		t.Logf("%d requests, %d late, %d moved after %v, last request sent to the group after %v", got.total, got.late, got.moved, got.silent, got.sentAfter)
 		if got.moved == 0 {
-			t.Fatal("nothing was moved")
+			t.Fatal("no request was moved")
 		}
 		if middle := got.silent[len(got.silent)/2]; middle > 350*time.Millisecond {
-			t.Errorf("moved after %v of silence in the middle, want 350 ms at most", middle)
+			t.Errorf("half of the moved requests moved after %v of silence or more, want at most 350 ms", middle)
 		}
 		if got.late > got.moved*3/4 {
-			t.Errorf("%d late of %d that were moved, want three in four at most", got.late, got.moved)
+			t.Errorf("%d late requests, %d moved; want late ones at most three quarters of the moved ones", got.late, got.moved)
 		}
 	}
 }
 
-// While all groups work, and some news are lost, nothing is moved.
+// While all groups work and a few updates are lost, no request is moved.
 func TestNoMovesWithoutStall(t *testing.T) {
 	if got := runStall(t, stallScenario{lossRate: 0.02}); got.moved > 0 {
-		t.Errorf("%d of %d moved although every group works", got.moved, got.total)
+		t.Errorf("%d of %d requests moved although every group works", got.moved, got.total)
 	}
 }
 
-// Where nine in ten news are lost nobody knows how long passes take; few are moved in vain all the same, and most groups stay in use.
+// With 90 percent of the updates lost, entries underestimate the iterations of groups. Even so few requests are moved without need.
 func TestLostUpdates(t *testing.T) {
 	got := runStall(t, stallScenario{lossRate: 0.9})
-	t.Logf("%d asked, %d late, %d moved after %v", got.total, got.late, got.moved, got.silent)
+	t.Logf("%d requests, %d late, %d moved after %v", got.total, got.late, got.moved, got.silent)
 	if got.moved > got.total/100 {
-		t.Errorf("%d of %d moved although every group works, want one in a hundred at most", got.moved, got.total)
+		t.Errorf("%d of %d requests moved although every group works, want at most one percent", got.moved, got.total)
 	}
 }
 
-// A group that turns twelve times slower gives signs, each far too late: those that wait there move, and few are late.
+// A group that becomes twelve times slower makes progress, but always too late: its requests move, and few of them are late.
 func TestSlowGroup(t *testing.T) {
 	got := runStall(t, stallScenario{slows: true})
-	t.Logf("%d asked, %d late, %d moved after %v", got.total, got.late, got.moved, got.silent)
+	t.Logf("%d requests, %d late, %d moved after %v", got.total, got.late, got.moved, got.silent)
 	if got.moved == 0 || got.late > 12 {
-		t.Errorf("%d late and %d moved, want 12 late at most and some moved", got.late, got.moved)
+		t.Errorf("%d requests late and %d moved, want at most 12 late and some moved", got.late, got.moved)
 	}
 }
