--- a/relay/limit_events_test.go
+++ b/relay/limit_events_test.go
@@ -17,7 +17,7 @@
 	"github.com/dunlinquay/dunlinquay/unread"
 )
 
-// Operators are told once when a limit begins, changes and ends, each time when it can't be read, and with each try what was named.
+// A limit that is set, changed or removed is reported once, an unreadable one each time, and each attempt records the limit in its answer.
 func TestLimitChangesAreReported(t *testing.T) {
 	headers := []string{"Limit: 3.6", "Limit: 3.6", "Limit: 1.8", "Limit: few", "Vary: y", "Vary: y"}
 	n := 0
@@ -48,17 +48,17 @@
 		{Kind: relay.BackpressureLimitRemoved, Upstream: id, PreviousLimit: 1.8},
 	}
 	if diff := cmp.Diff(want, events, cmpopts.IgnoreFields(relay.BackpressureEvent{}, "PreviousSince", "Err")); diff != "" {
-		t.Errorf("told (-want +got):\n%s", diff)
+		t.Errorf("reported events (-want +got):\n%s", diff)
 	}
 	if code := result.CodeOf(events[2].Err); code != result.LimitUnreadable {
 		t.Errorf("code %d, want %d", code, result.LimitUnreadable)
 	}
 	if diff := cmp.Diff([]ratelimit.Rate{3.6, 3.6, 1.8, 0, 0, 0}, limits); diff != "" {
-		t.Errorf("limits of the tries (-want +got):\n%s", diff)
+		t.Errorf("limits of the attempts (-want +got):\n%s", diff)
 	}
 }
 
-// What an upstream says that nothing reads is told once; what is between the application and its callers is not.
+// An unrecognized header of an upstream is reported once; headers between the application and its callers are not reported.
 func TestUnrecognizedHeadersAreReported(t *testing.T) {
 	u := newUpstream(t, always(func(c net.Conn, r *http.Request) bool {
 		body := "answer to " + r.Header.Get("Request")
@@ -81,6 +81,6 @@
 	}
 	want := []relay.BackpressureEvent{{Kind: relay.BackpressureUnrecognized, Upstream: "p0", HeaderName: "Queue-Hint", HeaderValue: "7"}}
 	if diff := cmp.Diff(want, events); diff != "" {
-		t.Errorf("told (-want +got):\n%s", diff)
+		t.Errorf("reported events (-want +got):\n%s", diff)
 	}
 }
--- a/relay/limit_test.go
+++ b/relay/limit_test.go
@@ -1,15 +1,8 @@
 package relay_test
 
-// Two heads named how many requests a second they take from all entries together, 3.3 and 1.4, in every answer from 8.0 s on. They went on
-// to get what they had got before, eight and five a second, from all eight entries, because nothing read that word. What settled it were the
-// figures of the first head, which do not change, and first tries of every entry there, long after it had named its limit to each:
-//
-//	8:11  9:7  10:9  11:9  12:9  13:7  14:10      requests a second; 4:12  5:8  6:12  7:9 before
-//	medina-1  "tries":[{"to":"i-a866eebe31","group":"g9zldw","result":"done","at-ms":0,...   15 of them, yoff-2 11, medina-2 11, ...
-//
-// The busiest entry sent 2.2 a second there, less than the limit: had each entry read the word and kept it by itself, all together would
-// have been as far beyond it. So the word has to be read, kept by all, and what all send has to be bounded as one sum:
-// one entry lets each request go, for all of them, and every entry that has heard of the limit asks it right before it sends.
+// These tests guard against exceeding an upstream's limit. The limit applies to the sum of all entries' requests. An entry that ignores the
+// header, or keeps the limit for its own requests only, stays below the limit itself while all entries together exceed it. So all entries
+// must learn of the limit, and one coordinator must grant a permit for each request right before an entry sends it.
 
 import (
 	"math"
@@ -28,35 +21,35 @@
 )
 
 const (
-	// limitHeads are the upstreams, of which the first names a limit from signalAt on; limitPerSecond requests come to all entries in a second.
+	// limitHeads is the number of upstreams, of which the first advertises a limit from signalAt on. limitPerSecond is the load on all
+	// entries in requests per second.
 	limitHeads        = 3
 	limitPerSecond    = 100
 	limitTestDuration = 12 * time.Second
-	// limitKnown is when all entries know of a limit at the latest after the first answer with it: what was sent before has come, and the
-	// news have been told.
+	// limitKnown is the time from the first answer with a limit until all entries know the limit, and earlier requests have arrived.
 	limitKnown = upstreamRoundTrip + datagramDelay + time.Millisecond
-	// limitJitter is how much sooner than others a request may come, since connections take a while to open.
+	// limitJitter is by how much the delays of two requests can differ, since some must open a connection.
 	limitJitter = 3 * upstreamRoundTrip
 )
 
-// cluster is several entries before the same upstreams, which hear each other's news.
+// cluster is several entries in front of the same upstreams, which send each other updates.
 type cluster struct {
 	mu             sync.Mutex
 	entries        []*signalEntry
 	addresses      []string
 	indexByAddress map[string]int
 	random         *rand.Rand
-	// isolated are entries that get no news from others and whose news get to nobody, cut those that the leader does not confirm anything to,
-	// dead those that no request comes to; loses is the part of the news that is lost.
+	// isolated entries neither send nor receive updates, unconfirmed ones get no confirmations from the leader, and withoutCallers ones get no
+	// requests. lossRate is the fraction of the updates that is lost.
 	isolated, unconfirmed, withoutCallers map[int]bool
 	lossRate                              float64
-	// replaced are entries that others have taken the place of.
+	// replaced are the former entries at addresses where an entry was restarted.
 	replaced []*signalEntry
-	// leaderLimits are the newest words that the leader has heard of limits.
+	// leaderLimits are the newest limits that the leader has received.
 	leaderLimits *ratelimit.LimitTable[ident.Incarnation]
 }
 
-// leaderSyncInterval is how often entries ask the leader.
+// leaderSyncInterval is how often entries synchronize with the leader.
 const leaderSyncInterval = 100 * time.Millisecond
 
 // newCluster returns entries that know each other.
@@ -80,7 +73,7 @@
 	return g
 }
 
-// connect lets an entry tell the others, and hear them.
+// connect makes an entry send its updates to the others.
 func (g *cluster) connect(i int) {
 	s := g.entries[i]
 	s.relay.RandomInt = rand.New(rand.NewPCG(uint64(i), 1)).IntN
@@ -102,7 +95,7 @@
 	}
 }
 
-// receiver returns who hears news of an entry in the place of another one, nobody when they are lost.
+// receiver returns the entry at index receiver if it receives an update of the entry from at index sender, or nil if the update is lost.
 func (g *cluster) receiver(from *signalEntry, sender, receiver int) *signalEntry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -113,7 +106,7 @@
 	return g.entries[receiver]
 }
 
-// pickEntry returns one that takes a request, the first ones more often than the last ones.
+// pickEntry returns an entry for a request, the first entries more often than the last ones.
 func (g *cluster) pickEntry() *signalEntry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -131,7 +124,7 @@
 	return g.random.Float64()
 }
 
-// load lets requests come to entries, and returns when all have ended.
+// load sends requests to the entries and returns when all have ended.
 func (g *cluster) load(path string, perSecond float64, duration time.Duration) {
 	began := time.Now()
 	var wg sync.WaitGroup
@@ -152,7 +145,7 @@
 	}
 }
 
-// syncWithLeader tells entries, as the leader does, that what they have is the newest, and what the others have at each upstream.
+// syncWithLeader acts as the leader: it confirms the entries' state and sends them limits, local shares and request counts.
 func (g *cluster) syncWithLeader() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -190,7 +183,7 @@
 	}
 }
 
-// sendLimits tells an entry of the limits that the leader has heard of lately.
+// sendLimits sends an entry the limits that the leader has received recently.
 func (g *cluster) sendLimits(s *signalEntry) {
 	g.leaderLimits.Each(func(id ident.Incarnation, limit ratelimit.Limit) {
 		if age := time.Since(limit.LastSeen); limit.Limited() && age < 5*time.Second {
@@ -199,7 +192,7 @@
 	})
 }
 
-// records returns how requests went, at all entries.
+// records returns the records of all requests at all entries.
 func (g *cluster) records() []*relay.Record {
 	var all []*relay.Record
 	for _, s := range g.entries {
@@ -209,7 +202,7 @@
 	return all
 }
 
-// arrivals returns when requests came to u from a moment on, until another one.
+// arrivals returns the times from from to to at which requests arrived at u.
 func (u *signalingUpstream) arrivals(from, to time.Time) []time.Time {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -222,7 +215,7 @@
 	return list
 }
 
-// maxInSpan returns the most arrivals in any span of that length.
+// maxInSpan returns the highest number of arrivals in any span of that length.
 func maxInSpan(arrivals []time.Time, span time.Duration) int {
 	highest, first := 0, 0
 	for i := range arrivals {
@@ -234,7 +227,7 @@
 	return highest
 }
 
-// maxExcess returns by how many requests the arrivals are beyond the rate in the span where they are furthest beyond it.
+// maxExcess returns by how many requests the arrivals exceed the rate in the span where they exceed it most.
 func maxExcess(arrivals []time.Time, rate ratelimit.Rate) float64 {
 	highest := 0.0
 	for i := range arrivals {
@@ -257,8 +250,8 @@
 	return strconv.Itoa(c.entries) + " entries, " + strconv.FormatFloat(float64(c.limit), 'f', -1, 64) + " a second, " + c.path[1:len(c.path)-2]
 }
 
-// An upstream that names a limit gets no more than that from all entries together, from when they can know of it: in any span of time its
-// rate and one request more. It gets nearly all of that, and no request is worse off while others have room.
+// Once all entries can know a limit, they together send the upstream at most one request more than the limit allows in any span of time, and
+// nearly as many as the limit allows. No request is late or fails while other upstreams have capacity.
 func TestLimitIsKeptByAllEntries(t *testing.T) {
 	for _, c := range []limitCase{
 		{1, "/safe/x", 3.6}, {1, "/stream/x", 0.5}, {1, "/stream/x", 25},
@@ -273,19 +266,19 @@
 				time.AfterFunc(signalAt, func() { u.setLimit(c.limit) })
 				g.load(c.path, limitPerSecond, limitTestDuration)
 				if u.limitNamedAt.IsZero() {
-					t.Fatal("nothing came once it named a limit: the test shows nothing")
+					t.Fatal("no request arrived after the limit was set: the test checks nothing")
 				}
 				arrivals := u.arrivals(u.limitNamedAt.Add(limitKnown), began.Add(limitTestDuration))
 				const span = 4 * time.Second
 				if got, most := maxInSpan(arrivals, span), float64(c.limit)*span.Seconds()*1.5+5; float64(got) > most {
-					t.Errorf("%d requests in %v, want %.0f at most", got, span, most)
+					t.Errorf("%d requests in %v, want at most %.0f", got, span, most)
 				}
 				if got := maxExcess(arrivals, c.limit); got > 1 {
-					t.Errorf("%.1f requests beyond the limit in some span, want 1 at most", got)
+					t.Errorf("%.1f requests beyond the limit in some span, want at most 1", got)
 				}
 				allowed := float64(c.limit) * (limitTestDuration - signalAt).Seconds()
 				if got := float64(len(arrivals)); got < 0.9*allowed-1 {
-					t.Errorf("%.0f requests in all, want nine tenths of %.0f", got, allowed)
+					t.Errorf("%.0f requests in total, want at least 90%% of %.0f", got, allowed)
 				}
 				for _, r := range g.records() {
 					if r.Code != 0 || r.FirstEvent > config().Routes[0].Aim {
