--- a/relay/backoff_test.go
+++ b/relay/backoff_test.go
@@ -1,16 +1,8 @@
 package relay_test
 
-// Three heads turned away all that came for nine seconds, and each time asked the entry that had sent it for some seconds of rest. The
-// entry kept of that only that the head had refused, for a fixed 120 ms; then it was as good as any other, and had less to do, so it
-// was chosen first. What settled it were the tries of the same entry at the same head, long before the time that was asked for was over:
-//
-//	"tries":[{"to":"i-71d8ddc42a","result":"not-run","at-ms":0},{"to":"i-a866eebe31","result":"done","at-ms":2}]   at 6.05 s
-//	"tries":[{"to":"i-71d8ddc42a","result":"not-run","at-ms":0},{"to":"i-78c9132e00","result":"done","at-ms":0}]   at 6.99 s
-//	"tries":[{"to":"i-71d8ddc42a","result":"not-run","at-ms":0},{"to":"i-be6a307a7e","result":"done","at-ms":0}]   at 7.54 s
-//	"tries":[{"to":"i-71d8ddc42a","result":"not-run","at-ms":0},{"to":"i-74fb043a03","result":"not-run","at-ms":0}, ...   at 7.75 s
-//
-// Of 145 next tries after a refusal 76 came after 0.12 to 0.5 s and 64 after 0.5 to 3 s, at every entry, while neither groups nor the
-// roster changed. So what an upstream asks for has to be kept, for the life that said it and for as long as it said.
+// These tests guard against sending requests to an upstream before its requested backoff has ended. If an entry only remembers for a fixed
+// short time that an overloaded upstream refused a request, it soon chooses the upstream again, and even prefers it, since the upstream has
+// less load than others. A backoff must therefore be kept for the incarnation that requested it and for the whole requested time.
 
 import (
 	"bufio"
@@ -36,36 +28,36 @@
 )
 
 const (
-	// upstreamRoundTrip is a round trip to an upstream, upstreamServiceTime how long it works on a request.
+	// upstreamRoundTrip is the round trip to an upstream, upstreamServiceTime how long a request takes there.
 	upstreamRoundTrip   = 2 * time.Millisecond
 	upstreamServiceTime = 60 * time.Millisecond
-	// backoffRequestInterval is how often a request comes, backoffLoadDuration for how long.
+	// backoffRequestInterval is the interval between requests, backoffLoadDuration how long requests are sent.
 	backoffRequestInterval = 10 * time.Millisecond
 	backoffLoadDuration    = 8 * time.Second
-	// signalAt is when the first upstream begins to say something.
+	// signalAt is when the first upstream starts to send backpressure signals.
 	signalAt = time.Second
-	// maxInFlight is how long after an upstream's word a request may still reach it: one that was sent before the word came.
+	// maxInFlight is how long after an upstream's signal a request can still arrive that was sent before the signal was received.
 	maxInFlight = upstreamRoundTrip + time.Millisecond
 )
 
-// signalingUpstream is an upstream that says what it wants.
+// signalingUpstream is an upstream that sends backpressure signals.
 type signalingUpstream struct {
 	mu sync.Mutex
-	// busyUntil is until when it turns away what comes, asking for rest with the text asks when that is not empty.
+	// busyUntil is until when the upstream refuses requests, with the Retry-After retryAfter unless that is empty.
 	busyUntil  time.Time
 	retryAfter string
 	leaving    bool
-	// limit is what it names in its answers while that is not empty, named when the first answer with one left it.
+	// limit is the limit header of its answers, absent if empty; limitNamedAt is when the first answer with a limit was sent.
 	limit        string
 	limitNamedAt time.Time
-	// arrivedAt is when requests came, refused when it turned one away, said when it first said that it leaves, and served when it
-	// first gave a whole answer after its last refusal.
+	// arrivedAt and refusedAt are the times of all requests and of the refused ones. leavingSaidAt is when it first announced its shutdown,
+	// servedAt when it sent the first complete answer after its last refusal.
 	arrivedAt     []time.Time
 	refusedAt     []time.Time
 	leavingSaidAt time.Time
 	servedAt      time.Time
 	conns         []net.Conn
-	// extraDialTime is how much longer its connections take to open.
+	// extraDialTime is added to the time to open a connection.
 	extraDialTime time.Duration
 }
 
@@ -106,7 +98,7 @@
 	}
 }
 
-// admit notes that a request came and returns what the answer says beside, and whether it is a refusal.
+// admit records a request and returns the signal headers of its answer, and whether the answer is a refusal.
 func (u *signalingUpstream) admit() (headers []string, refused bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -130,7 +122,7 @@
 	return headers, true
 }
 
-// complete notes that an answer leaves and returns what it says beside.
+// complete records a complete answer and returns its signal headers.
 func (u *signalingUpstream) complete(headers []string) []string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -140,7 +132,7 @@
 	return u.addLimit(headers)
 }
 
-// addLimit adds the limit to what an answer says; the mutex is held.
+// addLimit appends the limit header; the mutex is held.
 func (u *signalingUpstream) addLimit(headers []string) []string {
 	if u.limit == "" {
 		return headers
@@ -151,7 +143,7 @@
 	return append(headers, "Limit: "+u.limit)
 }
 
-// setLimit lets an upstream name a limit, or none.
+// setLimit sets the limit that the upstream advertises, 0 for none.
 func (u *signalingUpstream) setLimit(rate ratelimit.Rate) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -161,7 +153,7 @@
 	}
 }
 
-// countBetween returns how many requests came after one moment and before another.
+// countBetween returns how many requests arrived between two times.
 func (u *signalingUpstream) countBetween(from, to time.Time) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -174,7 +166,7 @@
 	return n
 }
 
-// signalEntry is one entry before upstreams that say what they want.
+// signalEntry is an entry in front of upstreams that send backpressure signals.
 type signalEntry struct {
 	relay     *relay.Relay
 	upstreams []*signalingUpstream
@@ -192,7 +184,7 @@
 	return newSignalEntryFor(upstreams)
 }
 
-// newSignalEntryFor returns one more entry before the same upstreams.
+// newSignalEntryFor returns an entry in front of existing upstreams.
 func newSignalEntryFor(upstreams []*signalingUpstream) *signalEntry {
 	s := &signalEntry{upstreams: upstreams}
 	byAddress := map[string]*signalingUpstream{}
@@ -218,7 +210,7 @@
 	return s
 }
 
-// setRoster tells the entry of all upstreams but those that are missed; groups have names that end in suffix.
+// setRoster applies a roster with all upstreams but the missed ones; the names of groups end in suffix.
 func (s *signalEntry) setRoster(missed map[int]bool, suffix string) {
 	s.mu.Lock()
 	s.revision++
@@ -254,7 +246,7 @@
 	return w
 }
 
-// load lets a request come every backoffRequestInterval until backoffLoadDuration is over.
+// load sends a request every backoffRequestInterval for backoffLoadDuration.
 func (s *signalEntry) load(path string) {
 	began := time.Now()
 	var wg sync.WaitGroup
@@ -268,7 +260,7 @@
 	}
 }
 
-// close closes all connections.
+// close closes all connections of the upstream.
 func (u *signalingUpstream) close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -278,13 +270,13 @@
 	u.conns = nil
 }
 
-// signalScenario is a load on a route, and what the first upstream does in it.
+// signalScenario is a load on a route, during which act makes the first upstream send signals.
 type signalScenario struct {
 	path string
 	act  func(s *signalEntry, u *signalingUpstream)
 }
 
-// runSignals plays p before three upstreams.
+// runSignals runs a scenario with three upstreams.
 func runSignals(t *testing.T, scenario signalScenario) *signalEntry {
 	t.Helper()
 	var s *signalEntry
@@ -296,7 +288,7 @@
 	return s
 }
 
-// setBusy lets an upstream turn away what comes for a time, and ask for rest.
+// setBusy makes the upstream refuse requests for a time, with a Retry-After.
 func (u *signalingUpstream) setBusy(d time.Duration, retryAfter string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -309,7 +301,7 @@
 	u.leaving = true
 }
 
-// An upstream that has asked an entry for rest is reached by nothing that the entry sends before that time is over.
+// An entry sends no request to an upstream before the backoff that the upstream requested from it has ended.
 func TestBackoffIsKept(t *testing.T) {
 	const requested = 3 * time.Second
 	requestsBackoff := func(_ *signalEntry, u *signalingUpstream) { u.setBusy(requested-time.Second, "3") }
@@ -322,36 +314,36 @@
 		requestsBackoff(s, u)
 		u.extraDialTime = 40 * time.Millisecond
 		for n := range 12 {
-			go s.send("/safe/x", "at once "+strconv.Itoa(n))
+			go s.send("/safe/x", "concurrent "+strconv.Itoa(n))
 		}
 	}
 	for name, scenario := range map[string]signalScenario{
-		"connections open slowly":         {"/safe/x", slowDial},
-		"a plain worker":                  {"/safe/x", requestsBackoff},
-		"a plain worker, once":            {"/unsafe/x", requestsBackoff},
-		"the head of a group":             {"/stream/x", requestsBackoff},
-		"the list misses it for a moment": {"/safe/x", changesRoster},
-		"its group is formed again":       {"/stream/x", changesRoster},
+		"connections open slowly":                       {"/safe/x", slowDial},
+		"a plain worker":                                {"/safe/x", requestsBackoff},
+		"a plain worker, unrepeatable requests":         {"/unsafe/x", requestsBackoff},
+		"the head of a group":                           {"/stream/x", requestsBackoff},
+		"the upstream is briefly missing in the roster": {"/safe/x", changesRoster},
+		"its group is formed again":                     {"/stream/x", changesRoster},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := runSignals(t, scenario)
 			u := s.upstreams[0]
 			if len(u.refusedAt) == 0 {
-				t.Fatal("nothing came while it turned requests away: the test shows nothing")
+				t.Fatal("no request arrived while the upstream refused requests: the test checks nothing")
 			}
 			for _, at := range u.refusedAt {
 				if n := u.countBetween(at.Add(maxInFlight), at.Add(requested)); n > 0 {
-					t.Errorf("%d requests reached it in the %v that it had asked for at %v", n, requested, at.Sub(u.refusedAt[0]))
+					t.Errorf("%d requests arrived within the backoff of %v requested at %v", n, requested, at.Sub(u.refusedAt[0]))
 				}
 			}
 			if u.servedAt.IsZero() {
-				t.Error("it serves nothing after its rest")
+				t.Error("the upstream served no request after its backoff")
 			}
 		})
 	}
 }
 
-// An upstream that says that it leaves gets nothing new, whether or not the roster tells.
+// An upstream that announces its shutdown gets no new requests, whether or not the roster shows that it is leaving.
 func TestLeavingUpstreamGetsNoRequests(t *testing.T) {
 	leaves := func(_ *signalEntry, u *signalingUpstream) { u.setLeaving() }
 	changesRoster := func(s *signalEntry, u *signalingUpstream) {
@@ -364,26 +356,26 @@
 		u.setBusy(time.Second, "")
 	}
 	for name, scenario := range map[string]signalScenario{
-		"a plain worker":                  {"/safe/x", leaves},
-		"the head of a group":             {"/stream/x", leaves},
-		"the list misses it for a moment": {"/stream/x", changesRoster},
-		"it says so in refusals":          {"/stream/x", refuses},
+		"a plain worker":      {"/safe/x", leaves},
+		"the head of a group": {"/stream/x", leaves},
+		"the upstream is briefly missing in the roster": {"/stream/x", changesRoster},
+		"announced in refusals":                         {"/stream/x", refuses},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := runSignals(t, scenario)
 			u := s.upstreams[0]
 			if u.leavingSaidAt.IsZero() {
-				t.Fatal("nothing came once it was leaving: the test shows nothing")
+				t.Fatal("no request arrived once the upstream was leaving: the test checks nothing")
 			}
 			if n := u.countBetween(u.leavingSaidAt.Add(maxInFlight), u.leavingSaidAt.Add(backoffLoadDuration)); n > 0 {
-				t.Errorf("%d requests reached it after it had said that it leaves", n)
+				t.Errorf("%d requests arrived after the upstream had announced its shutdown", n)
 			}
 		})
 	}
 }
 
-// Where all upstreams have asked for more time than a request has, it is refused at once and told when the first of them may be tried;
-// callers do not all come back at that moment.
+// When all upstreams are backed off for longer than a request can wait, the request is refused at once. Its Retry-After is the time until the
+// first upstream is available, with jitter, so that not all callers retry at the same time.
 func TestAllUpstreamsBackedOff(t *testing.T) {
 	const requested = 4 * time.Second
 	for name, path := range map[string]string{"plain workers": "/safe/x", "heads of groups": "/stream/x"} {
@@ -393,7 +385,7 @@
 				for _, u := range s.upstreams {
 					u.setBusy(requested, "4")
 				}
-				s.send(path, "asks all")
+				s.send(path, "attempts all")
 				time.Sleep(100 * time.Millisecond)
 				began := time.Now()
 				var earliest, latest time.Duration
@@ -418,16 +410,16 @@
 					firstAvailable = min(firstAvailable, u.refusedAt[0].Add(requested).Sub(began))
 				}
 				if earliest < firstAvailable || latest > firstAvailable*3/2+upstreamRoundTrip*4 || latest-earliest < firstAvailable/8 {
-					t.Errorf("callers are told to come back after %v to %v, the first upstream may be tried after %v", earliest, latest, firstAvailable)
+					t.Errorf("Retry-After from %v to %v, the first upstream is available after %v", earliest, latest, firstAvailable)
 				}
 				for _, r := range s.records[1:] {
 					if r.Code != result.BackedOff || len(r.Attempts) > 0 {
-						t.Errorf("code %d after %d tries, want %d after none", r.Code, len(r.Attempts), result.BackedOff)
+						t.Errorf("code %d after %d attempts, want %d after none", r.Code, len(r.Attempts), result.BackedOff)
 					}
 				}
 				for i, u := range s.upstreams {
 					if n := u.countBetween(began, began.Add(requested)); n > 0 {
-						t.Errorf("%d requests reached upstream %d", n, i)
+						t.Errorf("%d requests reached upstream %d during its backoff", n, i)
 					}
 				}
 				for _, u := range s.upstreams {
@@ -438,15 +430,15 @@
 	}
 }
 
-// Where upstreams may be tried again before a request is late, it waits for that; then they get one request each until they have taken
-// one, and not all that has waited.
+// A request waits for the end of a backoff that ends before the request is late. Each upstream then gets a single probe, and the other queued
+// requests only after the upstream has accepted it.
 func TestQueuedRequestsProbeAfterBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSignalEntry(3)
 		for _, u := range s.upstreams {
 			u.setBusy(100*time.Millisecond, "0.5")
 		}
-		s.send("/stream/x", "asks all")
+		s.send("/stream/x", "attempts all")
 		time.Sleep(100 * time.Millisecond)
 		began := time.Now()
 		var wg sync.WaitGroup
@@ -458,10 +450,10 @@
 		for i, u := range s.upstreams {
 			backoffEnd := u.refusedAt[0].Add(500 * time.Millisecond)
 			if n := u.countBetween(began, backoffEnd); n > 0 {
-				t.Errorf("%d requests reached upstream %d before its time was over", n, i)
+				t.Errorf("%d requests reached upstream %d before its backoff ended", n, i)
 			}
 			if n := u.countBetween(backoffEnd, u.servedAt); n > 1 {
-				t.Errorf("%d requests reached upstream %d before it had taken one, want 1", n, i)
+				t.Errorf("%d requests reached upstream %d before it had accepted one, want at most 1", n, i)
 			}
 		}
 		served := 0
@@ -471,7 +463,7 @@
 			}
 		}
 		if served != 30 {
-			t.Errorf("%d of 30 that waited were answered in time", served)
+			t.Errorf("%d of 30 queued requests answered in time, want all", served)
 		}
 		for _, u := range s.upstreams {
 			u.close()
@@ -479,7 +471,7 @@
 	})
 }
 
-// What an upstream asks for is not lengthened by a suspension of this VM, and not forgotten by one: its clock counts meanwhile.
+// A suspension of this VM neither extends a backoff nor ends it: the time of the suspension counts.
 func TestSuspensionCountsAsBackoff(t *testing.T) {
 	vm := &suspendableClock{startedAt: time.Now()}
 	busy := true
@@ -498,19 +490,19 @@
 	vm.suspendedFor = 2 * time.Second
 	s.relay.SetConfirmed(s.relay.Now())
 	if got := s.do(s.request("POST", "/safe/x", "early", "")); got.Status != http.StatusServiceUnavailable {
-		t.Errorf("status %d after two of three seconds, want 503", got.Status)
+		t.Errorf("status %d after 2 of 3 s, want 503", got.Status)
 	}
 	vm.suspendedFor = 3 * time.Second
 	s.relay.SetConfirmed(s.relay.Now())
 	if got := s.do(s.request("POST", "/safe/x", "after", "")); got.Status != http.StatusOK {
-		t.Errorf("status %d after three seconds, want 200", got.Status)
+		t.Errorf("status %d after 3 s, want 200", got.Status)
 	}
 	if n := len(u.received()); n != 2 {
 		t.Errorf("%d requests reached the upstream, want the one before and the one after", n)
 	}
 }
 
-// Another life of an upstream has asked for nothing.
+// A backoff applies only to the incarnation that requested it.
 func TestNewIncarnationHasNoBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSignalEntry(1)
@@ -521,7 +513,7 @@
 		d := roster.Delta{Full: true, Revision: 9}
 		d.Upstreams = append(d.Upstreams, roster.Upstream{ID: "p0@2", Service: "plain", Address: "h0", Slots: excessSlots})
 		s.relay.ApplyRoster(&d)
-		if w := s.send("/safe/x", "to the new life"); w.Code != http.StatusOK {
+		if w := s.send("/safe/x", "to the new incarnation"); w.Code != http.StatusOK {
 			t.Errorf("status %d, want 200", w.Code)
 		}
 		u.close()
--- a/relay/budget_test.go
+++ b/relay/budget_test.go
@@ -9,8 +9,8 @@
 	"github.com/dunlinquay/dunlinquay/relay"
 )
 
-// The repeats of all entries together stay within the rule in every window, however unevenly requests come, while entries come and go and the
-// others hear of it up to three seconds later.
+// The retries of all entries together stay within the rule in every window, even if requests are spread unevenly, and while entries are added
+// and removed and the others learn of this up to 3 s later.
 func TestRetriesOfAllEntries(t *testing.T) {
 	rule := relay.RetryBudgetRule{Ratio: 0.2, Window: 10 * time.Second, Allowance: 50}
 	for _, entries := range []int{1, 8, 100, 300} {
@@ -60,7 +60,7 @@
 					retryCount += retries[i]
 				}
 				if allowed := rule.Ratio*float64(requestCount) + rule.Allowance; float64(retryCount) > allowed {
-					t.Errorf("%d repeats in the window from %d s, %d requests allow %.0f", retryCount, from, requestCount, allowed)
+					t.Errorf("%d retries in the window from %d s, %d requests allow %.0f", retryCount, from, requestCount, allowed)
 				}
 			}
 		})
--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -1,14 +1,9 @@
 package relay_test
 
-// One request ended every upstream that began to run it, and came again every half second, at any of eight entries. Nothing that
-// an entry knew outlived the request: each time it was new, went to a sound group, and after that group's end to a second one, as
-// any request that loses its upstream. In eleven seconds 25 upstreams ended under it, each with 3 to 34 requests of others in its
-// batch, and the model had hardly a group left. What settled it were the lines of one content at all entries, never with an event:
-//
-//	"code":2014,"tries":[{"to":"i-8e08b02acb","result":"broken"},{"to":"i-7957f00a16","result":"broken"}],"prompt":1662,"events":0
-//	"code":2014,"tries":[{"to":"i-9cb2c1d32b","result":"broken"},{"to":"i-a15afb59be","result":"broken"}],"prompt":1662,"events":0
-//
-// So the entries together have to know what the same work has ended, and stop sending it.
+// These tests guard against a request that crashes every upstream that runs it and is repeated by its caller at any entry. If entries keep
+// nothing about a request beyond its end, each repetition looks new and crashes two more groups: the first one, and the one to which the
+// request moves, together with the other requests of their batches. Entries must therefore share which fingerprints have crashed upstreams,
+// and stop sending these requests.
 
 import (
 	"context"
@@ -33,34 +28,35 @@
 
 const (
 	crashGroups = 12
-	// crashAt is when the request that ends upstreams first comes, crashInterval how often it comes again, crashTestDuration how long all of it
-	// takes.
+	// crashAt is when the crashing request first arrives, crashInterval the interval between its repetitions, crashTestDuration the length of
+	// the load.
 	crashAt           = time.Second
 	crashInterval     = 300 * time.Millisecond
 	crashTestDuration = 14 * time.Second
-	// crashRate is the traffic of others in requests a second.
+	// crashRate is the load of other callers in requests per second.
 	crashRate = 60
-	// crashRosterDelay is when the roster tells that an upstream has ended, crashRestartDelay when it is back as another life.
+	// crashRosterDelay is the time from a crash until the roster lacks the upstream, crashRestartDelay until the upstream has a new
+	// incarnation.
 	crashRosterDelay  = 300 * time.Millisecond
 	crashRestartDelay = 3 * time.Second
-	// crashGrace is how long after the third end a try may still be on its way, maxLateCrashes how many may come later.
+	// crashGrace is how long after the third crash further runs of the request are not counted, maxLateCrashes bounds the runs after that.
 	crashGrace     = 500 * time.Millisecond
 	maxLateCrashes = 3
 	crashBody      = "ends what runs it"
 )
 
-// crashScenario is a site at which a request comes that ends what runs it.
+// crashScenario is a site with a request that crashes every upstream that runs it.
 type crashScenario struct {
 	entries int
-	// copies is how many entries it comes to at the same moment.
+	// copies is how many entries get the request at the same time.
 	copies int
-	// lossRate is the part of the news between entries that is lost.
+	// lossRate is the fraction of the updates between entries that is lost.
 	lossRate float64
-	// path is the route that it comes on.
+	// path is the route of the request.
 	path string
 }
 
-// crashCluster is what a play has: entries before engines, and who has ended when.
+// crashCluster is a running scenario: the entries, the engines and the times of crashes.
 type crashCluster struct {
 	scenario  crashScenario
 	startedAt time.Time
@@ -69,12 +65,12 @@
 
 	mu       sync.Mutex
 	revision roster.Revision
-	// incarnations numbers the lives of each engine, gone is set while it is not in the roster.
+	// incarnations is the number of each engine's current incarnation, gone is set while the engine is not in the roster.
 	incarnations []int
 	gone         []bool
-	// crashes and reached are when upstreams ended under the request and when it began to run.
+	// crashes are the times when upstreams crashed, runStarts when the crashing request started to run.
 	crashes, runStarts []time.Duration
-	// records are the ends of all other requests.
+	// records are those of all other requests, lateRecords of those that ended in the last 4 s.
 	records     []*relay.Record
 	lateRecords []*relay.Record
 }
@@ -119,7 +115,7 @@
 	return cfg
 }
 
-// deliver carries news from one entry to others.
+// deliver sends an update from one entry to others.
 func (c *crashCluster) deliver(random *rand.Rand, addresses []string, from int, update relay.EntryUpdate, to []string) {
 	for j, peer := range c.entries {
 		c.mu.Lock()
@@ -132,7 +128,7 @@
 	}
 }
 
-// noteRun notes that an engine begins to run a body and reports whether that ends it.
+// noteRun records that an engine starts to run a request with the body, and reports whether the engine crashes.
 func (c *crashCluster) noteRun(i int, body string) bool {
 	if body != crashBody {
 		return false
@@ -149,7 +145,7 @@
 	return true
 }
 
-// setGone takes an engine out of the roster, or in as another life.
+// setGone removes an engine from the roster, or adds it with a new incarnation.
 func (c *crashCluster) setGone(i int, gone bool) {
 	c.mu.Lock()
 	c.gone[i] = gone
@@ -160,7 +156,7 @@
 	c.publishRoster()
 }
 
-// publishRoster tells all entries of the roster.
+// publishRoster applies the current roster at all entries.
 func (c *crashCluster) publishRoster() {
 	c.mu.Lock()
 	c.revision++
@@ -206,7 +202,7 @@
 	s.ServeHTTP(httptest.NewRecorder(), r)
 }
 
-// run lets callers come until the play is over.
+// run sends requests until the end of the scenario.
 func (c *crashCluster) run() {
 	random := rand.New(rand.NewPCG(6, 6))
 	var wg sync.WaitGroup
@@ -229,7 +225,7 @@
 	wg.Wait()
 }
 
-// lateRuns returns how often the request began to run later than crashGrace after the third end.
+// lateRuns returns how often the request started to run later than crashGrace after the third crash.
 func (c *crashCluster) lateRuns() int {
 	if len(c.crashes) < 3 {
 		return 0
@@ -243,7 +239,7 @@
 	return n
 }
 
-// runCrash plays p and returns what became of it.
+// runCrash runs a scenario to its end.
 func runCrash(t *testing.T, scenario crashScenario) *crashCluster {
 	t.Helper()
 	var c *crashCluster
@@ -265,20 +261,20 @@
 	return c
 }
 
-// A request that has ended three upstreams reaches at most three more, wherever it comes again, and the others are served.
+// A request that has crashed three upstreams reaches at most three more, whichever entries it is repeated at, and other requests are served.
 func TestRequestThatCrashesUpstreams(t *testing.T) {
 	for name, scenario := range map[string]crashScenario{
-		"nine entries":                 {entries: 9, copies: 1, path: "/stream/x"},
-		"thirty entries":               {entries: 30, copies: 1, path: "/stream/x"},
-		"copies side by side":          {entries: 9, copies: 3, path: "/stream/x"},
-		"a third of the news are lost": {entries: 9, copies: 1, lossRate: 0.33, path: "/stream/x"},
-		"may run once":                 {entries: 9, copies: 1, path: "/once/x"},
+		"nine entries":                {entries: 9, copies: 1, path: "/stream/x"},
+		"thirty entries":              {entries: 30, copies: 1, path: "/stream/x"},
+		"concurrent copies":           {entries: 9, copies: 3, path: "/stream/x"},
+		"a third of the updates lost": {entries: 9, copies: 1, lossRate: 0.33, path: "/stream/x"},
+		"unrepeatable route":          {entries: 9, copies: 1, path: "/once/x"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := runCrash(t, scenario)
-			t.Logf("%d upstreams ended, %d tries later than %v after the third end", len(c.crashes), c.lateRuns(), crashGrace)
+			t.Logf("%d upstreams crashed, %d runs later than %v after the third crash", len(c.crashes), c.lateRuns(), crashGrace)
 			if c.lateRuns() > maxLateCrashes {
-				t.Errorf("%d tries later than %v after the third end, want %d at most", c.lateRuns(), crashGrace, maxLateCrashes)
+				t.Errorf("%d runs later than %v after the third crash, want at most %d", c.lateRuns(), crashGrace, maxLateCrashes)
 			}
 			served := 0
 			for _, r := range c.lateRecords {
@@ -287,7 +283,7 @@
 				}
 			}
 			if served < len(c.lateRecords)*95/100 {
-				t.Errorf("%d of %d others served in the last seconds, want 95 in 100", served, len(c.lateRecords))
+				t.Errorf("%d of %d other requests served in the last 4 s, want at least 95%%", served, len(c.lateRecords))
 			}
 		})
 	}
--- a/relay/export_test.go
+++ b/relay/export_test.go
@@ -6,7 +6,7 @@
 	"github.com/dunlinquay/dunlinquay/overload"
 )
 
-// GroupChooser returns a function that chooses a group for a prompt, as for a request on route.
+// GroupChooser returns a function that chooses a group for a request with a prompt of that size.
 func GroupChooser(s *Relay, route *httproute.Route, model ident.Model, prompt ident.Tokens) func() error {
 	table := s.table.Load()
 	x := &exchange{s: s, arrivedAt: s.Now(), table: table, route: route, service: table.Service(route.Split[0].Service), model: model, promptTokens: prompt}
@@ -18,7 +18,7 @@
 	}
 }
 
-// RequestsAt returns how many requests are taken to be at the group with that head.
+// RequestsAt returns the estimated number of requests at the group with that head, -1 if there is no such group.
 func RequestsAt(s *Relay, head ident.Incarnation) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,7 +34,7 @@
 	return -1
 }
 
-// ChooseGroup returns the head of the group that a prompt would go to, and whether there is room.
+// ChooseGroup returns the head of the group chosen for a prompt of that size, and whether the group has capacity.
 func ChooseGroup(s *Relay, route *httproute.Route, model ident.Model, prompt ident.Tokens) (ident.Incarnation, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,14 +47,14 @@
 	return t.id, t.hasCapacity
 }
 
-// IdleConnections returns how many connections to an upstream are kept.
+// IdleConnections returns the number of idle connections to an upstream.
 func IdleConnections(s *Relay, address string) int {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	return len(s.pool.idle[address])
 }
 
-// CloseIdleConnections closes all connections that are kept.
+// CloseIdleConnections closes all idle connections.
 func CloseIdleConnections(s *Relay) {
 	s.pool.prune(func(string) bool { return false })
 }
--- a/relay/key_lapse_test.go
+++ b/relay/key_lapse_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// An entry that is cut off from control sends new callers elsewhere, and those on its connections, before its keys lapse; until then it serves.
+// An entry that is cut off from the control daemons becomes unready and closes its callers' connections before its keys lapse. Until the keys
+// lapse it serves requests.
 func TestEntryCutOffFromControlClosesConnections(t *testing.T) {
 	for _, c := range []struct {
 		age    time.Duration
@@ -23,7 +24,7 @@
 		s := newTestEntry(t, []*upstream{u}, nil)
 		s.relay.SetConfirmed(time.Now().Add(-c.age))
 		if got := s.relay.Ready(); got != c.ready {
-			t.Errorf("ready %v at %v", got, c.age)
+			t.Errorf("ready %v at a confirmation age of %v", got, c.age)
 		}
 		resp, err := http.DefaultClient.Do(s.request(http.MethodGet, "/safe/x", "one", ""))
 		if err != nil {
@@ -31,7 +32,7 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode != c.status || resp.Close != c.closes {
-			t.Errorf("status %d, closes %v at %v", resp.StatusCode, resp.Close, c.age)
+			t.Errorf("status %d, connection closed %v at a confirmation age of %v", resp.StatusCode, resp.Close, c.age)
 		}
 	}
 }
--- a/relay/observation_test.go
+++ b/relay/observation_test.go
@@ -8,25 +8,25 @@
 	"github.com/dunlinquay/dunlinquay/relay"
 )
 
-// The leader is told of the events that came since it was told last, once.
+// Each observation counts the events since the previous one, and no event twice.
 func TestObservationsCountEventGaps(t *testing.T) {
 	head := newUpstream(t, always(func(c net.Conn, r *http.Request) bool { return respondStream(c, r, 1, 5, true) }))
 	s := newTestEntry(t, nil, []*upstream{head})
 	if got := s.do(s.request("POST", "/stream/x", "1", "")); !got.Complete {
-		t.Fatalf("no whole answer: %+v", got)
+		t.Fatalf("no complete answer: %+v", got)
 	}
 	collect := func() relay.Observation {
 		seen, _ := s.relay.CollectObservations()
 		if len(seen) != 1 {
-			t.Fatalf("%d upstreams were seen", len(seen))
+			t.Fatalf("%d upstreams observed, want 1", len(seen))
 		}
 		return seen[0]
 	}
-	// The first event comes after a wait, the four others after pauses.
+	// Only the four events after the first one have an event gap.
 	if got := collect(); got.Events != 4 || got.Pauses <= 0 {
-		t.Errorf("%d events with %v of pauses, want 4 events", got.Events, got.Pauses)
+		t.Errorf("%d events with gaps of %v in total, want 4 events with gaps", got.Events, got.Pauses)
 	}
 	if got := collect(); got.Events != 0 || got.Pauses != 0 {
-		t.Errorf("told again: %d events with %v of pauses", got.Events, got.Pauses)
+		t.Errorf("second observation: %d events with gaps of %v in total, want none", got.Events, got.Pauses)
 	}
 }
--- a/relay/peer_backoff_test.go
+++ b/relay/peer_backoff_test.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	// backoffEntries is so many that each sends a head hardly a request in the time that it asks for.
+	// backoffEntries is so high that each entry sends a head hardly one request per backoff.
 	backoffEntries = 60
 	backoffHeads   = 6
-	// busyHeads is how many heads turn all away for busyTime, and ask for busyRetryAfter; at backoffRate requests a second the others have room.
+	// busyHeads heads refuse all requests for busyTime with a Retry-After of busyRetryAfter. At backoffRate requests per second the others
+	// have capacity.
 	busyHeads      = 3
 	busyTime       = 9 * time.Second
 	busyRetryAfter = 3 * time.Second
 	backoffRate    = 40
 )
 
-// A head that asked one entry for time is spared by the others as long as the rest have room: with many entries, each of which knows
-// only what it was asked itself, a head that is overrun would be reached as often as before.
+// A head that requested a backoff from one entry is deprioritized by the others as long as other heads have capacity. If each of many entries
+// knew only the backoffs requested from itself, an overloaded head would get nearly as many requests as before.
 func TestPeersDeprioritizeBackedOffHeads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sites := newCluster(backoffEntries, backoffHeads).entries
@@ -44,13 +45,13 @@
 			wg.Go(func() { s.send("/stream/x", strconv.Itoa(n)) })
 		}
 		wg.Wait()
-		// Each time that a head asks for costs the request that it refuses, and one that is sent before the news have come.
+		// Each backoff costs the refused request, and one that is sent before the update arrives.
 		maxRefused := busyHeads * 2 * int(busyTime/busyRetryAfter+1)
 		refused, served := 0, 0
 		for _, u := range heads[:busyHeads] {
 			refused += len(u.refusedAt)
 			if u.servedAt.IsZero() {
-				t.Error("a head serves nothing after its time is over")
+				t.Error("a head served no request after its busy time")
 			}
 		}
 		for _, s := range sites {
@@ -60,9 +61,9 @@
 				}
 			}
 		}
-		t.Logf("%d turned away, %d served", refused, served)
+		t.Logf("%d requests refused, %d served", refused, served)
 		if refused > maxRefused {
-			t.Errorf("%d requests turned away, want %d at most", refused, maxRefused)
+			t.Errorf("%d requests refused, want at most %d", refused, maxRefused)
 		}
 		for _, u := range heads {
 			u.close()
@@ -70,7 +71,7 @@
 	})
 }
 
-// What a head asked of another entry does not bind this one: where nobody else has room it is tried.
+// A backoff that a head requested from another entry does not bind this one: without an alternative the head is used.
 func TestDeprioritizedHeadIsUsedWithoutAlternative(t *testing.T) {
 	s := newSignalEntry(2)
 	cfg := config()
@@ -79,11 +80,11 @@
 	s.relay.Receive(relay.EntryUpdate{Head: "h0", BackoffMS: 60_000}, other)
 	for range 20 {
 		if head, ok := relay.ChooseGroup(s.relay, &cfg.Routes[2], "m", 100); head != "h1" || !ok {
-			t.Fatalf("chosen %s, %t, want h1", head, ok)
+			t.Fatalf("chosen %s, capacity %t, want h1 with capacity", head, ok)
 		}
 	}
 	s.setRoster(map[int]bool{1: true}, "")
 	if head, ok := relay.ChooseGroup(s.relay, &cfg.Routes[2], "m", 100); head != ident.Incarnation("h0") || !ok {
-		t.Errorf("chosen %s, %t, want h0, the only one", head, ok)
+		t.Errorf("chosen %s, capacity %t, want h0, the only head, with capacity", head, ok)
 	}
 }
--- a/relay/priority_test.go
+++ b/relay/priority_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// What is late whatever the engine does goes behind what can still be in time.
+// A request that is late in any case has a lower priority at the engine than one that can be in time.
 func TestPriorities(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -19,9 +19,9 @@
 		want  string
 	}{
 		{"new", "", 0, "3"},
-		{"held up for a while", "", 450 * time.Millisecond, "0"},
-		{"over its aim", "", 3 * time.Second, "5"},
-		{"taken up again", "2", 0, "5"},
+		{"delayed", "", 450 * time.Millisecond, "0"},
+		{"past its aim", "", 3 * time.Second, "5"},
+		{"resumed", "2", 0, "5"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := make(chan string, 1)
@@ -30,7 +30,7 @@
 				return respondStream(conn, r, 3, 4, true)
 			}))
 			s := newTestEntry(t, nil, []*upstream{u})
-			// The second look at the clock is the one at which the request is sent on.
+			// From the second reading of the clock on, the request is delayed.
 			start := time.Now()
 			var clockReads atomic.Int64
 			s.relay.Now = func() time.Time {
--- a/relay/subset_test.go
+++ b/relay/subset_test.go
@@ -13,7 +13,7 @@
 	"github.com/dunlinquay/dunlinquay/sharing"
 )
 
-// newLargeSiteEntry is a site of 100 entries in one hall, among them the one called self, that share eight groups.
+// newLargeSiteEntry returns one of 100 entries in a hall that share eight groups.
 func newLargeSiteEntry(t *testing.T) (s *testEntry, release func()) {
 	t.Helper()
 	heads, arrived, release := holdingHeads(t, 8)
@@ -28,14 +28,14 @@
 	s.relay.SetEntries(sharing.New("self", map[ident.Hall][]string{"": entries}))
 	go func() {
 		for {
-			<-arrived // the news tell where they went
+			<-arrived // the entry's updates name the groups instead
 		}
 	}()
 	return s, release
 }
 
-// sendHeld sends so many requests, which are held until release, and returns which groups they went to, by the news of them, and who
-// was told.
+// sendHeld sends n requests, which are held until release. It returns the number of requests by group and the entries that were notified of
+// them, both from the entry's updates.
 func sendHeld(t *testing.T, s *testEntry, release func(), n int) (heads map[ident.Incarnation]int, recipients map[ident.Incarnation][]string) {
 	t.Helper()
 	var wg sync.WaitGroup
@@ -62,22 +62,23 @@
 	return heads, recipients
 }
 
-// At a large site an entry uses a few groups, and tells of a prompt only those that use the group too.
+// At a large site an entry uses a subset of the groups, and announces a prompt only to entries that use the same group.
 func TestEntriesUseSubsets(t *testing.T) {
 	s, release := newLargeSiteEntry(t)
 	s.relay.SetPeerCounts(map[ident.Incarnation]int{})
 	heads, recipients := sendHeld(t, s, release, 12)
 	if len(heads) != 4 {
-		t.Errorf("requests went to %v, want four of eight groups", heads)
+		t.Errorf("requests by group: %v, want four of eight groups", heads)
 	}
 	for head, to := range recipients {
 		if len(to) < 25 || len(to) > 75 {
-			t.Errorf("%d entries are told of prompts at %s, want about half of 99", len(to), head)
+			t.Errorf("%d entries notified of prompts at %s, want about half of 99", len(to), head)
 		}
 	}
 }
 
-// When the groups that an entry uses are full it sends to others, but no more than its part of the room that all entries see there.
+// When the groups of an entry's subset are full, the entry uses other groups, but no more than its share of the capacity that all entries see
+// there.
 func TestCapacityOutsideSubsetIsDivided(t *testing.T) {
 	s, release := newLargeSiteEntry(t)
 	s.relay.SetPeerCounts(map[ident.Incarnation]int{})
@@ -88,13 +89,13 @@
 			peerCounts[head] = 4
 		}
 	}
-	// Four groups with four free slots each, of which half may be filled: each word gives every one of 100 entries 0.08 of a
-	// request, and one came before.
+	// Four groups with four free slots each, of which half may be filled: each round of counts gives each of 100 entries a credit of 0.08
+	// requests, and one round came before.
 	for round := 1; round <= 20; round++ {
 		s.relay.SetPeerCounts(peerCounts)
 		head, fits := relay.ChooseGroup(s.relay, &timedConfig().Routes[2], "m", 100)
 		if outsideSubset := fits && subset[head] == 0; outsideSubset != (round >= 12) {
-			t.Errorf("word %d: the choice is %s, which has room: %v; want another group from the twelfth word on", round, head, fits)
+			t.Errorf("round %d: chosen %s, capacity %v; want a group outside the subset from round 12 on", round, head, fits)
 		}
 	}
 }
--- a/relay/suspension_test.go
+++ b/relay/suspension_test.go
@@ -23,7 +23,7 @@
 	return clock.New(read, func() time.Duration { return s.suspendedFor })
 }
 
-// An entry that was suspended past the lapse of keys serves none on what it had heard before: a key may have been taken away
+// An entry that was suspended for longer than keys are valid rejects keys confirmed before the suspension, since a key may have been revoked
 // meanwhile.
 func TestSuspendedEntryRejectsLapsedKeys(t *testing.T) {
 	vm := &suspendableClock{startedAt: time.Now()}
@@ -36,7 +36,7 @@
 	}
 	vm.suspendedFor = 5 * time.Second
 	if got := s.do(s.request("POST", "/safe/x", "after", "")); got.Status != http.StatusServiceUnavailable {
-		t.Errorf("status %d after a suspension past the lapse of keys, want 503", got.Status)
+		t.Errorf("status %d after a suspension longer than the validity of keys, want 503", got.Status)
 	}
 	s.relay.Wait()
 	if got := s.records[len(s.records)-1].Code; got != result.ControlUnreachable {
@@ -47,6 +47,6 @@
 	}
 	s.relay.SetConfirmed(s.relay.Now())
 	if got := s.do(s.request("POST", "/safe/x", "informed", "")); got.Status != http.StatusOK {
-		t.Errorf("status %d after newer confirmation", got.Status)
+		t.Errorf("status %d after a new confirmation, want 200", got.Status)
 	}
 }
