--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -42,7 +42,7 @@
 	// crashGrace is how long after the third crash further runs of the request are not counted, maxLateCrashes bounds the runs after that.
 	crashGrace     = 500 * time.Millisecond
 	maxLateCrashes = 3
-	crashBody      = "ends what runs it"
+	crashBody      = "crashes the upstream"
 )
 
 // crashScenario is a site with a request that crashes every upstream that runs it.
--- a/relay/subset_test.go
+++ b/relay/subset_test.go
@@ -93,9 +93,9 @@
 	// requests, and one round came before.
 	for round := 1; round <= 20; round++ {
 		s.relay.SetPeerCounts(peerCounts)
-		head, fits := relay.ChooseGroup(s.relay, &timedConfig().Routes[2], "m", 100)
-		if outsideSubset := fits && subset[head] == 0; outsideSubset != (round >= 12) {
-			t.Errorf("round %d: chosen %s, capacity %v; want a group outside the subset from round 12 on", round, head, fits)
+		head, hasCapacity := relay.ChooseGroup(s.relay, &timedConfig().Routes[2], "m", 100)
+		if outsideSubset := hasCapacity && subset[head] == 0; outsideSubset != (round >= 12) {
+			t.Errorf("round %d: chosen %s, capacity %v; want a group outside the subset from round 12 on", round, head, hasCapacity)
 		}
 	}
 }
--- a/relay/suspect.go
+++ b/relay/suspect.go
@@ -30,7 +30,7 @@
 	// that are cut off from a working group suspect it all the time.
 	targetRefuters = 4
 	refuteInterval = 100 * time.Millisecond
-	// stallPeriod is how long a stalled group is avoided without further news: the leader closes it within a second, and a group that has
+	// stallPeriod is how long a stalled group is avoided without further suspicions: the leader closes it within a second, and a group that has
 	// recovered must be used again.
 	stallPeriod = 1500 * time.Millisecond
 	// maxStallDoublings is how often stallPeriod doubles for a group that stalls repeatedly within stallRepeatWindow. The longest period is
