--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -39,9 +39,9 @@
 	// incarnation.
 	crashRosterDelay  = 300 * time.Millisecond
 	crashRestartDelay = 3 * time.Second
-	// crashGrace is how long after the third crash further runs of the request are not counted, maxLateCrashes bounds the runs after that.
+	// crashGrace is how long after the third crash further runs of the request are not counted, maxLateRuns bounds the runs after that.
 	crashGrace     = 500 * time.Millisecond
-	maxLateCrashes = 3
+	maxLateRuns = 3
 	crashBody      = "crashes the upstream"
 )
 
@@ -273,8 +273,8 @@
 		t.Run(name, func(t *testing.T) {
 			c := runCrash(t, scenario)
 			t.Logf("%d upstreams crashed, %d runs later than %v after the third crash", len(c.crashes), c.lateRuns(), crashGrace)
-			if c.lateRuns() > maxLateCrashes {
-				t.Errorf("%d runs later than %v after the third crash, want at most %d", c.lateRuns(), crashGrace, maxLateCrashes)
+			if c.lateRuns() > maxLateRuns {
+				t.Errorf("%d runs later than %v after the third crash, want at most %d", c.lateRuns(), crashGrace, maxLateRuns)
 			}
 			served := 0
 			for _, r := range c.lateRecords {
--- a/relay/limit_test.go
+++ b/relay/limit_test.go
@@ -62,9 +62,9 @@
 		g.entries = append(g.entries, newSignalEntryFor(g.entries[0].upstreams))
 	}
 	for i := range entries {
-		name := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 200), byte(i % 200)}), 7).String()
-		g.addresses = append(g.addresses, name)
-		g.indexByAddress[name] = i
+		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 200), byte(i % 200)}), 7).String()
+		g.addresses = append(g.addresses, address)
+		g.indexByAddress[address] = i
 	}
 	for i := range g.entries {
 		g.connect(i)
@@ -79,15 +79,15 @@
 	s.relay.RandomInt = rand.New(rand.NewPCG(uint64(i), 1)).IntN
 	s.relay.Limits.Random = rand.New(rand.NewPCG(uint64(i), 2)).Float64
 	s.relay.Budget.SetEntries(len(g.entries))
-	s.relay.SendUpdate = func(n relay.EntryUpdate, to []string) {
+	s.relay.SendUpdate = func(update relay.EntryUpdate, to []string) {
 		if to == nil {
 			to = g.addresses
 		}
-		for _, name := range to {
-			if j, ok := g.indexByAddress[name]; ok && j != i {
+		for _, address := range to {
+			if j, ok := g.indexByAddress[address]; ok && j != i {
 				time.AfterFunc(datagramDelay, func() {
-					if hearer := g.receiver(s, i, j); hearer != nil {
-						hearer.relay.Receive(n, netip.MustParseAddrPort(g.addresses[i]))
+					if peer := g.receiver(s, i, j); peer != nil {
+						peer.relay.Receive(update, netip.MustParseAddrPort(g.addresses[i]))
 					}
 				})
 			}
--- a/relay/overload_test.go
+++ b/relay/overload_test.go
@@ -83,10 +83,10 @@
 		r := httptest.NewRequest(http.MethodPost, "/stream/x", http.NoBody).WithContext(ctx)
 		r.Host = "h"
 		id := c.id + "." + strconv.Itoa(n)
-		for name, found := range map[string]string{
+		for name, value := range map[string]string{
 			"Request": id, "Key": "secret", "Model": "m", "Tokens": c.tokens, "Deadline": strconv.Itoa(int(remaining.Milliseconds())),
 		} {
-			r.Header.Set(name, found)
+			r.Header.Set(name, value)
 		}
 		w := httptest.NewRecorder()
 		sent := time.Now()
