--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -40,9 +40,9 @@
 	crashRosterDelay  = 300 * time.Millisecond
 	crashRestartDelay = 3 * time.Second
 	// crashGrace is how long after the third crash further runs of the request are not counted, maxLateRuns bounds the runs after that.
-	crashGrace     = 500 * time.Millisecond
+	crashGrace  = 500 * time.Millisecond
 	maxLateRuns = 3
-	crashBody      = "crashes the upstream"
+	crashBody   = "crashes the upstream"
 )
 
 // crashScenario is a site with a request that crashes every upstream that runs it.
