--- a/relay/backoff_test.go
+++ b/relay/backoff_test.go
@@ -1,16 +1,8 @@
 package relay_test
 
-// Three heads turned away all that came for nine seconds, and each time asked the entry that had sent it for some seconds of rest. The
-// entry kept of that only that the head had refused, for a fixed 120 ms; then it was as good as any other, and had less to do, so it
-// was chosen first. What settled it were the tries of the same entry at the same head, long before the time that was asked for was over:
-//
-//	"tries":[{"to":"i-71d8ddc42a","result":"not-run","at-ms":0},{"to":"i-a866eebe31","result":"done","at-ms":2}]   at 6.05 s
-//	"tries":[{"to":"i-71d8ddc42a","result":"not-run","at-ms":0},{"to":"i-78c9132e00","result":"done","at-ms":0}]   at 6.99 s
-//	"tries":[{"to":"i-71d8ddc42a","result":"not-run","at-ms":0},{"to":"i-be6a307a7e","result":"done","at-ms":0}]   at 7.54 s
-//	"tries":[{"to":"i-71d8ddc42a","result":"not-run","at-ms":0},{"to":"i-74fb043a03","result":"not-run","at-ms":0}, ...   at 7.75 s
-//
-// Of 145 next tries after a refusal 76 came after 0.12 to 0.5 s and 64 after 0.5 to 3 s, at every entry, while neither groups nor the
-// roster changed. So what an upstream asks for has to be kept, for the life that said it and for as long as it said.
+// These tests guard against sending requests to an upstream before its requested backoff has ended. If an entry only remembers for a fixed
+// short time that an overloaded upstream refused a request, it soon chooses the upstream again, and even prefers it, since the upstream has
+// less load than others. A backoff must therefore be kept for the incarnation that requested it and for the whole requested time.
 
 import (
 	"bufio"
@@ -36,36 +28,36 @@
 )
 
 const (
-	// upstreamRoundTrip is a round trip to an upstream, upstreamServiceTime how long it works on a request.
+	// upstreamRoundTrip is the round trip to an upstream, upstreamServiceTime how long a request takes there.
 	upstreamRoundTrip   = 2 * time.Millisecond
 	upstreamServiceTime = 60 * time.Millisecond
-	// backoffRequestInterval is how often a request comes, backoffLoadDuration for how long.
+	// backoffRequestInterval is the interval between requests, backoffLoadDuration how long requests are sent.
 	backoffRequestInterval = 10 * time.Millisecond
 	backoffLoadDuration    = 8 * time.Second
-	// signalAt is when the first upstream begins to say something.
+	// signalAt is when the first upstream starts to send backpressure signals.
 	signalAt = time.Second
-	// maxInFlight is how long after an upstream's word a request may still reach it: one that was sent before the word came.
+	// maxInFlight is how long after an upstream's signal a request can still arrive that was sent before the signal was received.
 	maxInFlight = upstreamRoundTrip + time.Millisecond
 )
 
-// signalingUpstream is an upstream that says what it wants.
+// signalingUpstream is an upstream that sends backpressure signals.
 type signalingUpstream struct {
 	mu sync.Mutex
-	// busyUntil is until when it turns away what comes, asking for rest with the text asks when that is not empty.
+	// busyUntil is until when the upstream refuses requests, with the Retry-After retryAfter unless that is empty.
 	busyUntil  time.Time
 	retryAfter string
 	leaving    bool
-	// limit is what it names in its answers while that is not empty, named when the first answer with one left it.
+	// limit is the limit header of its answers, absent if empty; limitNamedAt is when the first answer with a limit was sent.
 	limit        string
 	limitNamedAt time.Time
-	// arrivedAt is when requests came, refused when it turned one away, said when it first said that it leaves, and served when it
-	// first gave a whole answer after its last refusal.
+	// arrivedAt and refusedAt are the times of all requests and of the refused ones. leavingSaidAt is when it first announced its shutdown,
+	// servedAt when it sent the first complete answer after its last refusal.
 	arrivedAt     []time.Time
 	refusedAt     []time.Time
 	leavingSaidAt time.Time
 	servedAt      time.Time
 	conns         []net.Conn
-	// extraDialTime is how much longer its connections take to open.
+	// extraDialTime is added to the time to open a connection.
 	extraDialTime time.Duration
 }
 
@@ -89,16 +81,16 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		extra, refuses := u.admit()
-		if refuses {
+		headers, refused := u.admit()
+		if refused {
 			time.Sleep(upstreamRoundTrip)
-			_, err = io.WriteString(c, answerHead(r, 503, append(extra, "Not-Run: 1", "Content-Length: 0")...))
+			_, err = io.WriteString(c, answerHead(r, 503, append(headers, "Not-Run: 1", "Content-Length: 0")...))
 		} else {
 			time.Sleep(upstreamServiceTime)
-			extra = u.complete(extra)
-			extra = append(extra, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
-			piece := eventText(1, 2)
-			_, err = io.WriteString(c, answerHead(r, 200, extra...)+fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(piece), piece))
+			headers = u.complete(headers)
+			headers = append(headers, signature, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
+			chunk := eventText(1, 2)
+			_, err = io.WriteString(c, answerHead(r, 200, headers...)+fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(chunk), chunk))
 		}
 		if err != nil {
 			return
@@ -106,52 +98,52 @@
 	}
 }
 
-// admit notes that a request came and returns what the answer says beside, and whether it is a refusal.
-func (u *signalingUpstream) admit() (extra []string, refuses bool) {
+// admit records a request and returns the signal headers of its answer, and whether the answer is a refusal.
+func (u *signalingUpstream) admit() (headers []string, refused bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := time.Now()
 	u.arrivedAt = append(u.arrivedAt, now)
 	if u.leaving {
-		extra = append(extra, "Leaving: 1")
+		headers = append(headers, "Leaving: 1")
 		if u.leavingSaidAt.IsZero() {
 			u.leavingSaidAt = now.Add(upstreamServiceTime)
 		}
 	}
 	if !now.Before(u.busyUntil) {
-		return extra, false
+		return headers, false
 	}
-	extra = u.addLimit(extra)
+	headers = u.addLimit(headers)
 	u.refusedAt = append(u.refusedAt, now)
 	u.servedAt = time.Time{}
 	if u.retryAfter != "" {
-		extra = append(extra, "Retry-After: "+u.retryAfter)
+		headers = append(headers, "Retry-After: "+u.retryAfter)
 	}
-	return extra, true
+	return headers, true
 }
 
-// complete notes that an answer leaves and returns what it says beside.
-func (u *signalingUpstream) complete(extra []string) []string {
+// complete records a complete answer and returns its signal headers.
+func (u *signalingUpstream) complete(headers []string) []string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.servedAt.IsZero() {
 		u.servedAt = time.Now()
 	}
-	return u.addLimit(extra)
+	return u.addLimit(headers)
 }
 
-// addLimit adds the limit to what an answer says; the mutex is held.
-func (u *signalingUpstream) addLimit(extra []string) []string {
+// addLimit appends the limit header; the mutex is held.
+func (u *signalingUpstream) addLimit(headers []string) []string {
 	if u.limit == "" {
-		return extra
+		return headers
 	}
 	if u.limitNamedAt.IsZero() {
 		u.limitNamedAt = time.Now()
 	}
-	return append(extra, "Limit: "+u.limit)
+	return append(headers, "Limit: "+u.limit)
 }
 
-// setLimit lets an upstream name a limit, or none.
+// setLimit sets the limit that the upstream advertises, 0 for none.
 func (u *signalingUpstream) setLimit(rate ratelimit.Rate) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -161,7 +153,7 @@
 	}
 }
 
-// countBetween returns how many requests came after one moment and before another.
+// countBetween returns how many requests arrived between two times.
 func (u *signalingUpstream) countBetween(from, to time.Time) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -174,7 +166,7 @@
 	return n
 }
 
-// signalEntry is one entry before upstreams that say what they want.
+// signalEntry is an entry in front of upstreams that send backpressure signals.
 type signalEntry struct {
 	relay     *relay.Relay
 	upstreams []*signalingUpstream
@@ -192,7 +184,7 @@
 	return newSignalEntryFor(upstreams)
 }
 
-// newSignalEntryFor returns one more entry before the same upstreams.
+// newSignalEntryFor returns an entry in front of existing upstreams.
 func newSignalEntryFor(upstreams []*signalingUpstream) *signalEntry {
 	s := &signalEntry{upstreams: upstreams}
 	byAddress := map[string]*signalingUpstream{}
@@ -218,7 +210,7 @@
 	return s
 }
 
-// setRoster tells the entry of all upstreams but those that are missed; groups have names that end in suffix.
+// setRoster applies a roster with all upstreams but the missed ones; the names of groups end in suffix.
 func (s *signalEntry) setRoster(missed map[int]bool, suffix string) {
 	s.mu.Lock()
 	s.revision++
@@ -249,12 +241,12 @@
 		r.Header.Set(name, value)
 	}
 	w := httptest.NewRecorder()
-	defer func() { _ = recover() }() // an answer that is cut off ends in a panic, as in net/http
+	defer func() { _ = recover() }() // an aborted answer panics, as in net/http
 	s.relay.ServeHTTP(w, r)
 	return w
 }
 
-// load lets a request come every backoffRequestInterval until backoffLoadDuration is over.
+// load sends a request every backoffRequestInterval for backoffLoadDuration.
 func (s *signalEntry) load(path string) {
 	began := time.Now()
 	var wg sync.WaitGroup
@@ -268,7 +260,7 @@
 	}
 }
 
-// close closes all connections.
+// close closes all connections of the upstream.
 func (u *signalingUpstream) close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -278,29 +270,29 @@
 	u.conns = nil
 }
 
-// signalScenario is a load on a route, and what the first upstream does in it.
+// signalScenario is a load on a route, during which act makes the first upstream send signals.
 type signalScenario struct {
 	path string
 	act  func(s *signalEntry, u *signalingUpstream)
 }
 
-// runSignals plays p before three upstreams.
-func runSignals(t *testing.T, p signalScenario) *signalEntry {
+// runSignals runs a scenario with three upstreams.
+func runSignals(t *testing.T, scenario signalScenario) *signalEntry {
 	t.Helper()
 	var s *signalEntry
 	synctest.Test(t, func(*testing.T) {
 		s = newSignalEntry(3)
-		time.AfterFunc(signalAt, func() { p.act(s, s.upstreams[0]) })
-		s.load(p.path)
+		time.AfterFunc(signalAt, func() { scenario.act(s, s.upstreams[0]) })
+		s.load(scenario.path)
 	})
 	return s
 }
 
-// setBusy lets an upstream turn away what comes for a time, and ask for rest.
-func (u *signalingUpstream) setBusy(d time.Duration, asks string) {
+// setBusy makes the upstream refuse requests for a time, with a Retry-After.
+func (u *signalingUpstream) setBusy(d time.Duration, retryAfter string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.busyUntil, u.retryAfter = time.Now().Add(d), asks
+	u.busyUntil, u.retryAfter = time.Now().Add(d), retryAfter
 }
 
 func (u *signalingUpstream) setLeaving() {
@@ -309,91 +301,91 @@
 	u.leaving = true
 }
 
-// An upstream that has asked an entry for rest is reached by nothing that the entry sends before that time is over.
+// An entry sends no request to an upstream before the backoff that the upstream requested from it has ended.
 func TestBackoffIsKept(t *testing.T) {
-	const asked = 3 * time.Second
-	asksForTime := func(_ *signalEntry, u *signalingUpstream) { u.setBusy(asked-time.Second, "3") }
-	changes := func(s *signalEntry, u *signalingUpstream) {
-		asksForTime(s, u)
+	const requested = 3 * time.Second
+	requestsBackoff := func(_ *signalEntry, u *signalingUpstream) { u.setBusy(requested-time.Second, "3") }
+	changesRoster := func(s *signalEntry, u *signalingUpstream) {
+		requestsBackoff(s, u)
 		time.AfterFunc(700*time.Millisecond, func() { s.setRoster(map[int]bool{0: true}, "") })
 		time.AfterFunc(900*time.Millisecond, func() { s.setRoster(nil, " again") })
 	}
-	slow := func(s *signalEntry, u *signalingUpstream) {
-		asksForTime(s, u)
+	slowDial := func(s *signalEntry, u *signalingUpstream) {
+		requestsBackoff(s, u)
 		u.extraDialTime = 40 * time.Millisecond
 		for n := range 12 {
-			go s.send("/safe/x", "at once "+strconv.Itoa(n))
+			go s.send("/safe/x", "concurrent "+strconv.Itoa(n))
 		}
 	}
-	for name, play := range map[string]signalScenario{
-		"connections open slowly":         {"/safe/x", slow},
-		"a plain worker":                  {"/safe/x", asksForTime},
-		"a plain worker, once":            {"/unsafe/x", asksForTime},
-		"the head of a group":             {"/stream/x", asksForTime},
-		"the list misses it for a moment": {"/safe/x", changes},
-		"its group is formed again":       {"/stream/x", changes},
+	for name, scenario := range map[string]signalScenario{
+		"connections open slowly":                       {"/safe/x", slowDial},
+		"a plain worker":                                {"/safe/x", requestsBackoff},
+		"a plain worker, unrepeatable requests":         {"/unsafe/x", requestsBackoff},
+		"the head of a group":                           {"/stream/x", requestsBackoff},
+		"the upstream is briefly missing in the roster": {"/safe/x", changesRoster},
+		"its group is formed again":                     {"/stream/x", changesRoster},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := runSignals(t, play)
+			s := runSignals(t, scenario)
 			u := s.upstreams[0]
 			if len(u.refusedAt) == 0 {
-				t.Fatal("nothing came while it turned requests away: the test shows nothing")
+				t.Fatal("no request arrived while the upstream refused requests: the test checks nothing")
 			}
 			for _, at := range u.refusedAt {
-				if n := u.countBetween(at.Add(maxInFlight), at.Add(asked)); n > 0 {
-					t.Errorf("%d requests reached it in the %v that it had asked for at %v", n, asked, at.Sub(u.refusedAt[0]))
+				if n := u.countBetween(at.Add(maxInFlight), at.Add(requested)); n > 0 {
+					t.Errorf("%d requests arrived within the backoff of %v requested at %v", n, requested, at.Sub(u.refusedAt[0]))
 				}
 			}
 			if u.servedAt.IsZero() {
-				t.Error("it serves nothing after its rest")
+				t.Error("the upstream served no request after its backoff")
 			}
 		})
 	}
 }
 
-// An upstream that says that it leaves gets nothing new, whether or not the roster tells.
-func TestALeavingUpstreamGetsNothingNew(t *testing.T) {
+// An upstream that announces its shutdown gets no new requests, whether or not the roster shows that it is leaving.
+func TestLeavingUpstreamGetsNoRequests(t *testing.T) {
 	leaves := func(_ *signalEntry, u *signalingUpstream) { u.setLeaving() }
-	changes := func(s *signalEntry, u *signalingUpstream) {
+	changesRoster := func(s *signalEntry, u *signalingUpstream) {
 		u.setLeaving()
 		time.AfterFunc(700*time.Millisecond, func() { s.setRoster(map[int]bool{0: true}, "") })
 		time.AfterFunc(900*time.Millisecond, func() { s.setRoster(nil, " again") })
 	}
-	turnsAway := func(_ *signalEntry, u *signalingUpstream) {
+	refuses := func(_ *signalEntry, u *signalingUpstream) {
 		u.setLeaving()
 		u.setBusy(time.Second, "")
 	}
-	for name, play := range map[string]signalScenario{
-		"a plain worker":                  {"/safe/x", leaves},
-		"the head of a group":             {"/stream/x", leaves},
-		"the list misses it for a moment": {"/stream/x", changes},
-		"it says so in refusals":          {"/stream/x", turnsAway},
+	for name, scenario := range map[string]signalScenario{
+		"a plain worker":      {"/safe/x", leaves},
+		"the head of a group": {"/stream/x", leaves},
+		"the upstream is briefly missing in the roster": {"/stream/x", changesRoster},
+		"announced in refusals":                         {"/stream/x", refuses},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := runSignals(t, play)
+			s := runSignals(t, scenario)
 			u := s.upstreams[0]
 			if u.leavingSaidAt.IsZero() {
-				t.Fatal("nothing came once it was leaving: the test shows nothing")
+				t.Fatal("no request arrived once the upstream was leaving: the test checks nothing")
 			}
 			if n := u.countBetween(u.leavingSaidAt.Add(maxInFlight), u.leavingSaidAt.Add(backoffLoadDuration)); n > 0 {
-				t.Errorf("%d requests reached it after it had said that it leaves", n)
+				t.Errorf("%d requests arrived after the upstream had announced its shutdown", n)
 			}
 		})
 	}
 }
 
-// Where all upstreams have asked for more time than a request has, it is refused at once and told when the first of them may be tried;
-// callers do not all come back at that moment.
-func TestAllAskedForTime(t *testing.T) {
-	const asked = 4 * time.Second
+// When all upstreams are backed off for longer than a request can wait, the request is refused at once. Its Retry-After is the time until the
+// first upstream is available, with jitter, so that not all callers retry at the same time.
+func TestAllUpstreamsBackedOff(t *testing.T) {
+	const requested = 4 * time.Second
 	for name, path := range map[string]string{"plain workers": "/safe/x", "heads of groups": "/stream/x"} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newSignalEntry(3)
 				for _, u := range s.upstreams {
-					u.setBusy(asked, "4")
+					u.setBusy(requested, "4")
 				}
-				s.send(path, "asks all")
+				s.send(path, "attempts all")
 				time.Sleep(100 * time.Millisecond)
 				began := time.Now()
 				var earliest, latest time.Duration
@@ -403,31 +395,31 @@
 					if w.Code != http.StatusServiceUnavailable || err != nil {
 						t.Fatalf("status %d, %v, want 503 with Retry-After", w.Code, err)
 					}
-					back := time.Duration(seconds * float64(time.Second))
+					retryAfter := time.Duration(seconds * float64(time.Second))
 					if n == 0 {
-						earliest, latest = back, back
+						earliest, latest = retryAfter, retryAfter
 					}
-					earliest, latest = min(earliest, back), max(latest, back)
+					earliest, latest = min(earliest, retryAfter), max(latest, retryAfter)
 				}
 				s.relay.Wait()
-				if held := time.Since(began); held > 0 {
-					t.Errorf("refused after %v, want at once", held)
+				if waited := time.Since(began); waited > 0 {
+					t.Errorf("refused after %v, want at once", waited)
 				}
-				first := asked
+				firstAvailable := requested
 				for _, u := range s.upstreams {
-					first = min(first, u.refusedAt[0].Add(asked).Sub(began))
+					firstAvailable = min(firstAvailable, u.refusedAt[0].Add(requested).Sub(began))
 				}
-				if earliest < first || latest > first*3/2+upstreamRoundTrip*4 || latest-earliest < first/8 {
-					t.Errorf("callers are told to come back after %v to %v, the first upstream may be tried after %v", earliest, latest, first)
+				if earliest < firstAvailable || latest > firstAvailable*3/2+upstreamRoundTrip*4 || latest-earliest < firstAvailable/8 {
+					t.Errorf("Retry-After from %v to %v, the first upstream is available after %v", earliest, latest, firstAvailable)
 				}
 				for _, r := range s.records[1:] {
 					if r.Code != result.BackedOff || len(r.Attempts) > 0 {
-						t.Errorf("code %d after %d tries, want %d after none", r.Code, len(r.Attempts), result.BackedOff)
+						t.Errorf("code %d after %d attempts, want %d after none", r.Code, len(r.Attempts), result.BackedOff)
 					}
 				}
 				for i, u := range s.upstreams {
-					if n := u.countBetween(began, began.Add(asked)); n > 0 {
-						t.Errorf("%d requests reached upstream %d", n, i)
+					if n := u.countBetween(began, began.Add(requested)); n > 0 {
+						t.Errorf("%d requests reached upstream %d during its backoff", n, i)
 					}
 				}
 				for _, u := range s.upstreams {
@@ -438,15 +430,15 @@
 	}
 }
 
-// Where upstreams may be tried again before a request is late, it waits for that; then they get one request each until they have taken
-// one, and not all that has waited.
-func TestWhatWaitedDoesNotComeAtOnce(t *testing.T) {
+// A request waits for the end of a backoff that ends before the request is late. Each upstream then gets a single probe, and the other queued
+// requests only after the upstream has accepted it.
+func TestQueuedRequestsProbeAfterBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSignalEntry(3)
 		for _, u := range s.upstreams {
 			u.setBusy(100*time.Millisecond, "0.5")
 		}
-		s.send("/stream/x", "asks all")
+		s.send("/stream/x", "attempts all")
 		time.Sleep(100 * time.Millisecond)
 		began := time.Now()
 		var wg sync.WaitGroup
@@ -456,12 +448,12 @@
 		wg.Wait()
 		s.relay.Wait()
 		for i, u := range s.upstreams {
-			over := u.refusedAt[0].Add(500 * time.Millisecond)
-			if n := u.countBetween(began, over); n > 0 {
-				t.Errorf("%d requests reached upstream %d before its time was over", n, i)
+			backoffEnd := u.refusedAt[0].Add(500 * time.Millisecond)
+			if n := u.countBetween(began, backoffEnd); n > 0 {
+				t.Errorf("%d requests reached upstream %d before its backoff ended", n, i)
 			}
-			if n := u.countBetween(over, u.servedAt); n > 1 {
-				t.Errorf("%d requests reached upstream %d before it had taken one, want 1", n, i)
+			if n := u.countBetween(backoffEnd, u.servedAt); n > 1 {
+				t.Errorf("%d requests reached upstream %d before it had accepted one, want at most 1", n, i)
 			}
 		}
 		served := 0
@@ -471,7 +463,7 @@
 			}
 		}
 		if served != 30 {
-			t.Errorf("%d of 30 that waited were answered in time", served)
+			t.Errorf("%d of 30 queued requests answered in time, want all", served)
 		}
 		for _, u := range s.upstreams {
 			u.close()
@@ -479,8 +471,8 @@
 	})
 }
 
-// What an upstream asks for is not lengthened by a suspension of this VM, and not forgotten by one: its clock counts meanwhile.
-func TestASuspensionCountsAsBackoff(t *testing.T) {
+// A suspension of this VM neither extends a backoff nor ends it: the time of the suspension counts.
+func TestSuspensionCountsAsBackoff(t *testing.T) {
 	vm := &suspendableClock{startedAt: time.Now()}
 	busy := true
 	u := newUpstream(t, always(func(c net.Conn, r *http.Request) bool {
@@ -498,20 +490,20 @@
 	vm.suspendedFor = 2 * time.Second
 	s.relay.SetConfirmed(s.relay.Now())
 	if got := s.do(s.request("POST", "/safe/x", "early", "")); got.Status != http.StatusServiceUnavailable {
-		t.Errorf("status %d after two of three seconds, want 503", got.Status)
+		t.Errorf("status %d after 2 of 3 s, want 503", got.Status)
 	}
 	vm.suspendedFor = 3 * time.Second
 	s.relay.SetConfirmed(s.relay.Now())
 	if got := s.do(s.request("POST", "/safe/x", "after", "")); got.Status != http.StatusOK {
-		t.Errorf("status %d after three seconds, want 200", got.Status)
+		t.Errorf("status %d after 3 s, want 200", got.Status)
 	}
 	if n := len(u.received()); n != 2 {
 		t.Errorf("%d requests reached the upstream, want the one before and the one after", n)
 	}
 }
 
-// Another life of an upstream has asked for nothing.
-func TestANewLifeHasAskedForNothing(t *testing.T) {
+// A backoff applies only to the incarnation that requested it.
+func TestNewIncarnationHasNoBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSignalEntry(1)
 		u := s.upstreams[0]
@@ -521,7 +513,7 @@
 		d := roster.Delta{Full: true, Revision: 9}
 		d.Upstreams = append(d.Upstreams, roster.Upstream{ID: "p0@2", Service: "plain", Address: "h0", Slots: excessSlots})
 		s.relay.ApplyRoster(&d)
-		if w := s.send("/safe/x", "to the new life"); w.Code != http.StatusOK {
+		if w := s.send("/safe/x", "to the new incarnation"); w.Code != http.StatusOK {
 			t.Errorf("status %d, want 200", w.Code)
 		}
 		u.close()
--- a/relay/priority_test.go
+++ b/relay/priority_test.go
@@ -10,18 +10,18 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// What is late whatever the engine does goes behind what can still be in time.
+// A request that is late in any case has a lower priority at the engine than one that can be in time.
 func TestPriorities(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		event string
-		took  time.Duration
+		delay time.Duration
 		want  string
 	}{
 		{"new", "", 0, "3"},
-		{"held up for a while", "", 450 * time.Millisecond, "0"},
-		{"over its aim", "", 3 * time.Second, "5"},
-		{"taken up again", "2", 0, "5"},
+		{"delayed", "", 450 * time.Millisecond, "0"},
+		{"past its aim", "", 3 * time.Second, "5"},
+		{"resumed", "2", 0, "5"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := make(chan string, 1)
@@ -30,16 +30,16 @@
 				return respondStream(conn, r, 3, 4, true)
 			}))
 			s := newTestEntry(t, nil, []*upstream{u})
-			// The second look at the clock is the one at which the request is sent on.
+			// From the second reading of the clock on, the request is delayed.
 			start := time.Now()
-			var looks atomic.Int64
+			var clockReads atomic.Int64
 			s.relay.Now = func() time.Time {
-				if looks.Add(1) == 1 {
+				if clockReads.Add(1) == 1 {
 					return start
 				}
-				return start.Add(c.took)
+				return start.Add(c.delay)
 			}
-			s.relay.SetConfirmed(start.Add(c.took))
+			s.relay.SetConfirmed(start.Add(c.delay))
 			r := s.request("POST", "/stream/x", "1", "")
 			r.Header.Set("Event", c.event)
 			s.do(r)
--- a/relay/start_test.go
+++ b/relay/start_test.go
@@ -18,34 +18,34 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// An entry that has just started refuses new requests at once, and keeps a stream that is taken up again for the first word
-// from control, but not for long.
-func TestTheFirstWord(t *testing.T) {
+// Before the leader's first confirmation an entry refuses new requests at once, but holds a resumed stream until the confirmation or a short
+// time-out.
+func TestFirstConfirmation(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		event    string
-		deadline string
-		word     time.Duration
-		status   int
-		answered time.Duration
+		name           string
+		event          string
+		deadline       string
+		confirmedAfter time.Duration
+		status         int
+		answeredAfter  time.Duration
 	}{
 		{"a new request", "", "", 300 * time.Millisecond, 503, 0},
-		{"a request with time to come back", "", "6000", 300 * time.Millisecond, 503, 0},
-		{"a request without time to come back", "", "3000", 300 * time.Millisecond, 401, 300 * time.Millisecond},
-		{"one that cannot wait for long either", "", "500", 300 * time.Millisecond, 503, 200 * time.Millisecond},
-		{"a stream that goes on", "4", "6000", 300 * time.Millisecond, 401, 300 * time.Millisecond},
-		{"a stream that goes on, and no word comes", "4", "6000", time.Hour, 503, 1500 * time.Millisecond},
+		{"a request with time for a retry", "", "6000", 300 * time.Millisecond, 503, 0},
+		{"a request without time for a retry", "", "3000", 300 * time.Millisecond, 401, 300 * time.Millisecond},
+		{"a request without time to be held", "", "500", 300 * time.Millisecond, 503, 200 * time.Millisecond},
+		{"a resumed stream", "4", "6000", 300 * time.Millisecond, 401, 300 * time.Millisecond},
+		{"a resumed stream without confirmation", "4", "6000", time.Hour, 503, 1500 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := relay.New(headerNames(), transport.TCP())
 				s.KeyValidity = 4 * time.Second
 				s.Budget = relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0.2, Window: time.Second, Allowance: 1})
-				word := time.AfterFunc(c.word, func() {
+				confirmation := time.AfterFunc(c.confirmedAfter, func() {
 					s.SetConfig(config())
 					s.SetConfirmed(time.Now())
 				})
-				defer word.Stop()
+				defer confirmation.Stop()
 				start := time.Now()
 				r := httptest.NewRequest("POST", "/stream/x", nil)
 				r.Host = "h"
@@ -53,16 +53,16 @@
 				r.Header.Set("Deadline", c.deadline)
 				w := httptest.NewRecorder()
 				s.ServeHTTP(w, r)
-				if got := time.Since(start); w.Code != c.status || got != c.answered {
-					t.Errorf("status %d after %v, want %d after %v", w.Code, got, c.status, c.answered)
+				if got := time.Since(start); w.Code != c.status || got != c.answeredAfter {
+					t.Errorf("status %d after %v, want %d after %v", w.Code, got, c.status, c.answeredAfter)
 				}
 			})
 		})
 	}
 }
 
-// Streams that were held at the start go on one after the other; nothing that comes later waits for them.
-func TestHeldStreamsTakeTurns(t *testing.T) {
+// Streams held at the start are sent one after the other; later requests do not wait for them.
+func TestHeldStreamsArePaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		var sent []time.Duration
@@ -77,7 +77,7 @@
 		s.KeyValidity = 4 * time.Second
 		s.Budget = relay.NewRetryBudget(relay.RetryBudgetRule{Ratio: 0.2, Window: time.Second, Allowance: 1})
 		s.Budget.SetEntries(8)
-		ask := func(event string) {
+		send := func(event string) {
 			r := httptest.NewRequest("POST", "/stream/x", nil)
 			r.Host = "h"
 			for name, value := range map[string]string{"Key": "secret", "Model": "m", "Event": event, "Deadline": "6000", "Tokens": "1000,100"} {
@@ -87,11 +87,12 @@
 		}
 		var held sync.WaitGroup
 		for range 4 {
-			held.Go(func() { ask("4") })
+			held.Go(func() { send("4") })
 		}
 		time.Sleep(200 * time.Millisecond)
 		cfg := config()
-		// A prompt of 1000 tokens is read in 15 ms, which counts as 25 ms; eight entries and two groups make 100 ms of it.
+		// A prompt of 1000 tokens is prefilled in 15 ms, which counts as 25 ms of engine time; with eight entries and two groups a slot
+		// is held for 100 ms.
 		cfg.Services[1].Engine.ReadRate = 1000 / 0.015
 		s.SetConfig(cfg)
 		d := roster.Delta{Full: true, Revision: 1}
@@ -102,13 +103,13 @@
 		s.ApplyRoster(&d)
 		s.SetConfirmed(time.Now())
 		time.Sleep(50 * time.Millisecond)
-		ask("")
+		send("")
 		held.Wait()
-		// Every one is refused by both groups.
+		// Each request is refused by both groups.
 		ms := time.Millisecond
 		want := []time.Duration{200 * ms, 200 * ms, 250 * ms, 250 * ms, 300 * ms, 300 * ms, 400 * ms, 400 * ms, 500 * ms, 500 * ms}
 		if diff := cmp.Diff(want, sent); diff != "" {
-			t.Errorf("sent (-want +got):\n%s", diff)
+			t.Errorf("times of attempts (-want +got):\n%s", diff)
 		}
 	})
 }
