--- a/httproute/check.go
+++ b/httproute/check.go
@@ -7,13 +7,13 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// place is where a route stands, as clients see it; no two routes may share it.
-type place struct {
+// hostPrefix is the canonical host and prefix of a route; they must be unique.
+type hostPrefix struct {
 	host   string
 	prefix string
 }
 
-// Check returns a ChangeInvalid error that names the first fault of cfg, or nil.
+// Check returns nil, or an error with code ChangeInvalid that describes the first defect of cfg.
 func Check(cfg *Config) error {
 	services := map[ident.Service]bool{}
 	for i := range cfg.Services {
@@ -22,17 +22,17 @@
 		}
 		services[cfg.Services[i].Name] = true
 	}
-	places := map[place]bool{}
+	taken := map[hostPrefix]bool{}
 	for i := range cfg.Routes {
 		r := &cfg.Routes[i]
 		if err := checkRoute(r, services); err != nil {
 			return err
 		}
-		at := place{canonicalHost(r.Host), strings.TrimRight(canonicalPrefix(r.Prefix), "/")}
-		if places[at] {
+		key := hostPrefix{canonicalHost(r.Host), strings.TrimRight(canonicalPrefix(r.Prefix), "/")}
+		if taken[key] {
 			return invalid("route %s has the host and prefix of another route", r.Name)
 		}
-		places[at] = true
+		taken[key] = true
 	}
 	return checkKeys(cfg.Customers)
 }
@@ -60,11 +60,11 @@
 func checkKeys(customers []Customer) error {
 	owners := map[string]int{}
 	for i := range customers {
-		for _, h := range customers[i].KeyHashes {
-			if owner, taken := owners[h]; taken && owner != i {
+		for _, hash := range customers[i].KeyHashes {
+			if owner, found := owners[hash]; found && owner != i {
 				return invalid("customers %s and %s have the same key", customers[owner].Name, customers[i].Name)
 			}
-			owners[h] = i
+			owners[hash] = i
 		}
 	}
 	return nil
--- a/httproute/config.go
+++ b/httproute/config.go
@@ -1,7 +1,7 @@
 package httproute
 
-// A configuration is one value with one version. It is checked whole before it
-// is accepted and compiled once into a Table; requests then only look up:
+// A configuration is one value with one version. It is checked as a whole
+// before it is accepted, and compiled once into a Table for the requests:
 //
 //	cfg -> Check -> replicated log -> NewTable(cfg) -> table.Route(host, path)
 
@@ -11,20 +11,20 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// Version orders configurations; the highest one counts.
+// Version orders configurations; the one with the highest version applies.
 type Version uint64
 
-// Kind says what may be done again when an attempt fails.
+// Kind says whether requests of a route may be retried after a failed attempt.
 type Kind string
 
-// The kinds of routes.
+// The kinds of routes: safe requests may be retried, unsafe ones may not, streams only if they are resumable.
 const (
 	KindSafe   Kind = "safe"
 	KindUnsafe Kind = "unsafe"
 	KindStream Kind = "stream"
 )
 
-// Config is everything that operators declare, as one value.
+// Config is everything that operators configure, as one value.
 type Config struct {
 	Version   Version
 	Routes    []Route
@@ -33,27 +33,29 @@
 	Limits    Limits
 }
 
-// Route leads the requests of one host and path prefix to services.
+// Route maps the requests for one host and path prefix to services.
 type Route struct {
 	Name   ident.Class
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Resumable streams may be continued at another upstream after the last event that was passed on.
+	// Resumable streams may be continued at another upstream after the last event that was forwarded.
 	Resumable bool
-	// Public routes need no key.
-	Public   bool
-	Split    []Share
-	Timeout  time.Duration
-	Aim      time.Duration
+	// Public routes require no key.
+	Public  bool
+	Split   []Share
+	Timeout time.Duration
+	// Aim is the target time to the complete answer; for streams, to the first event.
+	Aim time.Duration
+	// GapAim is the target time between two events of a stream.
 	GapAim   time.Duration
 	Priority int
 	Attempts int
-	// Homes are the regions whose upstreams may get its requests, all where there are none.
+	// Homes are the regions whose upstreams may serve the requests; if empty, all regions.
 	Homes []ident.Region
 }
 
-// Share is one service of a route and its weight.
+// Share is one service of a route, with its weight in the choice of a service.
 type Share struct {
 	Service ident.Service
 	Weight  float64
@@ -64,42 +66,46 @@
 	return r.Kind == KindSafe || r.Kind == KindStream && r.Resumable
 }
 
-// Service is a set of interchangeable upstreams; Engine is nil for plain services.
+// Service is a set of interchangeable upstreams.
 type Service struct {
 	Name           ident.Service
 	HealthPath     string
 	MaxConnections int
-	// ColdRate is how many requests a second an upstream takes while it is cold, 0 when that is not bounded.
+	// ColdRate is the maximum number of requests per second sent to a cold upstream, 0 for no limit.
 	ColdRate float64
-	Engine   *Engine
+	// Engine is nil if the service has no model engines.
+	Engine *Engine
 }
 
-// Engine is the published behaviour of a service's model engines.
+// Engine is the published performance of a service's model engines.
 type Engine struct {
-	// Slots is the number of requests that one replica works on at once.
+	// Slots is the number of requests that one replica processes at the same time.
 	Slots int
 	// Models are the models that replicas are formed for.
 	Models []Model
-	// Step is the time of one token step, PerSequence the part added by each writing request.
-	Step        time.Duration
+	// Step is the time of one token step, without the time that each sequence adds.
+	Step time.Duration
+	// PerSequence is the time that each decoding sequence adds to a token step.
 	PerSequence time.Duration
-	// ReadRate is the number of prompt tokens read in a second.
+	// ReadRate is the number of prompt tokens prefilled per second.
 	ReadRate float64
-	// Stride is the number of token steps in one pass.
+	// Stride is the number of token steps in one iteration of continuous batching.
 	Stride int
-	// LoadsPerSecond bounds the loads that may begin, ConcurrentLoads those that run at full speed.
-	LoadsPerSecond  float64
+	// LoadsPerSecond bounds how many loads of weights may start per second.
+	LoadsPerSecond float64
+	// ConcurrentLoads is how many loads of weights can run at full speed at the same time.
 	ConcurrentLoads int
-	// OpenTime passes between the order to open a group and its first request.
+	// OpenTime is the time from the order to open a group to the group's first request.
 	OpenTime time.Duration
-	// FarFactor is how many times slower a group is when its members are in different domains.
+	// FarFactor is how many times slower a group is if its members are in different domains.
 	FarFactor float64
-	Usual     Usual
-	// Memory is how many tokens the requests of one replica may have together, 0 when that is not known.
+	// Usual is the mean size of requests.
+	Usual Usual
+	// Memory is how many tokens all requests of one replica may have together, 0 if unknown.
 	Memory ident.Tokens
 }
 
-// Usual is the mean size of requests, in tokens.
+// Usual is the size of a request's prompt and answer in tokens.
 type Usual struct {
 	Prompt ident.Tokens
 	Answer ident.Tokens
@@ -110,16 +116,17 @@
 	Name ident.Model
 	// Size is the number of upstreams in one replica.
 	Size int
-	// Share is the part of the upstreams that the model gets before demand is known.
+	// Share is the fraction of the upstreams that the model gets until demand is known.
 	Share float64
 	// Pace multiplies all times of the engine.
 	Pace float64
-	// Load is the time to fetch the weights from the store, Warm from the host.
+	// Load is the time to load the weights from the weight store.
 	Load time.Duration
+	// Warm is the time to load the weights from the host.
 	Warm time.Duration
 }
 
-// Model returns the model of that name.
+// Model returns the model of that name and whether it exists.
 func (e *Engine) Model(name ident.Model) (*Model, bool) {
 	for i := range e.Models {
 		if e.Models[i].Name == name {
@@ -129,17 +136,19 @@
 	return nil, false
 }
 
-// Customer is one tenant, the SHA-256 hashes of its keys in hex, and its priority when it has one.
+// Customer is one tenant.
 type Customer struct {
-	Name        ident.Customer
-	KeyHashes   []string
+	Name ident.Customer
+	// KeyHashes are the SHA-256 hashes of the customer's API keys, in hex.
+	KeyHashes []string
+	// Priority has a meaning only if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Homes are as those of routes; both bind.
+	// Homes restricts regions in the same way as that of a route, and in addition to it.
 	Homes []ident.Region
 }
 
-// Limits bounds what a caller may send and how long a connection may stay idle.
+// Limits bounds the size and time of requests and the idle time of connections; 0 means the default.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
--- a/httproute/doc.go
+++ b/httproute/doc.go
@@ -1,2 +1,2 @@
-// Package httproute holds one whole configuration of HTTP routes, services and customers, and finds the route of a request.
+// Package httproute defines the configuration of HTTP routes, services and customers, and finds a request's route, service and customer.
 package httproute
--- a/httproute/httproute_test.go
+++ b/httproute/httproute_test.go
@@ -34,14 +34,14 @@
 		change func(cfg *httproute.Config)
 		want   result.Code
 	}{
-		{"good", func(*httproute.Config) {}, result.OK},
+		{"valid", func(*httproute.Config) {}, result.OK},
 		{"empty", func(cfg *httproute.Config) { *cfg = httproute.Config{} }, result.OK},
 		{"unknown service", func(cfg *httproute.Config) { cfg.Routes[0].Split[0].Service = "u" }, result.ChangeInvalid},
-		{"unknown service with no weight", func(cfg *httproute.Config) {
+		{"unknown service with weight 0", func(cfg *httproute.Config) {
 			cfg.Routes[0].Split = append(cfg.Routes[0].Split, httproute.Share{Service: "u"})
 		}, result.ChangeInvalid},
 		{"no service", func(cfg *httproute.Config) { cfg.Routes[0].Split = nil }, result.ChangeInvalid},
-		{"same place", func(cfg *httproute.Config) { cfg.Routes[0].Prefix = "/x/" }, result.ChangeInvalid},
+		{"same host and prefix", func(cfg *httproute.Config) { cfg.Routes[0].Prefix = "/x/" }, result.ChangeInvalid},
 		{"same prefix on another host", func(cfg *httproute.Config) { cfg.Routes[0].Prefix, cfg.Routes[0].Host = "/x/", "j" }, result.OK},
 		{"weights of 0", func(cfg *httproute.Config) { cfg.Routes[0].Split[0].Weight = 0 }, result.ChangeInvalid},
 		{"negative weight", func(cfg *httproute.Config) {
@@ -49,7 +49,7 @@
 		}, result.ChangeInvalid},
 		{"no time-out", func(cfg *httproute.Config) { cfg.Routes[0].Timeout = 0 }, result.ChangeInvalid},
 		{"a key of two customers", func(cfg *httproute.Config) { cfg.Customers[1].KeyHashes = []string{keys.Hash("k2")} }, result.ChangeInvalid},
-		{"a key twice with one customer", func(cfg *httproute.Config) { cfg.Customers[1].KeyHashes = []string{keys.Hash("k3"), keys.Hash("k3")} }, result.OK},
+		{"a duplicate key of one customer", func(cfg *httproute.Config) { cfg.Customers[1].KeyHashes = []string{keys.Hash("k3"), keys.Hash("k3")} }, result.OK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := config()
@@ -95,7 +95,7 @@
 			got = r.Name
 		}
 		if got != c.want {
-			t.Errorf("%s%s leads to %q, want %q", c.host, c.path, got, c.want)
+			t.Errorf("%s%s has route %q, want %q", c.host, c.path, got, c.want)
 		}
 	}
 }
@@ -118,7 +118,7 @@
 	r := &httproute.Route{Split: []httproute.Share{{Service: "s", Weight: 0}, {Service: "t", Weight: 5}}}
 	for range 100 {
 		if got := table.Pick(r); got == nil || got.Name != "t" {
-			t.Fatalf("picked %v, only t has weight", got)
+			t.Fatalf("picked %v, want t, which has the only positive weight", got)
 		}
 	}
 	r.Split[0].Weight = 15
@@ -131,8 +131,8 @@
 	}
 }
 
-// Weights may be fractions, and beyond all integers.
-func TestPickWithAnyWeights(t *testing.T) {
+// Weights may be fractions, and may exceed the range of integers.
+func TestPickWithExtremeWeights(t *testing.T) {
 	table := httproute.NewTable(config())
 	for _, weight := range []float64{1e-9, 0.1, 1, 1 << 62, 1e300} {
 		r := &httproute.Route{Split: []httproute.Share{{Service: "s", Weight: weight}, {Service: "none", Weight: 0}, {Service: "t", Weight: weight}}}
@@ -145,7 +145,7 @@
 		}
 	}
 	if got := table.Pick(&httproute.Route{Split: []httproute.Share{{Service: "s"}}}); got != nil {
-		t.Errorf("picked %v by no weight", got)
+		t.Errorf("picked %v without a positive weight, want nil", got)
 	}
 }
 
