--- a/ident/doc.go
+++ b/ident/doc.go
@@ -1,2 +1,2 @@
-// Package ident holds the named types for the ids and units that every other package shares.
+// Package ident defines the types of ids, names and units that the other packages share.
 package ident
--- a/ident/ident.go
+++ b/ident/ident.go
@@ -7,55 +7,55 @@
 	"github.com/google/uuid"
 )
 
-// VM is the name of one machine as the platform lists it.
+// VM is the name of a virtual machine in the platform's list.
 type VM string
 
-// Group is the name of one serving group as an operator declares it.
+// Group is the name of a serving group.
 type Group string
 
-// Daemon is the name of one dunlinquay process as the settings declare it.
+// Daemon is the name of a dunlinquay process in the settings.
 type Daemon string
 
-// Customer is the name of one tenant, found by the key that a request presents.
+// Customer is the name of a tenant. A request's API key identifies the customer.
 type Customer string
 
-// Hall is the name of one zone.
+// Hall is the name of a data hall, which the platform calls a zone.
 type Hall string
 
 // Region is the name of a set of halls that share one replicated log.
 type Region string
 
-// Domain is the name of one fabric domain.
+// Domain is the name of a domain of the accelerators' fabric; groups across domains are slower.
 type Domain string
 
-// Model is the name of a model as callers write it in a request.
+// Model is the name of a model in callers' requests.
 type Model string
 
-// Service is the name of a plain service as it stands in the /services/ path.
+// Service is the name of a set of interchangeable upstreams, as in the path /services/NAME/ and in routes.
 type Service string
 
 // Class is the name of a request class such as "interactive" or "batch".
 type Class string
 
-// Request is the id that one admitted request carries to an upstream.
+// Request is the id with which one admitted request is sent to upstreams.
 type Request string
 
-// Change is the id that an operator's client gives a change so that a resend is recognised.
+// Change is the id that an operator's client assigns to a change, so that a resent change is recognized.
 type Change string
 
-// Incarnation is the boot id of an engine or a daemon, new at every start.
+// Incarnation identifies one run of an upstream, an engine or a daemon; every start has a new one.
 type Incarnation string
 
-// Epoch numbers the formations of groups; it is the revision that formed the group.
+// Epoch numbers the formations of a group. Its value is the revision that formed the group.
 type Epoch uint64
 
-// Revision is the log index of an applied change; it only rises.
+// Revision is the log index of an applied change. Revisions only increase.
 type Revision uint64
 
 // Tokens counts language model tokens.
 type Tokens int
 
-// Content is the digest of a request's path and body; the same work of one customer has the same content.
+// Content is the hash of a request's path and body, which stays the same when a caller sends the request again.
 type Content uint64
 
 // String returns c as 16 hex digits.
@@ -71,7 +71,8 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]*$`)
 
-// ValidName reports whether s is a lower-case name of 1 to MaxNameLength bytes made of letters, digits, dots, dashes and underscores.
+// ValidName reports whether s has 1 to MaxNameLength bytes, which are lower-case letters, digits, dots, dashes and underscores, and begins
+// with a letter or a digit.
 func ValidName(s string) bool {
 	return len(s) <= MaxNameLength && namePattern.MatchString(s)
 }
@@ -86,7 +87,7 @@
 	return Change(uuid.NewString())
 }
 
-// NewIncarnation returns a random boot id.
+// NewIncarnation returns a random incarnation.
 func NewIncarnation() Incarnation {
 	return Incarnation(uuid.NewString())
 }
--- a/inbound/doc.go
+++ b/inbound/doc.go
@@ -1,2 +1,2 @@
-// Package inbound serves callers' connections within bounds on headers and idle time that may change while they are open.
+// Package inbound is an HTTP server for callers whose limits on headers and idle time can change while connections are open.
 package inbound
--- a/inbound/export_test.go
+++ b/inbound/export_test.go
@@ -1,6 +1,6 @@
 package inbound
 
-// Generations returns how many servers there are.
+// Generations returns the number of net/http servers that s has.
 func Generations(s *Server) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/inbound/server.go
+++ b/inbound/server.go
@@ -1,10 +1,11 @@
 package inbound
 
-// The configuration bounds callers' headers and how long their connections may
-// stay idle, and it changes while connections are open. net/http fixes these
-// bounds for the life of a server, so each set of bounds has a server of its own.
-// New connections go to the newest one; a former one asks for the end of its
-// connections with their next answers, and goes with the last of them.
+// The configuration bounds the headers of requests and the idle time of
+// connections, and can change while connections are open. A net/http server
+// cannot change these bounds, so each set of bounds has its own server. New
+// connections are assigned to the newest one. A replaced server adds the header
+// "Connection: close" to its answers, and is removed once its last connection is
+// closed.
 
 import (
 	"context"
@@ -18,28 +19,28 @@
 )
 
 const (
-	// The bounds where the configuration names none.
-	defaultHeaderBytes = 64 << 10
-	defaultHeaderTime  = 5 * time.Second
-	defaultIdleTime    = 60 * time.Second
-	// acceptAgain is how long the next connection waits after one could not be accepted, for want of file descriptors mostly.
-	acceptAgain = 20 * time.Millisecond
+	// Bounds that apply if the configuration sets none.
+	defaultMaxHeaderBytes = 64 << 10
+	defaultHeaderTimeout  = 5 * time.Second
+	defaultIdleTimeout    = 60 * time.Second
+	// acceptRetryDelay is the pause after an error of Accept, which mostly means that no file descriptors are left.
+	acceptRetryDelay = 20 * time.Millisecond
 )
 
-// Bounds are how many bytes a caller's headers may have, how long they may take, and how long a connection may stay idle; 0 is the default.
+// Bounds limits the size of a request's header, the time to receive the header, and the idle time of a connection; 0 means the default.
 type Bounds struct {
 	HeaderBytes int
 	HeaderTime  time.Duration
 	IdleTime    time.Duration
 }
 
-// Server serves callers within bounds that may change; exported fields are set before use.
+// Server serves callers within bounds that can change. Log may be set before use.
 type Server struct {
 	Handler http.Handler
 	Log     logr.Logger
 
 	mu          sync.Mutex
-	ended       bool
+	stopped     bool
 	bounds      Bounds
 	listeners   []net.Listener
 	generations []*generation
@@ -47,102 +48,102 @@
 
 // generation is the server of one set of bounds.
 type generation struct {
-	http  *http.Server
-	conns *handover
-	// open are its connections, former is set when others have its place; the mutex of Server guards both.
-	open   int
-	former bool
+	server   *http.Server
+	listener *connListener
+	// openConns counts the connections, and replaced is set once other bounds are in force; the mutex of Server guards both.
+	openConns int
+	replaced  bool
 }
 
 // New returns a server with default bounds.
 func New(handler http.Handler) *Server {
 	s := &Server{Handler: handler, Log: logr.Discard()}
-	s.begin(Bounds{})
+	s.startGeneration(Bounds{})
 	return s
 }
 
-// SetBounds puts other bounds in force.
+// SetBounds sets the bounds of new connections.
 func (s *Server) SetBounds(bounds Bounds) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if bounds == s.bounds || s.ended {
+	if bounds == s.bounds || s.stopped {
 		return
 	}
-	s.newest().former = true
-	s.begin(bounds)
-	s.drop()
+	s.newest().replaced = true
+	s.startGeneration(bounds)
+	s.removeUnused()
 }
 
-// begin starts the server of bounds; the mutex is held.
-func (s *Server) begin(bounds Bounds) {
-	g := &generation{conns: newHandover()}
-	g.http = &http.Server{
+// startGeneration starts a server with the given bounds; the caller holds the mutex.
+func (s *Server) startGeneration(bounds Bounds) {
+	g := &generation{listener: newConnListener()}
+	g.server = &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if s.isFormer(g) {
+			if s.isReplaced(g) {
 				w.Header().Set("Connection", "close")
 			}
 			s.Handler.ServeHTTP(w, r)
 		}),
-		ReadHeaderTimeout:            orDefault(bounds.HeaderTime, defaultHeaderTime),
-		IdleTimeout:                  orDefault(bounds.IdleTime, defaultIdleTime),
-		MaxHeaderBytes:               orDefault(bounds.HeaderBytes, defaultHeaderBytes),
+		ReadHeaderTimeout:            orDefault(bounds.HeaderTime, defaultHeaderTimeout),
+		IdleTimeout:                  orDefault(bounds.IdleTime, defaultIdleTimeout),
+		MaxHeaderBytes:               orDefault(bounds.HeaderBytes, defaultMaxHeaderBytes),
 		DisableGeneralOptionsHandler: true,
 		ConnState: func(_ net.Conn, state http.ConnState) {
 			if state == http.StateClosed || state == http.StateHijacked {
-				s.closed(g)
+				s.connClosed(g)
 			}
 		},
 	}
 	s.bounds = bounds
 	s.generations = append(s.generations, g)
 	go func() {
-		if err := g.http.Serve(g.conns); !errors.Is(err, http.ErrServerClosed) {
-			s.Log.Error(err, "a server of callers failed")
+		if err := g.server.Serve(g.listener); !errors.Is(err, http.ErrServerClosed) {
+			s.Log.Error(err, "HTTP server for callers failed")
 		}
 	}()
 }
 
-func orDefault[T int | time.Duration](value, otherwise T) T {
+func orDefault[T int | time.Duration](value, fallback T) T {
 	if value <= 0 {
-		return otherwise
+		return fallback
 	}
 	return value
 }
 
 func (s *Server) newest() *generation { return s.generations[len(s.generations)-1] }
 
-func (s *Server) isFormer(g *generation) bool {
+func (s *Server) isReplaced(g *generation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return g.former
+	return g.replaced
 }
 
-func (s *Server) closed(g *generation) {
+func (s *Server) connClosed(g *generation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g.open--
-	s.drop()
+	g.openConns--
+	s.removeUnused()
 }
 
-// drop ends former servers that have no connections any more; the mutex is held.
-func (s *Server) drop() {
+// removeUnused stops and removes replaced servers that have no connections; the caller holds the mutex.
+func (s *Server) removeUnused() {
 	kept := s.generations[:0]
 	for _, g := range s.generations {
-		if !g.former || g.open > 0 {
+		if !g.replaced || g.openConns > 0 {
 			kept = append(kept, g)
 			continue
 		}
-		_ = g.conns.Close()
+		_ = g.listener.Close()
 	}
 	clear(s.generations[len(kept):])
 	s.generations = kept
 }
 
-// Serve takes connections of callers until ln is closed, and returns why it could not go on.
+// Serve accepts connections from ln until ln is closed, and then returns http.ErrServerClosed.
 func (s *Server) Serve(ln net.Listener) error {
 	s.mu.Lock()
 	s.listeners = append(s.listeners, ln)
-	if s.ended {
+	if s.stopped {
 		_ = ln.Close()
 	}
 	s.mu.Unlock()
@@ -152,29 +153,29 @@
 			return http.ErrServerClosed
 		}
 		if err != nil {
-			s.Log.Error(err, "a caller's connection cannot be accepted")
-			time.Sleep(acceptAgain)
+			s.Log.Error(err, "cannot accept a caller's connection")
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		s.hand(conn)
+		s.assign(conn)
 	}
 }
 
-// hand gives a connection to the newest server.
-func (s *Server) hand(conn net.Conn) {
+// assign passes conn to the newest server.
+func (s *Server) assign(conn net.Conn) {
 	s.mu.Lock()
 	g := s.newest()
-	g.open++
+	g.openConns++
 	s.mu.Unlock()
-	if !g.conns.give(conn) {
+	if !g.listener.deliver(conn) {
 		_ = conn.Close()
-		s.closed(g)
+		s.connClosed(g)
 	}
 }
 
-// Shutdown lets requests in progress end until ctx does; no connection is taken any more.
+// Shutdown accepts no more connections, and waits until the requests in progress or ctx end.
 func (s *Server) Shutdown(ctx context.Context) error {
-	servers := s.end()
+	servers := s.stopAccepting()
 	errs := make([]error, len(servers))
 	var wg sync.WaitGroup
 	for i, server := range servers {
@@ -184,43 +185,43 @@
 	return errors.Join(errs...)
 }
 
-// Close ends all connections at once.
+// Close closes the listeners and all connections immediately.
 func (s *Server) Close() error {
 	var errs []error
-	for _, server := range s.end() {
+	for _, server := range s.stopAccepting() {
 		errs = append(errs, server.Close())
 	}
 	return errors.Join(errs...)
 }
 
-// end closes the listeners and returns all servers; none is added after it.
-func (s *Server) end() []*http.Server {
+// stopAccepting closes the listeners and returns all servers; no server is added afterwards.
+func (s *Server) stopAccepting() []*http.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended = true
+	s.stopped = true
 	for _, ln := range s.listeners {
 		_ = ln.Close()
 	}
-	var list []*http.Server
+	var servers []*http.Server
 	for _, g := range s.generations {
-		list = append(list, g.http)
+		servers = append(servers, g.server)
 	}
-	return list
+	return servers
 }
 
-// handover is the listener of a server that is given its connections.
-type handover struct {
+// connListener is a net.Listener that returns the connections passed to deliver.
+type connListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
 }
 
-func newHandover() *handover {
-	return &handover{conns: make(chan net.Conn), done: make(chan struct{})}
+func newConnListener() *connListener {
+	return &connListener{conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
-// give hands a connection over, and reports false when nobody takes it any more.
-func (h *handover) give(conn net.Conn) bool {
+// deliver passes conn to Accept, and reports false if the listener is closed.
+func (h *connListener) deliver(conn net.Conn) bool {
 	select {
 	case h.conns <- conn:
 		return true
@@ -229,8 +230,8 @@
 	}
 }
 
-// Accept returns the next connection.
-func (h *handover) Accept() (net.Conn, error) {
+// Accept returns the next delivered connection.
+func (h *connListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-h.conns:
 		return conn, nil
@@ -239,14 +240,14 @@
 	}
 }
 
-// Close ends the handover.
-func (h *handover) Close() error {
+// Close makes Accept fail and deliver report false.
+func (h *connListener) Close() error {
 	h.once.Do(func() { close(h.done) })
 	return nil
 }
 
-// Addr returns no address: connections have theirs.
-func (h *handover) Addr() net.Addr { return &net.TCPAddr{} }
+// Addr returns an empty address, since the listener has none.
+func (h *connListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // Bounds returns the bounds in force for new connections.
 func (s *Server) Bounds() Bounds {
