--- a/eventlog/doc.go
+++ b/eventlog/doc.go
@@ -1,2 +1,2 @@
-// Package eventlog writes JSON lines without ever blocking the code that logs.
+// Package eventlog writes log lines in JSON without blocking the code that logs; it drops lines if the writer is too slow.
 package eventlog
--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -1,10 +1,10 @@
 package eventlog
 
-// Logging must not slow requests down, and under load it must not grow without
-// bound. Lines go through a queue of fixed length to one goroutine; when the
-// queue is full a line is dropped, and how many were dropped is written once
-// there is room again. An error or a change of state is kept rather than the
-// line of one more request: requests may use only part of the queue.
+// Logging must not delay requests, and must not use unlimited memory under
+// load. Lines pass through a queue of fixed length to one goroutine. If the queue
+// is full, lines are dropped, and a later line has their number. Lines on
+// requests may fill only a part of the queue, so that the rest is left for errors
+// and changes of state.
 
 import (
 	"bufio"
@@ -22,61 +22,61 @@
 
 const (
 	queueLength = 1024
-	// requestPart is the part of the queue that lines on single requests may fill.
-	requestPart = 0.75
-	// writeBuffer gathers the lines of one moment into one write.
-	writeBuffer = 16 << 10
-	// gatherTime is how long a line may wait for others; a write costs more than a line.
-	gatherTime = 100 * time.Millisecond
-	// drainTime bounds the wait for the last lines at the end.
-	drainTime = 200 * time.Millisecond
+	// requestFraction is the fraction of the queue that lines on single requests may fill.
+	requestFraction = 0.75
+	// writeBufferSize is the size in bytes of the buffer that combines lines into one write.
+	writeBufferSize = 16 << 10
+	// batchDelay is how long a line waits for further lines, since one write for several lines is cheaper.
+	batchDelay = 100 * time.Millisecond
+	// flushTimeout bounds how long Flush waits.
+	flushTimeout = 200 * time.Millisecond
 )
 
-// Log writes lines to one writer.
+// Log queues lines and writes them to one writer.
 type Log struct {
 	tasks   *park.Group
 	lines   chan string
 	dropped atomic.Uint64
 	out     *bufio.Writer
-	ended   chan struct{}
+	done    chan struct{}
 }
 
-// New returns a log that writes to w once Run is called.
+// New returns a log that writes to w while Run runs.
 func New(w io.Writer) *Log {
-	l := &Log{tasks: park.New(), lines: make(chan string, queueLength), out: bufio.NewWriterSize(w, writeBuffer), ended: make(chan struct{})}
-	l.tasks.Go(func(ctx context.Context) { l.loop(ctx) })
+	l := &Log{tasks: park.New(), lines: make(chan string, queueLength), out: bufio.NewWriterSize(w, writeBufferSize), done: make(chan struct{})}
+	l.tasks.Go(func(ctx context.Context) { l.writeLines(ctx) })
 	return l
 }
 
-// Run writes lines until ctx ends, and then what is still queued.
+// Run writes lines until ctx ends, and then the lines that are still queued.
 func (l *Log) Run(ctx context.Context) {
 	l.tasks.Run(ctx)
 }
 
-// Flush waits for a moment until Run has ended and everything is written.
+// Flush waits until Run has written all lines and returned, but only for a short time.
 func (l *Log) Flush() {
 	select {
-	case <-l.ended:
-	case <-time.After(drainTime):
+	case <-l.done:
+	case <-time.After(flushTimeout):
 	}
 }
 
 // Events returns the logger for changes of state and for errors.
 func (l *Log) Events() logr.Logger {
-	return l.logger(queueLength)
+	return l.newLogger(queueLength)
 }
 
 // Requests returns the logger for lines on single requests.
 func (l *Log) Requests() logr.Logger {
-	return l.logger(int(requestPart * queueLength))
+	return l.newLogger(int(requestFraction * queueLength))
 }
 
-func (l *Log) logger(limit int) logr.Logger {
-	return funcr.NewJSON(func(line string) { l.add(line, limit) }, funcr.Options{LogTimestamp: true})
+func (l *Log) newLogger(maxQueued int) logr.Logger {
+	return funcr.NewJSON(func(line string) { l.enqueue(line, maxQueued) }, funcr.Options{LogTimestamp: true})
 }
 
-func (l *Log) add(line string, limit int) {
-	if len(l.lines) >= limit {
+func (l *Log) enqueue(line string, maxQueued int) {
+	if len(l.lines) >= maxQueued {
 		l.dropped.Add(1)
 		return
 	}
@@ -87,23 +87,23 @@
 	}
 }
 
-func (l *Log) loop(ctx context.Context) {
-	defer close(l.ended)
+func (l *Log) writeLines(ctx context.Context) {
+	defer close(l.done)
 	for {
 		select {
 		case line := <-l.lines:
 			l.write(line)
-			l.gather(ctx)
+			l.writeBatch(ctx)
 		case <-ctx.Done():
-			l.drain()
+			l.writeQueued()
 			return
 		}
 	}
 }
 
-// gather writes what comes within a moment and flushes it together.
-func (l *Log) gather(ctx context.Context) {
-	timer := time.NewTimer(gatherTime)
+// writeBatch writes lines to the buffer during batchDelay, and then flushes the buffer.
+func (l *Log) writeBatch(ctx context.Context) {
+	timer := time.NewTimer(batchDelay)
 	defer timer.Stop()
 	for {
 		select {
@@ -118,7 +118,7 @@
 	}
 }
 
-func (l *Log) drain() {
+func (l *Log) writeQueued() {
 	for {
 		select {
 		case line := <-l.lines:
@@ -134,7 +134,7 @@
 	if n := l.dropped.Swap(0); n > 0 {
 		l.write(fmt.Sprintf(`{"logger":"eventlog","level":0,"msg":"log lines dropped","count":%d}`, n))
 	}
-	// There is nowhere to report that the log itself can't be written.
+	// An error is ignored, since there is no other place to report errors of the log.
 	_ = l.out.Flush()
 }
 
--- a/eventlog/eventlog_test.go
+++ b/eventlog/eventlog_test.go
@@ -11,72 +11,71 @@
 	"github.com/dunlinquay/dunlinquay/eventlog"
 )
 
-// gate is a writer that stands still until it is opened.
-type gate struct {
-	open chan struct{}
-	once sync.Once
+// blockedWriter is a writer whose Write blocks until unblocked is closed.
+type blockedWriter struct {
+	unblocked chan struct{}
+	once      sync.Once
 
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (g *gate) Write(b []byte) (int, error) {
-	<-g.open
+func (g *blockedWriter) Write(b []byte) (int, error) {
+	<-g.unblocked
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.buf.Write(b)
 }
 
-func (g *gate) lines(t *testing.T) []map[string]any {
+func (g *blockedWriter) lines(t *testing.T) []map[string]any {
 	t.Helper()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var list []map[string]any
+	var lines []map[string]any
 	for _, line := range strings.Split(strings.TrimSpace(g.buf.String()), "\n") {
-		var m map[string]any
-		if err := json.Unmarshal([]byte(line), &m); err != nil {
+		var fields map[string]any
+		if err := json.Unmarshal([]byte(line), &fields); err != nil {
 			t.Fatalf("line %q: %v", line, err)
 		}
-		list = append(list, m)
+		lines = append(lines, fields)
 	}
-	return list
+	return lines
 }
 
-// A writer that does not take anything must not hold up those who log; what is dropped is counted, and lines on requests
-// leave room for events.
+// A blocked writer must not block the code that logs. Dropped lines are counted, and lines on requests leave space in the queue for events.
 func TestLoggingNeverBlocks(t *testing.T) {
-	const many = 20000
-	g := &gate{open: make(chan struct{})}
-	l := eventlog.New(g)
-	ctx, end := context.WithCancel(context.Background())
+	const lineCount = 20000
+	writer := &blockedWriter{unblocked: make(chan struct{})}
+	log := eventlog.New(writer)
+	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l.Run(ctx)
+		log.Run(ctx)
 	}()
-	requests, events := l.Requests(), l.Events()
-	for i := range many {
+	requests, events := log.Requests(), log.Events()
+	for i := range lineCount {
 		requests.Info("request", "id", i)
 	}
 	events.Info("event", "what", "kept")
-	g.once.Do(func() { close(g.open) })
-	end()
+	writer.once.Do(func() { close(writer.unblocked) })
+	cancel()
 	<-done
-	written, dropped, kept := 0, 0.0, false
-	for _, line := range g.lines(t) {
+	written, dropped, eventWritten := 0, 0.0, false
+	for _, line := range writer.lines(t) {
 		switch line["msg"] {
 		case "request":
 			written++
 		case "event":
-			kept = true
+			eventWritten = true
 		case "log lines dropped":
 			dropped += line["count"].(float64)
 		}
 	}
-	if written+int(dropped) != many || dropped == 0 {
-		t.Errorf("%d lines written and %v counted as dropped of %d", written, dropped, many)
+	if written+int(dropped) != lineCount || dropped == 0 {
+		t.Errorf("%d lines written and %v counted as dropped, want %d together and some dropped", written, dropped, lineCount)
 	}
-	if !kept {
-		t.Error("an event was dropped for requests")
+	if !eventWritten {
+		t.Error("lines on requests displaced an event")
 	}
 }
--- a/inbound/server.go
+++ b/inbound/server.go
@@ -34,7 +34,7 @@
 	IdleTime    time.Duration
 }
 
-// Server serves callers within bounds that can change. Log may be set before use.
+// Server serves callers within bounds that can change. Exported fields may be set before use.
 type Server struct {
 	Handler http.Handler
 	Log     logr.Logger
--- a/meter/doc.go
+++ b/meter/doc.go
@@ -1,2 +1,2 @@
-// Package meter sets up metrics and the handler that serves them.
+// Package meter sets up metrics and the HTTP server that publishes them to Prometheus.
 package meter
