--- a/eventlog/eventlog_test.go
+++ b/eventlog/eventlog_test.go
@@ -20,19 +20,19 @@
 	buf bytes.Buffer
 }
 
-func (g *blockedWriter) Write(b []byte) (int, error) {
-	<-g.unblocked
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.buf.Write(b)
+func (w *blockedWriter) Write(b []byte) (int, error) {
+	<-w.unblocked
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.buf.Write(b)
 }
 
-func (g *blockedWriter) lines(t *testing.T) []map[string]any {
+func (w *blockedWriter) lines(t *testing.T) []map[string]any {
 	t.Helper()
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	var lines []map[string]any
-	for _, line := range strings.Split(strings.TrimSpace(g.buf.String()), "\n") {
+	for _, line := range strings.Split(strings.TrimSpace(w.buf.String()), "\n") {
 		var fields map[string]any
 		if err := json.Unmarshal([]byte(line), &fields); err != nil {
 			t.Fatalf("line %q: %v", line, err)
--- a/inbound/server.go
+++ b/inbound/server.go
@@ -221,33 +221,33 @@
 }
 
 // deliver passes conn to Accept, and reports false if the listener is closed.
-func (h *connListener) deliver(conn net.Conn) bool {
+func (l *connListener) deliver(conn net.Conn) bool {
 	select {
-	case h.conns <- conn:
+	case l.conns <- conn:
 		return true
-	case <-h.done:
+	case <-l.done:
 		return false
 	}
 }
 
 // Accept returns the next delivered connection.
-func (h *connListener) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	select {
-	case conn := <-h.conns:
+	case conn := <-l.conns:
 		return conn, nil
-	case <-h.done:
+	case <-l.done:
 		return nil, http.ErrServerClosed
 	}
 }
 
 // Close makes Accept fail and deliver report false.
-func (h *connListener) Close() error {
-	h.once.Do(func() { close(h.done) })
+func (l *connListener) Close() error {
+	l.once.Do(func() { close(l.done) })
 	return nil
 }
 
 // Addr returns an empty address, since the listener has none.
-func (h *connListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *connListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // Bounds returns the bounds in force for new connections.
 func (s *Server) Bounds() Bounds {
