--- a/httproute/engine_load_test.go
+++ b/httproute/engine_load_test.go
@@ -32,6 +32,6 @@
 	}
 	noFigures := (&httproute.Engine{}).Work(&httproute.Model{Size: 1, Pace: 1}, 1000, 1000)
 	if noFigures != 0 {
-		t.Errorf("an engine that publishes nothing: %v, want 0", noFigures)
+		t.Errorf("an engine without published times: %v, want 0", noFigures)
 	}
 }
