--- a/daemon/beat.go
+++ b/daemon/beat.go
@@ -13,28 +13,28 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// leaders is the newest word on who leads which instance.
-type leaders struct {
+// knownLeaders is the newest word on who leads which instance.
+type knownLeaders struct {
 	byInstance [instanceCount]ident.Daemon
 }
 
 func (d *Daemon) handlers() *peer.Handlers {
 	return &peer.Handlers{
-		Deliver: func(c *peer.DeliverCall) {
+		Deliver: func(call *peer.DeliverCall) {
 			if d.control != nil {
-				d.control.deliver(c.Messages)
+				d.control.deliver(call.Messages)
 			}
 		},
 		Beat:   d.handleBeat,
 		Follow: d.handleFollow,
 		Permit: d.handlePermit,
-		Propose: func(c *peer.ProposeCall) peer.ProposeReply {
+		Propose: func(call *peer.ProposeCall) peer.ProposeReply {
 			if d.control == nil {
 				return peer.ProposeReply{Code: result.NoLeader, Text: "not a control member"}
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 			defer cancel()
-			return d.control.propose(ctx, c)
+			return d.control.proposeLocally(ctx, call)
 		},
 		Hello: func() (peer.HelloReply, error) {
 			if d.control == nil {
@@ -42,13 +42,13 @@
 			}
 			return d.control.hello(), nil
 		},
-		Admit: func(c *peer.AdmitCall) peer.AdmitReply {
+		Admit: func(call *peer.AdmitCall) peer.AdmitReply {
 			if d.control == nil {
 				return peer.AdmitReply{Code: result.NoLeader, Text: "not a control member"}
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 			defer cancel()
-			return d.control.admit(ctx, c)
+			return d.control.admitMember(ctx, call)
 		},
 	}
 }
@@ -57,114 +57,114 @@
 func (d *Daemon) beatLoop(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	var busy sync.Map
-	every(ctx, d.cfg.Times.Beat.Std(), func() {
-		b := d.beat()
-		d.hear(b)
-		d.seat()
+	var pending sync.Map
+	runEvery(ctx, d.cfg.Times.Beat.Std(), func() {
+		beat := d.newBeat()
+		d.receiveBeat(beat)
+		d.updateCoordinators()
 		d.shares.refresh()
-		d.answerSelf()
+		d.noteOwnRevision()
 		for name, client := range d.peers {
 			// A peer that does not answer must not hold up the beats to the others, nor collect them.
-			if _, running := busy.LoadOrStore(name, true); running {
+			if _, running := pending.LoadOrStore(name, true); running {
 				continue
 			}
 			wg.Go(func() {
-				defer busy.Delete(name)
+				defer pending.Delete(name)
 				sent := d.now()
-				reply, err := client.Beat(ctx, callTimeout, b)
+				reply, err := client.Beat(ctx, callTimeout, beat)
 				if err == nil {
-					d.takeReply(name, sent, &reply)
+					d.applyBeatReply(name, sent, &reply)
 				}
 			})
 		}
 	})
 }
 
-func (d *Daemon) beat() *peer.Beat {
+func (d *Daemon) newBeat() *peer.Beat {
 	return &peer.Beat{
-		From: d.cfg.Name, Hall: d.cfg.Hall, Incarnation: d.incarnation, Revision: d.view.revision(),
-		Stopping: d.stopping.Load(), Observations: d.probes.newest(d.now()), InFlight: d.view.inFlight(),
-		Demands: d.gate.Demands(), Held: d.dispatch.Quarantine.ToSend(d.now(), heldTold),
-		Limits: d.limitsToTell(d.now()),
+		From: d.cfg.Name, Hall: d.cfg.Hall, Incarnation: d.incarnation, Revision: d.applied.revision(),
+		Stopping: d.stopping.Load(), Observations: d.prober.recent(d.now()), InFlight: d.applied.inFlight(),
+		Demands: d.admission.Demands(), Held: d.dispatch.Quarantine.ToSend(d.now(), maxQuarantineReportsPerBeat),
+		Limits: d.limitsForBeat(d.now()),
 	}
 }
 
-// answerSelf counts this control member among those that know what is in force.
-func (d *Daemon) answerSelf() {
-	if d.control == nil || !d.control.current() {
+// noteOwnRevision counts this control member among those that know what is in force.
+func (d *Daemon) noteOwnRevision() {
+	if d.control == nil || !d.control.knowsCommitted() {
 		return
 	}
-	d.force.answered(d.cfg.Name, d.now(), d.machine.Revision())
-	d.learnLeaders(d.control.leaders())
+	d.freshness.noteReply(d.cfg.Name, d.now(), d.fleet.Revision())
+	d.updateLeaders(d.control.leaders())
 }
 
-// hear takes a beat, another daemon's or the own one.
-func (d *Daemon) hear(b *peer.Beat) {
+// receiveBeat takes a beat, another daemon's or the own one.
+func (d *Daemon) receiveBeat(beat *peer.Beat) {
 	now := d.now()
-	d.members.Update(presence.Peer{
-		Name: b.From, Hall: b.Hall, Incarnation: b.Incarnation, Revision: b.Revision, LastContact: now,
-		Stopping: b.Stopping, InFlight: b.InFlight,
+	d.daemons.Update(presence.Peer{
+		Name: beat.From, Hall: beat.Hall, Incarnation: beat.Incarnation, Revision: beat.Revision, LastContact: now,
+		Stopping: beat.Stopping, InFlight: beat.InFlight,
 	})
-	d.table.Observe(now, b.Observations)
-	d.shares.report(b.From, b.Demands)
-	if b.From != d.cfg.Name {
-		d.hearHeld(now, b)
-		d.hearLimits(now, b)
+	d.vmTable.Observe(now, beat.Observations)
+	d.shares.reportDemands(beat.From, beat.Demands)
+	if beat.From != d.cfg.Name {
+		d.mergeQuarantineReports(now, beat)
+		d.mergeLimits(now, beat)
 	}
 }
 
-// heldTold bounds the works that a beat tells of, by turns; one takes 26 to 98 bytes in CBOR with a short name of the customer.
-const heldTold = 16
+// maxQuarantineReportsPerBeat bounds the works that a beat tells of, by turns; one takes 26 to 98 bytes in CBOR with a short name of the customer.
+const maxQuarantineReportsPerBeat = 16
 
-// hearHeld takes what another daemon knows of works under which upstreams ended.
-func (d *Daemon) hearHeld(now time.Time, b *peer.Beat) {
-	for i := range b.Held {
-		r := &b.Held[i]
-		if !d.dispatch.Quarantine.Merge(now, r) {
+// mergeQuarantineReports takes what another daemon knows of works under which upstreams ended.
+func (d *Daemon) mergeQuarantineReports(now time.Time, beat *peer.Beat) {
+	for i := range beat.Held {
+		report := &beat.Held[i]
+		if !d.dispatch.Quarantine.Merge(now, report) {
 			continue
 		}
-		if left := d.dispatch.Quarantine.Remaining(now, r.Fingerprint()); left > 0 {
-			d.logHeld(r, left, b.From)
+		if remaining := d.dispatch.Quarantine.Remaining(now, report.Fingerprint()); remaining > 0 {
+			d.logQuarantined(report, remaining, beat.From)
 		}
 	}
 }
 
-// logHeld logs that work is held, and who told of it.
-func (d *Daemon) logHeld(r *quarantine.Report, left time.Duration, from ident.Daemon) {
-	d.Log.Info("work held", "customer", r.Customer, "content", r.Content.String(), "ends", len(r.Ends), "for-ms", left.Milliseconds(), "from", from)
+// logQuarantined logs that work is held, and who told of it.
+func (d *Daemon) logQuarantined(report *quarantine.Report, remaining time.Duration, from ident.Daemon) {
+	d.Log.Info("work held", "customer", report.Customer, "content", report.Content.String(), "ends", len(report.Ends), "for-ms", remaining.Milliseconds(), "from", from)
 }
 
-func (d *Daemon) handleBeat(b *peer.Beat) peer.BeatReply {
-	d.hear(b)
-	reply := peer.BeatReply{Incarnation: d.incarnation, Revision: d.machine.Revision()}
+func (d *Daemon) handleBeat(beat *peer.Beat) peer.BeatReply {
+	d.receiveBeat(beat)
+	reply := peer.BeatReply{Incarnation: d.incarnation, Revision: d.fleet.Revision()}
 	if d.control == nil {
 		return reply
 	}
-	reply.Current = d.control.current()
+	reply.Current = d.control.knowsCommitted()
 	reply.Leaders = d.control.leaders()
 	if d.control.leads() {
-		reply.Shares = d.shares.grant(d.now(), b.From)
+		reply.Shares = d.shares.grant(d.now(), beat.From)
 	}
 	return reply
 }
 
-func (d *Daemon) takeReply(name ident.Daemon, sent time.Time, reply *peer.BeatReply) {
+func (d *Daemon) applyBeatReply(name ident.Daemon, sent time.Time, reply *peer.BeatReply) {
 	if !reply.Current {
 		return
 	}
-	d.force.answered(name, sent, reply.Revision)
-	d.learnLeaders(reply.Leaders)
+	d.freshness.noteReply(name, sent, reply.Revision)
+	d.updateLeaders(reply.Leaders)
 	if reply.Shares != nil {
 		// The lease runs from the question, which came before the leader counted it.
-		d.shares.take(sent, reply.Shares)
+		d.shares.apply(sent, reply.Shares)
 	}
 }
 
-// learnLeaders keeps the newest word; a wrong one only costs a call that is refused.
-func (d *Daemon) learnLeaders(known map[quorum.Instance]ident.Daemon) {
+// updateLeaders keeps the newest word; a wrong one only costs a call that is refused.
+func (d *Daemon) updateLeaders(reported map[quorum.Instance]ident.Daemon) {
 	next := *d.leaders.Load()
-	for i, name := range known {
+	for i, name := range reported {
 		if i < instanceCount && name != "" {
 			next.byInstance[i] = name
 		}
--- a/daemon/cache.go
+++ b/daemon/cache.go
@@ -14,58 +14,58 @@
 // engine. An engine that publishes nothing costs one refused call in a while.
 
 const (
-	cacheInterval = 5 * time.Second
-	cacheTimeout  = time.Second
-	cacheRest     = 30 * time.Second
+	cacheInterval   = 5 * time.Second
+	cacheTimeout    = time.Second
+	cacheRetryDelay = 30 * time.Second
 )
 
 // cacheReader is where one target's events have been read to.
 type cacheReader struct {
-	next uint64
-	rest time.Time
+	nextEvent uint64
+	retryAt   time.Time
 }
 
 func (d *Daemon) cacheLoop(ctx context.Context) {
 	readers := map[*routing.Target]*cacheReader{}
-	every(ctx, cacheInterval, func() {
-		present := map[*routing.Target]*cacheReader{}
+	runEvery(ctx, cacheInterval, func() {
+		current := map[*routing.Target]*cacheReader{}
 		var wg sync.WaitGroup
-		for _, model := range d.view.models() {
-			for _, t := range d.routes.Targets(model) {
-				r := readers[t]
-				if r == nil {
-					r = &cacheReader{next: 1}
+		for _, model := range d.applied.models() {
+			for _, target := range d.routes.Targets(model) {
+				reader := readers[target]
+				if reader == nil {
+					reader = &cacheReader{nextEvent: 1}
 				}
-				present[t] = r
-				wg.Go(func() { d.readCache(ctx, t, r) })
+				current[target] = reader
+				wg.Go(func() { d.readCache(ctx, target, reader) })
 			}
 		}
 		wg.Wait()
-		readers = present
+		readers = current
 	})
 }
 
-func (d *Daemon) readCache(ctx context.Context, t *routing.Target, r *cacheReader) {
-	if d.now().Before(r.rest) {
+func (d *Daemon) readCache(ctx context.Context, target *routing.Target, reader *cacheReader) {
+	if d.now().Before(reader.retryAt) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, cacheTimeout)
 	defer cancel()
-	events, err := d.engines.Events(ctx, t.Head, r.next)
+	events, err := d.engineClient.Events(ctx, target.Head, reader.nextEvent)
 	if err != nil {
-		r.rest = d.now().Add(cacheRest)
+		reader.retryAt = d.now().Add(cacheRetryDelay)
 		return
 	}
 	// The first answer begins wherever the engine's memory does; there is nothing to void yet.
-	if events.First > r.next && r.next > 1 {
-		d.routes.Record.Invalidate(t)
+	if events.First > reader.nextEvent && reader.nextEvent > 1 {
+		d.routes.Record.Invalidate(target)
 	}
 	for _, e := range events.Events {
 		if e.Removed {
-			d.routes.Record.Removed(t, e.Prefix)
+			d.routes.Record.Removed(target, e.Prefix)
 		} else {
-			d.routes.Record.Stored(t, e.Prefix)
+			d.routes.Record.Stored(target, e.Prefix)
 		}
 	}
-	r.next = events.First + uint64(len(events.Events))
+	reader.nextEvent = events.First + uint64(len(events.Events))
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -40,9 +40,9 @@
 )
 
 const (
-	liveBeats    = 6
-	tickInterval = 100 * time.Millisecond
-	callTimeout  = time.Second
+	livenessBeats = 6
+	tickInterval  = 100 * time.Millisecond
+	callTimeout   = time.Second
 )
 
 // Daemon is one process; exported fields are set before Run.
@@ -56,35 +56,35 @@
 	tasks       *park.Group
 	now         func() time.Time
 
-	machine  *fleet.Machine
-	members  *presence.Members
-	table    *presence.Table
-	routes   *routing.Table
-	gate     *admission.Controller
-	dispatch *dispatch.Dispatcher
-	engines  *engine.Client
-	view     *view
-	force    *force
-	probes   *probes
-	shares   *shares
-	// seats say which daemon coordinates an upstream with a limit, by those in seated.
-	seats    *ratelimit.Coordinators
-	seated   *sharing.Entries
-	leader   *control.Leader
-	platform *platformWatch
-	metrics  *metrics
-	control  *member // nil without the control role
-
-	peers      map[ident.Daemon]*peer.Client
-	peerServer *peer.Server
-	callers    *caller.Server
-	operators  *operator.Server
-	listeners  map[string]net.Listener
-	leaders    atomic.Pointer[leaders]
-	clock      groupClock
-	started    time.Time
-	stopping   atomic.Bool
-	failed     chan error
+	fleet        *fleet.Machine
+	daemons      *presence.Members
+	vmTable      *presence.Table
+	routes       *routing.Table
+	admission    *admission.Controller
+	dispatch     *dispatch.Dispatcher
+	engineClient *engine.Client
+	applied      *appliedState
+	freshness    *configFreshness
+	prober       *prober
+	shares       *customerShares
+	// coordinators say which daemon coordinates an upstream with a limit, by those in seated.
+	coordinators       *ratelimit.Coordinators
+	coordinatorEntries *sharing.Entries
+	leader             *control.Leader
+	platform           *platformWatcher
+	metrics            *metrics
+	control            *controlMember // nil without the control role
+
+	peers          map[ident.Daemon]*peer.Client
+	peerServer     *peer.Server
+	callerServer   *caller.Server
+	operatorServer *operator.Server
+	listeners      map[string]net.Listener
+	leaders        atomic.Pointer[knownLeaders]
+	groupCounter   groupCounter
+	started        time.Time
+	stopping       atomic.Bool
+	fatalErr       chan error
 }
 
 // Network is the way to other processes; tests and the demo replace it to cut daemons off.
@@ -105,43 +105,43 @@
 func New(cfg *settings.Settings, network Network) (*Daemon, error) {
 	d := &Daemon{
 		Log: logr.Discard(), network: network, cfg: cfg, incarnation: ident.NewIncarnation(), tasks: park.New(), now: clock.Now,
-		machine: fleet.NewMachine(),
-		members: presence.NewMembers(cfg.Times.Beat.Std() * liveBeats),
-		table:   presence.NewTable(),
-		engines: engine.NewClient(network.Dial),
-		peers:   map[ident.Daemon]*peer.Client{}, listeners: map[string]net.Listener{},
-		failed: make(chan error, 1),
+		fleet:        fleet.NewMachine(),
+		daemons:      presence.NewMembers(cfg.Times.Beat.Std() * livenessBeats),
+		vmTable:      presence.NewTable(),
+		engineClient: engine.NewClient(network.Dial),
+		peers:        map[ident.Daemon]*peer.Client{}, listeners: map[string]net.Listener{},
+		fatalErr: make(chan error, 1),
 	}
 	d.started = d.now()
-	d.leaders.Store(&leaders{})
+	d.leaders.Store(&knownLeaders{})
 	d.routes = routing.NewTable(cfg.Hall, cfg.Times.PresenceBound.Std())
-	d.view = newView(d.routes, d.table)
-	d.force = newForce(cfg)
+	d.applied = newAppliedState(d.routes, d.vmTable)
+	d.freshness = newConfigFreshness(cfg)
 	d.metrics = newMetrics()
-	d.buildGate()
+	d.buildAdmission()
 	d.buildDispatch()
 	d.buildLimits()
 	d.buildCallers()
 	d.buildLeader()
 	d.buildOperators()
-	d.probes = newProbes(d)
-	d.platform = newPlatformWatch(d)
-	if err := d.open(); err != nil {
-		d.discard()
+	d.prober = newProber(d)
+	d.platform = newPlatformWatcher(d)
+	if err := d.acquireResources(); err != nil {
+		d.releaseResources()
 		return nil, err
 	}
 	d.start()
 	return d, nil
 }
 
-// open takes everything from the system that can fail.
-func (d *Daemon) open() error {
+// acquireResources takes everything from the system that can fail.
+func (d *Daemon) acquireResources() error {
 	tlsConfig, err := peer.TLS(d.cfg.TLS)
 	if err != nil {
 		return err
 	}
 	if d.cfg.IsControl() {
-		if d.control, err = newMember(d); err != nil {
+		if d.control, err = newControlMember(d); err != nil {
 			return err
 		}
 	}
@@ -170,8 +170,8 @@
 	return nil
 }
 
-// discard gives back what a daemon that cannot start has opened.
-func (d *Daemon) discard() {
+// releaseResources gives back what a daemon that cannot start has opened.
+func (d *Daemon) releaseResources() {
 	for _, ln := range d.listeners {
 		ln.Close()
 	}
@@ -179,7 +179,7 @@
 		c.Discard()
 	}
 	if d.control != nil {
-		d.control.discard()
+		d.control.release()
 	}
 	d.metrics.close()
 }
@@ -192,10 +192,10 @@
 	}
 }
 
-func (d *Daemon) buildGate() {
-	d.gate = admission.NewController()
+func (d *Daemon) buildAdmission() {
+	d.admission = admission.NewController()
 	pools := d.servicePools()
-	d.gate.Capacity = func(model ident.Model) int {
+	d.admission.Capacity = func(model ident.Model) int {
 		for _, p := range pools {
 			if dispatch.ServiceModel(p.Name) == model {
 				return p.Capacity()
@@ -203,11 +203,11 @@
 		}
 		return d.routes.Capacity(d.now(), model)
 	}
-	d.gate.QueueLength = func(name ident.Class) int {
+	d.admission.QueueLength = func(name ident.Class) int {
 		class, _ := d.cfg.Class(name)
 		return class.Queue
 	}
-	d.shares = newShares(d)
+	d.shares = newCustomerShares(d)
 	d.dispatch = dispatch.NewDispatcher()
 	d.dispatch.Services = dispatch.NewServices(pools)
 	d.dispatch.Services.Send = service.NewClient(d.network.Dial, int64(d.cfg.Limits.BodyBytes)).Send
@@ -223,42 +223,42 @@
 }
 
 func (d *Daemon) buildDispatch() {
-	x := d.dispatch
-	x.Gate, x.Table = d.gate, d.routes
-	x.Budget = dispatch.NewBudget(d.cfg.Limits.RetryShare)
-	x.Generate, x.Cancel = d.engines.Generate, d.engines.Cancel
-	x.InForce = func() error { return d.force.check(d.now(), d.view.revision()) }
-	x.Observe, x.Dropped = d.observe, d.metrics.dropped
-	x.Refuses = func(ctx context.Context, address string) bool { return transport.Refuses(ctx, d.network.Dial, address) }
-	x.Holds = func(r *quarantine.Report, left time.Duration) { d.logHeld(r, left, d.cfg.Name) }
-	x.Asked = func(head ident.Incarnation, asked time.Duration) { d.logAsked(string(head), asked, nil) }
-	x.Services.Asked = d.logAsked
-	x.Book = &ledger.Book{
+	dispatcher := d.dispatch
+	dispatcher.Gate, dispatcher.Table = d.admission, d.routes
+	dispatcher.Budget = dispatch.NewBudget(d.cfg.Limits.RetryShare)
+	dispatcher.Generate, dispatcher.Cancel = d.engineClient.Generate, d.engineClient.Cancel
+	dispatcher.InForce = func() error { return d.freshness.check(d.now(), d.applied.revision()) }
+	dispatcher.Observe, dispatcher.Dropped = d.observeRequest, d.metrics.countDroppedAnswer
+	dispatcher.Refuses = func(ctx context.Context, address string) bool { return transport.Refuses(ctx, d.network.Dial, address) }
+	dispatcher.Holds = func(r *quarantine.Report, remaining time.Duration) { d.logQuarantined(r, remaining, d.cfg.Name) }
+	dispatcher.Asked = func(head ident.Incarnation, requested time.Duration) { d.logBackoff(string(head), requested, nil) }
+	dispatcher.Services.Asked = d.logBackoff
+	dispatcher.Book = &ledger.Book{
 		Daemon: d.cfg.Name, Incarnation: d.incarnation,
 		Retention: d.cfg.Times.LedgerRetention.Std(), KeptBytes: d.cfg.Limits.AnswerKeptBytes, Now: time.Now,
 		Propose: d.proposeLedger,
 	}
 }
 
-// logAsked logs that an upstream wants nothing from this daemon for a time, or asks for one that can't be read.
-func (d *Daemon) logAsked(upstream string, asked time.Duration, err error) {
+// logBackoff logs that an upstream wants nothing from this daemon for a time, or asks for one that can't be read.
+func (d *Daemon) logBackoff(upstream string, requested time.Duration, err error) {
 	if err != nil {
 		d.Log.Info("upstream asks for something unreadable", "upstream", upstream, "code", result.CodeOf(err), "error", result.Message(err))
 		return
 	}
-	d.Log.Info("upstream asked for time", "upstream", upstream, "asked-ms", asked.Milliseconds())
+	d.Log.Info("upstream asked for time", "upstream", upstream, "asked-ms", requested.Milliseconds())
 }
 
-// observe counts one request and logs it: every one that failed, the others only when asked for.
-func (d *Daemon) observe(t *dispatch.Timing) {
-	d.metrics.observe(t)
+// observeRequest counts one request and logs it: every one that failed, the others only when asked for.
+func (d *Daemon) observeRequest(t *dispatch.Timing) {
+	d.metrics.observeRequest(t)
 	log := d.Log.V(1)
 	if t.Err != nil {
 		log = d.Log
 	}
 	code := result.CodeOf(t.Err)
 	log.Info("request ended", "request", t.Request, "customer", t.Customer, "class", t.Class, "group", t.Group, "epoch", t.Epoch,
-		"revision", d.view.revision(), "code", int(code), "result", result.Lookup(code).Name, "tries", t.Tries,
+		"revision", d.applied.revision(), "code", int(code), "result", result.Lookup(code).Name, "tries", t.Tries,
 		"wait-ms", t.Wait.Milliseconds(), "first-ms", t.First.Milliseconds(), "total-ms", t.Total.Milliseconds(), "tokens", t.Tokens)
 }
 
@@ -272,9 +272,9 @@
 	}
 	s.Classes, s.Limits, s.Services = d.cfg.Classes, d.cfg.Limits, d.cfg.Services
 	s.Serve, s.ServeCall = d.dispatch.Serve, d.dispatch.ServeCall
-	s.Models, s.Ready = d.view.models, d.readiness
-	s.Refused = d.metrics.refused
-	d.callers = s
+	s.Models, s.Ready = d.applied.models, d.readiness
+	s.Refused = d.metrics.countRefused
+	d.callerServer = s
 }
 
 func (d *Daemon) buildOperators() {
@@ -284,10 +284,10 @@
 		s.Operators.Add(o.KeyHash, o.Name)
 	}
 	s.Change, s.Admit = d.change, d.admitMember
-	s.Machine = d.machine
-	s.Status, s.InForce = d.status, d.inForce
-	s.Whole, s.View, s.Policy = d.whole, d.leader.View, d.leader.Policy
-	d.operators = s
+	s.Machine = d.fleet
+	s.Status, s.InForce = d.status, d.revisionInForce
+	s.Whole, s.View, s.Policy = d.groupWhole, d.leader.View, d.leader.Policy
+	d.operatorServer = s
 }
 
 // readiness is what the platform's balancer asks for.
@@ -295,7 +295,7 @@
 	if d.stopping.Load() {
 		return result.New(result.Stopping, "this daemon stops")
 	}
-	return d.force.check(d.now(), d.view.revision())
+	return d.freshness.check(d.now(), d.applied.revision())
 }
 
 // start makes the parked goroutines.
@@ -305,10 +305,10 @@
 		d.tasks.Go(c.Run)
 	}
 	d.tasks.Go(d.beatLoop)
-	d.tasks.Go(d.viewLoop)
-	d.tasks.Go(d.lookLoop)
+	d.tasks.Go(d.applyLoop)
+	d.tasks.Go(d.checkLoop)
 	d.tasks.Go(d.cacheLoop)
-	d.tasks.Go(d.probes.run)
+	d.tasks.Go(d.prober.run)
 	if d.control != nil {
 		d.tasks.Go(d.control.run)
 		d.tasks.Go(d.leadLoop)
@@ -316,8 +316,8 @@
 	} else {
 		d.tasks.Go(d.followLoop)
 	}
-	d.serveHTTP("callers", d.callers.HTTP())
-	d.serveHTTP("operators", d.operators.HTTP())
+	d.serveHTTP("callers", d.callerServer.HTTP())
+	d.serveHTTP("operators", d.operatorServer.HTTP())
 	d.serveHTTP("metrics", d.metrics.meter.HTTP())
 }
 
@@ -345,7 +345,7 @@
 	}()
 	var err error
 	select {
-	case err = <-d.failed:
+	case err = <-d.fatalErr:
 		d.Log.Error(err, "daemon fails", "daemon", d.cfg.Name, "code", int(result.CodeOf(err)))
 		cancel()
 	case <-ctx.Done():
@@ -355,10 +355,10 @@
 	return err
 }
 
-// fatal ends Run with err.
-func (d *Daemon) fatal(err error) {
+// fail ends Run with err.
+func (d *Daemon) fail(err error) {
 	select {
-	case d.failed <- err:
+	case d.fatalErr <- err:
 	default:
 	}
 }
@@ -371,14 +371,14 @@
 	if !sleep(ctx, d.cfg.Times.LookAway.Std()) {
 		return
 	}
-	d.callers.Stop()
-	for d.callers.InProgress() > 0 {
+	d.callerServer.Stop()
+	for d.callerServer.InProgress() > 0 {
 		if !sleep(ctx, tickInterval) {
 			return
 		}
 	}
 	if d.control != nil {
-		d.control.handOver(ctx)
+		d.control.transferLeadership(ctx)
 	}
 	d.Log.Info("planned stop ends", "daemon", d.cfg.Name)
 }
@@ -405,8 +405,8 @@
 	}
 }
 
-// every calls fn at once and then in every interval until ctx ends.
-func every(ctx context.Context, interval time.Duration, fn func()) {
+// runEvery calls fn at once and then in every interval until ctx ends.
+func runEvery(ctx context.Context, interval time.Duration, fn func()) {
 	for {
 		fn()
 		if !sleep(ctx, interval) {
@@ -415,10 +415,10 @@
 	}
 }
 
-// lookLoop ends tries at groups that lost a member, and lets waiting requests see capacity that came back.
-func (d *Daemon) lookLoop(ctx context.Context) {
-	every(ctx, tickInterval, func() {
+// checkLoop ends tries at groups that lost a member, and lets waiting requests see capacity that came back.
+func (d *Daemon) checkLoop(ctx context.Context) {
+	runEvery(ctx, tickInterval, func() {
 		d.dispatch.Look(d.now())
-		d.gate.Pump()
+		d.admission.Pump()
 	})
 }
--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	followWait    = 2 * time.Second
-	followTimeout = 4 * time.Second
-	followBatch   = 1024
-	followRetry   = 100 * time.Millisecond
-	maxFollowWait = 10 * time.Second
+	followWaitTime    = 2 * time.Second
+	followTimeout     = 4 * time.Second
+	followBatchSize   = 1024
+	followRetryDelay  = 100 * time.Millisecond
+	maxFollowWaitTime = 10 * time.Second
 )
 
 // handleFollow answers a daemon that keeps up with the log.
-func (d *Daemon) handleFollow(c *peer.FollowCall) (peer.FollowReply, error) {
-	if d.control == nil || !d.control.current() {
+func (d *Daemon) handleFollow(call *peer.FollowCall) (peer.FollowReply, error) {
+	if d.control == nil || !d.control.knowsCommitted() {
 		return peer.FollowReply{}, result.New(result.PeerRefused, "not a control member that is current")
 	}
-	changed := d.machine.Changed()
-	entries, ok := d.machine.Since(c.After, followBatch)
+	changed := d.fleet.Changed()
+	entries, ok := d.fleet.Since(call.After, followBatchSize)
 	if ok && len(entries) == 0 {
-		timer := time.NewTimer(min(time.Duration(c.WaitMillis)*time.Millisecond, maxFollowWait))
+		timer := time.NewTimer(min(time.Duration(call.WaitMillis)*time.Millisecond, maxFollowWaitTime))
 		defer timer.Stop()
 		select {
 		case <-changed:
 		case <-timer.C:
 		}
-		entries, ok = d.machine.Since(c.After, followBatch)
+		entries, ok = d.fleet.Since(call.After, followBatchSize)
 	}
-	reply := peer.FollowReply{Entries: entries, Revision: d.machine.Revision()}
+	reply := peer.FollowReply{Entries: entries, Revision: d.fleet.Revision()}
 	if ok {
 		return reply, nil
 	}
-	snapshot, err := d.machine.Snapshot()
+	snapshot, err := d.fleet.Snapshot()
 	reply.Snapshot = snapshot
 	return reply, err
 }
@@ -46,24 +46,24 @@
 // those of its own hall first.
 func (d *Daemon) followLoop(ctx context.Context) {
 	sources := d.followSources()
-	for n := 0; ctx.Err() == nil; {
-		if err := d.followOnce(ctx, sources[n%len(sources)]); err != nil {
-			n++
-			sleep(ctx, followRetry)
+	for failures := 0; ctx.Err() == nil; {
+		if err := d.followOnce(ctx, sources[failures%len(sources)]); err != nil {
+			failures++
+			sleep(ctx, followRetryDelay)
 		}
 	}
 }
 
 func (d *Daemon) followSources() []ident.Daemon {
-	var near, far []ident.Daemon
+	var sameHall, otherHalls []ident.Daemon
 	for _, name := range d.cfg.ControlMembers {
 		if d.hallOf(name) == d.cfg.Hall {
-			near = append(near, name)
+			sameHall = append(sameHall, name)
 		} else {
-			far = append(far, name)
+			otherHalls = append(otherHalls, name)
 		}
 	}
-	return append(near, far...)
+	return append(sameHall, otherHalls...)
 }
 
 func (d *Daemon) hallOf(name ident.Daemon) ident.Hall {
@@ -76,21 +76,21 @@
 }
 
 func (d *Daemon) followOnce(ctx context.Context, source ident.Daemon) error {
-	call := &peer.FollowCall{After: d.machine.Revision(), WaitMillis: followWait.Milliseconds()}
+	call := &peer.FollowCall{After: d.fleet.Revision(), WaitMillis: followWaitTime.Milliseconds()}
 	reply, err := d.peers[source].Follow(ctx, followTimeout, call)
 	if err != nil {
 		return err
 	}
 	if reply.Snapshot != nil {
-		if err := d.machine.Restore(reply.Revision, reply.Snapshot); err != nil {
+		if err := d.fleet.Restore(reply.Revision, reply.Snapshot); err != nil {
 			return err
 		}
 	}
 	for _, e := range reply.Entries {
-		d.machine.Apply(e.Revision, e.Data)
+		d.fleet.Apply(e.Revision, e.Data)
 	}
-	d.machine.Notify()
-	if len(reply.Entries) == 0 && d.machine.Revision() < d.force.newest() {
+	d.fleet.Notify()
+	if len(reply.Entries) == 0 && d.fleet.Revision() < d.freshness.newest() {
 		// This member is behind the others; the next source may not be.
 		return result.New(result.MemberBehind, "%s is behind", source)
 	}
--- a/daemon/lead.go
+++ b/daemon/lead.go
@@ -18,28 +18,28 @@
 const proposeTimeout = 3 * time.Second
 
 func (d *Daemon) buildLeader() {
-	l := control.NewLeader()
+	leader := control.NewLeader()
 	times := &d.cfg.Times
-	l.Machine, l.Members = d.machine, d.members
-	l.Daemons, l.Started = d.cfg.DaemonNames(), d.started
-	l.Detector = control.NewFailureDetector(d.table, times.PresenceBound.Std(), times.LossBound.Std())
-	l.Policy = planner.DefaultPolicy()
-	l.Policy.DowntimeWeight, l.Policy.StrandedWeight = d.cfg.Policy.Downtime, d.cfg.Policy.Stranded
-	l.DrainBound, l.ControlBound = times.DrainBound.Std(), times.ControlBound.Std()
-	l.Propose = d.proposeFleet
-	l.Registered = func() []fleet.VM { return d.platform.registered() }
-	l.HasPlatform = d.cfg.Platform.URL != ""
-	l.Listings = func() map[ident.VM]fleet.Listing { return d.platform.listings() }
-	o := control.NewOrders()
-	o.ConcurrentLoads = d.cfg.WeightStore.ConcurrentLoads
-	o.Deadline, o.Authority, o.Send = times.OrderDeadline.Std(), d.authority, d.engines.Order
-	o.Confirmed, o.Failed = l.Confirm, d.orderFailed
-	l.Orders = o
-	d.leader = l
+	leader.Machine, leader.Members = d.fleet, d.daemons
+	leader.Daemons, leader.Started = d.cfg.DaemonNames(), d.started
+	leader.Detector = control.NewFailureDetector(d.vmTable, times.PresenceBound.Std(), times.LossBound.Std())
+	leader.Policy = planner.DefaultPolicy()
+	leader.Policy.DowntimeWeight, leader.Policy.StrandedWeight = d.cfg.Policy.Downtime, d.cfg.Policy.Stranded
+	leader.DrainBound, leader.ControlBound = times.DrainBound.Std(), times.ControlBound.Std()
+	leader.Propose = d.proposeFleet
+	leader.Registered = func() []fleet.VM { return d.platform.registered() }
+	leader.HasPlatform = d.cfg.Platform.URL != ""
+	leader.Listings = func() map[ident.VM]fleet.Listing { return d.platform.listings() }
+	orders := control.NewOrders()
+	orders.ConcurrentLoads = d.cfg.WeightStore.ConcurrentLoads
+	orders.Deadline, orders.Authority, orders.Send = times.OrderDeadline.Std(), d.orderAuthority, d.engineClient.Order
+	orders.Confirmed, orders.Failed = leader.Confirm, d.logOrderFailed
+	leader.Orders = orders
+	d.leader = leader
 }
 
-// authority is asked before each order.
-func (d *Daemon) authority() control.Authority {
+// orderAuthority is asked before each order.
+func (d *Daemon) orderAuthority() control.Authority {
 	if d.control == nil {
 		return control.Authority{}
 	}
@@ -52,17 +52,17 @@
 	}
 }
 
-func (d *Daemon) orderFailed(vm ident.VM, kind engine.OrderKind, err error) {
+func (d *Daemon) logOrderFailed(vm ident.VM, kind engine.OrderKind, err error) {
 	d.Log.V(1).Info("order not obeyed", "vm", vm, "order", kind, "code", int(result.CodeOf(err)), "text", result.Message(err))
 }
 
 // leadLoop does the leader's work while this member leads and holds its lease.
 func (d *Daemon) leadLoop(ctx context.Context) {
 	d.leader.Log = d.Log
-	orphaned := map[ident.Daemon]ident.Incarnation{}
+	closed := map[ident.Daemon]ident.Incarnation{}
 	defer d.leader.Orders.Wait()
-	every(ctx, tickInterval, func() {
-		d.measureGroups()
+	runEvery(ctx, tickInterval, func() {
+		d.countGroups()
 		if !d.control.leads() {
 			return
 		}
@@ -70,14 +70,14 @@
 			d.Log.V(1).Info("leader's work waits", "code", int(result.CodeOf(err)), "text", result.Message(err))
 			return
 		}
-		d.orphanClaims(ctx, orphaned)
+		d.closeOrphanedClaims(ctx, closed)
 	})
 }
 
-// orphanClaims closes the claims that a daemon left open when it started anew.
-func (d *Daemon) orphanClaims(ctx context.Context, done map[ident.Daemon]ident.Incarnation) {
-	for _, p := range d.members.Live(d.now()) {
-		if done[p.Name] == p.Incarnation {
+// closeOrphanedClaims closes the claims that a daemon left open when it started anew.
+func (d *Daemon) closeOrphanedClaims(ctx context.Context, closed map[ident.Daemon]ident.Incarnation) {
+	for _, p := range d.daemons.Live(d.now()) {
+		if closed[p.Name] == p.Incarnation {
 			continue
 		}
 		data, err := ledger.Encode(&ledger.Command{Kind: ledger.KindOrphan, Daemon: p.Name, Incarnation: p.Incarnation})
@@ -85,7 +85,7 @@
 			continue
 		}
 		if _, err := d.proposeLedger(ctx, ledger.Key{}, data); err == nil {
-			done[p.Name] = p.Incarnation
+			closed[p.Name] = p.Incarnation
 		}
 	}
 }
@@ -101,7 +101,7 @@
 	case leader == d.cfg.Name:
 		ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 		defer cancel()
-		reply = d.control.propose(ctx, call)
+		reply = d.control.proposeLocally(ctx, call)
 	default:
 		var err error
 		if reply, err = d.peers[leader].Propose(ctx, proposeTimeout, call); err != nil {
@@ -114,8 +114,8 @@
 	return reply, nil
 }
 
-func (d *Daemon) proposeFleet(ctx context.Context, c *fleet.Command) (fleet.Answer, error) {
-	data, err := fleet.Encode(c)
+func (d *Daemon) proposeFleet(ctx context.Context, command *fleet.Command) (fleet.Answer, error) {
+	data, err := fleet.Encode(command)
 	if err != nil {
 		return fleet.Answer{}, result.Wrap(err, result.ChangeInvalid, "change cannot be encoded")
 	}
@@ -123,7 +123,7 @@
 	if err != nil {
 		return fleet.Answer{}, err
 	}
-	return fleetAnswer(reply.Answer)
+	return decodeFleetAnswer(reply.Answer)
 }
 
 func (d *Daemon) proposeLedger(ctx context.Context, _ ledger.Key, data []byte) (ledger.Answer, error) {
@@ -131,5 +131,5 @@
 	if err != nil {
 		return ledger.Answer{}, err
 	}
-	return ledgerAnswer(reply.Answer)
+	return decodeLedgerAnswer(reply.Answer)
 }
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -26,17 +26,17 @@
 
 const formInterval = 200 * time.Millisecond
 
-// member is the control role of this daemon: the logs, their state machines and the forming of their first members.
-type member struct {
+// controlMember is the control role of this daemon: the logs, their state machines and the forming of their first members.
+type controlMember struct {
 	d      *Daemon
 	store  *quorum.Store
 	nodes  [instanceCount]*quorum.Node
 	ledger *ledger.Machine
-	// strange counts the looks in a row that found this member without a vote among formed ones.
-	strange int
+	// votelessChecks counts the looks in a row that found this member without a vote among formed ones.
+	votelessChecks int
 }
 
-func newMember(d *Daemon) (*member, error) {
+func newControlMember(d *Daemon) (*controlMember, error) {
 	folder, err := disk.NewFolder(d.cfg.DataFolder)
 	if err != nil {
 		return nil, err
@@ -45,35 +45,35 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &member{d: d, store: store, ledger: ledger.NewMachine()}
+	m := &controlMember{d: d, store: store, ledger: ledger.NewMachine()}
 	for i := range m.nodes {
-		m.nodes[i] = m.node(quorum.Instance(i))
+		m.nodes[i] = m.newNode(quorum.Instance(i))
 	}
-	m.serveFleet(m.nodes[instanceFleet])
-	m.serveLedger(m.nodes[instanceLedger])
+	m.attachFleet(m.nodes[instanceFleet])
+	m.attachLedger(m.nodes[instanceLedger])
 	return m, nil
 }
 
-func (m *member) node(i quorum.Instance) *quorum.Node {
+func (m *controlMember) newNode(instance quorum.Instance) *quorum.Node {
 	cfg := m.d.cfg
-	n := quorum.NewNode(m.store)
-	n.Instance = i
-	n.Timing = quorum.Timing{Heartbeat: cfg.Times.Heartbeat.Std(), Election: cfg.Times.Election.Std(), Lease: cfg.Times.Lease.Std()}
-	n.Seed = seedOf(cfg.Name)
-	n.Send = m.send
-	n.Fatal = m.d.fatal
-	return n
+	node := quorum.NewNode(m.store)
+	node.Instance = instance
+	node.Timing = quorum.Timing{Heartbeat: cfg.Times.Heartbeat.Std(), Election: cfg.Times.Election.Std(), Lease: cfg.Times.Lease.Std()}
+	node.Seed = electionSeed(cfg.Name)
+	node.Send = m.enqueue
+	node.Fatal = m.d.fail
+	return node
 }
 
-// seedOf spreads the members' election times.
-func seedOf(name ident.Daemon) uint64 {
+// electionSeed spreads the members' election times.
+func electionSeed(name ident.Daemon) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name))
 	return h.Sum64()
 }
 
-func (m *member) serveFleet(n *quorum.Node) {
-	machine := m.d.machine
+func (m *controlMember) attachFleet(n *quorum.Node) {
+	machine := m.d.fleet
 	n.Apply = func(index quorum.Index, data []byte) any {
 		return machine.Apply(ident.Revision(index), data)
 	}
@@ -84,13 +84,13 @@
 	n.Applied = func(quorum.Index) { machine.Notify() }
 }
 
-func (m *member) serveLedger(n *quorum.Node) {
+func (m *controlMember) attachLedger(n *quorum.Node) {
 	n.Apply = func(_ quorum.Index, data []byte) any { return m.ledger.Apply(data) }
 	n.TakeSnapshot = m.ledger.Snapshot
 	n.Restore = func(_ quorum.Index, data []byte) error { return m.ledger.Restore(data) }
 }
 
-func (m *member) send(messages []quorum.Message) {
+func (m *controlMember) enqueue(messages []quorum.Message) {
 	for i := range messages {
 		if c := m.d.peers[messages[i].To.Name]; c != nil {
 			c.Enqueue(&messages[i])
@@ -98,30 +98,30 @@
 	}
 }
 
-func (m *member) run(ctx context.Context) {
+func (m *controlMember) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { m.store.Run(ctx) })
 	for _, n := range m.nodes {
 		n.Log = m.d.Log
 		wg.Go(func() { n.Run(ctx) })
 	}
-	every(ctx, formInterval, func() { m.form(ctx) })
+	runEvery(ctx, formInterval, func() { m.form(ctx) })
 	wg.Wait()
 }
 
-// discard gives back what a member that will not run has opened.
-func (m *member) discard() {
+// release gives back what a member that will not run has opened.
+func (m *controlMember) release() {
 	m.store.Close()
 	for _, n := range m.nodes {
 		n.Discard()
 	}
 }
 
-func (m *member) deliver(messages []quorum.Message) {
+func (m *controlMember) deliver(messages []quorum.Message) {
 	var byInstance [instanceCount][]quorum.Message
 	for i := range messages {
-		if n := messages[i].Instance; n < instanceCount {
-			byInstance[n] = append(byInstance[n], messages[i])
+		if instance := messages[i].Instance; instance < instanceCount {
+			byInstance[instance] = append(byInstance[instance], messages[i])
 		}
 	}
 	for i, list := range byInstance {
@@ -132,7 +132,7 @@
 }
 
 // formed reports whether every instance knows its members.
-func (m *member) formed() bool {
+func (m *controlMember) formed() bool {
 	for _, n := range m.nodes {
 		if s := n.Status(); !s.Formed || s.Expelled {
 			return false
@@ -141,12 +141,12 @@
 	return true
 }
 
-// current reports whether this member has known everything that was accepted, at some time since it started.
-func (m *member) current() bool {
+// knowsCommitted reports whether this member has known everything that was accepted, at some time since it started.
+func (m *controlMember) knowsCommitted() bool {
 	return m.formed() && m.nodes[instanceFleet].Status().KnowsCommitted
 }
 
-func (m *member) hello() peer.HelloReply {
+func (m *controlMember) hello() peer.HelloReply {
 	s := m.nodes[instanceFleet].Status()
 	reply := peer.HelloReply{ID: m.store.ID(), Formed: s.Formed, Expelled: s.Expelled, Members: s.Members}
 	for _, n := range m.nodes {
@@ -158,26 +158,26 @@
 // form makes the first members, once in the life of a system. Only the member that the settings name first does it,
 // and only when every other one answers that it was never formed: a member that comes back with an empty folder
 // meets others that were, and waits to be admitted.
-func (m *member) form(ctx context.Context) {
+func (m *controlMember) form(ctx context.Context) {
 	cfg := m.d.cfg
 	status := m.nodes[instanceFleet].Status()
 	if m.formed() && (status.Commit > 0 || status.Leader != "") {
 		return
 	}
-	others := m.askOthers(ctx)
+	others := m.helloOthers(ctx)
 	if m.hello().Expelled || !m.hello().Formed && anyFormed(others) {
-		m.tell()
+		m.logNotAdmitted()
 		return
 	}
-	m.strange = 0
+	m.votelessChecks = 0
 	if len(others) < len(cfg.ControlMembers)-1 {
 		return
 	}
 	switch {
 	case m.hello().Formed:
-		m.formAgain(others)
+		m.resendForm(others)
 	case cfg.ControlMembers[0] == cfg.Name:
-		m.formFirst(ctx, others)
+		m.formInstances(ctx, others)
 	}
 }
 
@@ -190,12 +190,12 @@
 	return false
 }
 
-// strangeLooks is how many looks it takes until a member without a vote is not just about to be formed.
-const strangeLooks = 15
+// votelessCheckLimit is how many looks it takes until a member without a vote is not just about to be formed.
+const votelessCheckLimit = 15
 
-// tell says once that this member waits for an operator.
-func (m *member) tell() {
-	if m.strange++; m.strange != strangeLooks {
+// logNotAdmitted says once that this member waits for an operator.
+func (m *controlMember) logNotAdmitted() {
+	if m.votelessChecks++; m.votelessChecks != votelessCheckLimit {
 		return
 	}
 	advice := "dunlinquay control admit " + string(m.d.cfg.Name)
@@ -205,8 +205,8 @@
 	m.d.Log.Info("this control member's data folder has no vote", "code", int(result.NotAdmitted), "advice", advice)
 }
 
-// askOthers returns the answers of the other members that answer.
-func (m *member) askOthers(ctx context.Context) map[ident.Daemon]peer.HelloReply {
+// helloOthers returns the answers of the other members that answer.
+func (m *controlMember) helloOthers(ctx context.Context) map[ident.Daemon]peer.HelloReply {
 	others := map[ident.Daemon]peer.HelloReply{}
 	for _, name := range m.d.cfg.ControlMembers {
 		if name == m.d.cfg.Name {
@@ -219,7 +219,7 @@
 	return others
 }
 
-func (m *member) formFirst(ctx context.Context, others map[ident.Daemon]peer.HelloReply) {
+func (m *controlMember) formInstances(ctx context.Context, others map[ident.Daemon]peer.HelloReply) {
 	members := []quorum.Member{{ID: m.store.ID(), Voter: true}}
 	for _, name := range m.d.cfg.ControlMembers[1:] {
 		members = append(members, quorum.Member{ID: others[name].ID, Voter: true})
@@ -229,8 +229,8 @@
 	}
 }
 
-// formAgain passes the first members on to those that have not received them; it is harmless for all others.
-func (m *member) formAgain(others map[ident.Daemon]peer.HelloReply) {
+// resendForm passes the first members on to those that have not received them; it is harmless for all others.
+func (m *controlMember) resendForm(others map[ident.Daemon]peer.HelloReply) {
 	for i, n := range m.nodes {
 		s := n.Status()
 		if s.Commit > 0 {
@@ -238,7 +238,7 @@
 		}
 		for _, to := range s.Members {
 			if reply, ok := others[to.ID.Name]; ok && reply.ID == to.ID {
-				m.send([]quorum.Message{{
+				m.enqueue([]quorum.Message{{
 					Instance: quorum.Instance(i), Kind: quorum.MessageForm, From: m.store.ID(), To: to.ID,
 					Snapshot: &quorum.Snapshot{Members: s.Members},
 				}})
@@ -247,16 +247,16 @@
 	}
 }
 
-// propose writes a command as leader of an instance and returns the encoded answer.
-func (m *member) propose(ctx context.Context, c *peer.ProposeCall) peer.ProposeReply {
-	if c.Instance >= instanceCount {
+// proposeLocally writes a command as leader of an instance and returns the encoded answer.
+func (m *controlMember) proposeLocally(ctx context.Context, call *peer.ProposeCall) peer.ProposeReply {
+	if call.Instance >= instanceCount {
 		return peer.ProposeReply{Code: result.PeerRefused, Text: "no such instance"}
 	}
 	var value any
 	var index quorum.Index
-	err := m.checkClock(c)
+	err := m.checkLedgerClock(call)
 	if err == nil {
-		value, index, err = m.nodes[c.Instance].Propose(ctx, c.Data)
+		value, index, err = m.nodes[call.Instance].Propose(ctx, call.Data)
 	}
 	if err != nil {
 		return peer.ProposeReply{Code: result.CodeOf(err), Text: result.Message(err)}
@@ -268,49 +268,49 @@
 	return peer.ProposeReply{Answer: answer, Index: index}
 }
 
-func (m *member) checkClock(c *peer.ProposeCall) error {
-	if c.Instance != instanceLedger {
+func (m *controlMember) checkLedgerClock(call *peer.ProposeCall) error {
+	if call.Instance != instanceLedger {
 		return nil
 	}
-	return ledger.CheckClock(c.Data, time.Now())
+	return ledger.CheckClock(call.Data, time.Now())
 }
 
-// admit takes a member with a new data folder in the place of the one with the same name, first without a vote.
-func (m *member) admit(ctx context.Context, c *peer.AdmitCall) peer.AdmitReply {
-	err := m.tryAdmit(ctx, c)
+// admitMember takes a member with a new data folder in the place of the one with the same name, first without a vote.
+func (m *controlMember) admitMember(ctx context.Context, call *peer.AdmitCall) peer.AdmitReply {
+	err := m.proposeAdmission(ctx, call)
 	if err != nil {
 		return peer.AdmitReply{Code: result.CodeOf(err), Text: result.Message(err)}
 	}
 	return peer.AdmitReply{}
 }
 
-func (m *member) tryAdmit(ctx context.Context, c *peer.AdmitCall) error {
-	client := m.d.peers[c.Member]
+func (m *controlMember) proposeAdmission(ctx context.Context, call *peer.AdmitCall) error {
+	client := m.d.peers[call.Member]
 	if client == nil {
-		return result.New(result.ChangeNotFound, "no daemon is called %s", c.Member)
+		return result.New(result.ChangeNotFound, "no daemon is called %s", call.Member)
 	}
 	reply, err := client.Hello(ctx, callTimeout)
 	if err != nil {
 		return err
 	}
 	if reply.Expelled {
-		return result.New(result.NotAdmitted, "%s has a damaged folder: stop it, empty its data folder and start it again", c.Member)
+		return result.New(result.NotAdmitted, "%s has a damaged folder: stop it, empty its data folder and start it again", call.Member)
 	}
-	n := m.nodes[c.Instance]
+	n := m.nodes[call.Instance]
 	members := []quorum.Member{}
 	for _, old := range n.Status().Members {
 		if old.ID == reply.ID {
 			return nil
 		}
-		if old.ID.Name != c.Member {
+		if old.ID.Name != call.Member {
 			members = append(members, old)
 		}
 	}
 	return n.ProposeMembers(ctx, append(members, quorum.Member{ID: reply.ID}))
 }
 
-// handOver gives up the lead of every instance that this member leads.
-func (m *member) handOver(ctx context.Context) {
+// transferLeadership gives up the lead of every instance that this member leads.
+func (m *controlMember) transferLeadership(ctx context.Context) {
 	for _, n := range m.nodes {
 		if n.Status().Role == quorum.RoleLeader {
 			n.TransferLeadership(ctx)
@@ -319,12 +319,12 @@
 }
 
 // leads reports whether this member leads control's instance.
-func (m *member) leads() bool {
+func (m *controlMember) leads() bool {
 	return m.nodes[instanceFleet].Status().Role == quorum.RoleLeader
 }
 
 // leaders names the leader of each instance as this member knows it.
-func (m *member) leaders() map[quorum.Instance]ident.Daemon {
+func (m *controlMember) leaders() map[quorum.Instance]ident.Daemon {
 	known := map[quorum.Instance]ident.Daemon{}
 	for i, n := range m.nodes {
 		if s := n.Status(); s.Leader != "" {
@@ -334,20 +334,20 @@
 	return known
 }
 
-// fleetAnswer decodes what the fleet's machine answered.
-func fleetAnswer(data []byte) (fleet.Answer, error) {
-	var a fleet.Answer
-	if err := cbor.Unmarshal(data, &a); err != nil {
-		return a, result.Wrap(err, result.PeerRefused, "leader's answer cannot be decoded")
+// decodeFleetAnswer decodes what the fleet's machine answered.
+func decodeFleetAnswer(data []byte) (fleet.Answer, error) {
+	var answer fleet.Answer
+	if err := cbor.Unmarshal(data, &answer); err != nil {
+		return answer, result.Wrap(err, result.PeerRefused, "leader's answer cannot be decoded")
 	}
-	return a, nil
+	return answer, nil
 }
 
-// ledgerAnswer decodes what the ledger's machine answered.
-func ledgerAnswer(data []byte) (ledger.Answer, error) {
-	var a ledger.Answer
-	if err := cbor.Unmarshal(data, &a); err != nil {
-		return a, result.Wrap(err, result.PeerRefused, "leader's answer cannot be decoded")
+// decodeLedgerAnswer decodes what the ledger's machine answered.
+func decodeLedgerAnswer(data []byte) (ledger.Answer, error) {
+	var answer ledger.Answer
+	if err := cbor.Unmarshal(data, &answer); err != nil {
+		return answer, result.Wrap(err, result.PeerRefused, "leader's answer cannot be decoded")
 	}
-	return a, nil
+	return answer, nil
 }
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -20,24 +20,24 @@
 	meter *meter.Meter
 	scope tally.Scope
 
-	mu     sync.Mutex
-	totals groupTotals
-	series map[seriesKey]*series
+	mu           sync.Mutex
+	latestTotals groupTotals
+	histograms   map[histogramsKey]*requestHistograms
 }
 
-type seriesKey struct {
+type histogramsKey struct {
 	customer ident.Customer
 	class    ident.Class
 }
 
-// series are the histograms of one customer and class.
-type series struct {
-	wait, first, between, total tally.Histogram
+// requestHistograms are the histograms of one customer and class.
+type requestHistograms struct {
+	admissionWait, firstToken, betweenTokens, request tally.Histogram
 }
 
 func newMetrics() *metrics {
 	m := meter.New()
-	return &metrics{meter: m, scope: m.Scope, series: map[seriesKey]*series{}}
+	return &metrics{meter: m, scope: m.Scope, histograms: map[histogramsKey]*requestHistograms{}}
 }
 
 // close ends the reporting goroutine.
@@ -45,73 +45,73 @@
 	_ = m.meter.Close()
 }
 
-func (m *metrics) of(customer ident.Customer, class ident.Class) *series {
+func (m *metrics) seriesOf(customer ident.Customer, class ident.Class) *requestHistograms {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	key := seriesKey{customer, class}
-	s := m.series[key]
+	key := histogramsKey{customer, class}
+	s := m.histograms[key]
 	if s == nil {
 		scope := m.scope.Tagged(map[string]string{"customer": string(customer), "class": string(class)})
 		buckets := meter.Durations()
-		s = &series{
-			wait:    scope.Histogram("admission_wait", buckets),
-			first:   scope.Histogram("first_token", buckets),
-			between: scope.Histogram("between_tokens", buckets),
-			total:   scope.Histogram("request", buckets),
+		s = &requestHistograms{
+			admissionWait: scope.Histogram("admission_wait", buckets),
+			firstToken:    scope.Histogram("first_token", buckets),
+			betweenTokens: scope.Histogram("between_tokens", buckets),
+			request:       scope.Histogram("request", buckets),
 		}
-		m.series[key] = s
+		m.histograms[key] = s
 	}
 	return s
 }
 
-func (m *metrics) observe(t *dispatch.Timing) {
-	s := m.of(t.Customer, t.Class)
-	s.wait.RecordDuration(t.Wait)
+func (m *metrics) observeRequest(t *dispatch.Timing) {
+	s := m.seriesOf(t.Customer, t.Class)
+	s.admissionWait.RecordDuration(t.Wait)
 	if t.Err != nil {
-		m.ended(t.Customer, result.CodeOf(t.Err))
+		m.countRequest(t.Customer, result.CodeOf(t.Err))
 		return
 	}
-	s.first.RecordDuration(t.First)
-	s.total.RecordDuration(t.Total)
+	s.firstToken.RecordDuration(t.First)
+	s.request.RecordDuration(t.Total)
 	if t.Tokens > 1 {
-		s.between.RecordDuration((t.Total - t.First) / time.Duration(t.Tokens-1))
+		s.betweenTokens.RecordDuration((t.Total - t.First) / time.Duration(t.Tokens-1))
 	}
-	m.ended(t.Customer, result.OK)
+	m.countRequest(t.Customer, result.OK)
 }
 
-func (m *metrics) refused(customer ident.Customer, code result.Code) {
+func (m *metrics) countRefused(customer ident.Customer, code result.Code) {
 	if customer == "" {
 		customer = "unknown"
 	}
-	m.ended(customer, code)
+	m.countRequest(customer, code)
 }
 
-func (m *metrics) ended(customer ident.Customer, code result.Code) {
+func (m *metrics) countRequest(customer ident.Customer, code result.Code) {
 	m.scope.Tagged(map[string]string{
 		"customer": string(customer), "code": strconv.Itoa(int(code)), "result": result.Lookup(code).Name,
 	}).Counter("requests").Inc(1)
 }
 
-func (m *metrics) dropped(group ident.Group, code result.Code) {
+func (m *metrics) countDroppedAnswer(group ident.Group, code result.Code) {
 	m.scope.Tagged(map[string]string{"group": string(group), "result": result.Lookup(code).Name}).Counter("answers_dropped").Inc(1)
 }
 
-// groups takes the newest totals of downtime and stranded accelerators.
-func (m *metrics) groups(t groupTotals) {
+// setGroupTotals takes the newest totals of downtime and stranded accelerators.
+func (m *metrics) setGroupTotals(totals groupTotals) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.totals = t
-	m.scope.Gauge("groups_whole").Update(float64(t.whole))
-	m.scope.Gauge("stranded_accelerators").Update(float64(t.stranded))
-	m.scope.Gauge("stranded_accelerator_seconds").Update(t.strandedTime.Seconds())
-	m.scope.Gauge("groups_downtime_seconds").Update(t.downTime.Seconds())
-	for name, down := range t.byGroup {
-		m.scope.Tagged(map[string]string{"group": string(name)}).Gauge("group_downtime_seconds").Update(down.Seconds())
+	m.latestTotals = totals
+	m.scope.Gauge("groups_whole").Update(float64(totals.wholeGroups))
+	m.scope.Gauge("stranded_accelerators").Update(float64(totals.strandedAccelerators))
+	m.scope.Gauge("stranded_accelerator_seconds").Update(totals.strandedAcceleratorTime.Seconds())
+	m.scope.Gauge("groups_downtime_seconds").Update(totals.downtime.Seconds())
+	for name, downtime := range totals.downtimeByGroup {
+		m.scope.Tagged(map[string]string{"group": string(name)}).Gauge("group_downtime_seconds").Update(downtime.Seconds())
 	}
 }
 
-func (m *metrics) counted() groupTotals {
+func (m *metrics) groupTotals() groupTotals {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.totals
+	return m.latestTotals
 }
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -14,22 +14,22 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-const changeRetry = 100 * time.Millisecond
+const changeRetryDelay = 100 * time.Millisecond
 
 // change writes an operator's change; while no leader is found it is sent again, which its id makes harmless.
-func (d *Daemon) change(ctx context.Context, c *fleet.Command) (fleet.Answer, error) {
+func (d *Daemon) change(ctx context.Context, command *fleet.Command) (fleet.Answer, error) {
 	for {
-		answer, err := d.proposeFleet(ctx, c)
+		answer, err := d.proposeFleet(ctx, command)
 		if err == nil {
 			d.awaitRevision(ctx, answer.Revision)
-			d.Log.Info("change answered", "change", c.Change, "operator", c.By, "what", c.What(),
+			d.Log.Info("change answered", "change", command.Change, "operator", command.By, "what", command.What(),
 				"revision", answer.Revision, "code", int(answer.Code))
 			return answer, nil
 		}
 		if code := result.CodeOf(err); code != result.NoLeader && code != result.DaemonUnreached {
 			return answer, err
 		}
-		if !sleep(ctx, changeRetry) {
+		if !sleep(ctx, changeRetryDelay) {
 			return answer, result.Wrap(err, result.NoLeader, "no leader confirmed the change")
 		}
 	}
@@ -37,9 +37,9 @@
 
 // awaitRevision lets an operator read from the same daemon what it has just changed.
 func (d *Daemon) awaitRevision(ctx context.Context, revision ident.Revision) {
-	for d.machine.Revision() < revision {
-		changed := d.machine.Changed()
-		if d.machine.Revision() >= revision {
+	for d.fleet.Revision() < revision {
+		changed := d.fleet.Changed()
+		if d.fleet.Revision() >= revision {
 			return
 		}
 		select {
@@ -60,15 +60,15 @@
 	return nil
 }
 
-func (d *Daemon) admitInstance(ctx context.Context, c *peer.AdmitCall) error {
-	leader := d.leaders.Load().byInstance[c.Instance]
+func (d *Daemon) admitInstance(ctx context.Context, call *peer.AdmitCall) error {
+	leader := d.leaders.Load().byInstance[call.Instance]
 	var reply peer.AdmitReply
 	var err error
 	switch {
 	case leader == d.cfg.Name && d.control != nil:
-		reply = d.control.admit(ctx, c)
+		reply = d.control.admitMember(ctx, call)
 	case d.peers[leader] != nil:
-		reply, err = d.peers[leader].Admit(ctx, proposeTimeout, c)
+		reply, err = d.peers[leader].Admit(ctx, proposeTimeout, call)
 	default:
 		err = result.New(result.NoLeader, "no control leader is known")
 	}
@@ -80,116 +80,116 @@
 
 func (d *Daemon) status() operator.Status {
 	now := d.now()
-	s := operator.Status{
-		Daemon: d.cfg.Name, Leader: d.leaders.Load().byInstance[instanceFleet], Role: "entry", Revision: d.view.revision(),
+	status := operator.Status{
+		Daemon: d.cfg.Name, Leader: d.leaders.Load().byInstance[instanceFleet], Role: "entry", Revision: d.applied.revision(),
 	}
 	if d.control != nil {
-		q := d.control.nodes[instanceFleet].Status()
-		s.Role, s.Term = q.Role.String(), uint64(q.Term)
+		quorumStatus := d.control.nodes[instanceFleet].Status()
+		status.Role, status.Term = quorumStatus.Role.String(), uint64(quorumStatus.Term)
 	}
 	if err := d.readiness(); err != nil {
-		s.Reason = result.Text(err)
+		status.Reason = result.Text(err)
 	}
-	s.Serving = s.Reason == ""
-	d.machine.Read(func(st *fleet.State) { s.VMs, s.Groups = len(st.VMs), len(st.Groups) })
-	c := d.metrics.counted()
-	s.Whole, s.Stranded, s.StrandedMillis, s.DownMillis = c.whole, c.stranded, c.strandedTime.Milliseconds(), c.downTime.Milliseconds()
-	for _, p := range d.members.All() {
-		s.Daemons = append(s.Daemons, operator.DaemonView{
+	status.Serving = status.Reason == ""
+	d.fleet.Read(func(state *fleet.State) { status.VMs, status.Groups = len(state.VMs), len(state.Groups) })
+	totals := d.metrics.groupTotals()
+	status.Whole, status.Stranded, status.StrandedMillis, status.DownMillis = totals.wholeGroups, totals.strandedAccelerators, totals.strandedAcceleratorTime.Milliseconds(), totals.downtime.Milliseconds()
+	for _, p := range d.daemons.All() {
+		status.Daemons = append(status.Daemons, operator.DaemonView{
 			Name: p.Name, Hall: p.Hall, Incarnation: p.Incarnation, Revision: p.Revision,
-			HeardMillis: now.Sub(p.LastContact).Milliseconds(), Live: now.Sub(p.LastContact) <= d.members.Bound, Stopping: p.Stopping,
+			HeardMillis: now.Sub(p.LastContact).Milliseconds(), Live: now.Sub(p.LastContact) <= d.daemons.Bound, Stopping: p.Stopping,
 		})
 	}
-	return s
+	return status
 }
 
-// inForce tells of every daemon that the settings name whether it serves by the revision. One that was silent for the
+// revisionInForce tells of every daemon that the settings name whether it serves by the revision. One that was silent for the
 // control bound and a beat has stopped serving by itself, see force.
-func (d *Daemon) inForce(revision ident.Revision) operator.InForce {
+func (d *Daemon) revisionInForce(revision ident.Revision) operator.InForce {
 	now := d.now()
-	out := operator.InForce{Revision: revision, Done: true}
-	refusing := d.cfg.Times.ControlBound.Std() + 2*callTimeout
+	answer := operator.InForce{Revision: revision, Done: true}
+	refusesAfter := d.cfg.Times.ControlBound.Std() + 2*callTimeout
 	for _, name := range d.cfg.DaemonNames() {
-		p, heard := d.members.Get(name)
-		v := operator.ForceView{Name: name, Revision: p.Revision, State: operator.ForceBehind}
+		p, contacted := d.daemons.Get(name)
+		daemonState := operator.ForceView{Name: name, Revision: p.Revision, State: operator.ForceBehind}
 		switch {
-		case heard && p.Revision >= revision:
-			v.State = operator.ForceHas
-		case heard && now.Sub(p.LastContact) > refusing, !heard && now.Sub(d.started) > refusing:
-			v.State = operator.ForceRefuses
+		case contacted && p.Revision >= revision:
+			daemonState.State = operator.ForceHas
+		case contacted && now.Sub(p.LastContact) > refusesAfter, !contacted && now.Sub(d.started) > refusesAfter:
+			daemonState.State = operator.ForceRefuses
 		default:
-			out.Done = false
+			answer.Done = false
 		}
-		out.Daemons = append(out.Daemons, v)
+		answer.Daemons = append(answer.Daemons, daemonState)
 	}
-	return out
+	return answer
 }
 
 // groupTotals is what this daemon has counted of groups and accelerators.
 type groupTotals struct {
-	whole        int
-	stranded     ident.Accelerators
-	strandedTime time.Duration
-	downTime     time.Duration
-	// byGroup is the downtime of each group that is declared now.
-	byGroup map[ident.Group]time.Duration
+	wholeGroups             int
+	strandedAccelerators    ident.Accelerators
+	strandedAcceleratorTime time.Duration
+	downtime                time.Duration
+	// downtimeByGroup is the downtime of each group that is declared now.
+	downtimeByGroup map[ident.Group]time.Duration
 }
 
-type groupClock struct {
-	mu   sync.Mutex
-	last time.Time
-	sum  groupTotals
+type groupCounter struct {
+	mu           sync.Mutex
+	countedUntil time.Time
+	totals       groupTotals
 }
 
-// add counts the time since the last look by what is seen now.
-func (g *groupClock) add(now time.Time, w *planner.Snapshot, whole func(name ident.Group, epoch ident.Epoch) bool) groupTotals {
+// count counts the time since the last look by what is seen now.
+func (g *groupCounter) count(now time.Time, snapshot *planner.Snapshot, whole func(name ident.Group, epoch ident.Epoch) bool) groupTotals {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var since time.Duration
-	if !g.last.IsZero() {
-		since = now.Sub(g.last)
+	var elapsed time.Duration
+	if !g.countedUntil.IsZero() {
+		elapsed = now.Sub(g.countedUntil)
 	}
-	g.last = now
-	g.sum.whole, g.sum.stranded = 0, 0
-	before := g.sum.byGroup
-	g.sum.byGroup = make(map[ident.Group]time.Duration, len(w.Groups))
-	inWhole := map[ident.VM]bool{}
-	for i := range w.Groups {
-		group := &w.Groups[i]
-		g.sum.byGroup[group.Spec.Name] = before[group.Spec.Name]
-		g.countGroup(group, since, group.Phase == fleet.GroupServing && whole(group.Spec.Name, group.Epoch), inWhole)
+	g.countedUntil = now
+	g.totals.wholeGroups, g.totals.strandedAccelerators = 0, 0
+	previous := g.totals.downtimeByGroup
+	g.totals.downtimeByGroup = make(map[ident.Group]time.Duration, len(snapshot.Groups))
+	inWholeGroup := map[ident.VM]bool{}
+	for i := range snapshot.Groups {
+		group := &snapshot.Groups[i]
+		g.totals.downtimeByGroup[group.Spec.Name] = previous[group.Spec.Name]
+		g.countGroup(group, elapsed, group.Phase == fleet.GroupServing && whole(group.Spec.Name, group.Epoch), inWholeGroup)
 	}
-	for i := range w.VMs {
-		if v := &w.VMs[i]; v.Condition == planner.ConditionPresent && v.Eligible() && !inWhole[v.Name] {
-			g.sum.stranded += v.Accelerators
-			g.sum.strandedTime += since * time.Duration(v.Accelerators)
+	for i := range snapshot.VMs {
+		if v := &snapshot.VMs[i]; v.Condition == planner.ConditionPresent && v.Eligible() && !inWholeGroup[v.Name] {
+			g.totals.strandedAccelerators += v.Accelerators
+			g.totals.strandedAcceleratorTime += elapsed * time.Duration(v.Accelerators)
 		}
 	}
-	return g.sum
+	return g.totals
 }
 
-func (g *groupClock) countGroup(group *planner.Group, since time.Duration, whole bool, inWhole map[ident.VM]bool) {
+func (g *groupCounter) countGroup(group *planner.Group, elapsed time.Duration, whole bool, inWholeGroup map[ident.VM]bool) {
 	if !whole {
 		if !group.Deleted {
-			g.sum.downTime += since
-			g.sum.byGroup[group.Spec.Name] += since
+			g.totals.downtime += elapsed
+			g.totals.downtimeByGroup[group.Spec.Name] += elapsed
 		}
 		return
 	}
-	g.sum.whole++
+	g.totals.wholeGroups++
 	for _, name := range group.Members {
-		inWhole[name] = true
+		inWholeGroup[name] = true
 	}
 }
 
-// whole reports whether this daemon would send requests to the group now.
-func (d *Daemon) whole(name ident.Group, epoch ident.Epoch) bool {
-	return d.view.whole(d.now(), name, epoch)
+// groupWhole reports whether this daemon would send requests to the group now.
+func (d *Daemon) groupWhole(name ident.Group, epoch ident.Epoch) bool {
+	return d.applied.groupWhole(d.now(), name, epoch)
 }
 
-// measureGroups counts group downtime and stranded accelerators.
-func (d *Daemon) measureGroups() {
-	d.leader.View(func(w *planner.Snapshot) {
-		d.metrics.groups(d.clock.add(d.now(), w, d.whole))
+// countGroups counts group downtime and stranded accelerators.
+func (d *Daemon) countGroups() {
+	d.leader.View(func(snapshot *planner.Snapshot) {
+		d.metrics.setGroupTotals(d.groupCounter.count(d.now(), snapshot, d.groupWhole))
 	})
 }
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -9,8 +9,8 @@
 	"github.com/dunlinquay/dunlinquay/vmlist"
 )
 
-// platformWatch keeps the newest list of the platform beside the upstreams of the settings.
-type platformWatch struct {
+// platformWatcher keeps the newest list of the platform beside the upstreams of the settings.
+type platformWatcher struct {
 	d      *Daemon
 	client *vmlist.Client
 
@@ -18,19 +18,19 @@
 	list vmlist.List
 }
 
-func newPlatformWatch(d *Daemon) *platformWatch {
-	p := &platformWatch{d: d}
+func newPlatformWatcher(d *Daemon) *platformWatcher {
+	p := &platformWatcher{d: d}
 	if d.cfg.Platform.URL != "" {
 		p.client = vmlist.NewClient(d.network.Dial, d.cfg.Platform.URL)
 	}
 	return p
 }
 
-func (p *platformWatch) run(ctx context.Context) {
+func (p *platformWatcher) run(ctx context.Context) {
 	if p.client == nil {
 		return
 	}
-	every(ctx, p.d.cfg.Platform.Interval.Std(), func() {
+	runEvery(ctx, p.d.cfg.Platform.Interval.Std(), func() {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		list, err := p.client.List(ctx)
@@ -46,31 +46,31 @@
 }
 
 // registered returns every upstream that settings or platform name whole; the platform's word goes first.
-func (p *platformWatch) registered() []fleet.VM {
+func (p *platformWatcher) registered() []fleet.VM {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var vms []fleet.VM
-	named := map[ident.VM]bool{}
+	listed := map[ident.VM]bool{}
 	for i := range p.list.VMs {
-		if e := &p.list.VMs[i]; e.Valid() {
-			named[e.Name] = true
-			vms = append(vms, vmlist.VM(&e.Upstream))
+		if entry := &p.list.VMs[i]; entry.Valid() {
+			listed[entry.Name] = true
+			vms = append(vms, vmlist.VM(&entry.Upstream))
 		}
 	}
 	for i := range p.d.cfg.Upstreams {
-		if u := &p.d.cfg.Upstreams[i]; !named[u.Name] {
-			vms = append(vms, vmlist.VM(u))
+		if upstream := &p.d.cfg.Upstreams[i]; !listed[upstream.Name] {
+			vms = append(vms, vmlist.VM(upstream))
 		}
 	}
 	return vms
 }
 
-func (p *platformWatch) listings() map[ident.VM]fleet.Listing {
+func (p *platformWatcher) listings() map[ident.VM]fleet.Listing {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	said := map[ident.VM]fleet.Listing{}
+	listings := map[ident.VM]fleet.Listing{}
 	for i := range p.list.VMs {
-		said[p.list.VMs[i].Name] = p.list.VMs[i].Stay.Listing()
+		listings[p.list.VMs[i].Name] = p.list.VMs[i].Stay.Listing()
 	}
-	return said
+	return listings
 }
--- a/daemon/probes.go
+++ b/daemon/probes.go
@@ -13,128 +13,128 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// probes watches this daemon's share of the upstreams; the leader also looks itself at those that seem absent.
-type probes struct {
+// prober watches this daemon's share of the upstreams; the leader also looks itself at those that seem absent.
+type prober struct {
 	d *Daemon
 
-	mu   sync.Mutex
-	seen map[ident.VM]sighting
-	busy map[ident.VM]bool
+	mu         sync.Mutex
+	latest     map[ident.VM]probeRecord
+	inProgress map[ident.VM]bool
 
-	// mine is this daemon's share among live for the VMs of revision at; only run uses it.
-	mine []watched
-	live []presence.Watcher
-	at   ident.Revision
+	// assigned is this daemon's share among live for the VMs of revision at; only run uses it.
+	assigned   []probeTarget
+	watchers   []presence.Watcher
+	assignedAt ident.Revision
 }
 
-type sighting struct {
-	at time.Time
+type probeRecord struct {
+	sentAt time.Time
 	presence.Observation
 }
 
 // maxProbes bounds the probes on their way at once.
 const maxProbes = 512
 
-func newProbes(d *Daemon) *probes {
-	return &probes{d: d, seen: map[ident.VM]sighting{}, busy: map[ident.VM]bool{}}
+func newProber(d *Daemon) *prober {
+	return &prober{d: d, latest: map[ident.VM]probeRecord{}, inProgress: map[ident.VM]bool{}}
 }
 
-func (p *probes) run(ctx context.Context) {
+func (p *prober) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	every(ctx, p.d.cfg.Times.Probe.Std(), func() {
-		for _, v := range p.share() {
-			if !p.begin(v.name) {
+	runEvery(ctx, p.d.cfg.Times.Probe.Std(), func() {
+		for _, v := range p.targets() {
+			if !p.startProbe(v.name) {
 				continue
 			}
 			wg.Go(func() {
-				defer p.end(v.name)
+				defer p.endProbe(v.name)
 				p.probe(ctx, v)
 			})
 		}
 	})
 }
 
-type watched struct {
+type probeTarget struct {
 	name    ident.VM
 	address string
 }
 
-// share returns the VMs that this daemon has to watch now.
-func (p *probes) share() []watched {
+// targets returns the VMs that this daemon has to watch now.
+func (p *prober) targets() []probeTarget {
 	now := p.d.now()
-	p.divide(p.watchers(now))
+	p.assign(p.liveWatchers(now))
 	if p.d.control == nil || !p.d.control.leads() {
-		return p.mine
+		return p.assigned
 	}
-	list := slices.Clone(p.mine)
-	p.d.machine.Read(func(s *fleet.State) {
+	list := slices.Clone(p.assigned)
+	p.d.fleet.Read(func(s *fleet.State) {
 		for name, v := range s.VMs {
 			// One that is in the list already is being probed when its second turn comes.
 			if v.Listing != fleet.ListingGone && p.d.leader.Detector.Absent(now, v) {
-				list = append(list, watched{name, v.Address})
+				list = append(list, probeTarget{name, v.Address})
 			}
 		}
 	})
 	return list
 }
 
-// divide works out the share anew when the VMs or the live daemons have changed, which is seldom beside the probes.
-func (p *probes) divide(live []presence.Watcher) {
-	p.d.machine.Read(func(s *fleet.State) {
-		if p.at == s.Revision && slices.Equal(p.live, live) {
+// assign works out the share anew when the VMs or the live daemons have changed, which is seldom beside the probes.
+func (p *prober) assign(live []presence.Watcher) {
+	p.d.fleet.Read(func(s *fleet.State) {
+		if p.assignedAt == s.Revision && slices.Equal(p.watchers, live) {
 			return
 		}
-		p.at, p.live, p.mine = s.Revision, live, nil
+		p.assignedAt, p.watchers, p.assigned = s.Revision, live, nil
 		for name, v := range s.VMs {
 			if v.Listing != fleet.ListingGone && slices.Contains(presence.Watchers(name, v.Hall, live), p.d.cfg.Name) {
-				p.mine = append(p.mine, watched{name, v.Address})
+				p.assigned = append(p.assigned, probeTarget{name, v.Address})
 			}
 		}
 	})
 }
 
-func (p *probes) watchers(now time.Time) []presence.Watcher {
+func (p *prober) liveWatchers(now time.Time) []presence.Watcher {
 	var live []presence.Watcher
-	for _, peer := range p.d.members.Live(now) {
+	for _, peer := range p.d.daemons.Live(now) {
 		live = append(live, presence.Watcher{Name: peer.Name, Hall: peer.Hall})
 	}
 	return live
 }
 
-func (p *probes) begin(name ident.VM) bool {
+func (p *prober) startProbe(name ident.VM) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.busy[name] || len(p.busy) >= maxProbes {
+	if p.inProgress[name] || len(p.inProgress) >= maxProbes {
 		return false
 	}
-	p.busy[name] = true
+	p.inProgress[name] = true
 	return true
 }
 
-func (p *probes) end(name ident.VM) {
+func (p *prober) endProbe(name ident.VM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.busy, name)
+	delete(p.inProgress, name)
 }
 
-func (p *probes) probe(ctx context.Context, v watched) {
+func (p *prober) probe(ctx context.Context, target probeTarget) {
 	ctx, cancel := context.WithTimeout(ctx, p.d.cfg.Times.PresenceBound.Std())
 	defer cancel()
 	// The age counts from the question: the answer may have been true only then.
-	asked := p.d.now()
-	state, err := p.d.engines.State(ctx, v.address)
+	sentAt := p.d.now()
+	state, err := p.d.engineClient.State(ctx, target.address)
 	if ctx.Err() != nil && err != nil && result.CodeOf(err) == result.Cancelled {
 		return
 	}
-	o := observation(v.name, &state, err)
+	observed := newObservation(target.name, &state, err)
 	p.mu.Lock()
-	p.seen[v.name] = sighting{asked, o}
+	p.latest[target.name] = probeRecord{sentAt, observed}
 	p.mu.Unlock()
-	p.d.table.Observe(asked, []presence.Observation{o})
+	p.d.vmTable.Observe(sentAt, []presence.Observation{observed})
 }
 
-func observation(name ident.VM, state *engine.State, err error) presence.Observation {
+func newObservation(name ident.VM, state *engine.State, err error) presence.Observation {
 	switch {
 	case err == nil:
 		return presence.Observation{
@@ -147,20 +147,20 @@
 	return presence.Observation{VM: name, Sight: presence.ProbeTimedOut}
 }
 
-// newest returns the sightings that are young enough to matter, with their ages; older ones are forgotten.
-func (p *probes) newest(now time.Time) []presence.Observation {
+// recent returns the sightings that are young enough to matter, with their ages; older ones are forgotten.
+func (p *prober) recent(now time.Time) []presence.Observation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []presence.Observation
-	for name, s := range p.seen {
-		age := now.Sub(s.at)
+	for name, record := range p.latest {
+		age := now.Sub(record.sentAt)
 		if age > p.d.cfg.Times.LossBound.Std() {
-			delete(p.seen, name)
+			delete(p.latest, name)
 			continue
 		}
-		o := s.Observation
-		o.Age = age.Milliseconds()
-		list = append(list, o)
+		observed := record.Observation
+		observed.Age = age.Milliseconds()
+		list = append(list, observed)
 	}
 	return list
 }
