--- a/daemon/bench_test.go
+++ b/daemon/bench_test.go
@@ -26,24 +26,24 @@
 	"github.com/dunlinquay/dunlinquay/settings"
 )
 
-// loopback is real daemons on real sockets, the first three of them control members.
-type loopback struct {
-	b       *testing.B
-	names   []ident.Daemon
-	daemons []*daemon.Daemon
-	engines []*engine.StandIn
-	op, key string
-	stop    func()
+// benchCluster is real daemons on real sockets, the first three of them control members.
+type benchCluster struct {
+	b                        *testing.B
+	names                    []ident.Daemon
+	daemons                  []*daemon.Daemon
+	engines                  []*engine.StandIn
+	operatorKey, customerKey string
+	stop                     func()
 }
 
-func newLoopback(b *testing.B, daemons, engines int) *loopback {
+func newBenchCluster(b *testing.B, daemons, engines int) *benchCluster {
 	b.Helper()
-	l := &loopback{b: b, op: keys.New(), key: keys.New()}
+	l := &benchCluster{b: b, operatorKey: keys.New(), customerKey: keys.New()}
 	var upstreams []settings.Upstream
 	for i := range engines {
 		e := engine.NewStandIn()
 		e.TokenTime, e.Slots = 0, 1024
-		l.must(e.Start("127.0.0.1:0"))
+		l.noError(e.Start("127.0.0.1:0"))
 		l.engines = append(l.engines, e)
 		upstreams = append(upstreams, settings.Upstream{
 			Name: ident.VM(fmt.Sprint("w", i)), Address: e.Address(), Hall: "h", Domain: "d", Accelerators: 8, ChecksOrders: true,
@@ -53,9 +53,9 @@
 	for i := range daemons {
 		name := ident.Daemon(fmt.Sprint("d", i))
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		l.must(err)
+		l.noError(err)
 		addresses[name] = ln.Addr().String()
-		l.must(ln.Close())
+		l.noError(ln.Close())
 		l.names = append(l.names, name)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -72,11 +72,11 @@
 				cfg.Peers = append(cfg.Peers, settings.Peer{Name: other, Address: addresses[other], Hall: "h"})
 			}
 		}
-		cfg.Customers = []settings.Customer{{Name: "cust", KeyHashes: []string{keys.Hash(l.key)}}}
-		cfg.Operators = []settings.Operator{{Name: "op", KeyHash: keys.Hash(l.op)}}
+		cfg.Customers = []settings.Customer{{Name: "cust", KeyHashes: []string{keys.Hash(l.customerKey)}}}
+		cfg.Operators = []settings.Operator{{Name: "op", KeyHash: keys.Hash(l.operatorKey)}}
 		cfg.Upstreams = upstreams
 		d, err := daemon.New(&cfg, daemon.TCP())
-		l.must(err)
+		l.noError(err)
 		l.daemons = append(l.daemons, d)
 		wg.Go(func() { _ = d.Run(ctx) })
 	}
@@ -87,7 +87,7 @@
 			e.Kill()
 		}
 	}
-	l.until(func() bool {
+	l.waitFor(func() bool {
 		return !slices.ContainsFunc(l.daemons, func(d *daemon.Daemon) bool {
 			st, err := l.client(d).Status(context.Background())
 			return err != nil || !st.Serving || st.Leader == ""
@@ -96,17 +96,17 @@
 	return l
 }
 
-func (l *loopback) must(err error) {
+func (l *benchCluster) noError(err error) {
 	l.b.Helper()
 	if err != nil {
 		l.b.Fatal(err)
 	}
 }
 
-func (l *loopback) until(ok func() bool) {
+func (l *benchCluster) waitFor(condition func() bool) {
 	l.b.Helper()
 	for range 3000 {
-		if ok() {
+		if condition() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -114,29 +114,29 @@
 	l.b.Fatal("not within 30 s")
 }
 
-func (l *loopback) client(d *daemon.Daemon) *operator.Client {
-	return operator.NewClient("http://"+d.Operators(), l.op)
+func (l *benchCluster) client(d *daemon.Daemon) *operator.Client {
+	return operator.NewClient("http://"+d.Operators(), l.operatorKey)
 }
 
-func (l *loopback) serve(group ident.Group) {
+func (l *benchCluster) createGroup(group ident.Group) {
 	l.b.Helper()
 	_, err := l.client(l.daemons[0]).Change(context.Background(), &operator.Change{
 		ID: ident.NewChange(), Create: &fleet.GroupSpec{Name: group, Model: "m", Size: 1},
 	})
-	l.must(err)
-	l.until(func() bool {
+	l.noError(err)
+	l.waitFor(func() bool {
 		g, err := l.client(l.daemons[0]).Group(context.Background(), group)
 		return err == nil && g.Whole
 	})
 }
 
 // From the acceptance of a change until every one of nine daemons serves by it.
-func BenchmarkChangeInForceOn9(b *testing.B) {
-	l := newLoopback(b, 9, 1)
+func BenchmarkChangeInForceOnNineDaemons(b *testing.B) {
+	l := newBenchCluster(b, 9, 1)
 	defer l.stop()
 	client := l.client(l.daemons[0])
 	// The VM is registered before its labels are changed.
-	l.until(func() bool {
+	l.waitFor(func() bool {
 		_, err := client.VM(context.Background(), "w0")
 		return err == nil
 	})
@@ -144,23 +144,23 @@
 	n := 0
 	for b.Loop() {
 		n++
-		began := time.Now()
+		start := time.Now()
 		revision, err := client.Change(context.Background(), &operator.Change{
 			ID: ident.NewChange(), Label: &operator.LabelChange{VM: "w0", Set: map[string]string{"n": fmt.Sprint(n)}},
 		})
-		l.must(err)
-		f, err := client.Wait(context.Background(), revision, "30s")
-		l.must(err)
-		if !f.Done {
+		l.noError(err)
+		inForce, err := client.Wait(context.Background(), revision, "30s")
+		l.noError(err)
+		if !inForce.Done {
 			b.Fatal("not in force")
 		}
-		slowest = max(slowest, time.Since(began))
+		slowest = max(slowest, time.Since(start))
 	}
 	b.ReportMetric(slowest.Seconds()*1000, "slowest-ms")
 }
 
-// cpu returns the processor time of this process, which holds caller, daemon or proxy, and engine.
-func cpu() time.Duration {
+// cpuTime returns the processor time of this process, which holds caller, daemon or proxy, and engine.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
@@ -168,15 +168,15 @@
 
 const streamTokens = 100
 
-// post sends body and reads the answer; it returns the time to the first byte.
-func post(b *testing.B, client *http.Client, url, key string, body []byte) time.Duration {
+// timeToFirstByte sends body and reads the answer; it returns the time to the first byte.
+func timeToFirstByte(b *testing.B, client *http.Client, url, key string, body []byte) time.Duration {
 	b.Helper()
 	r, err := http.NewRequest(http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		b.Fatal(err)
 	}
 	r.Header.Set("Authorization", "Bearer "+key)
-	began := time.Now()
+	start := time.Now()
 	w, err := client.Do(r)
 	if err != nil {
 		b.Fatal(err)
@@ -186,30 +186,30 @@
 	if _, err := io.ReadFull(w.Body, first[:]); err != nil || w.StatusCode != http.StatusOK {
 		b.Fatalf("status %d, error %v", w.StatusCode, err)
 	}
-	took := time.Since(began)
+	firstByte := time.Since(start)
 	_, _ = io.Copy(io.Discard, w.Body)
-	return took
+	return firstByte
 }
 
-func measure(b *testing.B, url, key string, body []byte) {
+func benchmarkRequests(b *testing.B, url, key string, body []byte) {
 	b.Helper()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
-	post(b, client, url, key, body)
-	before := cpu()
-	var firsts []time.Duration
+	timeToFirstByte(b, client, url, key, body)
+	cpuBefore := cpuTime()
+	var firstBytes []time.Duration
 	n := 0
 	for b.Loop() {
 		n++
-		firsts = append(firsts, post(b, client, url, key, body))
+		firstBytes = append(firstBytes, timeToFirstByte(b, client, url, key, body))
 	}
-	b.ReportMetric(float64((cpu()-before).Microseconds())/float64(n), "cpu-µs/op")
-	slices.Sort(firsts)
-	b.ReportMetric(float64(firsts[len(firsts)/2].Microseconds()), "first-byte-µs")
+	b.ReportMetric(float64((cpuTime()-cpuBefore).Microseconds())/float64(n), "cpu-µs/op")
+	slices.Sort(firstBytes)
+	b.ReportMetric(float64(firstBytes[len(firstBytes)/2].Microseconds()), "first-byte-µs")
 }
 
 // The same answer of 1 and of 100 tokens from the same engine, directly, through the standard library's reverse proxy,
 // and through a daemon.
-func BenchmarkThrough(b *testing.B) {
+func BenchmarkCompletionPaths(b *testing.B) {
 	for _, c := range []struct {
 		tokens int
 		pace   time.Duration
@@ -218,28 +218,28 @@
 		if c.pace > 0 {
 			name += "-one-by-one"
 		}
-		l := newLoopback(b, 1, 1)
+		l := newBenchCluster(b, 1, 1)
 		l.engines[0].TokenTime = c.pace
-		l.serve("g")
+		l.createGroup("g")
 		g, err := l.client(l.daemons[0]).Group(context.Background(), "g")
-		l.must(err)
+		l.noError(err)
 		direct, _ := json.Marshal(engine.Generate{Request: "r", Group: "g", Epoch: g.Epoch, Model: "m", Prompt: []byte(`"p"`), MaxTokens: ident.Tokens(tokens)})
-		asked, _ := json.Marshal(map[string]any{"model": "m", "prompt": "p", "max_tokens": tokens, "stream": true})
+		request, _ := json.Marshal(map[string]any{"model": "m", "prompt": "p", "max_tokens": tokens, "stream": true})
 		target, _ := url.Parse("http://" + l.engines[0].Address())
 		proxy := &http.Server{Handler: &httputil.ReverseProxy{Rewrite: func(r *httputil.ProxyRequest) { r.SetURL(target) }, FlushInterval: -1}} //nolint:gosec // a bench's server
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		l.must(err)
+		l.noError(err)
 		go func() { _ = proxy.Serve(ln) }()
-		for _, way := range []struct {
+		for _, path := range []struct {
 			name string
 			url  string
 			body []byte
 		}{
 			{"engine", target.String() + engine.PathGenerate, direct},
 			{"proxy", "http://" + ln.Addr().String() + engine.PathGenerate, direct},
-			{"daemon", "http://" + l.daemons[0].Callers() + "/v1/completions", asked},
+			{"daemon", "http://" + l.daemons[0].Callers() + "/v1/completions", request},
 		} {
-			b.Run(name+"/"+way.name, func(b *testing.B) { measure(b, way.url, l.key, way.body) })
+			b.Run(name+"/"+path.name, func(b *testing.B) { benchmarkRequests(b, path.url, l.customerKey, path.body) })
 		}
 		_ = proxy.Close()
 		l.stop()
@@ -250,18 +250,18 @@
 func BenchmarkClaims(b *testing.B) {
 	for _, callers := range []int{1, 256} {
 		b.Run(fmt.Sprint(callers, "-at-once"), func(b *testing.B) {
-			l := newLoopback(b, 3, 1)
+			l := newBenchCluster(b, 3, 1)
 			defer l.stop()
-			l.serve("g")
+			l.createGroup("g")
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 			body, _ := json.Marshal(map[string]any{"model": "m", "prompt": "p", "max_tokens": 1})
-			work := make(chan int)
+			indexes := make(chan int)
 			var wg sync.WaitGroup
 			for range callers {
 				wg.Go(func() {
-					for n := range work {
+					for n := range indexes {
 						r, _ := http.NewRequest(http.MethodPost, "http://"+l.daemons[n%3].Callers()+"/v1/completions", bytes.NewReader(body))
-						r.Header.Set("Authorization", "Bearer "+l.key)
+						r.Header.Set("Authorization", "Bearer "+l.customerKey)
 						r.Header.Set("Idempotency-Key", fmt.Sprint("k", n))
 						w, err := client.Do(r)
 						if err != nil {
@@ -279,9 +279,9 @@
 			n := 0
 			for b.Loop() {
 				n++
-				work <- n
+				indexes <- n
 			}
-			close(work)
+			close(indexes)
 			wg.Wait()
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "claims/s")
 		})
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -24,26 +24,26 @@
 	"github.com/dunlinquay/dunlinquay/vmlist"
 )
 
-// bubble runs fn with a site whose daemons are up and have a leader.
-func bubble(t *testing.T, domains []string, fn func(t *testing.T, s *site)) {
+// withTestCluster runs fn with a site whose daemons are up and have a leader.
+func withTestCluster(t *testing.T, domains []string, fn func(t *testing.T, s *testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, domains...)
-		defer s.end()
+		s := newTestCluster(t, domains...)
+		defer s.stop()
 		s.start(s.names...)
-		s.awaitServing(s.names...)
+		s.waitServing(s.names...)
 		fn(t, s)
 	})
 }
 
-func TestEveryDaemonServesAWholeAnswer(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2 w3"}, func(t *testing.T, s *site) {
-		s.create("g", 2)
+func TestEveryDaemonServesCompletions(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1 w2 w3"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 2)
 		for i, name := range s.names {
-			s.awaitWhole(name, "g")
+			s.waitWhole(name, "g")
 			prompt := fmt.Sprint("prompt ", i)
-			a := s.ask(name, "g", prompt, 5, nil)
-			if diff := cmp.Diff(expected(prompt, 5), a.text); diff != "" || a.err != nil {
+			a := s.complete(name, "g", prompt, 5, nil)
+			if diff := cmp.Diff(expectedText(prompt, 5), a.text); diff != "" || a.err != nil {
 				t.Errorf("%s: status %d, error %v (-want +got):\n%s", name, a.status, a.err, diff)
 			}
 		}
@@ -51,14 +51,14 @@
 }
 
 // Hundreds of changes, every daemon killed, and all of them come back to the current state.
-func TestRestartOfAllDaemons(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2"}, func(t *testing.T, s *site) {
-		s.create("g", 2)
+func TestRestartOfAllDaemonsKeepsState(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 2)
 		var last ident.Revision
 		for i := range 200 {
 			label := &operator.LabelChange{VM: "w1", Set: map[string]string{"n": fmt.Sprint(i)}}
-			revision, err := s.change(s.names[i%3], &operator.Change{Label: label})
-			s.must(err)
+			revision, err := s.submitChange(s.names[i%3], &operator.Change{Label: label})
+			s.noError(err)
 			if revision <= last {
 				t.Fatalf("revision %d after %d", revision, last)
 			}
@@ -75,10 +75,10 @@
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		s.awaitServing(s.names...)
+		s.waitServing(s.names...)
 		for _, name := range s.names {
 			v, err := s.client(name).VM(t.Context(), "w1")
-			s.must(err)
+			s.noError(err)
 			if got := v.Labels["n"]; got != "199" {
 				t.Errorf("%s: label %q after the restart, want 199", name, got)
 			}
@@ -86,59 +86,59 @@
 				t.Errorf("%s: revision %d after the restart, was %d", name, st.Revision, last)
 			}
 		}
-		s.awaitWhole("a", "g")
+		s.waitWhole("a", "g")
 	})
 }
 
 // The leader is cut off and still believes it leads: it orders nothing, accepts nothing, and refuses requests by itself.
-func TestLeaderCutOffSilently(t *testing.T) {
+func TestPartitionedLeader(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprint("engines check orders: ", checks), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newSite(t, "d1: w1 w2 w3")
-				defer s.end()
-				for i := range s.upstream {
-					s.upstream[i].ChecksOrders = checks
-					s.engines[s.upstream[i].Name].ChecksOrders = checks
+				s := newTestCluster(t, "d1: w1 w2 w3")
+				defer s.stop()
+				for i := range s.upstreams {
+					s.upstreams[i].ChecksOrders = checks
+					s.engines[s.upstreams[i].Name].ChecksOrders = checks
 				}
 				s.start(s.names...)
-				s.awaitServing(s.names...)
-				s.create("g", 2)
-				old := s.status("a").Leader
-				others := slices.DeleteFunc(slices.Clone(s.names), func(n ident.Daemon) bool { return n == old })
-				s.wire.setCut(old, true)
-				fence := s.engines["w1"].Fence()
+				s.waitServing(s.names...)
+				s.createGroup("g", 2)
+				oldLeader := s.status("a").Leader
+				others := slices.DeleteFunc(slices.Clone(s.names), func(n ident.Daemon) bool { return n == oldLeader })
+				s.network.setPartitioned(oldLeader, true)
+				oldFence := s.engines["w1"].Fence()
 				// A change through the one that is cut off must not be accepted.
-				lost := &operator.Change{ID: "lost", Label: &operator.LabelChange{VM: "w3", Set: map[string]string{"by": "old"}}}
-				if _, err := s.change(old, lost); result.CodeOf(err) != result.NoLeader {
+				rejected := &operator.Change{ID: "lost", Label: &operator.LabelChange{VM: "w3", Set: map[string]string{"by": "old"}}}
+				if _, err := s.submitChange(oldLeader, rejected); result.CodeOf(err) != result.NoLeader {
 					t.Errorf("a change through the cut off leader: %v", err)
 				}
-				revision, err := s.change(others[0], &operator.Change{Label: &operator.LabelChange{VM: "w3", Set: map[string]string{"by": "new"}}})
-				s.must(err)
-				s.until("the cut off daemon refuses", 20*time.Second, func() bool { return !s.status(old).Serving })
-				a := s.ask(old, "g", "to the cut off one", 3, nil)
+				revision, err := s.submitChange(others[0], &operator.Change{Label: &operator.LabelChange{VM: "w3", Set: map[string]string{"by": "new"}}})
+				s.noError(err)
+				s.waitFor("the cut off daemon refuses", 20*time.Second, func() bool { return !s.status(oldLeader).Serving })
+				a := s.complete(oldLeader, "g", "to the cut off one", 3, nil)
 				if a.code != fmt.Sprint(int(result.ControlUnreachable)) || !a.notRun || s.runsOf("to the cut off one") != 0 {
 					t.Errorf("the cut off daemon answered %d, code %s, not run %t", a.status, a.code, a.notRun)
 				}
-				f, err := s.client(others[0]).Wait(t.Context(), revision, "30s")
-				s.must(err)
-				if !f.Done {
-					t.Errorf("revision %d is not in force everywhere: %v", revision, f.Daemons)
+				inForce, err := s.client(others[0]).Wait(t.Context(), revision, "30s")
+				s.noError(err)
+				if !inForce.Done {
+					t.Errorf("revision %d is not in force everywhere: %v", revision, inForce.Daemons)
 				}
 				// A member dies: only the new leader may repair.
-				gone := s.group(others[0], "g").Members[1]
-				s.engines[gone].Kill()
-				s.until("repair by the new leader", 20*time.Second, func() bool {
+				killed := s.group(others[0], "g").Members[1]
+				s.engines[killed].Kill()
+				s.waitFor("repair by the new leader", 20*time.Second, func() bool {
 					g := s.group(others[0], "g")
-					return g.Whole && !slices.Contains(g.Members, gone)
+					return g.Whole && !slices.Contains(g.Members, killed)
 				})
-				if now := s.engines["w3"].Fence(); now.Term <= fence.Term {
-					t.Errorf("the order came with term %d, the old leader's was %d", now.Term, fence.Term)
+				if newFence := s.engines["w3"].Fence(); newFence.Term <= oldFence.Term {
+					t.Errorf("the order came with term %d, the old leader's was %d", newFence.Term, oldFence.Term)
 				}
-				s.wire.setCut(old, false)
-				s.awaitServing(s.names...)
-				v, err := s.client(old).VM(t.Context(), "w3")
-				s.must(err)
+				s.network.setPartitioned(oldLeader, false)
+				s.waitServing(s.names...)
+				v, err := s.client(oldLeader).VM(t.Context(), "w3")
+				s.noError(err)
 				if got := v.Labels["by"]; got != "new" {
 					t.Errorf("after its return the old leader has label %q", got)
 				}
@@ -148,61 +148,61 @@
 }
 
 // A daemon that cannot reach the control members refuses after the bound; one that only has no leader serves on.
-func TestWhatIsServedWithoutControl(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2"}, func(t *testing.T, s *site) {
-		s.create("g", 2)
-		s.awaitWhole("c", "g")
+func TestRefusesWithoutControlMajority(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 2)
+		s.waitWhole("c", "g")
 		s.kill("a", "b")
-		if a := s.ask("c", "g", "at once", 2, nil); a.status != 200 {
+		if a := s.complete("c", "g", "at once", 2, nil); a.status != 200 {
 			t.Errorf("right after the loss: status %d, code %s", a.status, a.code)
 		}
 		time.Sleep(10 * time.Second)
-		if a := s.ask("c", "g", "later", 2, nil); a.code != fmt.Sprint(int(result.ControlUnreachable)) || s.runsOf("later") != 0 {
+		if a := s.complete("c", "g", "later", 2, nil); a.code != fmt.Sprint(int(result.ControlUnreachable)) || s.runsOf("later") != 0 {
 			t.Errorf("after the bound: status %d, code %s, ran %d times", a.status, a.code, s.runsOf("later"))
 		}
 	})
 }
 
-func TestLostDataFolder(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2"}, func(t *testing.T, s *site) {
-		s.create("g", 2)
+func TestLostDataFolderNeedsAdmission(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 2)
 		s.kill("c")
-		s.must(os.RemoveAll(s.settings("c").DataFolder))
+		s.noError(os.RemoveAll(s.settings("c").DataFolder))
 		s.start("c")
 		time.Sleep(5 * time.Second)
 		if st := s.status("c"); st.Role == "leader" || st.Revision != 0 {
 			t.Errorf("with a new folder and not admitted: role %s, revision %d", st.Role, st.Revision)
 		}
 		// The two others are the majority; a change is accepted.
-		_, err := s.change("a", &operator.Change{Label: &operator.LabelChange{VM: "w1", Set: map[string]string{"x": "1"}}})
-		s.must(err)
-		s.must(s.client("b").Admit(t.Context(), "c"))
-		s.awaitServing("a", "b", "c")
+		_, err := s.submitChange("a", &operator.Change{Label: &operator.LabelChange{VM: "w1", Set: map[string]string{"x": "1"}}})
+		s.noError(err)
+		s.noError(s.client("b").Admit(t.Context(), "c"))
+		s.waitServing("a", "b", "c")
 		v, err := s.client("c").VM(t.Context(), "w1")
-		s.must(err)
+		s.noError(err)
 		if v.Labels["x"] != "1" {
 			t.Errorf("the admitted member has labels %v", v.Labels)
 		}
 		// Its vote counts now: the system survives the loss of another member.
 		time.Sleep(3 * time.Second)
 		s.kill("a")
-		_, err = s.change("b", &operator.Change{Label: &operator.LabelChange{VM: "w1", Set: map[string]string{"x": "2"}}})
-		s.must(err)
+		_, err = s.submitChange("b", &operator.Change{Label: &operator.LabelChange{VM: "w1", Set: map[string]string{"x": "2"}}})
+		s.noError(err)
 	})
 }
 
-func TestOperatorsRaceAndResend(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2"}, func(t *testing.T, s *site) {
-		s.create("g", 1)
+func TestConflictingAndResentChanges(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 1)
 		g := s.group("a", "g")
 		change := func(id ident.Change, priority int) *operator.Change {
 			spec := g.Spec
 			spec.Priority = priority
 			return &operator.Change{ID: id, IfRevision: g.Changed, Change: &spec}
 		}
-		first, err := s.change("a", change("one", 1))
-		s.must(err)
-		if _, err := s.change("b", change("two", 2)); result.CodeOf(err) != result.ChangeConflict {
+		first, err := s.submitChange("a", change("one", 1))
+		s.noError(err)
+		if _, err := s.submitChange("b", change("two", 2)); result.CodeOf(err) != result.ChangeConflict {
 			t.Errorf("the second of two racing changes: %v", err)
 		}
 		// The answer to the first one was lost; its operator sends it again through another daemon, after a change of leader.
@@ -211,7 +211,7 @@
 			if s.running[name] == nil {
 				continue
 			}
-			again, err := s.change(name, change("one", 1))
+			again, err := s.submitChange(name, change("one", 1))
 			if err != nil || again != first {
 				t.Errorf("resend through %s: revision %d, error %v; the first answer was %d", name, again, err, first)
 			}
@@ -221,37 +221,37 @@
 
 // A member that was frozen for longer than the bound returns as if nothing had happened.
 func TestFrozenMemberReturns(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2"}, func(t *testing.T, s *site) {
-		s.create("g", 2)
+	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 2)
 		before := s.group("a", "g")
 		s.engines[before.Members[1]].Pause()
 		time.Sleep(4 * time.Second)
-		a := s.ask("a", "g", "while frozen", 3, map[string]string{caller.HeaderDeadline: "2s"})
+		a := s.complete("a", "g", "while frozen", 3, map[string]string{caller.HeaderDeadline: "2s"})
 		if a.code != fmt.Sprint(int(result.NoWholeGroup)) || s.runsOf("while frozen") != 0 {
 			t.Errorf("while a member is frozen: status %d, code %s, ran %d times", a.status, a.code, s.runsOf("while frozen"))
 		}
 		s.engines[before.Members[1]].Resume()
-		s.awaitWhole("a", "g")
+		s.waitWhole("a", "g")
 		if after := s.group("a", "g"); after.Epoch <= before.Epoch {
 			t.Errorf("the group serves again in epoch %d, it had %d", after.Epoch, before.Epoch)
 		}
 	})
 }
 
-func TestSecondLossRightAfterARepair(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2 w3 w4"}, func(t *testing.T, s *site) {
-		s.create("g", 2)
+func TestSecondLossRightAfterRepair(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1 w2 w3 w4"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 2)
 		for range 2 {
 			g := s.group("a", "g")
-			gone := g.Members[1]
-			s.engines[gone].Kill()
-			s.until("repaired", 30*time.Second, func() bool {
-				now := s.group("a", "g")
-				return now.Whole && !slices.Contains(now.Members, gone)
+			killed := g.Members[1]
+			s.engines[killed].Kill()
+			s.waitFor("repaired", 30*time.Second, func() bool {
+				repaired := s.group("a", "g")
+				return repaired.Whole && !slices.Contains(repaired.Members, killed)
 			})
 		}
-		s.awaitWhole("b", "g")
-		if a := s.ask("b", "g", "after both", 3, nil); a.text != expected("after both", 3) {
+		s.waitWhole("b", "g")
+		if a := s.complete("b", "g", "after both", 3, nil); a.text != expectedText("after both", 3) {
 			t.Errorf("after two repairs: status %d, code %s", a.status, a.code)
 		}
 	})
@@ -260,36 +260,36 @@
 // An upstream that says that it leaves gets no new work within two seconds, and what it has in progress ends in peace.
 func TestLeavingUpstream(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		leave func(s *site, vm ident.VM)
+		name            string
+		announceLeaving func(s *testCluster, vm ident.VM)
 	}{
-		{"its own word", func(s *site, vm ident.VM) { s.engines[vm].SetLeaving(true) }},
-		{"the platform's list", func(s *site, vm ident.VM) { s.listAs(vm, vmlist.StayLeaving) }},
-		{"an operator's change", func(s *site, vm ident.VM) {
-			_, err := s.change("b", &operator.Change{Drain: &operator.DrainChange{VM: vm, Drain: true}})
-			s.must(err)
+		{"its own word", func(s *testCluster, vm ident.VM) { s.engines[vm].SetLeaving(true) }},
+		{"the platform's list", func(s *testCluster, vm ident.VM) { s.setPlatformStay(vm, vmlist.StayLeaving) }},
+		{"an operator's change", func(s *testCluster, vm ident.VM) {
+			_, err := s.submitChange("b", &operator.Change{Drain: &operator.DrainChange{VM: vm, Drain: true}})
+			s.noError(err)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			bubble(t, []string{"d1: w1 w2 w3"}, func(t *testing.T, s *site) {
-				s.create("g", 2)
+			withTestCluster(t, []string{"d1: w1 w2 w3"}, func(t *testing.T, s *testCluster) {
+				s.createGroup("g", 2)
 				for _, e := range s.engines {
 					e.TokenTime = 200 * time.Millisecond
 				}
 				head := s.group("a", "g").Members[0]
-				long := make(chan answer)
-				go func() { long <- s.ask("a", "g", "long", 30, nil) }()
+				inProgress := make(chan response)
+				go func() { inProgress <- s.complete("a", "g", "long", 30, nil) }()
 				time.Sleep(time.Second)
-				c.leave(s, head)
+				c.announceLeaving(s, head)
 				time.Sleep(2 * time.Second)
-				s.ask("c", "g", "after", 1, map[string]string{caller.HeaderDeadline: "1s"})
+				s.complete("c", "g", "after", 1, map[string]string{caller.HeaderDeadline: "1s"})
 				if runs := s.runsOf("after"); runs != 0 {
 					t.Errorf("a request was sent to the leaving group")
 				}
-				if a := <-long; a.text != expected("long", 30) {
+				if a := <-inProgress; a.text != expectedText("long", 30) {
 					t.Errorf("the request in progress: status %d, code %s, error %v", a.status, a.code, a.err)
 				}
-				s.until("served without the leaving VM", 30*time.Second, func() bool {
+				s.waitFor("served without the leaving VM", 30*time.Second, func() bool {
 					g := s.group("a", "g")
 					return g.Whole && !slices.Contains(g.Members, head)
 				})
@@ -298,15 +298,15 @@
 	}
 }
 
-func TestPlannedStopCutsOffNothing(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2"}, func(t *testing.T, s *site) {
-		s.create("g", 2)
-		s.awaitWhole("b", "g")
+func TestPlannedStopFinishesRequests(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 2)
+		s.waitWhole("b", "g")
 		for _, e := range s.engines {
 			e.TokenTime = 500 * time.Millisecond
 		}
-		long := make(chan answer)
-		go func() { long <- s.ask("b", "g", "long", 20, nil) }()
+		inProgress := make(chan response)
+		go func() { inProgress <- s.complete("b", "g", "long", 20, nil) }()
 		time.Sleep(time.Second)
 		stopped := make(chan struct{})
 		go func() {
@@ -314,16 +314,16 @@
 			close(stopped)
 		}()
 		time.Sleep(4 * time.Second)
-		a := s.ask("b", "g", "too late", 1, nil)
+		a := s.complete("b", "g", "too late", 1, nil)
 		if a.code != fmt.Sprint(int(result.Stopping)) || !a.notRun || s.runsOf("too late") != 0 {
 			t.Errorf("a request to the stopping daemon: status %d, code %s, not run %t", a.status, a.code, a.notRun)
 		}
-		if a := <-long; a.text != expected("long", 20) {
+		if a := <-inProgress; a.text != expectedText("long", 20) {
 			t.Errorf("the request in progress: status %d, code %s, error %v", a.status, a.code, a.err)
 		}
 		<-stopped
 		s.kill("b")
-		if a := s.ask("a", "g", "elsewhere", 1, nil); a.status != 200 {
+		if a := s.complete("a", "g", "elsewhere", 1, nil); a.status != 200 {
 			t.Errorf("the others: status %d, code %s", a.status, a.code)
 		}
 	})
@@ -341,7 +341,7 @@
 		{"died after the answer was kept", 100 * time.Millisecond, 2 * time.Second, []result.Code{result.OK}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			bubble(t, nil, func(t *testing.T, s *site) {
+			withTestCluster(t, nil, func(t *testing.T, s *testCluster) {
 				s.service.Delay = c.delay
 				header := map[string]string{caller.HeaderKey: "k1", caller.HeaderDeadline: "10s"}
 				go s.send("b", "/services/"+serviceName+"/charges", "body", header)
@@ -366,73 +366,73 @@
 	}
 }
 
-func TestLimitsHoldOverAllDaemons(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2"}, func(t *testing.T, s *site) {
-		s.create("g", 2)
+func TestCustomerLimitAcrossDaemons(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 2)
 		for _, name := range s.names {
-			s.awaitWhole(name, "g")
+			s.waitWhole(name, "g")
 		}
-		_, err := s.change("a", &operator.Change{Limits: &operator.LimitChange{Customer: "cust", Limits: fleet.CustomerLimits{Concurrent: 2}}})
-		s.must(err)
+		_, err := s.submitChange("a", &operator.Change{Limits: &operator.LimitChange{Customer: "cust", Limits: fleet.CustomerLimits{Concurrent: 2}}})
+		s.noError(err)
 		for _, e := range s.engines {
 			e.TokenTime = 300 * time.Millisecond
 		}
 		time.Sleep(2 * time.Second)
-		const sent = 9
-		answers := make(chan answer, sent)
-		for i := range sent {
-			go func() { answers <- s.ask(s.names[i%3], "g", fmt.Sprint("limited ", i), 20, nil) }()
+		const requests = 9
+		answers := make(chan response, requests)
+		for i := range requests {
+			go func() { answers <- s.complete(s.names[i%3], "g", fmt.Sprint("limited ", i), 20, nil) }()
 		}
 		refused := 0
-		for range sent {
+		for range requests {
 			if a := <-answers; a.code == fmt.Sprint(int(result.LimitExceeded)) && a.notRun {
 				refused++
 			}
 		}
-		if ran := sent - refused; ran < 2 || ran > 3 {
+		if ran := requests - refused; ran < 2 || ran > 3 {
 			t.Errorf("%d requests ran at once over all daemons, the limit is 2", ran)
 		}
 	})
 }
 
 // An upstream that names how many requests a second it takes gets that from all daemons together, which ask one of them for each request.
-func TestLimitsOfUpstreamsHoldOverAllDaemons(t *testing.T) {
-	bubble(t, []string{"d1: w1"}, func(t *testing.T, s *site) {
-		s.create("g", 1)
+func TestUpstreamLimitAcrossDaemons(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 1)
 		for _, name := range s.names {
-			s.awaitWhole(name, "g")
+			s.waitWhole(name, "g")
 		}
-		const limit, lasts = 2, 10 * time.Second
+		const limit, duration = 2, 10 * time.Second
 		var mu sync.Mutex
 		arrived := map[string]int{}
-		count := func(what string) {
+		count := func(upstream string) {
 			mu.Lock()
 			defer mu.Unlock()
-			arrived[what]++
+			arrived[upstream]++
 		}
 		s.service.Limit, s.service.OnCall = limit, func() { count("worker") }
 		s.engines["w1"].Limit.Store(limit)
 		s.engines["w1"].OnRun = func(ident.Request, string) { count("head") }
 		for _, name := range s.names {
 			s.send(name, "/services/"+serviceName+"/x", "first "+string(name), nil)
-			s.ask(name, "g", "first "+string(name), 1, nil)
+			s.complete(name, "g", "first "+string(name), 1, nil)
 		}
 		time.Sleep(2 * time.Second)
 		clear(arrived)
 		var wg sync.WaitGroup
-		for n := range int(lasts / (50 * time.Millisecond)) {
+		for n := range int(duration / (50 * time.Millisecond)) {
 			name := s.names[n%3]
 			wg.Go(func() { s.send(name, "/services/"+serviceName+"/x", fmt.Sprint(n), nil) })
-			wg.Go(func() { s.ask(name, "g", fmt.Sprint("limited ", n), 1, nil) })
+			wg.Go(func() { s.complete(name, "g", fmt.Sprint("limited ", n), 1, nil) })
 			time.Sleep(50 * time.Millisecond)
 		}
 		mu.Lock()
 		got := maps.Clone(arrived)
 		mu.Unlock()
 		wg.Wait()
-		for _, what := range []string{"worker", "head"} {
-			if most := int(limit*lasts.Seconds()) + 1; got[what] > most || got[what] < most*9/10 {
-				t.Errorf("the %s got %d requests in %v, want %d at most and nearly that", what, got[what], lasts, most)
+		for _, upstream := range []string{"worker", "head"} {
+			if maxArrived := int(limit*duration.Seconds()) + 1; got[upstream] > maxArrived || got[upstream] < maxArrived*9/10 {
+				t.Errorf("the %s got %d requests in %v, want %d at most and nearly that", upstream, got[upstream], duration, maxArrived)
 			}
 		}
 	})
@@ -440,28 +440,28 @@
 
 // A daemon learns from cache events what another one has sent where, and forgets it when events are missed.
 func TestCacheEventsReachOtherDaemons(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2 w3 w4 w5 w6"}, func(t *testing.T, s *site) {
+	withTestCluster(t, []string{"d1: w1 w2 w3 w4 w5 w6"}, func(t *testing.T, s *testCluster) {
 		for _, name := range []ident.Group{"g", "h", "i", "j", "k", "l"} {
 			spec := fleet.GroupSpec{Name: name, Model: "model-g", Size: 1}
-			_, err := s.change("a", &operator.Change{Create: &spec})
-			s.must(err)
+			_, err := s.submitChange("a", &operator.Change{Create: &spec})
+			s.noError(err)
 		}
 		for _, at := range s.names {
 			for _, name := range []ident.Group{"g", "h", "i", "j", "k", "l"} {
-				s.awaitWhole(at, name)
+				s.waitWhole(at, name)
 			}
 		}
 		prompt := strings.Repeat("a long common beginning ", 2000)
-		if a := s.ask("a", "g", prompt, 2, nil); a.status != 200 {
+		if a := s.complete("a", "g", prompt, 2, nil); a.status != 200 {
 			t.Fatalf("status %d, code %s", a.status, a.code)
 		}
-		first := s.ran(prompt)
+		first := s.vmThatRan(prompt)
 		time.Sleep(12 * time.Second)
 		// Every prompt with that beginning follows, also through the daemons that have not seen the first one.
 		for i := range 10 {
 			again := prompt + fmt.Sprint(i)
-			s.ask(s.names[i%3], "g", again, 2, nil)
-			if at := s.ran(again); at != first {
+			s.complete(s.names[i%3], "g", again, 2, nil)
+			if at := s.vmThatRan(again); at != first {
 				t.Errorf("prompt %d went to %s through %s, the first one to %s", i, at, s.names[i%3], first)
 			}
 		}
@@ -471,20 +471,20 @@
 // Metrics and logs tell what happened, and neither a key nor a prompt.
 func TestMetricsAndLogs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, "d1: w1 w2")
-		defer s.end()
-		s.adjust = func(cfg *settings.Settings) { cfg.Addresses.Metrics = string(cfg.Name) + ":4" }
+		s := newTestCluster(t, "d1: w1 w2")
+		defer s.stop()
+		s.editSettings = func(cfg *settings.Settings) { cfg.Addresses.Metrics = string(cfg.Name) + ":4" }
 		s.start(s.names...)
-		s.awaitServing(s.names...)
-		s.create("g", 2)
-		s.ask("a", "g", "a secret prompt", 3, nil)
+		s.waitServing(s.names...)
+		s.createGroup("g", 2)
+		s.complete("a", "g", "a secret prompt", 3, nil)
 		s.send("a", "/v1/completions", "{", nil)
 		time.Sleep(3 * time.Second)
 		w, err := s.http.Get("http://a:4/metrics")
-		s.must(err)
+		s.noError(err)
 		defer w.Body.Close()
 		body, err := io.ReadAll(w.Body)
-		s.must(err)
+		s.noError(err)
 		for _, want := range []string{
 			`dunlinquay_request_count{class="interactive",customer="cust"} 1`,
 			`dunlinquay_first_token_count{class="interactive",customer="cust"} 1`,
@@ -499,26 +499,26 @@
 				t.Errorf("metrics lack %s:\n%s", want, body)
 			}
 		}
-		for _, line := range strings.Split(strings.TrimSpace(s.logged()), "\n") {
+		for _, line := range strings.Split(strings.TrimSpace(s.logText()), "\n") {
 			if !json.Valid([]byte(line)) {
 				t.Errorf("a log line is no JSON: %s", line)
 			}
 		}
-		for _, secret := range []string{s.key, s.op, "secret prompt"} {
-			if strings.Contains(s.logged()+string(body), secret) {
+		for _, secret := range []string{s.customerKey, s.operatorKey, "secret prompt"} {
+			if strings.Contains(s.logText()+string(body), secret) {
 				t.Errorf("%q stands in logs or metrics", secret)
 			}
 		}
-		if ended := `"customer":"cust","class":"interactive","group":"g","epoch":`; !strings.Contains(s.logged(), ended) {
-			t.Errorf("logs lack %s:\n%s", ended, s.logged())
+		if ended := `"customer":"cust","class":"interactive","group":"g","epoch":`; !strings.Contains(s.logText(), ended) {
+			t.Errorf("logs lack %s:\n%s", ended, s.logText())
 		}
 	})
 }
 
 // The deadline for writing one answer must not cut off the next one on the same connection.
-func TestAKeptConnectionOutlivesItsWriteDeadline(t *testing.T) {
-	bubble(t, []string{"d1: w1"}, func(t *testing.T, s *site) {
-		s.create("g", 1)
+func TestWriteDeadlineEndsWithResponse(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 1)
 		for _, c := range []struct {
 			name, path, body string
 			status           int
--- a/daemon/fault_pairs_test.go
+++ b/daemon/fault_pairs_test.go
@@ -11,15 +11,15 @@
 	"github.com/dunlinquay/dunlinquay/operator"
 )
 
-// fault is something that breaks, and how it is repaired.
-type fault struct {
+// testFault is something that breaks, and how it is repaired.
+type testFault struct {
 	name string
-	// strike breaks it and returns what repairs it.
-	strike func(s *site) (repair func())
+	// inject breaks it and returns what repairs it.
+	inject func(s *testCluster) (repair func())
 }
 
-// member returns the group's member at place i, counted round.
-func (s *site) member(i int) ident.VM {
+// groupMember returns the group's member at place i, counted round.
+func (s *testCluster) groupMember(i int) ident.VM {
 	for _, name := range s.names {
 		if g := s.group(name, "g"); len(g.Members) > 0 {
 			return g.Members[i%len(g.Members)]
@@ -29,7 +29,7 @@
 	return ""
 }
 
-func (s *site) leaderNow() ident.Daemon {
+func (s *testCluster) currentLeader() ident.Daemon {
 	for _, name := range s.names {
 		if st := s.status(name); st.Leader != "" && s.running[st.Leader] != nil {
 			return st.Leader
@@ -38,23 +38,23 @@
 	return s.names[0]
 }
 
-var faults = []fault{
-	{"a member dies", func(s *site) func() {
-		vm := s.member(1)
+var faults = []testFault{
+	{"a member dies", func(s *testCluster) func() {
+		vm := s.groupMember(1)
 		s.engines[vm].Kill()
 		return func() { _ = s.engines[vm].Start(string(vm) + ":1") }
 	}},
-	{"the first member freezes", func(s *site) func() {
-		e := s.engines[s.member(0)]
+	{"the first member freezes", func(s *testCluster) func() {
+		e := s.engines[s.groupMember(0)]
 		e.Pause()
 		return e.Resume
 	}},
-	{"the leader is cut off", func(s *site) func() {
-		name := s.leaderNow()
-		s.wire.setCut(name, true)
-		return func() { s.wire.setCut(name, false) }
+	{"the leader is cut off", func(s *testCluster) func() {
+		name := s.currentLeader()
+		s.network.setPartitioned(name, true)
+		return func() { s.network.setPartitioned(name, false) }
 	}},
-	{"a daemon is killed", func(s *site) func() {
+	{"a daemon is killed", func(s *testCluster) func() {
 		s.kill("b")
 		return func() {
 			if s.running["b"] == nil {
@@ -62,7 +62,7 @@
 			}
 		}
 	}},
-	{"the domain is dark", func(s *site) func() {
+	{"the domain is dark", func(s *testCluster) func() {
 		for _, vm := range []ident.VM{"w1", "w2", "w3"} {
 			s.engines[vm].Kill()
 		}
@@ -72,7 +72,7 @@
 			}
 		}
 	}},
-	{"two operators change labels", func(s *site) func() {
+	{"two operators change labels", func(s *testCluster) func() {
 		var wg sync.WaitGroup
 		for i, name := range []ident.Daemon{"a", "c"} {
 			if s.running[name] == nil {
@@ -80,7 +80,7 @@
 			}
 			wg.Go(func() {
 				label := &operator.LabelChange{VM: "w1", Set: map[string]string{"by": fmt.Sprint(i)}}
-				_, _ = s.change(name, &operator.Change{Label: label})
+				_, _ = s.submitChange(name, &operator.Change{Label: label})
 			})
 		}
 		return wg.Wait
@@ -95,14 +95,14 @@
 			first, second := &faults[i], &faults[j]
 			t.Run(fmt.Sprintf("%s and %s", first.name, second.name), func(t *testing.T) {
 				t.Parallel()
-				bubble(t, []string{"d1: w1 w2 w3", "d2: w4 w5 w6"}, func(t *testing.T, s *site) {
-					s.create("g", 2)
+				withTestCluster(t, []string{"d1: w1 w2 w3", "d2: w4 w5 w6"}, func(t *testing.T, s *testCluster) {
+					s.createGroup("g", 2)
 					revisions := map[ident.Daemon]ident.Revision{}
-					repairs := []func(){first.strike(s), second.strike(s)}
+					repairs := []func(){first.inject(s), second.inject(s)}
 					for n := range 6 {
-						s.askAll(n)
+						s.requestFromAll(n)
 						time.Sleep(time.Second)
-						s.rise(revisions)
+						s.checkRevisions(revisions)
 					}
 					for _, repair := range repairs {
 						repair()
@@ -110,12 +110,12 @@
 					if s.running["b"] == nil {
 						s.start("b")
 					}
-					s.awaitServing(s.names...)
+					s.waitServing(s.names...)
 					for _, name := range s.names {
-						s.awaitWhole(name, "g")
+						s.waitWhole(name, "g")
 					}
-					s.rise(revisions)
-					if a := s.ask("b", "g", "at last", 3, nil); a.text != expected("at last", 3) {
+					s.checkRevisions(revisions)
+					if a := s.complete("b", "g", "at last", 3, nil); a.text != expectedText("at last", 3) {
 						t.Errorf("afterwards: status %d, code %s, error %v", a.status, a.code, a.err)
 					}
 				})
@@ -124,15 +124,15 @@
 	}
 }
 
-// askAll sends one request through each daemon that runs and judges the answers.
-func (s *site) askAll(n int) {
+// requestFromAll sends one request through each daemon that runs and judges the answers.
+func (s *testCluster) requestFromAll(n int) {
 	for _, name := range s.names {
 		if s.running[name] == nil {
 			continue
 		}
 		prompt := fmt.Sprint("request ", n, " through ", name)
-		a := s.ask(name, "g", prompt, 3, map[string]string{caller.HeaderDeadline: "2s"})
-		if a.status == 200 && a.text != expected(prompt, 3) {
+		a := s.complete(name, "g", prompt, 3, map[string]string{caller.HeaderDeadline: "2s"})
+		if a.status == 200 && a.text != expectedText(prompt, 3) {
 			s.t.Errorf("%s: answer %q", prompt, a.text)
 		}
 		if a.notRun && s.runsOf(prompt) > 0 {
@@ -141,16 +141,16 @@
 	}
 }
 
-// rise holds every daemon that serves to a revision that only rises.
-func (s *site) rise(revisions map[ident.Daemon]ident.Revision) {
+// checkRevisions holds every daemon that serves to a revision that only rises.
+func (s *testCluster) checkRevisions(highest map[ident.Daemon]ident.Revision) {
 	for _, name := range s.names {
 		if s.running[name] == nil {
 			continue
 		}
-		st := s.status(name)
-		if st.Serving && st.Revision < revisions[name] {
-			s.t.Errorf("%s serves by revision %d after %d", name, st.Revision, revisions[name])
+		status := s.status(name)
+		if status.Serving && status.Revision < highest[name] {
+			s.t.Errorf("%s serves by revision %d after %d", name, status.Revision, highest[name])
 		}
-		revisions[name] = max(revisions[name], st.Revision)
+		highest[name] = max(highest[name], status.Revision)
 	}
 }
--- a/link/client.go
+++ b/link/client.go
@@ -33,9 +33,9 @@
 
 	dialing chan struct{}
 	mu      sync.Mutex
-	rpc     *rpc.Client
-	// heard is when the open connection was made or last brought an answer.
-	heard time.Time
+	conn    *rpc.Client
+	// lastContact is when the open connection was made or last brought an answer.
+	lastContact time.Time
 }
 
 // NewClient returns a client of service at address.
@@ -54,10 +54,10 @@
 	pending := conn.Go(c.Service+"."+method, args, reply, make(chan *rpc.Call, 1))
 	select {
 	case done := <-pending.Done:
-		return c.outcome(conn, done.Error)
+		return c.finishCall(conn, done.Error)
 	case <-ctx.Done():
 		// The reply may still arrive and must not be written while the caller reads; the connection is given up.
-		c.drop(conn)
+		c.closeConn(conn)
 		<-pending.Done
 		return result.Wrap(ctx.Err(), result.DaemonUnreached, "daemon at %s did not answer in time", c.Address)
 	}
@@ -65,39 +65,39 @@
 
 // Close closes the connection; a later call opens another one.
 func (c *Client) Close() {
-	if conn := c.open(); conn != nil {
-		c.drop(conn)
+	if conn := c.openConn(); conn != nil {
+		c.closeConn(conn)
 	}
 }
 
 // DropUnheard closes the connection when nothing has come over it since a time; calls that are under way on it fail.
 func (c *Client) DropUnheard(since time.Time) {
 	c.mu.Lock()
-	conn, heard := c.rpc, c.heard
+	conn, lastContact := c.conn, c.lastContact
 	c.mu.Unlock()
-	if conn != nil && heard.Before(since) {
-		c.drop(conn)
+	if conn != nil && lastContact.Before(since) {
+		c.closeConn(conn)
 	}
 }
 
-func (c *Client) outcome(conn *rpc.Client, err error) error {
+func (c *Client) finishCall(conn *rpc.Client, err error) error {
 	if err == nil {
-		c.hear(conn)
+		c.noteContact(conn)
 		return nil
 	}
 	if _, ok := err.(rpc.ServerError); ok { //nolint:errorlint // net/rpc returns this type itself
-		c.hear(conn)
+		c.noteContact(conn)
 		return result.Wrap(err, result.PeerRefused, "daemon at %s refused", c.Address)
 	}
-	c.drop(conn)
+	c.closeConn(conn)
 	return result.Wrap(err, result.DaemonUnreached, "connection to daemon at %s broke", c.Address)
 }
 
-func (c *Client) hear(conn *rpc.Client) {
+func (c *Client) noteContact(conn *rpc.Client) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.rpc == conn {
-		c.heard = clock.Now()
+	if c.conn == conn {
+		c.lastContact = clock.Now()
 	}
 }
 
@@ -108,7 +108,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	if open := c.open(); open != nil {
+	if open := c.openConn(); open != nil {
 		return open, nil
 	}
 	conn, err := c.dial(ctx)
@@ -122,8 +122,8 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rpc, c.heard = rpc.NewClient(conn), clock.Now()
-	return c.rpc, nil
+	c.conn, c.lastContact = rpc.NewClient(conn), clock.Now()
+	return c.conn, nil
 }
 
 func (c *Client) dial(ctx context.Context) (net.Conn, error) {
@@ -132,17 +132,17 @@
 	return c.Dial(ctx, c.Address)
 }
 
-func (c *Client) open() *rpc.Client {
+func (c *Client) openConn() *rpc.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.rpc
+	return c.conn
 }
 
-func (c *Client) drop(conn *rpc.Client) {
+func (c *Client) closeConn(conn *rpc.Client) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conn.Close()
-	if c.rpc == conn {
-		c.rpc = nil
+	if c.conn == conn {
+		c.conn = nil
 	}
 }
--- a/link/client_test.go
+++ b/link/client_test.go
@@ -12,20 +12,20 @@
 )
 
 // A peer without power does not answer to the opening of a connection: the call fails soon, so that another peer can be asked.
-func TestAPeerWithoutPower(t *testing.T) {
+func TestDialTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := link.NewClient("peer", "Service")
 		c.Dial = func(ctx context.Context, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		began := time.Now()
+		start := time.Now()
 		err := c.Call(t.Context(), 10*time.Second, "Method", &struct{}{}, &struct{}{})
 		if code := result.CodeOf(err); code != result.DaemonUnreached {
 			t.Errorf("code %d, want %d", code, result.DaemonUnreached)
 		}
-		if took := time.Since(began); took != link.DialTimeout {
-			t.Errorf("the call took %v, want %v", took, link.DialTimeout)
+		if elapsed := time.Since(start); elapsed != link.DialTimeout {
+			t.Errorf("the call took %v, want %v", elapsed, link.DialTimeout)
 		}
 	})
 }
--- a/link/server.go
+++ b/link/server.go
@@ -11,8 +11,8 @@
 
 // Server serves net/rpc connections of one listener.
 type Server struct {
-	listener net.Listener
-	rpc      *rpc.Server
+	listener  net.Listener
+	rpcServer *rpc.Server
 
 	mu     sync.Mutex
 	conns  map[net.Conn]struct{}
@@ -21,8 +21,8 @@
 
 // NewServer returns a server on ln that offers receiver's methods under name; ln is closed when that fails.
 func NewServer(ln net.Listener, name string, receiver any) (*Server, error) {
-	s := &Server{listener: ln, rpc: rpc.NewServer(), conns: map[net.Conn]struct{}{}}
-	if err := s.rpc.RegisterName(name, receiver); err != nil {
+	s := &Server{listener: ln, rpcServer: rpc.NewServer(), conns: map[net.Conn]struct{}{}}
+	if err := s.rpcServer.RegisterName(name, receiver); err != nil {
 		ln.Close()
 		return nil, result.Wrap(err, result.StartFailed, "service %s cannot be registered", name)
 	}
@@ -46,7 +46,7 @@
 			return
 		}
 		if s.track(conn) {
-			go s.serve(conn)
+			go s.serveConn(conn)
 		}
 	}
 }
@@ -62,8 +62,8 @@
 	return true
 }
 
-func (s *Server) serve(conn net.Conn) {
-	s.rpc.ServeConn(conn)
+func (s *Server) serveConn(conn net.Conn) {
+	s.rpcServer.ServeConn(conn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
--- a/link/unheard_test.go
+++ b/link/unheard_test.go
@@ -13,14 +13,14 @@
 // Echo answers what it is asked.
 type Echo struct{}
 
-// Say answers.
-func (Echo) Say(in string, out *string) error {
+// Repeat answers.
+func (Echo) Repeat(in string, out *string) error {
 	*out = in
 	return nil
 }
 
 // A connection over which nothing has come since a moment is replaced, one that has brought an answer since stays.
-func TestUnheardConnectionsAreReplaced(t *testing.T) {
+func TestSilentConnectionsAreReplaced(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -29,10 +29,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { server.Run(ctx); close(done) }()
-	defer func() { end(); <-done }()
+	defer func() { cancel(); <-done }()
 	opened := 0
 	tcp := transport.TCP()
 	c := link.NewClient(server.Address(), "Echo")
@@ -41,7 +41,7 @@
 		return tcp(ctx, address)
 	}
 	defer c.Close()
-	say := func(want int) {
+	callAndCount := func(want int) {
 		t.Helper()
 		var out string
 		if err := c.Call(ctx, 10*time.Second, "Say", "x", &out); err != nil || opened != want {
@@ -49,11 +49,11 @@
 		}
 	}
 	c.DropUnheard(time.Now())
-	say(1)
-	before := time.Now().Add(-time.Hour)
-	c.DropUnheard(before)
-	say(1)
+	callAndCount(1)
+	longAgo := time.Now().Add(-time.Hour)
+	c.DropUnheard(longAgo)
+	callAndCount(1)
 	c.DropUnheard(time.Now().Add(time.Hour))
-	say(2)
-	say(2)
+	callAndCount(2)
+	callAndCount(2)
 }
--- a/peer/client.go
+++ b/peer/client.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	deliverTimeout = 2 * time.Second
-	queueLength    = 256
-	maxDeliver     = 64
+	deliverTimeout     = 2 * time.Second
+	deliverQueueLength = 256
+	maxDeliverBatch    = 64
 )
 
 // Client calls one other daemon over a connection that it opens when needed; exported fields are set before Run.
@@ -32,42 +32,42 @@
 	// TLS is nil for plain TCP.
 	TLS *tls.Config
 
-	tasks *park.Group
-	queue chan quorum.Message
-	sent  atomic.Int64
-	got   atomic.Int64
+	goroutines   *park.Group
+	deliverQueue chan quorum.Message
+	sent         atomic.Int64
+	received     atomic.Int64
 
-	once sync.Once
-	link *link.Client
+	setup sync.Once
+	link  *link.Client
 }
 
 // NewClient returns a client of the daemon at address.
 func NewClient(address string) *Client {
-	c := &Client{Address: address, Dial: transport.TCP(), tasks: park.New(), queue: make(chan quorum.Message, queueLength), link: link.NewClient(address, serviceName)}
-	c.tasks.Go(func(ctx context.Context) { c.deliverLoop(ctx) })
+	c := &Client{Address: address, Dial: transport.TCP(), goroutines: park.New(), deliverQueue: make(chan quorum.Message, deliverQueueLength), link: link.NewClient(address, serviceName)}
+	c.goroutines.Go(func(ctx context.Context) { c.deliverLoop(ctx) })
 	return c
 }
 
 // Run sends queued log messages until ctx ends.
 func (c *Client) Run(ctx context.Context) {
-	c.tasks.Run(ctx)
+	c.goroutines.Run(ctx)
 	c.link.Close()
 }
 
 // Discard ends a client that will not run.
 func (c *Client) Discard() {
-	c.tasks.Discard()
+	c.goroutines.Discard()
 }
 
 // Bytes returns how many bytes were sent to and received from the peer by this client.
 func (c *Client) Bytes() (sent, received int64) {
-	return c.sent.Load(), c.got.Load()
+	return c.sent.Load(), c.received.Load()
 }
 
 // Enqueue hands over a log message; when the queue is full it is dropped, as a network may.
 func (c *Client) Enqueue(m *quorum.Message) {
 	select {
-	case c.queue <- *m:
+	case c.deliverQueue <- *m:
 	default:
 	}
 }
@@ -78,18 +78,18 @@
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-c.queue:
-			call := &DeliverCall{Messages: c.gather(m)}
+		case m := <-c.deliverQueue:
+			call := &DeliverCall{Messages: c.collectBatch(m)}
 			_ = c.call(ctx, deliverTimeout, "Deliver", call, &Nothing{})
 		}
 	}
 }
 
-func (c *Client) gather(first quorum.Message) []quorum.Message {
+func (c *Client) collectBatch(first quorum.Message) []quorum.Message {
 	messages := []quorum.Message{first}
-	for len(messages) < maxDeliver {
+	for len(messages) < maxDeliverBatch {
 		select {
-		case m := <-c.queue:
+		case m := <-c.deliverQueue:
 			messages = append(messages, m)
 		default:
 			return messages
@@ -99,8 +99,8 @@
 }
 
 // Beat tells the peer how this daemon is.
-func (c *Client) Beat(ctx context.Context, timeout time.Duration, b *Beat) (reply BeatReply, err error) {
-	err = c.call(ctx, timeout, "Beat", b, &reply)
+func (c *Client) Beat(ctx context.Context, timeout time.Duration, beat *Beat) (reply BeatReply, err error) {
+	err = c.call(ctx, timeout, "Beat", beat, &reply)
 	return reply, err
 }
 
@@ -136,26 +136,26 @@
 
 // call makes one call; after a failure of the connection the next call opens another one.
 func (c *Client) call(ctx context.Context, timeout time.Duration, method string, args, reply any) error {
-	c.once.Do(func() {
+	c.setup.Do(func() {
 		c.link.Dial = c.Dial
-		c.link.Prepare = c.prepare
+		c.link.Prepare = c.wrapConn
 	})
 	return c.link.Call(ctx, timeout, method, args, reply)
 }
 
-// prepare secures a new connection and counts its bytes.
-func (c *Client) prepare(ctx context.Context, conn net.Conn) (net.Conn, error) {
+// wrapConn secures a new connection and counts its bytes.
+func (c *Client) wrapConn(ctx context.Context, conn net.Conn) (net.Conn, error) {
 	if c.TLS == nil {
 		return &countedConn{conn, c}, nil
 	}
-	secured, err := c.secure(ctx, conn)
+	secured, err := c.handshake(ctx, conn)
 	if err != nil {
 		return nil, err
 	}
 	return &countedConn{secured, c}, nil
 }
 
-func (c *Client) secure(ctx context.Context, conn net.Conn) (net.Conn, error) {
+func (c *Client) handshake(ctx context.Context, conn net.Conn) (net.Conn, error) {
 	cfg := c.TLS.Clone()
 	cfg.ServerName, _, _ = net.SplitHostPort(c.Address)
 	secured := tls.Client(conn, cfg)
@@ -175,7 +175,7 @@
 // Read counts what arrives.
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.client.got.Add(int64(n))
+	c.client.received.Add(int64(n))
 	return n, err
 }
 
@@ -195,12 +195,12 @@
 	if err != nil {
 		return nil, result.Wrap(err, result.SettingsValue, "tls certificate and key cannot be loaded")
 	}
-	pem, err := os.ReadFile(cfg.Authority)
+	authorityPEM, err := os.ReadFile(cfg.Authority)
 	if err != nil {
 		return nil, result.Wrap(err, result.SettingsValue, "tls authority cannot be read")
 	}
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(pem) {
+	if !pool.AppendCertsFromPEM(authorityPEM) {
 		return nil, result.New(result.SettingsValue, "tls authority %s holds no certificate", cfg.Authority)
 	}
 	return &tls.Config{
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -26,8 +26,8 @@
 	"github.com/dunlinquay/dunlinquay/settings"
 )
 
-// serve runs a server whose beats are answered with revision 7.
-func serve(t *testing.T, cfg *settings.TLS, handlers *peer.Handlers) (address string, stop func()) {
+// startServer runs a server whose beats are answered with revision 7.
+func startServer(t *testing.T, cfg *settings.TLS, handlers *peer.Handlers) (address string, stop func()) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,14 +53,14 @@
 	}
 }
 
-func beats() *peer.Handlers {
+func testHandlers() *peer.Handlers {
 	return &peer.Handlers{
 		Beat:  func(*peer.Beat) peer.BeatReply { return peer.BeatReply{Revision: 7} },
 		Hello: func() (peer.HelloReply, error) { return peer.HelloReply{}, result.New(result.PeerRefused, "no") },
 	}
 }
 
-func newClient(t *testing.T, address string, cfg *settings.TLS) *peer.Client {
+func newTestClient(t *testing.T, address string, cfg *settings.TLS) *peer.Client {
 	t.Helper()
 	c := peer.NewClient(address)
 	tlsConfig, err := peer.TLS(cfg)
@@ -72,25 +72,25 @@
 	return c
 }
 
-func beat(c *peer.Client, timeout time.Duration) (ident.Revision, error) {
+func sendBeat(c *peer.Client, timeout time.Duration) (ident.Revision, error) {
 	reply, err := c.Beat(context.Background(), timeout, &peer.Beat{From: "a"})
 	return reply.Revision, err
 }
 
-func TestCallsAndTheirFailures(t *testing.T) {
-	address, stop := serve(t, nil, beats())
-	c := newClient(t, address, nil)
-	if revision, err := beat(c, time.Minute); err != nil || revision != 7 {
+func TestCallErrors(t *testing.T) {
+	address, stop := startServer(t, nil, testHandlers())
+	c := newTestClient(t, address, nil)
+	if revision, err := sendBeat(c, time.Minute); err != nil || revision != 7 {
 		t.Fatalf("revision %d, error %v", revision, err)
 	}
 	if _, err := c.Hello(context.Background(), time.Minute); result.CodeOf(err) != result.PeerRefused {
 		t.Errorf("a refusal: %v", err)
 	}
-	if _, err := beat(c, time.Minute); err != nil {
+	if _, err := sendBeat(c, time.Minute); err != nil {
 		t.Errorf("after a refusal: %v", err)
 	}
 	stop()
-	if _, err := beat(c, time.Minute); result.CodeOf(err) != result.DaemonUnreached {
+	if _, err := sendBeat(c, time.Minute); result.CodeOf(err) != result.DaemonUnreached {
 		t.Errorf("after the peer has gone: %v", err)
 	}
 	// It comes back at the same address.
@@ -98,42 +98,42 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := peer.NewServer(ln, nil, beats())
+	s, err := peer.NewServer(ln, nil, testHandlers())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go s.Run(ctx)
-	if revision, err := beat(c, time.Minute); err != nil || revision != 7 {
+	if revision, err := sendBeat(c, time.Minute); err != nil || revision != 7 {
 		t.Errorf("after it has come back: revision %d, error %v", revision, err)
 	}
 }
 
-func TestASilentPeerCostsNoMoreThanTheTimeout(t *testing.T) {
-	handlers := beats()
-	hold := make(chan struct{})
+func TestUnansweredCallTimesOut(t *testing.T) {
+	handlers := testHandlers()
+	release := make(chan struct{})
 	handlers.Beat = func(*peer.Beat) peer.BeatReply {
-		<-hold
+		<-release
 		return peer.BeatReply{}
 	}
-	address, stop := serve(t, nil, handlers)
+	address, stop := startServer(t, nil, handlers)
 	defer stop()
-	defer close(hold)
-	if _, err := beat(newClient(t, address, nil), 10*time.Millisecond); result.CodeOf(err) != result.DaemonUnreached {
+	defer close(release)
+	if _, err := sendBeat(newTestClient(t, address, nil), 10*time.Millisecond); result.CodeOf(err) != result.DaemonUnreached {
 		t.Errorf("a silent peer: %v", err)
 	}
 }
 
 func TestMessagesArriveInOrder(t *testing.T) {
-	got := make(chan uint64, 1000)
-	handlers := beats()
+	rounds := make(chan uint64, 1000)
+	handlers := testHandlers()
 	handlers.Deliver = func(c *peer.DeliverCall) {
 		for i := range c.Messages {
-			got <- c.Messages[i].Round
+			rounds <- c.Messages[i].Round
 		}
 	}
-	address, stop := serve(t, nil, handlers)
+	address, stop := startServer(t, nil, handlers)
 	defer stop()
 	c := peer.NewClient(address)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -147,7 +147,7 @@
 		c.Enqueue(&quorum.Message{Round: i})
 	}
 	for i := range uint64(messages) {
-		if round := <-got; round != i {
+		if round := <-rounds; round != i {
 			t.Fatalf("message %d arrived where %d was due", round, i)
 		}
 	}
@@ -155,8 +155,8 @@
 	<-done
 }
 
-// certificates writes an authority and a certificate for 127.0.0.1 by it.
-func certificates(t *testing.T) *settings.TLS {
+// writeCertificates writes an authority and a certificate for 127.0.0.1 by it.
+func writeCertificates(t *testing.T) *settings.TLS {
 	t.Helper()
 	folder := t.TempDir()
 	write := func(name, kind string, b []byte) string {
@@ -199,20 +199,20 @@
 }
 
 func TestMutualTLS(t *testing.T) {
-	ours, strangers := certificates(t), certificates(t)
-	address, stop := serve(t, ours, beats())
+	trusted, untrusted := writeCertificates(t), writeCertificates(t)
+	address, stop := startServer(t, trusted, testHandlers())
 	defer stop()
 	for _, c := range []struct {
 		name string
 		cfg  *settings.TLS
 		code result.Code
 	}{
-		{"a daemon of ours", ours, result.OK},
-		{"a stranger's certificate", strangers, result.DaemonUnreached},
-		{"a stranger that trusts us", &settings.TLS{Certificate: strangers.Certificate, Key: strangers.Key, Authority: ours.Authority}, result.DaemonUnreached},
+		{"a daemon of ours", trusted, result.OK},
+		{"a stranger's certificate", untrusted, result.DaemonUnreached},
+		{"a stranger that trusts us", &settings.TLS{Certificate: untrusted.Certificate, Key: untrusted.Key, Authority: trusted.Authority}, result.DaemonUnreached},
 		{"no TLS", nil, result.DaemonUnreached},
 	} {
-		if _, err := beat(newClient(t, address, c.cfg), 5*time.Second); result.CodeOf(err) != c.code {
+		if _, err := sendBeat(newTestClient(t, address, c.cfg), 5*time.Second); result.CodeOf(err) != c.code {
 			t.Errorf("%s: %v, want code %d", c.name, err, c.code)
 		}
 	}
@@ -221,14 +221,14 @@
 	}
 }
 
-// conn is a connection that gives what it was made with and takes everything.
-type conn struct {
+// fakeConn is a connection that gives what it was made with and takes everything.
+type fakeConn struct {
 	io.Reader
 	io.Writer
 }
 
 // Close does nothing.
-func (conn) Close() error { return nil }
+func (fakeConn) Close() error { return nil }
 
 func FuzzServe(f *testing.F) {
 	var call bytes.Buffer
@@ -249,6 +249,6 @@
 			Admit:   func(*peer.AdmitCall) peer.AdmitReply { return peer.AdmitReply{} },
 		}))
 		// Whatever arrives must neither end the process nor keep it.
-		s.ServeConn(conn{bytes.NewReader(input), io.Discard})
+		s.ServeConn(fakeConn{bytes.NewReader(input), io.Discard})
 	})
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -29,26 +29,26 @@
 }
 
 // Deliver takes log messages.
-func (s *Service) Deliver(c *DeliverCall, _ *Nothing) error {
-	s.handlers.Deliver(c)
+func (s *Service) Deliver(call *DeliverCall, _ *Nothing) error {
+	s.handlers.Deliver(call)
 	return nil
 }
 
 // Beat takes a beat.
-func (s *Service) Beat(b *Beat, reply *BeatReply) error {
-	*reply = s.handlers.Beat(b)
+func (s *Service) Beat(beat *Beat, reply *BeatReply) error {
+	*reply = s.handlers.Beat(beat)
 	return nil
 }
 
 // Follow gives commands or a snapshot.
-func (s *Service) Follow(c *FollowCall, reply *FollowReply) (err error) {
-	*reply, err = s.handlers.Follow(c)
+func (s *Service) Follow(call *FollowCall, reply *FollowReply) (err error) {
+	*reply, err = s.handlers.Follow(call)
 	return err
 }
 
 // Propose takes a command for the log.
-func (s *Service) Propose(c *ProposeCall, reply *ProposeReply) error {
-	*reply = s.handlers.Propose(c)
+func (s *Service) Propose(call *ProposeCall, reply *ProposeReply) error {
+	*reply = s.handlers.Propose(call)
 	return nil
 }
 
@@ -59,14 +59,14 @@
 }
 
 // Admit takes a member with a new data folder into an instance that the receiver leads.
-func (s *Service) Admit(c *AdmitCall, reply *AdmitReply) error {
-	*reply = s.handlers.Admit(c)
+func (s *Service) Admit(call *AdmitCall, reply *AdmitReply) error {
+	*reply = s.handlers.Admit(call)
 	return nil
 }
 
 // Permit answers whether a request may go to an upstream with a limit.
-func (s *Service) Permit(c *PermitCall, reply *PermitReply) error {
-	*reply = s.handlers.Permit(c)
+func (s *Service) Permit(call *PermitCall, reply *PermitReply) error {
+	*reply = s.handlers.Permit(call)
 	return nil
 }
 
@@ -77,9 +77,9 @@
 type Server = link.Server
 
 // NewServer returns a server on ln; cfg nil means no TLS.
-func NewServer(ln net.Listener, cfg *tls.Config, handlers *Handlers) (*Server, error) {
-	if cfg != nil {
-		ln = tls.NewListener(ln, cfg)
+func NewServer(listener net.Listener, tlsConfig *tls.Config, handlers *Handlers) (*Server, error) {
+	if tlsConfig != nil {
+		listener = tls.NewListener(listener, tlsConfig)
 	}
-	return link.NewServer(ln, serviceName, NewService(handlers))
+	return link.NewServer(listener, serviceName, NewService(handlers))
 }
