--- a/link/unheard_test.go
+++ b/link/unheard_test.go
@@ -44,7 +44,7 @@
 	callAndCount := func(want int) {
 		t.Helper()
 		var out string
-		if err := c.Call(ctx, 10*time.Second, "Say", "x", &out); err != nil || opened != want {
+		if err := c.Call(ctx, 10*time.Second, "Repeat", "x", &out); err != nil || opened != want {
 			t.Errorf("%v, %d connections opened, want %d", err, opened, want)
 		}
 	}
