--- a/daemon/applied.go
+++ b/daemon/applied.go
@@ -13,9 +13,9 @@
 	"github.com/dunlinquay/dunlinquay/routing"
 )
 
-// appliedState is what this daemon serves by: the routing table of one revision. Its
-// revision is reported to others only after the table is in force, so that a
-// drain which waits for the revision can rely on it.
+// appliedState is the part of the fleet's state that this daemon serves by, at
+// one revision. The revision is reported only after the routing table has been
+// replaced, so that a drain that waits for the revision can rely on it.
 type appliedState struct {
 	routes *routing.Table
 	table  *presence.Table
@@ -49,7 +49,7 @@
 	return v.modelNames
 }
 
-// apply puts the state in force; it never goes back to an older revision.
+// apply serves by s from now on; a state older than the applied one is ignored.
 func (v *appliedState) apply(s *fleet.State) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -84,14 +84,14 @@
 	v.appliedRevision = s.Revision
 }
 
-// limits returns what operators have set for customers.
+// limits returns the customer limits that operators have set.
 func (v *appliedState) limits() map[ident.Customer]fleet.CustomerLimits {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.customerLimits
 }
 
-// target returns the target of the group's epoch, the same one as long as the epoch lasts.
+// target returns the routing target of the group's epoch, and creates it once for each epoch.
 func (v *appliedState) target(s *fleet.State, group *fleet.Group) *routing.Target {
 	key := targetKey{group.Spec.Name, group.Epoch}
 	if t := v.targets[key]; t != nil {
@@ -110,7 +110,7 @@
 	return t
 }
 
-// groupWhole reports whether requests can go to the group now, as this daemon sees it.
+// groupWhole reports whether this daemon would route requests to the group now.
 func (v *appliedState) groupWhole(now time.Time, name ident.Group, epoch ident.Epoch) bool {
 	v.mu.Lock()
 	t := v.targets[targetKey{name, epoch}]
@@ -118,7 +118,7 @@
 	return t != nil && t.Whole(now, v.routes.Bound)
 }
 
-// dropUnusedTargets drops targets that serve no more and have no request in progress.
+// dropUnusedTargets removes targets that neither serve nor have a request in progress.
 func (v *appliedState) dropUnusedTargets(serving []*routing.Target) {
 	kept := make(map[*routing.Target]bool, len(serving))
 	for _, t := range serving {
@@ -131,7 +131,7 @@
 	}
 }
 
-// inFlight counts this daemon's requests at groups that drain, whatever epoch they began in.
+// inFlight counts this daemon's requests in progress at draining groups, over all epochs of a group.
 func (v *appliedState) inFlight() map[ident.Group]int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -144,7 +144,7 @@
 	return counts
 }
 
-// applyLoop puts each new state in force.
+// applyLoop applies each new state of the fleet.
 func (d *Daemon) applyLoop(ctx context.Context) {
 	for {
 		changed := d.fleet.Changed()
--- a/daemon/beat.go
+++ b/daemon/beat.go
@@ -13,7 +13,7 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// knownLeaders is the newest word on who leads which instance.
+// knownLeaders holds the leader of each quorum instance as last reported.
 type knownLeaders struct {
 	byInstance [instanceCount]ident.Daemon
 }
@@ -53,7 +53,7 @@
 	}
 }
 
-// beatLoop tells every other daemon how this one is, and hears of them in turn.
+// beatLoop sends this daemon's state to every other daemon and applies their replies.
 func (d *Daemon) beatLoop(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -65,7 +65,7 @@
 		d.shares.refresh()
 		d.noteOwnRevision()
 		for name, client := range d.peers {
-			// A peer that does not answer must not hold up the beats to the others, nor collect them.
+			// An unresponsive peer must neither delay beats to others nor accumulate calls.
 			if _, running := pending.LoadOrStore(name, true); running {
 				continue
 			}
@@ -90,7 +90,7 @@
 	}
 }
 
-// noteOwnRevision counts this control member among those that know what is in force.
+// noteOwnRevision counts this control member's own revision like another member's reply to a beat.
 func (d *Daemon) noteOwnRevision() {
 	if d.control == nil || !d.control.knowsCommitted() {
 		return
@@ -99,7 +99,7 @@
 	d.updateLeaders(d.control.leaders())
 }
 
-// receiveBeat takes a beat, another daemon's or the own one.
+// receiveBeat applies a beat, another daemon's or this one's own.
 func (d *Daemon) receiveBeat(beat *peer.Beat) {
 	now := d.now()
 	d.daemons.Update(presence.Peer{
@@ -114,10 +114,11 @@
 	}
 }
 
-// maxQuarantineReportsPerBeat bounds the works that a beat tells of, by turns; one takes 26 to 98 bytes in CBOR with a short name of the customer.
+// maxQuarantineReportsPerBeat bounds the reports in one beat; successive beats carry different ones in rotation. A report
+// is 26 to 98 bytes in CBOR with a short customer name.
 const maxQuarantineReportsPerBeat = 16
 
-// mergeQuarantineReports takes what another daemon knows of works under which upstreams ended.
+// mergeQuarantineReports merges another daemon's evidence about request fingerprints under which upstreams crashed.
 func (d *Daemon) mergeQuarantineReports(now time.Time, beat *peer.Beat) {
 	for i := range beat.Held {
 		report := &beat.Held[i]
@@ -130,9 +131,9 @@
 	}
 }
 
-// logQuarantined logs that work is held, and who told of it.
+// logQuarantined logs that a request fingerprint is quarantined, and which daemon reported it.
 func (d *Daemon) logQuarantined(report *quarantine.Report, remaining time.Duration, from ident.Daemon) {
-	d.Log.Info("work held", "customer", report.Customer, "content", report.Content.String(), "ends", len(report.Ends), "for-ms", remaining.Milliseconds(), "from", from)
+	d.Log.Info("work quarantined", "customer", report.Customer, "content", report.Content.String(), "ends", len(report.Ends), "for-ms", remaining.Milliseconds(), "from", from)
 }
 
 func (d *Daemon) handleBeat(beat *peer.Beat) peer.BeatReply {
@@ -156,12 +157,12 @@
 	d.freshness.noteReply(name, sent, reply.Revision)
 	d.updateLeaders(reply.Leaders)
 	if reply.Shares != nil {
-		// The lease runs from the question, which came before the leader counted it.
+		// The lease starts when the call was sent, which is before the leader starts it on its side.
 		d.shares.apply(sent, reply.Shares)
 	}
 }
 
-// updateLeaders keeps the newest word; a wrong one only costs a call that is refused.
+// updateLeaders records reported leaders; an outdated one only costs a call that the other daemon refuses.
 func (d *Daemon) updateLeaders(reported map[quorum.Instance]ident.Daemon) {
 	next := *d.leaders.Load()
 	for i, name := range reported {
--- a/daemon/cache.go
+++ b/daemon/cache.go
@@ -8,10 +8,10 @@
 	"github.com/dunlinquay/dunlinquay/routing"
 )
 
-// cacheEvents keeps the routing record in step with what engines publish of
-// their prefix caches. Events come late and with gaps; an answer that begins
-// later than asked for hides removals, and voids what was believed of that
-// engine. An engine that publishes nothing costs one refused call in a while.
+// The routing record of cached prefixes follows the cache events that engines
+// publish. Events arrive late and with gaps. A response that starts after the
+// requested event may lack removals, so the engine's whole record is dropped.
+// An engine that publishes no events is queried only once in cacheRetryDelay.
 
 const (
 	cacheInterval   = 5 * time.Second
@@ -19,7 +19,7 @@
 	cacheRetryDelay = 30 * time.Second
 )
 
-// cacheReader is where one target's events have been read to.
+// cacheReader is the read position in one target's cache events.
 type cacheReader struct {
 	nextEvent uint64
 	retryAt   time.Time
@@ -56,7 +56,7 @@
 		reader.retryAt = d.now().Add(cacheRetryDelay)
 		return
 	}
-	// The first answer begins wherever the engine's memory does; there is nothing to void yet.
+	// The first response starts at the oldest event that the engine keeps; no record exists yet.
 	if events.First > reader.nextEvent && reader.nextEvent > 1 {
 		d.routes.Record.Invalidate(target)
 	}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,9 +1,9 @@
 package daemon
 
-// A daemon has up to three roles. Every daemon is an entry for callers and a
-// watcher of upstreams; the control members also keep the replicated logs, and
-// the leader of instance 0 does control's work. The parts know nothing of each
-// other: what one needs of another is a function field that is set here.
+// Every daemon accepts callers' requests and probes upstreams. Control members
+// also keep the replicated logs, and the leader of the fleet instance manages
+// groups. The parts don't depend on each other: where one calls another, it has
+// a function field that is set here.
 
 import (
 	"context"
@@ -40,6 +40,7 @@
 )
 
 const (
+	// A daemon counts as live for livenessBeats beat intervals after its last beat.
 	livenessBeats = 6
 	tickInterval  = 100 * time.Millisecond
 	callTimeout   = time.Second
@@ -47,7 +48,7 @@
 
 // Daemon is one process; exported fields are set before Run.
 type Daemon struct {
-	// Log receives JSON lines.
+	// Log must be set before Run; it discards lines by default.
 	Log logr.Logger
 
 	network     Network
@@ -67,13 +68,13 @@
 	freshness    *configFreshness
 	prober       *prober
 	shares       *customerShares
-	// coordinators say which daemon coordinates an upstream with a limit, by those in seated.
+	// coordinators maps each upstream with a limit to the daemon that coordinates it, chosen among coordinatorEntries.
 	coordinators       *ratelimit.Coordinators
 	coordinatorEntries *sharing.Entries
 	leader             *control.Leader
 	platform           *platformWatcher
 	metrics            *metrics
-	control            *controlMember // nil without the control role
+	control            *controlMember // nil unless this daemon is a control member
 
 	peers          map[ident.Daemon]*peer.Client
 	peerServer     *peer.Server
@@ -87,13 +88,13 @@
 	fatalErr       chan error
 }
 
-// Network is the way to other processes; tests and the demo replace it to cut daemons off.
+// Network opens listeners and connections; tests and the demo replace it to partition daemons.
 type Network struct {
 	Listen func(address string) (net.Listener, error)
 	Dial   transport.Dial
 }
 
-// TCP returns the usual network.
+// TCP returns the network of the operating system.
 func TCP() Network {
 	return Network{
 		Listen: func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
@@ -101,7 +102,7 @@
 	}
 }
 
-// New opens the data folder and the listeners that cfg names; Run starts the work.
+// New opens the data folder and the listeners that cfg names; Run then starts the goroutines.
 func New(cfg *settings.Settings, network Network) (*Daemon, error) {
 	d := &Daemon{
 		Log: logr.Discard(), network: network, cfg: cfg, incarnation: ident.NewIncarnation(), tasks: park.New(), now: clock.Now,
@@ -134,7 +135,7 @@
 	return d, nil
 }
 
-// acquireResources takes everything from the system that can fail.
+// acquireResources opens files and listeners, the steps of New that can fail.
 func (d *Daemon) acquireResources() error {
 	tlsConfig, err := peer.TLS(d.cfg.TLS)
 	if err != nil {
@@ -170,7 +171,7 @@
 	return nil
 }
 
-// releaseResources gives back what a daemon that cannot start has opened.
+// releaseResources closes files and listeners of a daemon that cannot start.
 func (d *Daemon) releaseResources() {
 	for _, ln := range d.listeners {
 		ln.Close()
@@ -240,16 +241,16 @@
 	}
 }
 
-// logBackoff logs that an upstream wants nothing from this daemon for a time, or asks for one that can't be read.
+// logBackoff logs the backoff that an upstream requested, or the error when its header cannot be parsed.
 func (d *Daemon) logBackoff(upstream string, requested time.Duration, err error) {
 	if err != nil {
-		d.Log.Info("upstream asks for something unreadable", "upstream", upstream, "code", result.CodeOf(err), "error", result.Message(err))
+		d.Log.Info("upstream sent a backoff that cannot be parsed", "upstream", upstream, "code", result.CodeOf(err), "error", result.Message(err))
 		return
 	}
-	d.Log.Info("upstream asked for time", "upstream", upstream, "asked-ms", requested.Milliseconds())
+	d.Log.Info("upstream requested backoff", "upstream", upstream, "asked-ms", requested.Milliseconds())
 }
 
-// observeRequest counts one request and logs it: every one that failed, the others only when asked for.
+// observeRequest records a finished request in metrics and log; successful ones are logged at verbosity 1.
 func (d *Daemon) observeRequest(t *dispatch.Timing) {
 	d.metrics.observeRequest(t)
 	log := d.Log.V(1)
@@ -290,15 +291,15 @@
 	d.operatorServer = s
 }
 
-// readiness is what the platform's balancer asks for.
+// readiness returns why this daemon should get no requests from the load balancer, or nil.
 func (d *Daemon) readiness() error {
 	if d.stopping.Load() {
-		return result.New(result.Stopping, "this daemon stops")
+		return result.New(result.Stopping, "this daemon is stopping")
 	}
 	return d.freshness.check(d.now(), d.applied.revision())
 }
 
-// start makes the parked goroutines.
+// start creates the goroutines; Run releases them.
 func (d *Daemon) start() {
 	d.tasks.Go(d.peerServer.Run)
 	for _, c := range d.peers {
@@ -333,11 +334,11 @@
 	})
 }
 
-// Run works until ctx ends or the disk fails, and returns that failure.
+// Run serves until ctx ends or the disk fails, and returns the disk's error.
 func (d *Daemon) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	d.Log.Info("daemon starts", "daemon", d.cfg.Name, "incarnation", d.incarnation, "callers", d.Callers(), "operators", d.Operators())
+	d.Log.Info("daemon starting", "daemon", d.cfg.Name, "incarnation", d.incarnation, "callers", d.Callers(), "operators", d.Operators())
 	done := make(chan struct{})
 	go func() {
 		d.tasks.Run(ctx)
@@ -346,7 +347,7 @@
 	var err error
 	select {
 	case err = <-d.fatalErr:
-		d.Log.Error(err, "daemon fails", "daemon", d.cfg.Name, "code", int(result.CodeOf(err)))
+		d.Log.Error(err, "daemon failed", "daemon", d.cfg.Name, "code", int(result.CodeOf(err)))
 		cancel()
 	case <-ctx.Done():
 	}
@@ -355,7 +356,7 @@
 	return err
 }
 
-// fail ends Run with err.
+// fail makes Run return err.
 func (d *Daemon) fail(err error) {
 	select {
 	case d.fatalErr <- err:
@@ -363,11 +364,11 @@
 	}
 }
 
-// Stop is the planned stop: the balancer looks away, requests in progress end, leadership is handed over. It returns
-// when the daemon may be ended, or when ctx ends.
+// Stop prepares a planned stop: it reports not ready, gives the load balancer time to notice, waits for requests in
+// progress and transfers leadership. It returns when Run's context can be cancelled, or when ctx ends.
 func (d *Daemon) Stop(ctx context.Context) {
 	d.stopping.Store(true)
-	d.Log.Info("planned stop begins", "daemon", d.cfg.Name)
+	d.Log.Info("planned stop started", "daemon", d.cfg.Name)
 	if !sleep(ctx, d.cfg.Times.LookAway.Std()) {
 		return
 	}
@@ -380,7 +381,7 @@
 	if d.control != nil {
 		d.control.transferLeadership(ctx)
 	}
-	d.Log.Info("planned stop ends", "daemon", d.cfg.Name)
+	d.Log.Info("planned stop completed", "daemon", d.cfg.Name)
 }
 
 // Callers returns host:port of the callers' listener.
@@ -393,7 +394,7 @@
 	return d.listeners["operators"].Addr().String()
 }
 
-// sleep reports whether the time passed before ctx ended.
+// sleep waits for t and returns true, or returns false when ctx ends first.
 func sleep(ctx context.Context, t time.Duration) bool {
 	timer := time.NewTimer(t)
 	defer timer.Stop()
@@ -405,7 +406,7 @@
 	}
 }
 
-// runEvery calls fn at once and then in every interval until ctx ends.
+// runEvery calls fn at once, and again an interval after each call has returned, until ctx ends.
 func runEvery(ctx context.Context, interval time.Duration, fn func()) {
 	for {
 		fn()
@@ -415,7 +416,7 @@
 	}
 }
 
-// checkLoop ends tries at groups that lost a member, and lets waiting requests see capacity that came back.
+// checkLoop cancels attempts at groups that lost a member, and admits waiting requests where capacity has returned.
 func (d *Daemon) checkLoop(ctx context.Context) {
 	runEvery(ctx, tickInterval, func() {
 		d.dispatch.Look(d.now())
--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -17,10 +17,10 @@
 	maxFollowWaitTime = 10 * time.Second
 )
 
-// handleFollow answers a daemon that keeps up with the log.
+// handleFollow returns log entries after the caller's revision and waits for one if there are none.
 func (d *Daemon) handleFollow(call *peer.FollowCall) (peer.FollowReply, error) {
 	if d.control == nil || !d.control.knowsCommitted() {
-		return peer.FollowReply{}, result.New(result.PeerRefused, "not a control member that is current")
+		return peer.FollowReply{}, result.New(result.PeerRefused, "not a control member, or one that does not know every committed change yet")
 	}
 	changed := d.fleet.Changed()
 	entries, ok := d.fleet.Since(call.After, followBatchSize)
@@ -42,8 +42,8 @@
 	return reply, err
 }
 
-// followLoop keeps a daemon without the control role at the newest revision, from one control member at a time,
-// those of its own hall first.
+// followLoop keeps a daemon that is no control member at the newest revision. It reads from one control member at a
+// time and begins with those in its own hall.
 func (d *Daemon) followLoop(ctx context.Context) {
 	sources := d.followSources()
 	for failures := 0; ctx.Err() == nil; {
@@ -91,8 +91,8 @@
 	}
 	d.fleet.Notify()
 	if len(reply.Entries) == 0 && d.fleet.Revision() < d.freshness.newest() {
-		// This member is behind the others; the next source may not be.
-		return result.New(result.MemberBehind, "%s is behind", source)
+		// The next source may have newer entries.
+		return result.New(result.MemberBehind, "%s is behind the newest known revision", source)
 	}
 	return nil
 }
--- a/daemon/freshness.go
+++ b/daemon/freshness.go
@@ -9,27 +9,30 @@
 	"github.com/dunlinquay/dunlinquay/settings"
 )
 
-// configFreshness decides whether this daemon may still serve by the configuration it
-// has. Two cases are told apart:
+// configFreshness decides whether this daemon may serve by its configuration.
+// Two cases are distinguished:
 //
-//	cut off from a majority of control members: a change may have been accepted
-//	  that this daemon cannot know of; after the bound it refuses (control-unreachable)
-//	no leader, while a majority answers: nothing can have been accepted; it serves on
+//   - No contact to a majority of control members: an accepted change may be
+//     unknown here, so after the bound requests are refused (control-unreachable).
+//   - A majority answers, but there is no leader: no change can have been
+//     accepted, so requests are served.
 //
-// So an accepted change is in force everywhere after at most the bound: each
-// daemon has applied it or serves nobody. See docs/design/in-force.md.
+// Hence an accepted change is in force everywhere after at most the bound: each
+// daemon has applied it or refuses requests. See docs/design/in-force.md.
 type configFreshness struct {
 	bound          time.Duration
 	self           ident.Daemon
 	controlMembers []ident.Daemon
 
-	mu        sync.Mutex
+	mu sync.Mutex
+	// lastReply is when the last call that a control member answered was sent.
 	lastReply map[ident.Daemon]time.Time
-	// newestRevision is the highest revision that a member reported, behind since when the own one is lower.
+	// newestRevision is the highest revision that a control member reported, behindSince since when the revision here
+	// has been lower.
 	newestRevision ident.Revision
 	behindSince    time.Time
-	// caughtUp is set once this daemon has been at the newest known revision: one that starts, or was cut off for
-	// longer than the bound, has to get there first.
+	// caughtUp is set once this daemon has applied newestRevision. It is false after the start and after a time without a
+	// majority: such a daemon refuses requests until it has caught up.
 	caughtUp bool
 }
 
@@ -40,7 +43,7 @@
 	}
 }
 
-// noteReply notes that a control member which knows its log answered a question sent at sent.
+// noteReply records that a control member that knows every committed change answered a call sent at sentAt.
 func (f *configFreshness) noteReply(name ident.Daemon, sentAt time.Time, revision ident.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -48,13 +51,13 @@
 	f.newestRevision = max(f.newestRevision, revision)
 }
 
-// check returns ControlUnreachable when this daemon, which serves by revision, may hold old configuration.
+// check returns ControlUnreachable when the configuration of revision, which this daemon serves by, may be out of date.
 func (f *configFreshness) check(now time.Time, revision ident.Revision) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	recentReplies := 0
 	for _, m := range f.controlMembers {
-		if repliedAt, ok := f.lastReply[m]; ok && now.Sub(repliedAt) <= f.bound {
+		if sentAt, ok := f.lastReply[m]; ok && now.Sub(sentAt) <= f.bound {
 			recentReplies++
 		}
 	}
--- a/daemon/lead.go
+++ b/daemon/lead.go
@@ -38,7 +38,7 @@
 	d.leader = leader
 }
 
-// orderAuthority is asked before each order.
+// orderAuthority returns what this daemon may order at this moment; it is called before each order.
 func (d *Daemon) orderAuthority() control.Authority {
 	if d.control == nil {
 		return control.Authority{}
@@ -53,13 +53,13 @@
 }
 
 func (d *Daemon) logOrderFailed(vm ident.VM, kind engine.OrderKind, err error) {
-	d.Log.V(1).Info("order not obeyed", "vm", vm, "order", kind, "code", int(result.CodeOf(err)), "text", result.Message(err))
+	d.Log.V(1).Info("order failed", "vm", vm, "order", kind, "code", int(result.CodeOf(err)), "text", result.Message(err))
 }
 
-// leadLoop does the leader's work while this member leads and holds its lease.
+// leadLoop runs the leader's checks while this control member leads, and counts group downtime on every one.
 func (d *Daemon) leadLoop(ctx context.Context) {
 	d.leader.Log = d.Log
-	closed := map[ident.Daemon]ident.Incarnation{}
+	closedFor := map[ident.Daemon]ident.Incarnation{}
 	defer d.leader.Orders.Wait()
 	runEvery(ctx, tickInterval, func() {
 		d.countGroups()
@@ -67,17 +67,18 @@
 			return
 		}
 		if err := d.leader.Tick(ctx); err != nil {
-			d.Log.V(1).Info("leader's work waits", "code", int(result.CodeOf(err)), "text", result.Message(err))
+			d.Log.V(1).Info("leader's check failed, retrying", "code", int(result.CodeOf(err)), "text", result.Message(err))
 			return
 		}
-		d.closeOrphanedClaims(ctx, closed)
+		d.closeOrphanedClaims(ctx, closedFor)
 	})
 }
 
-// closeOrphanedClaims closes the claims that a daemon left open when it started anew.
-func (d *Daemon) closeOrphanedClaims(ctx context.Context, closed map[ident.Daemon]ident.Incarnation) {
+// closeOrphanedClaims closes claims that earlier incarnations of restarted daemons left open. closedFor holds the
+// incarnations for which that is done.
+func (d *Daemon) closeOrphanedClaims(ctx context.Context, closedFor map[ident.Daemon]ident.Incarnation) {
 	for _, p := range d.daemons.Live(d.now()) {
-		if closed[p.Name] == p.Incarnation {
+		if closedFor[p.Name] == p.Incarnation {
 			continue
 		}
 		data, err := ledger.Encode(&ledger.Command{Kind: ledger.KindOrphan, Daemon: p.Name, Incarnation: p.Incarnation})
@@ -85,12 +86,12 @@
 			continue
 		}
 		if _, err := d.proposeLedger(ctx, ledger.Key{}, data); err == nil {
-			closed[p.Name] = p.Incarnation
+			closedFor[p.Name] = p.Incarnation
 		}
 	}
 }
 
-// propose writes a command through the leader of an instance, wherever it is.
+// propose writes a command through the leader of an instance, here or on another daemon.
 func (d *Daemon) propose(ctx context.Context, instance quorum.Instance, data []byte) (peer.ProposeReply, error) {
 	call := &peer.ProposeCall{Instance: instance, Data: data}
 	leader := d.leaders.Load().byInstance[instance]
--- a/daemon/limits.go
+++ b/daemon/limits.go
@@ -1,8 +1,9 @@
 package daemon
 
-// All daemons together keep to the limits that upstreams name: the one that
-// coordinates an upstream lets each request go, and is asked over the peers'
-// connections. What upstreams say of their limits goes with the beats.
+// All daemons together keep to the rate limits that upstreams advertise. The
+// daemon that coordinates an upstream grants a permit for each request; the
+// others request permits over the peer connections. Beats carry the limits that
+// daemons have seen.
 
 import (
 	"context"
@@ -16,14 +17,14 @@
 )
 
 const (
-	// permitTimeout bounds a question to a coordinator; the limiter waits for less.
-	permitTimeout = 200 * time.Millisecond
-	// maxLimitsPerBeat bounds the limits that a beat tells of, removedLimitRetention is how long the end of one is told.
-	maxLimitsPerBeat      = 64
+	// permitTimeout bounds a call to a coordinator; the limiter gives up earlier.
+	permitTimeout    = 200 * time.Millisecond
+	maxLimitsPerBeat = 64
+	// removedLimitRetention is how long beats report that an upstream no longer has a limit.
 	removedLimitRetention = 5 * time.Second
 )
 
-// buildLimits lets the dispatcher keep to limits together with the other daemons.
+// buildLimits connects the dispatcher's rate limiter to the other daemons.
 func (d *Daemon) buildLimits() {
 	dispatcher := d.dispatch
 	totalDaemons := len(d.cfg.Peers) + 1
@@ -32,18 +33,18 @@
 	dispatcher.Services.TurnIn, d.routes.PermitIn = dispatcher.TurnIn, dispatcher.TurnIn
 	dispatcher.LimitChanged = func(upstream string, current, previous ratelimit.Limit) {
 		if !current.Limited() {
-			d.Log.Info("upstream names no limit any more", "upstream", upstream, "was", previous.Rate, "was-since", previous.Since)
+			d.Log.Info("upstream removed its limit", "upstream", upstream, "was", previous.Rate, "was-since", previous.Since)
 			return
 		}
-		d.Log.Info("upstream names a limit", "upstream", upstream, "limit", current.Rate, "was", previous.Rate)
+		d.Log.Info("upstream advertises a limit", "upstream", upstream, "limit", current.Rate, "was", previous.Rate)
 	}
 	dispatcher.LimitUnclear = func(upstream string, err error) {
-		d.Log.Info("upstream names an unreadable limit", "upstream", upstream, "code", result.CodeOf(err), "error", result.Message(err))
+		d.Log.Info("upstream sent a limit that cannot be parsed", "upstream", upstream, "code", result.CodeOf(err), "error", result.Message(err))
 	}
 	d.engineClient.Heard, d.engineClient.Now = dispatcher.HeardLimit, d.now
 }
 
-// updateCoordinators tells who is alive of the daemons that may coordinate upstreams; it belongs to the loop of beats.
+// updateCoordinators assigns coordinators among the live daemons; only beatLoop calls it.
 func (d *Daemon) updateCoordinators() {
 	var names []string
 	for _, p := range d.daemons.Live(d.now()) {
@@ -56,7 +57,7 @@
 	}
 }
 
-// requestPermit sends a question to the daemon that coordinates an upstream.
+// requestPermit requests a permit from the daemon that coordinates the upstream, without waiting for the reply.
 func (d *Daemon) requestPermit(to string, request *ratelimit.PermitRequest[string]) {
 	client := d.peers[ident.Daemon(to)]
 	if client == nil {
@@ -64,14 +65,14 @@
 	}
 	go func() {
 		reply, err := client.Permit(context.Background(), permitTimeout, &peer.PermitCall{From: d.cfg.Name, Question: *request})
-		// Without an answer the limiter goes on by itself, and counts that.
+		// Without a reply the limiter decides by itself and counts the request as unanswered.
 		if err == nil && reply.Known {
 			d.dispatch.Limits.HandleReply(&reply.Answer)
 		}
 	}()
 }
 
-// handlePermit answers another daemon's question.
+// handlePermit answers another daemon's permit request; Known stays false where this daemon does not coordinate.
 func (d *Daemon) handlePermit(call *peer.PermitCall) peer.PermitReply {
 	answer, ok := d.dispatch.Limits.HandleRequest(&call.Question, string(call.From))
 	if !ok {
@@ -80,23 +81,23 @@
 	return peer.PermitReply{Known: true, Answer: *answer}
 }
 
-// limitsForBeat returns what this daemon knows of limits.
+// limitsForBeat returns the limits that this daemon knows, at most maxLimitsPerBeat.
 func (d *Daemon) limitsForBeat(now time.Time) []peer.Limit {
-	var sent []peer.Limit
-	limits := d.dispatch.Limits
-	limits.Table.Each(func(upstream string, limit ratelimit.Limit) {
+	var limits []peer.Limit
+	limiter := d.dispatch.Limits
+	limiter.Table.Each(func(upstream string, limit ratelimit.Limit) {
 		age := now.Sub(limit.LastSeen)
-		if len(sent) < maxLimitsPerBeat && (limit.Limited() || age < removedLimitRetention) {
-			sent = append(sent, peer.Limit{Upstream: upstream, Rate: limit.Rate, Age: age, Own: limit.Direct})
+		if len(limits) < maxLimitsPerBeat && (limit.Limited() || age < removedLimitRetention) {
+			limits = append(limits, peer.Limit{Upstream: upstream, Rate: limit.Rate, Age: age, Own: limit.Direct})
 		}
 	})
-	for i := range sent {
-		_, sent[i].Apart = limits.Stats(sent[i].Upstream)
+	for i := range limits {
+		_, limits[i].Apart = limiter.Stats(limits[i].Upstream)
 	}
-	return sent
+	return limits
 }
 
-// mergeLimits takes what another daemon knows of limits, and how many take their own parts.
+// mergeLimits merges the limits that another daemon has seen, and at which of them it uses its local share.
 func (d *Daemon) mergeLimits(now time.Time, beat *peer.Beat) {
 	localShareUsed := map[string]bool{}
 	for i := range beat.Limits {
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -17,7 +17,7 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// The instances of the log that every control member keeps.
+// Every control member keeps these instances of the replicated log.
 const (
 	instanceFleet  quorum.Instance = 0
 	instanceLedger quorum.Instance = 1
@@ -26,13 +26,13 @@
 
 const formInterval = 200 * time.Millisecond
 
-// controlMember is the control role of this daemon: the logs, their state machines and the forming of their first members.
+// controlMember runs the replicated logs with their state machines, and forms the first set of members.
 type controlMember struct {
 	d      *Daemon
 	store  *quorum.Store
 	nodes  [instanceCount]*quorum.Node
 	ledger *ledger.Machine
-	// votelessChecks counts the looks in a row that found this member without a vote among formed ones.
+	// votelessChecks counts the consecutive checks in which this member had no vote while others were formed.
 	votelessChecks int
 }
 
@@ -65,7 +65,7 @@
 	return node
 }
 
-// electionSeed spreads the members' election times.
+// electionSeed gives each member its own sequence of random election timeouts.
 func electionSeed(name ident.Daemon) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name))
@@ -109,7 +109,7 @@
 	wg.Wait()
 }
 
-// release gives back what a member that will not run has opened.
+// release closes the store and nodes of a member that will not run.
 func (m *controlMember) release() {
 	m.store.Close()
 	for _, n := range m.nodes {
@@ -131,7 +131,7 @@
 	}
 }
 
-// formed reports whether every instance knows its members.
+// formed reports whether every instance knows its members and has not expelled this one.
 func (m *controlMember) formed() bool {
 	for _, n := range m.nodes {
 		if s := n.Status(); !s.Formed || s.Expelled {
@@ -141,7 +141,7 @@
 	return true
 }
 
-// knowsCommitted reports whether this member has known everything that was accepted, at some time since it started.
+// knowsCommitted reports whether this member has known, at some time since its start, every change accepted until then.
 func (m *controlMember) knowsCommitted() bool {
 	return m.formed() && m.nodes[instanceFleet].Status().KnowsCommitted
 }
@@ -155,9 +155,9 @@
 	return reply
 }
 
-// form makes the first members, once in the life of a system. Only the member that the settings name first does it,
-// and only when every other one answers that it was never formed: a member that comes back with an empty folder
-// meets others that were, and waits to be admitted.
+// form creates the first set of members, once for each deployment. Only the first control member in the settings does
+// so, and only if all others answer that they were never formed: a member that restarts with an empty data folder finds
+// others that were formed, and must be admitted by an operator instead.
 func (m *controlMember) form(ctx context.Context) {
 	cfg := m.d.cfg
 	status := m.nodes[instanceFleet].Status()
@@ -190,10 +190,11 @@
 	return false
 }
 
-// votelessCheckLimit is how many looks it takes until a member without a vote is not just about to be formed.
+// votelessCheckLimit is the number of checks after which a member without a vote is no longer expected to be formed by
+// the others.
 const votelessCheckLimit = 15
 
-// logNotAdmitted says once that this member waits for an operator.
+// logNotAdmitted logs once, after votelessCheckLimit checks, that an operator must admit this member.
 func (m *controlMember) logNotAdmitted() {
 	if m.votelessChecks++; m.votelessChecks != votelessCheckLimit {
 		return
@@ -205,7 +206,7 @@
 	m.d.Log.Info("this control member's data folder has no vote", "code", int(result.NotAdmitted), "advice", advice)
 }
 
-// helloOthers returns the answers of the other members that answer.
+// helloOthers calls Hello on the other control members and returns the replies of those that answer.
 func (m *controlMember) helloOthers(ctx context.Context) map[ident.Daemon]peer.HelloReply {
 	others := map[ident.Daemon]peer.HelloReply{}
 	for _, name := range m.d.cfg.ControlMembers {
@@ -229,7 +230,7 @@
 	}
 }
 
-// resendForm passes the first members on to those that have not received them; it is harmless for all others.
+// resendForm sends the first set of members again, in case a member missed it; formed members ignore the message.
 func (m *controlMember) resendForm(others map[ident.Daemon]peer.HelloReply) {
 	for i, n := range m.nodes {
 		s := n.Status()
@@ -247,10 +248,11 @@
 	}
 }
 
-// proposeLocally writes a command as leader of an instance and returns the encoded answer.
+// proposeLocally proposes a command to this member's node, which must lead the instance, and returns the state
+// machine's answer encoded as CBOR.
 func (m *controlMember) proposeLocally(ctx context.Context, call *peer.ProposeCall) peer.ProposeReply {
 	if call.Instance >= instanceCount {
-		return peer.ProposeReply{Code: result.PeerRefused, Text: "no such instance"}
+		return peer.ProposeReply{Code: result.PeerRefused, Text: "no such instance of the log"}
 	}
 	var value any
 	var index quorum.Index
@@ -275,7 +277,7 @@
 	return ledger.CheckClock(call.Data, time.Now())
 }
 
-// admitMember takes a member with a new data folder in the place of the one with the same name, first without a vote.
+// admitMember replaces the member of the same name by one with a new data folder, at first without a vote.
 func (m *controlMember) admitMember(ctx context.Context, call *peer.AdmitCall) peer.AdmitReply {
 	err := m.proposeAdmission(ctx, call)
 	if err != nil {
@@ -287,14 +289,14 @@
 func (m *controlMember) proposeAdmission(ctx context.Context, call *peer.AdmitCall) error {
 	client := m.d.peers[call.Member]
 	if client == nil {
-		return result.New(result.ChangeNotFound, "no daemon is called %s", call.Member)
+		return result.New(result.ChangeNotFound, "no peer is named %s", call.Member)
 	}
 	reply, err := client.Hello(ctx, callTimeout)
 	if err != nil {
 		return err
 	}
 	if reply.Expelled {
-		return result.New(result.NotAdmitted, "%s has a damaged folder: stop it, empty its data folder and start it again", call.Member)
+		return result.New(result.NotAdmitted, "%s has a damaged data folder: stop it, empty the folder and start it again", call.Member)
 	}
 	n := m.nodes[call.Instance]
 	members := []quorum.Member{}
@@ -309,7 +311,7 @@
 	return n.ProposeMembers(ctx, append(members, quorum.Member{ID: reply.ID}))
 }
 
-// transferLeadership gives up the lead of every instance that this member leads.
+// transferLeadership hands every instance that this member leads to another member.
 func (m *controlMember) transferLeadership(ctx context.Context) {
 	for _, n := range m.nodes {
 		if n.Status().Role == quorum.RoleLeader {
@@ -318,12 +320,12 @@
 	}
 }
 
-// leads reports whether this member leads control's instance.
+// leads reports whether this member leads the fleet instance.
 func (m *controlMember) leads() bool {
 	return m.nodes[instanceFleet].Status().Role == quorum.RoleLeader
 }
 
-// leaders names the leader of each instance as this member knows it.
+// leaders returns the known leader of each instance.
 func (m *controlMember) leaders() map[quorum.Instance]ident.Daemon {
 	known := map[quorum.Instance]ident.Daemon{}
 	for i, n := range m.nodes {
@@ -334,20 +336,20 @@
 	return known
 }
 
-// decodeFleetAnswer decodes what the fleet's machine answered.
+// decodeFleetAnswer decodes an answer of the fleet's state machine.
 func decodeFleetAnswer(data []byte) (fleet.Answer, error) {
 	var answer fleet.Answer
 	if err := cbor.Unmarshal(data, &answer); err != nil {
-		return answer, result.Wrap(err, result.PeerRefused, "leader's answer cannot be decoded")
+		return answer, result.Wrap(err, result.PeerRefused, "answer of the fleet's state machine cannot be decoded")
 	}
 	return answer, nil
 }
 
-// decodeLedgerAnswer decodes what the ledger's machine answered.
+// decodeLedgerAnswer decodes an answer of the ledger's state machine.
 func decodeLedgerAnswer(data []byte) (ledger.Answer, error) {
 	var answer ledger.Answer
 	if err := cbor.Unmarshal(data, &answer); err != nil {
-		return answer, result.Wrap(err, result.PeerRefused, "leader's answer cannot be decoded")
+		return answer, result.Wrap(err, result.PeerRefused, "answer of the ledger's state machine cannot be decoded")
 	}
 	return answer, nil
 }
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -13,9 +13,9 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// metrics reports through tally. Its label values are bounded: customers and
-// classes come from the settings, codes from the table of result codes, groups
-// from what operators declare.
+// metrics reports through tally. The number of label values is bounded: customers
+// and classes are those of the settings, codes those of the table of result codes,
+// groups those that operators have declared.
 type metrics struct {
 	meter *meter.Meter
 	scope tally.Scope
@@ -96,7 +96,7 @@
 	m.scope.Tagged(map[string]string{"group": string(group), "result": result.Lookup(code).Name}).Counter("answers_dropped").Inc(1)
 }
 
-// setGroupTotals takes the newest totals of downtime and stranded accelerators.
+// setGroupTotals publishes the newest totals as gauges and keeps them for the status.
 func (m *metrics) setGroupTotals(totals groupTotals) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -16,7 +16,8 @@
 
 const changeRetryDelay = 100 * time.Millisecond
 
-// change writes an operator's change; while no leader is found it is sent again, which its id makes harmless.
+// change proposes an operator's change, and repeats that while the leader is unknown or unreachable; the change's id
+// prevents a second application.
 func (d *Daemon) change(ctx context.Context, command *fleet.Command) (fleet.Answer, error) {
 	for {
 		answer, err := d.proposeFleet(ctx, command)
@@ -30,12 +31,12 @@
 			return answer, err
 		}
 		if !sleep(ctx, changeRetryDelay) {
-			return answer, result.Wrap(err, result.NoLeader, "no leader confirmed the change")
+			return answer, result.Wrap(err, result.NoLeader, "no leader confirmed the change in time")
 		}
 	}
 }
 
-// awaitRevision lets an operator read from the same daemon what it has just changed.
+// awaitRevision waits until this daemon has the revision, so that an operator can read a change where it was made.
 func (d *Daemon) awaitRevision(ctx context.Context, revision ident.Revision) {
 	for d.fleet.Revision() < revision {
 		changed := d.fleet.Changed()
@@ -50,7 +51,7 @@
 	}
 }
 
-// admitMember takes in a member's new data folder in every instance, each through its own leader.
+// admitMember admits a member's new data folder to every instance, each through its own leader.
 func (d *Daemon) admitMember(ctx context.Context, name ident.Daemon) error {
 	for i := range quorum.Instance(instanceCount) {
 		if err := d.admitInstance(ctx, &peer.AdmitCall{Instance: i, Member: name}); err != nil {
@@ -103,8 +104,8 @@
 	return status
 }
 
-// revisionInForce tells of every daemon that the settings name whether it serves by the revision. One that was silent for the
-// control bound and a beat has stopped serving by itself, see force.
+// revisionInForce reports whether each daemon of the settings serves by the revision. A daemon without contact for more
+// than the control bound and the time of two calls has lost its majority and refuses requests, see configFreshness.
 func (d *Daemon) revisionInForce(revision ident.Revision) operator.InForce {
 	now := d.now()
 	answer := operator.InForce{Revision: revision, Done: true}
@@ -125,23 +126,24 @@
 	return answer
 }
 
-// groupTotals is what this daemon has counted of groups and accelerators.
+// groupTotals holds the current numbers of groups and accelerators, and times added up since the daemon's start.
 type groupTotals struct {
 	wholeGroups             int
 	strandedAccelerators    ident.Accelerators
 	strandedAcceleratorTime time.Duration
 	downtime                time.Duration
-	// downtimeByGroup is the downtime of each group that is declared now.
+	// downtimeByGroup holds declared groups only.
 	downtimeByGroup map[ident.Group]time.Duration
 }
 
+// groupCounter adds up group downtime and the time of stranded accelerators.
 type groupCounter struct {
 	mu           sync.Mutex
 	countedUntil time.Time
 	totals       groupTotals
 }
 
-// count counts the time since the last look by what is seen now.
+// count attributes the time since the last call to the groups and VMs that are down or stranded in snapshot.
 func (g *groupCounter) count(now time.Time, snapshot *planner.Snapshot, whole func(name ident.Group, epoch ident.Epoch) bool) groupTotals {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -182,12 +184,12 @@
 	}
 }
 
-// groupWhole reports whether this daemon would send requests to the group now.
+// groupWhole reports whether this daemon would route requests to the group now.
 func (d *Daemon) groupWhole(name ident.Group, epoch ident.Epoch) bool {
 	return d.applied.groupWhole(d.now(), name, epoch)
 }
 
-// countGroups counts group downtime and stranded accelerators.
+// countGroups updates the metrics of group downtime and stranded accelerators.
 func (d *Daemon) countGroups() {
 	d.leader.View(func(snapshot *planner.Snapshot) {
 		d.metrics.setGroupTotals(d.groupCounter.count(d.now(), snapshot, d.groupWhole))
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -9,7 +9,7 @@
 	"github.com/dunlinquay/dunlinquay/vmlist"
 )
 
-// platformWatcher keeps the newest list of the platform beside the upstreams of the settings.
+// platformWatcher polls the platform's list of VMs and merges it with the upstreams of the settings.
 type platformWatcher struct {
 	d      *Daemon
 	client *vmlist.Client
@@ -35,8 +35,8 @@
 		defer cancel()
 		list, err := p.client.List(ctx)
 		if err != nil {
-			// The last list stays: an absent platform says nothing about the VMs.
-			p.d.Log.V(1).Info("platform's list not read", "error", err.Error())
+			// The last list is kept: a failure of the platform says nothing about the VMs.
+			p.d.Log.V(1).Info("platform's list of VMs could not be read", "error", err.Error())
 			return
 		}
 		p.mu.Lock()
@@ -45,7 +45,8 @@
 	})
 }
 
-// registered returns every upstream that settings or platform name whole; the platform's word goes first.
+// registered returns the upstreams of the settings and the valid ones of the platform's list; where both have a VM, the
+// platform's entry is used.
 func (p *platformWatcher) registered() []fleet.VM {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/daemon/probes.go
+++ b/daemon/probes.go
@@ -13,7 +13,7 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// prober watches this daemon's share of the upstreams; the leader also looks itself at those that seem absent.
+// prober probes the VMs that are assigned to this daemon; the leader also probes all that seem absent to it.
 type prober struct {
 	d *Daemon
 
@@ -21,10 +21,10 @@
 	latest     map[ident.VM]probeRecord
 	inProgress map[ident.VM]bool
 
-	// assigned is this daemon's share among live for the VMs of revision at; only run uses it.
-	assigned   []probeTarget
-	watchers   []presence.Watcher
-	assignedAt ident.Revision
+	// assigned holds the VMs of assignedRevision that this daemon probes when assignedWatchers are live; only run uses it.
+	assigned         []probeTarget
+	assignedWatchers []presence.Watcher
+	assignedRevision ident.Revision
 }
 
 type probeRecord struct {
@@ -32,7 +32,7 @@
 	presence.Observation
 }
 
-// maxProbes bounds the probes on their way at once.
+// maxProbes bounds the probes in progress.
 const maxProbes = 512
 
 func newProber(d *Daemon) *prober {
@@ -60,7 +60,7 @@
 	address string
 }
 
-// targets returns the VMs that this daemon has to watch now.
+// targets returns the VMs that this daemon is to probe now.
 func (p *prober) targets() []probeTarget {
 	now := p.d.now()
 	p.assign(p.liveWatchers(now))
@@ -70,7 +70,7 @@
 	list := slices.Clone(p.assigned)
 	p.d.fleet.Read(func(s *fleet.State) {
 		for name, v := range s.VMs {
-			// One that is in the list already is being probed when its second turn comes.
+			// A VM that is already in the list is not probed twice: its probe is in progress at the second entry.
 			if v.Listing != fleet.ListingGone && p.d.leader.Detector.Absent(now, v) {
 				list = append(list, probeTarget{name, v.Address})
 			}
@@ -79,13 +79,13 @@
 	return list
 }
 
-// assign works out the share anew when the VMs or the live daemons have changed, which is seldom beside the probes.
+// assign recomputes assigned when the VMs or the live daemons have changed, which is rare compared to probes.
 func (p *prober) assign(live []presence.Watcher) {
 	p.d.fleet.Read(func(s *fleet.State) {
-		if p.assignedAt == s.Revision && slices.Equal(p.watchers, live) {
+		if p.assignedRevision == s.Revision && slices.Equal(p.assignedWatchers, live) {
 			return
 		}
-		p.assignedAt, p.watchers, p.assigned = s.Revision, live, nil
+		p.assignedRevision, p.assignedWatchers, p.assigned = s.Revision, live, nil
 		for name, v := range s.VMs {
 			if v.Listing != fleet.ListingGone && slices.Contains(presence.Watchers(name, v.Hall, live), p.d.cfg.Name) {
 				p.assigned = append(p.assigned, probeTarget{name, v.Address})
@@ -121,7 +121,7 @@
 func (p *prober) probe(ctx context.Context, target probeTarget) {
 	ctx, cancel := context.WithTimeout(ctx, p.d.cfg.Times.PresenceBound.Std())
 	defer cancel()
-	// The age counts from the question: the answer may have been true only then.
+	// The age counts from the time of sending: the engine may have read its state at that moment.
 	sentAt := p.d.now()
 	state, err := p.d.engineClient.State(ctx, target.address)
 	if ctx.Err() != nil && err != nil && result.CodeOf(err) == result.Cancelled {
@@ -147,7 +147,7 @@
 	return presence.Observation{VM: name, Sight: presence.ProbeTimedOut}
 }
 
-// recent returns the sightings that are young enough to matter, with their ages; older ones are forgotten.
+// recent returns the observations within the loss bound with their ages, and deletes older ones.
 func (p *prober) recent(now time.Time) []presence.Observation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/daemon/shares.go
+++ b/daemon/shares.go
@@ -9,13 +9,14 @@
 	"github.com/dunlinquay/dunlinquay/quorum"
 )
 
-// customerShares is this daemon's part of its customers' limits, and as leader the division among all daemons.
+// customerShares holds this daemon's leased shares of customers' limits; on the leader it also divides the limits among
+// all daemons.
 type customerShares struct {
 	d *Daemon
 
 	mu        sync.Mutex
 	allocator *admission.Allotment
-	// term is the term for which the allotment was begun.
+	// term is the term in which the allocator was started.
 	term        quorum.Term
 	leased      map[ident.Customer]admission.Share
 	leasedUntil time.Time
@@ -33,7 +34,7 @@
 	s.allocator.Report(from, demands)
 }
 
-// limits returns what settings and operators say of each customer.
+// limits returns the limits of each customer in the settings, as changed by operators.
 func (s *customerShares) limits() map[ident.Customer]admission.Limit {
 	limits := map[ident.Customer]admission.Limit{}
 	for _, c := range s.d.cfg.Customers {
@@ -49,7 +50,7 @@
 	return limits
 }
 
-// grant divides every limit for one daemon, as leader; nothing while an earlier leader's leases may be in use.
+// grant returns the shares of one daemon, on the leader; nil while leases of an earlier leader may still be in use.
 func (s *customerShares) grant(now time.Time, to ident.Daemon) map[ident.Customer]admission.Share {
 	var live []ident.Daemon
 	for _, p := range s.d.daemons.Live(now) {
@@ -82,7 +83,7 @@
 	s.d.admission.SetShares(leased)
 }
 
-// refresh leases from itself when this daemon leads, and falls back to an even part when its lease has run out.
+// refresh renews the lease locally on the leader, and applies an even share of each limit once the lease has expired.
 func (s *customerShares) refresh() {
 	now := s.d.now()
 	if s.d.control != nil && s.d.control.leads() {
