--- a/daemon/bench_test.go
+++ b/daemon/bench_test.go
@@ -26,7 +26,7 @@
 	"github.com/dunlinquay/dunlinquay/settings"
 )
 
-// benchCluster is real daemons on real sockets, the first three of them control members.
+// benchCluster runs daemons and engines on loopback sockets; the first three daemons are control members.
 type benchCluster struct {
 	b                        *testing.B
 	names                    []ident.Daemon
@@ -111,7 +111,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	l.b.Fatal("not within 30 s")
+	l.b.Fatal("condition does not hold after 30 s")
 }
 
 func (l *benchCluster) client(d *daemon.Daemon) *operator.Client {
@@ -130,8 +130,8 @@
 	})
 }
 
-// From the acceptance of a change until every one of nine daemons serves by it.
-func BenchmarkChangeInForceOnNineDaemons(b *testing.B) {
+// BenchmarkChangeInForceOn9 times a change from its submission until nine daemons serve by it.
+func BenchmarkChangeInForceOn9(b *testing.B) {
 	l := newBenchCluster(b, 9, 1)
 	defer l.stop()
 	client := l.client(l.daemons[0])
@@ -152,14 +152,14 @@
 		inForce, err := client.Wait(context.Background(), revision, "30s")
 		l.noError(err)
 		if !inForce.Done {
-			b.Fatal("not in force")
+			b.Fatal("change is not in force after 30 s")
 		}
 		slowest = max(slowest, time.Since(start))
 	}
 	b.ReportMetric(slowest.Seconds()*1000, "slowest-ms")
 }
 
-// cpuTime returns the processor time of this process, which holds caller, daemon or proxy, and engine.
+// cpuTime returns the CPU time of this process, which runs caller, engine, and daemon or proxy.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
@@ -168,7 +168,7 @@
 
 const streamTokens = 100
 
-// timeToFirstByte sends body and reads the answer; it returns the time to the first byte.
+// timeToFirstByte sends body, reads the whole response and returns the time until its first byte.
 func timeToFirstByte(b *testing.B, client *http.Client, url, key string, body []byte) time.Duration {
 	b.Helper()
 	r, err := http.NewRequest(http.MethodPost, url, bytes.NewReader(body))
@@ -207,19 +207,19 @@
 	b.ReportMetric(float64(firstBytes[len(firstBytes)/2].Microseconds()), "first-byte-µs")
 }
 
-// The same answer of 1 and of 100 tokens from the same engine, directly, through the standard library's reverse proxy,
-// and through a daemon.
-func BenchmarkCompletionPaths(b *testing.B) {
+// BenchmarkThrough compares a response from the engine itself, through the standard library's reverse proxy, and through a
+// daemon.
+func BenchmarkThrough(b *testing.B) {
 	for _, c := range []struct {
-		tokens int
-		pace   time.Duration
+		tokens    int
+		tokenTime time.Duration
 	}{{1, 0}, {streamTokens, 0}, {streamTokens, time.Millisecond}} {
 		tokens, name := c.tokens, fmt.Sprint(c.tokens, "-tokens")
-		if c.pace > 0 {
+		if c.tokenTime > 0 {
 			name += "-one-by-one"
 		}
 		l := newBenchCluster(b, 1, 1)
-		l.engines[0].TokenTime = c.pace
+		l.engines[0].TokenTime = c.tokenTime
 		l.createGroup("g")
 		g, err := l.client(l.daemons[0]).Group(context.Background(), "g")
 		l.noError(err)
@@ -246,7 +246,7 @@
 	}
 }
 
-// Claims of not-repeatable requests, one after the other and many at once.
+// BenchmarkClaims sends requests with an idempotency key, one at a time and many at once.
 func BenchmarkClaims(b *testing.B) {
 	for _, callers := range []int{1, 256} {
 		b.Run(fmt.Sprint(callers, "-at-once"), func(b *testing.B) {
--- a/daemon/cluster_test.go
+++ b/daemon/cluster_test.go
@@ -30,7 +30,7 @@
 	"github.com/dunlinquay/dunlinquay/vmlist"
 )
 
-// memoryNetwork is a network in memory, so that whole daemons run in a synctest bubble under its clock.
+// memoryNetwork connects daemons and engines in memory, so that they run in a synctest bubble under its clock.
 type memoryNetwork struct {
 	mu          sync.Mutex
 	listeners   map[string]*memoryListener
@@ -74,7 +74,7 @@
 
 func (l *memoryListener) Addr() net.Addr { return memoryAddress(l.address) }
 
-// memoryConn is one end of a connection between two daemons, or between a daemon and anything else.
+// memoryConn is the dialing end of a connection; from and to are empty unless that end belongs to a daemon.
 type memoryConn struct {
 	net.Conn
 	from, to ident.Daemon
@@ -95,7 +95,7 @@
 	return l, nil
 }
 
-// daemonAtPeerAddress names the daemon whose peer address a is, or nobody.
+// daemonAtPeerAddress returns the daemon with that peer address, or "" if it is another address.
 func daemonAtPeerAddress(address string) ident.Daemon {
 	if name, ok := strings.CutSuffix(address, ":3"); ok {
 		return ident.Daemon(name)
@@ -113,7 +113,7 @@
 		partitioned := to != "" && (w.partitioned[from] || w.partitioned[to])
 		w.mu.Unlock()
 		if partitioned {
-			// A cut way is silent.
+			// A connection across the partition is neither opened nor refused.
 			<-ctx.Done()
 			return nil, &net.OpError{Op: "dial", Net: "memory", Err: ctx.Err()}
 		}
@@ -146,7 +146,7 @@
 	}
 }
 
-// testCluster is a few daemons and engines in one bubble.
+// testCluster runs three daemons and some engines on a memoryNetwork in one synctest bubble.
 type testCluster struct {
 	t                        *testing.T
 	network                  *memoryNetwork
@@ -160,15 +160,15 @@
 	upstreams                []settings.Upstream
 	editSettings             func(cfg *settings.Settings)
 
-	// stays is what the platform's list says.
 	platform     *standin.Server
 	platformList []vmlist.Entry
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// runCount is how many times each prompt was run.
 	runCount map[string]int
-	// ranOn names the VM that ran a prompt last.
+	// ranOn is the VM that ran each prompt last.
 	ranOn map[string]ident.VM
-	// logLines holds every line that the daemons have logged.
+	// logLines holds the log lines of all daemons.
 	logLines strings.Builder
 }
 
@@ -180,7 +180,7 @@
 
 const serviceName = "payments"
 
-// newTestCluster starts daemons a, b and c and engines in domains as in the planner's tests: "d1: w1 w2".
+// newTestCluster prepares daemons a, b and c and starts engines; "d1: w1 w2" places engines w1 and w2 in domain d1.
 func newTestCluster(t *testing.T, domains ...string) *testCluster {
 	t.Helper()
 	s := &testCluster{
@@ -282,20 +282,20 @@
 	return s.logLines.String()
 }
 
-// kill ends a daemon without any farewell.
+// kill ends daemons without a planned stop.
 func (s *testCluster) kill(names ...ident.Daemon) {
 	for _, name := range names {
 		if r := s.running[name]; r != nil {
 			r.cancel()
 			if err := <-r.done; err != nil {
-				s.t.Errorf("%s ended with: %v", name, err)
+				s.t.Errorf("%s: Run returned %v", name, err)
 			}
 			delete(s.running, name)
 		}
 	}
 }
 
-// stop stops everything, so that the bubble can close.
+// stop ends daemons, engines and servers; a bubble cannot end before all of its goroutines have.
 func (s *testCluster) stop() {
 	s.kill(s.names...)
 	for _, e := range s.engines {
@@ -314,7 +314,7 @@
 	return c
 }
 
-// waitFor lets virtual time pass until ok holds.
+// waitFor waits in virtual time until condition holds, and fails the test after limit.
 func (s *testCluster) waitFor(description string, limit time.Duration, condition func() bool) {
 	s.t.Helper()
 	for start := time.Now(); !condition(); time.Sleep(20 * time.Millisecond) {
@@ -374,7 +374,7 @@
 	s.waitFor(fmt.Sprintf("group %s whole", name), 60*time.Second, func() bool { return s.group(at, name).Whole })
 }
 
-// response is what a caller gets.
+// response is a caller's view of one response; code and notRun are read from headers.
 type response struct {
 	status int
 	code   string
@@ -400,7 +400,7 @@
 	return got
 }
 
-// complete sends a prompt to the model of a group and returns the text of the answer.
+// complete requests a completion from the model of a group; the response has the generated text only.
 func (s *testCluster) complete(at ident.Daemon, group ident.Group, prompt string, tokens int, header map[string]string) response {
 	body, _ := json.Marshal(map[string]any{"model": "model-" + group, "prompt": prompt, "max_tokens": tokens, "temperature": 0})
 	got := s.send(at, "/v1/completions", string(body), header)
@@ -413,7 +413,7 @@
 		} `json:"choices"`
 	}
 	if err := json.Unmarshal([]byte(got.text), &decoded); err != nil || len(decoded.Choices) != 1 {
-		got.err = fmt.Errorf("not an answer: %s", got.text)
+		got.err = fmt.Errorf("response is not a completion: %s", got.text)
 		return got
 	}
 	got.text = decoded.Choices[0].Text
@@ -425,14 +425,14 @@
 	return engine.ExpectedText(quoted, tokens)
 }
 
-// setPlatformStay makes the platform say something of a VM.
+// setPlatformStay makes the platform list a VM with the given stay.
 func (s *testCluster) setPlatformStay(vm ident.VM, stay vmlist.Stay) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.platformList = []vmlist.Entry{{Upstream: settings.Upstream{Name: vm}, Stay: stay}}
 }
 
-// vmThatRan names the VM that ran a prompt.
+// vmThatRan returns the VM that ran a prompt last.
 func (s *testCluster) vmThatRan(prompt string) ident.VM {
 	quoted, _ := json.Marshal(prompt)
 	s.mu.Lock()
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -24,7 +24,7 @@
 	"github.com/dunlinquay/dunlinquay/vmlist"
 )
 
-// withTestCluster runs fn with a site whose daemons are up and have a leader.
+// withTestCluster runs fn in a synctest bubble with a cluster whose daemons serve and have a leader.
 func withTestCluster(t *testing.T, domains []string, fn func(t *testing.T, s *testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -50,27 +50,27 @@
 	})
 }
 
-// Hundreds of changes, every daemon killed, and all of them come back to the current state.
+// After many changes all daemons are killed. Restarted, none of them serves by an older revision than the newest.
 func TestRestartOfAllDaemonsKeepsState(t *testing.T) {
 	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
 		s.createGroup("g", 2)
-		var last ident.Revision
+		var newest ident.Revision
 		for i := range 200 {
 			label := &operator.LabelChange{VM: "w1", Set: map[string]string{"n": fmt.Sprint(i)}}
 			revision, err := s.submitChange(s.names[i%3], &operator.Change{Label: label})
 			s.noError(err)
-			if revision <= last {
-				t.Fatalf("revision %d after %d", revision, last)
+			if revision <= newest {
+				t.Fatalf("revision %d after %d", revision, newest)
 			}
-			last = revision
+			newest = revision
 		}
 		s.kill(s.names...)
 		s.start(s.names...)
-		// From the first moment on whoever says that it serves does so by the newest revision.
+		// From its start on a daemon that reports that it serves has the newest revision.
 		for range 100 {
 			for _, name := range s.names {
-				if st := s.status(name); st.Serving && st.Revision < last {
-					t.Fatalf("%s serves by revision %d after the restart, %d was accepted", name, st.Revision, last)
+				if st := s.status(name); st.Serving && st.Revision < newest {
+					t.Fatalf("%s serves by revision %d after the restart, want at least %d", name, st.Revision, newest)
 				}
 			}
 			time.Sleep(20 * time.Millisecond)
@@ -82,24 +82,25 @@
 			if got := v.Labels["n"]; got != "199" {
 				t.Errorf("%s: label %q after the restart, want 199", name, got)
 			}
-			if st := s.status(name); st.Revision < last {
-				t.Errorf("%s: revision %d after the restart, was %d", name, st.Revision, last)
+			if st := s.status(name); st.Revision < newest {
+				t.Errorf("%s: revision %d after the restart, want at least %d", name, st.Revision, newest)
 			}
 		}
 		s.waitWhole("a", "g")
 	})
 }
 
-// The leader is cut off and still believes it leads: it orders nothing, accepts nothing, and refuses requests by itself.
+// A leader that is partitioned still believes that it leads. It must send no orders, accept no changes and refuse
+// requests by itself, with engines that check fences and with engines that don't.
 func TestPartitionedLeader(t *testing.T) {
-	for _, checks := range []bool{true, false} {
-		t.Run(fmt.Sprint("engines check orders: ", checks), func(t *testing.T) {
+	for _, checkOrders := range []bool{true, false} {
+		t.Run(fmt.Sprint("engines check orders: ", checkOrders), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newTestCluster(t, "d1: w1 w2 w3")
 				defer s.stop()
 				for i := range s.upstreams {
-					s.upstreams[i].ChecksOrders = checks
-					s.engines[s.upstreams[i].Name].ChecksOrders = checks
+					s.upstreams[i].ChecksOrders = checkOrders
+					s.engines[s.upstreams[i].Name].ChecksOrders = checkOrders
 				}
 				s.start(s.names...)
 				s.waitServing(s.names...)
@@ -108,24 +109,24 @@
 				others := slices.DeleteFunc(slices.Clone(s.names), func(n ident.Daemon) bool { return n == oldLeader })
 				s.network.setPartitioned(oldLeader, true)
 				oldFence := s.engines["w1"].Fence()
-				// A change through the one that is cut off must not be accepted.
+				// The partitioned leader must not accept a change.
 				rejected := &operator.Change{ID: "lost", Label: &operator.LabelChange{VM: "w3", Set: map[string]string{"by": "old"}}}
 				if _, err := s.submitChange(oldLeader, rejected); result.CodeOf(err) != result.NoLeader {
-					t.Errorf("a change through the cut off leader: %v", err)
+					t.Errorf("change through the partitioned leader: error %v, want code no-leader", err)
 				}
 				revision, err := s.submitChange(others[0], &operator.Change{Label: &operator.LabelChange{VM: "w3", Set: map[string]string{"by": "new"}}})
 				s.noError(err)
-				s.waitFor("the cut off daemon refuses", 20*time.Second, func() bool { return !s.status(oldLeader).Serving })
+				s.waitFor("the partitioned daemon refuses requests", 20*time.Second, func() bool { return !s.status(oldLeader).Serving })
 				a := s.complete(oldLeader, "g", "to the cut off one", 3, nil)
 				if a.code != fmt.Sprint(int(result.ControlUnreachable)) || !a.notRun || s.runsOf("to the cut off one") != 0 {
-					t.Errorf("the cut off daemon answered %d, code %s, not run %t", a.status, a.code, a.notRun)
+					t.Errorf("request to the partitioned daemon: status %d, code %s, not run %t; want control-unreachable, not run", a.status, a.code, a.notRun)
 				}
 				inForce, err := s.client(others[0]).Wait(t.Context(), revision, "30s")
 				s.noError(err)
 				if !inForce.Done {
-					t.Errorf("revision %d is not in force everywhere: %v", revision, inForce.Daemons)
+					t.Errorf("revision %d is not in force on all daemons: %v", revision, inForce.Daemons)
 				}
-				// A member dies: only the new leader may repair.
+				// A group member crashes: only the new leader may repair the group.
 				killed := s.group(others[0], "g").Members[1]
 				s.engines[killed].Kill()
 				s.waitFor("repair by the new leader", 20*time.Second, func() bool {
@@ -133,36 +134,37 @@
 					return g.Whole && !slices.Contains(g.Members, killed)
 				})
 				if newFence := s.engines["w3"].Fence(); newFence.Term <= oldFence.Term {
-					t.Errorf("the order came with term %d, the old leader's was %d", newFence.Term, oldFence.Term)
+					t.Errorf("last order had term %d, want a term above the old leader's %d", newFence.Term, oldFence.Term)
 				}
 				s.network.setPartitioned(oldLeader, false)
 				s.waitServing(s.names...)
 				v, err := s.client(oldLeader).VM(t.Context(), "w3")
 				s.noError(err)
 				if got := v.Labels["by"]; got != "new" {
-					t.Errorf("after its return the old leader has label %q", got)
+					t.Errorf("label on the old leader after the partition: %q, want new", got)
 				}
 			})
 		})
 	}
 }
 
-// A daemon that cannot reach the control members refuses after the bound; one that only has no leader serves on.
+// A daemon without contact to a majority of control members serves until the control bound and refuses requests after it.
 func TestRefusesWithoutControlMajority(t *testing.T) {
 	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
 		s.createGroup("g", 2)
 		s.waitWhole("c", "g")
 		s.kill("a", "b")
 		if a := s.complete("c", "g", "at once", 2, nil); a.status != 200 {
-			t.Errorf("right after the loss: status %d, code %s", a.status, a.code)
+			t.Errorf("right after the loss of the majority: status %d, code %s", a.status, a.code)
 		}
 		time.Sleep(10 * time.Second)
 		if a := s.complete("c", "g", "later", 2, nil); a.code != fmt.Sprint(int(result.ControlUnreachable)) || s.runsOf("later") != 0 {
-			t.Errorf("after the bound: status %d, code %s, ran %d times", a.status, a.code, s.runsOf("later"))
+			t.Errorf("after the control bound: status %d, code %s, ran %d times", a.status, a.code, s.runsOf("later"))
 		}
 	})
 }
 
+// A control member that restarts with an empty data folder has no vote and no state until an operator admits it.
 func TestLostDataFolderNeedsAdmission(t *testing.T) {
 	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
 		s.createGroup("g", 2)
@@ -171,9 +173,9 @@
 		s.start("c")
 		time.Sleep(5 * time.Second)
 		if st := s.status("c"); st.Role == "leader" || st.Revision != 0 {
-			t.Errorf("with a new folder and not admitted: role %s, revision %d", st.Role, st.Revision)
+			t.Errorf("with a new folder before admission: role %s, revision %d, want no leader and revision 0", st.Role, st.Revision)
 		}
-		// The two others are the majority; a change is accepted.
+		// The two others are a majority and accept a change.
 		_, err := s.submitChange("a", &operator.Change{Label: &operator.LabelChange{VM: "w1", Set: map[string]string{"x": "1"}}})
 		s.noError(err)
 		s.noError(s.client("b").Admit(t.Context(), "c"))
@@ -181,9 +183,9 @@
 		v, err := s.client("c").VM(t.Context(), "w1")
 		s.noError(err)
 		if v.Labels["x"] != "1" {
-			t.Errorf("the admitted member has labels %v", v.Labels)
+			t.Errorf("labels on the admitted member: %v, want x=1", v.Labels)
 		}
-		// Its vote counts now: the system survives the loss of another member.
+		// The admitted member has a vote: with it, a majority remains after the loss of another member.
 		time.Sleep(3 * time.Second)
 		s.kill("a")
 		_, err = s.submitChange("b", &operator.Change{Label: &operator.LabelChange{VM: "w1", Set: map[string]string{"x": "2"}}})
@@ -191,6 +193,7 @@
 	})
 }
 
+// Of two changes based on the same revision only the first is accepted, and the first, when sent again, has its first answer.
 func TestConflictingAndResentChanges(t *testing.T) {
 	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
 		s.createGroup("g", 1)
@@ -203,23 +206,24 @@
 		first, err := s.submitChange("a", change("one", 1))
 		s.noError(err)
 		if _, err := s.submitChange("b", change("two", 2)); result.CodeOf(err) != result.ChangeConflict {
-			t.Errorf("the second of two racing changes: %v", err)
+			t.Errorf("second of two changes based on one revision: error %v, want code change-conflict", err)
 		}
-		// The answer to the first one was lost; its operator sends it again through another daemon, after a change of leader.
+		// As if the first answer was lost, the operator sends the change again through each daemon after a change of leader.
 		s.kill(s.status("a").Leader)
 		for _, name := range s.names {
 			if s.running[name] == nil {
 				continue
 			}
-			again, err := s.submitChange(name, change("one", 1))
-			if err != nil || again != first {
-				t.Errorf("resend through %s: revision %d, error %v; the first answer was %d", name, again, err, first)
+			resent, err := s.submitChange(name, change("one", 1))
+			if err != nil || resent != first {
+				t.Errorf("change sent again through %s: revision %d, error %v, want revision %d", name, resent, err, first)
 			}
 		}
 	})
 }
 
-// A member that was frozen for longer than the bound returns as if nothing had happened.
+// A group with a member that is frozen for longer than the presence bound is not used, and serves in a new epoch once
+// the member has resumed.
 func TestFrozenMemberReturns(t *testing.T) {
 	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
 		s.createGroup("g", 2)
@@ -228,12 +232,12 @@
 		time.Sleep(4 * time.Second)
 		a := s.complete("a", "g", "while frozen", 3, map[string]string{caller.HeaderDeadline: "2s"})
 		if a.code != fmt.Sprint(int(result.NoWholeGroup)) || s.runsOf("while frozen") != 0 {
-			t.Errorf("while a member is frozen: status %d, code %s, ran %d times", a.status, a.code, s.runsOf("while frozen"))
+			t.Errorf("request while a member is frozen: status %d, code %s, ran %d times; want no-whole-group, not run", a.status, a.code, s.runsOf("while frozen"))
 		}
 		s.engines[before.Members[1]].Resume()
 		s.waitWhole("a", "g")
 		if after := s.group("a", "g"); after.Epoch <= before.Epoch {
-			t.Errorf("the group serves again in epoch %d, it had %d", after.Epoch, before.Epoch)
+			t.Errorf("group serves in epoch %d, want one after %d", after.Epoch, before.Epoch)
 		}
 	})
 }
@@ -257,15 +261,15 @@
 	})
 }
 
-// An upstream that says that it leaves gets no new work within two seconds, and what it has in progress ends in peace.
+// Two seconds after it is known that an upstream will leave, no new requests are sent there; those in progress complete.
 func TestLeavingUpstream(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		announceLeaving func(s *testCluster, vm ident.VM)
 	}{
-		{"its own word", func(s *testCluster, vm ident.VM) { s.engines[vm].SetLeaving(true) }},
-		{"the platform's list", func(s *testCluster, vm ident.VM) { s.setPlatformStay(vm, vmlist.StayLeaving) }},
-		{"an operator's change", func(s *testCluster, vm ident.VM) {
+		{"announced by the engine", func(s *testCluster, vm ident.VM) { s.engines[vm].SetLeaving(true) }},
+		{"listed by the platform", func(s *testCluster, vm ident.VM) { s.setPlatformStay(vm, vmlist.StayLeaving) }},
+		{"drained by an operator", func(s *testCluster, vm ident.VM) {
 			_, err := s.submitChange("b", &operator.Change{Drain: &operator.DrainChange{VM: vm, Drain: true}})
 			s.noError(err)
 		}},
@@ -284,10 +288,10 @@
 				time.Sleep(2 * time.Second)
 				s.complete("c", "g", "after", 1, map[string]string{caller.HeaderDeadline: "1s"})
 				if runs := s.runsOf("after"); runs != 0 {
-					t.Errorf("a request was sent to the leaving group")
+					t.Errorf("a request was sent to the group of the leaving VM")
 				}
 				if a := <-inProgress; a.text != expectedText("long", 30) {
-					t.Errorf("the request in progress: status %d, code %s, error %v", a.status, a.code, a.err)
+					t.Errorf("request in progress: status %d, code %s, error %v", a.status, a.code, a.err)
 				}
 				s.waitFor("served without the leaving VM", 30*time.Second, func() bool {
 					g := s.group("a", "g")
@@ -298,6 +302,7 @@
 	}
 }
 
+// A daemon in a planned stop completes the request in progress and refuses new ones without running them.
 func TestPlannedStopFinishesRequests(t *testing.T) {
 	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
 		s.createGroup("g", 2)
@@ -316,29 +321,30 @@
 		time.Sleep(4 * time.Second)
 		a := s.complete("b", "g", "too late", 1, nil)
 		if a.code != fmt.Sprint(int(result.Stopping)) || !a.notRun || s.runsOf("too late") != 0 {
-			t.Errorf("a request to the stopping daemon: status %d, code %s, not run %t", a.status, a.code, a.notRun)
+			t.Errorf("request to the stopping daemon: status %d, code %s, not run %t; want stopping, not run", a.status, a.code, a.notRun)
 		}
 		if a := <-inProgress; a.text != expectedText("long", 20) {
-			t.Errorf("the request in progress: status %d, code %s, error %v", a.status, a.code, a.err)
+			t.Errorf("request in progress: status %d, code %s, error %v", a.status, a.code, a.err)
 		}
 		<-stopped
 		s.kill("b")
 		if a := s.complete("a", "g", "elsewhere", 1, nil); a.status != 200 {
-			t.Errorf("the others: status %d, code %s", a.status, a.code)
+			t.Errorf("request to another daemon: status %d, code %s", a.status, a.code)
 		}
 	})
 }
 
-// The daemon that sent a not-repeatable call dies; whoever sends it again anywhere never makes it run twice.
-func TestNotRepeatableCallSurvivesItsDaemon(t *testing.T) {
+// The daemon that sent a not-repeatable call crashes. The call must not run twice when the caller sends it again through
+// other daemons.
+func TestAtMostOnceCallAfterDaemonCrash(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		delay time.Duration
 		kill  time.Duration
 		want  []result.Code
 	}{
-		{"died while the call ran", 3 * time.Second, time.Second, []result.Code{result.InProgress, result.OutcomeUnknown}},
-		{"died after the answer was kept", 100 * time.Millisecond, 2 * time.Second, []result.Code{result.OK}},
+		{"crash while the call runs", 3 * time.Second, time.Second, []result.Code{result.InProgress, result.OutcomeUnknown}},
+		{"crash after the answer is stored", 100 * time.Millisecond, 2 * time.Second, []result.Code{result.OK}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			withTestCluster(t, nil, func(t *testing.T, s *testCluster) {
@@ -354,7 +360,7 @@
 						_, _ = fmt.Sscan(a.code, &code)
 					}
 					if !slices.Contains(c.want, code) {
-						t.Errorf("resend %d: code %d, want one of %v: %s", i, code, c.want, a.text)
+						t.Errorf("call sent again, %d: code %d, want one of %v: %s", i, code, c.want, a.text)
 					}
 					time.Sleep(5 * time.Second)
 				}
@@ -390,12 +396,13 @@
 			}
 		}
 		if ran := requests - refused; ran < 2 || ran > 3 {
-			t.Errorf("%d requests ran at once over all daemons, the limit is 2", ran)
+			t.Errorf("%d requests ran at once over all daemons, want 2 or 3 at a limit of 2", ran)
 		}
 	})
 }
 
-// An upstream that names how many requests a second it takes gets that from all daemons together, which ask one of them for each request.
+// All daemons together send an upstream no more requests a second than its limit, and use nearly all of that: one daemon
+// grants a permit for each request.
 func TestUpstreamLimitAcrossDaemons(t *testing.T) {
 	withTestCluster(t, []string{"d1: w1"}, func(t *testing.T, s *testCluster) {
 		s.createGroup("g", 1)
@@ -432,13 +439,13 @@
 		wg.Wait()
 		for _, upstream := range []string{"worker", "head"} {
 			if maxArrived := int(limit*duration.Seconds()) + 1; got[upstream] > maxArrived || got[upstream] < maxArrived*9/10 {
-				t.Errorf("the %s got %d requests in %v, want %d at most and nearly that", upstream, got[upstream], duration, maxArrived)
+				t.Errorf("%s: %d requests in %v, want at most %d and at least 90%% of that", upstream, got[upstream], duration, maxArrived)
 			}
 		}
 	})
 }
 
-// A daemon learns from cache events what another one has sent where, and forgets it when events are missed.
+// A daemon learns from cache events which engine holds a prompt that another daemon has sent.
 func TestCacheEventsReachOtherDaemons(t *testing.T) {
 	withTestCluster(t, []string{"d1: w1 w2 w3 w4 w5 w6"}, func(t *testing.T, s *testCluster) {
 		for _, name := range []ident.Group{"g", "h", "i", "j", "k", "l"} {
@@ -446,9 +453,9 @@
 			_, err := s.submitChange("a", &operator.Change{Create: &spec})
 			s.noError(err)
 		}
-		for _, at := range s.names {
+		for _, runningVM := range s.names {
 			for _, name := range []ident.Group{"g", "h", "i", "j", "k", "l"} {
-				s.waitWhole(at, name)
+				s.waitWhole(runningVM, name)
 			}
 		}
 		prompt := strings.Repeat("a long common beginning ", 2000)
@@ -457,18 +464,18 @@
 		}
 		first := s.vmThatRan(prompt)
 		time.Sleep(12 * time.Second)
-		// Every prompt with that beginning follows, also through the daemons that have not seen the first one.
+		// Prompts with the same prefix are sent to the same engine, also by daemons that did not send the first one.
 		for i := range 10 {
-			again := prompt + fmt.Sprint(i)
-			s.complete(s.names[i%3], "g", again, 2, nil)
-			if at := s.vmThatRan(again); at != first {
-				t.Errorf("prompt %d went to %s through %s, the first one to %s", i, at, s.names[i%3], first)
+			longer := prompt + fmt.Sprint(i)
+			s.complete(s.names[i%3], "g", longer, 2, nil)
+			if runningVM := s.vmThatRan(longer); runningVM != first {
+				t.Errorf("prompt %d ran on %s through %s, the first one on %s", i, runningVM, s.names[i%3], first)
 			}
 		}
 	})
 }
 
-// Metrics and logs tell what happened, and neither a key nor a prompt.
+// Metrics and logs report requests and groups, and contain neither keys nor prompts.
 func TestMetricsAndLogs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestCluster(t, "d1: w1 w2")
@@ -496,26 +503,26 @@
 			`dunlinquay_stranded_accelerators 0`,
 		} {
 			if !strings.Contains(string(body), want) {
-				t.Errorf("metrics lack %s:\n%s", want, body)
+				t.Errorf("missing in metrics: %s\n%s", want, body)
 			}
 		}
 		for _, line := range strings.Split(strings.TrimSpace(s.logText()), "\n") {
 			if !json.Valid([]byte(line)) {
-				t.Errorf("a log line is no JSON: %s", line)
+				t.Errorf("log line is not valid JSON: %s", line)
 			}
 		}
 		for _, secret := range []string{s.customerKey, s.operatorKey, "secret prompt"} {
 			if strings.Contains(s.logText()+string(body), secret) {
-				t.Errorf("%q stands in logs or metrics", secret)
+				t.Errorf("%q found in logs or metrics", secret)
 			}
 		}
-		if ended := `"customer":"cust","class":"interactive","group":"g","epoch":`; !strings.Contains(s.logText(), ended) {
-			t.Errorf("logs lack %s:\n%s", ended, s.logText())
+		if requestFields := `"customer":"cust","class":"interactive","group":"g","epoch":`; !strings.Contains(s.logText(), requestFields) {
+			t.Errorf("missing in logs: %s\n%s", requestFields, s.logText())
 		}
 	})
 }
 
-// The deadline for writing one answer must not cut off the next one on the same connection.
+// The write deadline of one response must not apply to the next one on the same connection.
 func TestWriteDeadlineEndsWithResponse(t *testing.T) {
 	withTestCluster(t, []string{"d1: w1"}, func(t *testing.T, s *testCluster) {
 		s.createGroup("g", 1)
@@ -523,10 +530,10 @@
 			name, path, body string
 			status           int
 		}{
-			{"an answer", "/v1/completions", `{"model":"model-g","prompt":"p","max_tokens":2}`, 200},
-			{"a refusal", "/v1/completions", `{`, 400},
-			{"a reply of a service", "/services/" + serviceName + "/x", "b", 200},
-			{"an answer again", "/v1/completions", `{"model":"model-g","prompt":"p","max_tokens":2,"stream":true}`, 200},
+			{"completion", "/v1/completions", `{"model":"model-g","prompt":"p","max_tokens":2}`, 200},
+			{"invalid request", "/v1/completions", `{`, 400},
+			{"service call", "/services/" + serviceName + "/x", "b", 200},
+			{"streamed completion", "/v1/completions", `{"model":"model-g","prompt":"p","max_tokens":2,"stream":true}`, 200},
 		} {
 			if a := s.send("a", c.path, c.body, nil); a.status != c.status || a.err != nil {
 				t.Errorf("%s: status %d, error %v", c.name, a.status, a.err)
--- a/daemon/fault_pairs_test.go
+++ b/daemon/fault_pairs_test.go
@@ -11,21 +11,21 @@
 	"github.com/dunlinquay/dunlinquay/operator"
 )
 
-// testFault is something that breaks, and how it is repaired.
+// testFault is a fault that a test injects into the cluster and repairs afterwards.
 type testFault struct {
 	name string
-	// inject breaks it and returns what repairs it.
+	// inject causes the fault and returns the function that repairs it.
 	inject func(s *testCluster) (repair func())
 }
 
-// groupMember returns the group's member at place i, counted round.
+// groupMember returns the member of group g with rank i modulo the group's size.
 func (s *testCluster) groupMember(i int) ident.VM {
 	for _, name := range s.names {
 		if g := s.group(name, "g"); len(g.Members) > 0 {
 			return g.Members[i%len(g.Members)]
 		}
 	}
-	s.t.Fatal("no group")
+	s.t.Fatal("no daemon knows group g")
 	return ""
 }
 
@@ -39,7 +39,7 @@
 }
 
 var faults = []testFault{
-	{"a member dies", func(s *testCluster) func() {
+	{"a member crashes", func(s *testCluster) func() {
 		vm := s.groupMember(1)
 		s.engines[vm].Kill()
 		return func() { _ = s.engines[vm].Start(string(vm) + ":1") }
@@ -49,7 +49,7 @@
 		e.Pause()
 		return e.Resume
 	}},
-	{"the leader is cut off", func(s *testCluster) func() {
+	{"the leader is partitioned", func(s *testCluster) func() {
 		name := s.currentLeader()
 		s.network.setPartitioned(name, true)
 		return func() { s.network.setPartitioned(name, false) }
@@ -62,7 +62,7 @@
 			}
 		}
 	}},
-	{"the domain is dark", func(s *testCluster) func() {
+	{"a domain fails", func(s *testCluster) func() {
 		for _, vm := range []ident.VM{"w1", "w2", "w3"} {
 			s.engines[vm].Kill()
 		}
@@ -87,8 +87,9 @@
 	}},
 }
 
-// Every fault with every other one at the same moment, and each of them twice. Whatever happens meanwhile, what is
-// answered is whole and what is called not run did not run; afterwards everything is as it was declared.
+// Injects every ordered pair of faults at the same moment, also a fault with itself. During the faults every successful
+// response is complete and every request reported as not run did not run; after the repair the group is whole again on
+// every daemon.
 func TestFaultsInPairs(t *testing.T) {
 	for i := range faults {
 		for j := range faults {
@@ -116,7 +117,7 @@
 					}
 					s.checkRevisions(revisions)
 					if a := s.complete("b", "g", "at last", 3, nil); a.text != expectedText("at last", 3) {
-						t.Errorf("afterwards: status %d, code %s, error %v", a.status, a.code, a.err)
+						t.Errorf("request after the repair: status %d, code %s, error %v", a.status, a.code, a.err)
 					}
 				})
 			})
@@ -124,7 +125,7 @@
 	}
 }
 
-// requestFromAll sends one request through each daemon that runs and judges the answers.
+// requestFromAll sends one request through each running daemon and checks the responses.
 func (s *testCluster) requestFromAll(n int) {
 	for _, name := range s.names {
 		if s.running[name] == nil {
@@ -133,15 +134,15 @@
 		prompt := fmt.Sprint("request ", n, " through ", name)
 		a := s.complete(name, "g", prompt, 3, map[string]string{caller.HeaderDeadline: "2s"})
 		if a.status == 200 && a.text != expectedText(prompt, 3) {
-			s.t.Errorf("%s: answer %q", prompt, a.text)
+			s.t.Errorf("%s: wrong text %q", prompt, a.text)
 		}
 		if a.notRun && s.runsOf(prompt) > 0 {
-			s.t.Errorf("%s: called not run after %d runs", prompt, s.runsOf(prompt))
+			s.t.Errorf("%s: reported as not run, but ran %d times", prompt, s.runsOf(prompt))
 		}
 	}
 }
 
-// checkRevisions holds every daemon that serves to a revision that only rises.
+// checkRevisions checks that no serving daemon's revision is below the highest one that it has had.
 func (s *testCluster) checkRevisions(highest map[ident.Daemon]ident.Revision) {
 	for _, name := range s.names {
 		if s.running[name] == nil {
@@ -149,7 +150,7 @@
 		}
 		status := s.status(name)
 		if status.Serving && status.Revision < highest[name] {
-			s.t.Errorf("%s serves by revision %d after %d", name, status.Revision, highest[name])
+			s.t.Errorf("%s serves by revision %d, want at least %d", name, status.Revision, highest[name])
 		}
 		highest[name] = max(highest[name], status.Revision)
 	}
