--- a/link/client.go
+++ b/link/client.go
@@ -1,9 +1,9 @@
 package link
 
-// A connection that was cut silently holds every call on it, so a call that
-// gets no answer in time gives the connection up and the next one opens
-// another. Dialing is done by one call at a time; the others wait no longer
-// than they have time.
+// A connection that was interrupted without notice blocks every call on it. A
+// call without a reply in time therefore closes the connection, and the next
+// call opens another. One call at a time dials; the others wait for the new
+// connection until their time-outs.
 
 import (
 	"context"
@@ -17,33 +17,33 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// DialTimeout bounds the opening of a connection. A peer that has no power yet does not answer, and the kernel sends what opens a
-// connection again only after a second: whoever started a little before its peer would wait that long.
+// DialTimeout bounds the opening of a connection. The kernel repeats an unanswered SYN only after a second, so a longer
+// attempt to reach a peer that is just booting would take that second.
 const DialTimeout = 250 * time.Millisecond
 
 // Client calls one service of one other daemon; exported fields are set before the first call.
 type Client struct {
 	Address string
-	// Service is the name under which the methods stand on the wire.
+	// Service is the prefix of method names on the wire.
 	Service string
 	// Dial opens a connection.
 	Dial transport.Dial
-	// Prepare is applied to each new connection, for example to secure it; nil leaves it as it is.
+	// Prepare is applied to each new connection, for example to run TLS over it; nil leaves the connection as it is.
 	Prepare func(ctx context.Context, conn net.Conn) (net.Conn, error)
 
-	dialing chan struct{}
+	dialLock chan struct{}
 	mu      sync.Mutex
 	conn    *rpc.Client
-	// lastContact is when the open connection was made or last brought an answer.
+	// lastContact is when conn was opened or last received a reply.
 	lastContact time.Time
 }
 
 // NewClient returns a client of service at address.
 func NewClient(address, service string) *Client {
-	return &Client{Address: address, Service: service, Dial: transport.TCP(), dialing: make(chan struct{}, 1)}
+	return &Client{Address: address, Service: service, Dial: transport.TCP(), dialLock: make(chan struct{}, 1)}
 }
 
-// Call makes one call; after a failure of the connection the next call opens another one.
+// Call calls a method of the service. A call that fails in transport closes the connection.
 func (c *Client) Call(ctx context.Context, timeout time.Duration, method string, args, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -51,26 +51,28 @@
 	if err != nil {
 		return result.Wrap(err, result.DaemonUnreached, "daemon at %s cannot be reached", c.Address)
 	}
-	pending := conn.Go(c.Service+"."+method, args, reply, make(chan *rpc.Call, 1))
+	call := conn.Go(c.Service+"."+method, args, reply, make(chan *rpc.Call, 1))
 	select {
-	case done := <-pending.Done:
+	case done := <-call.Done:
 		return c.finishCall(conn, done.Error)
 	case <-ctx.Done():
-		// The reply may still arrive and must not be written while the caller reads; the connection is given up.
+		// A late reply must not be written while the caller reads it. Closing the connection prevents that: no call on it is
+		// pending afterwards.
 		c.closeConn(conn)
-		<-pending.Done
-		return result.Wrap(ctx.Err(), result.DaemonUnreached, "daemon at %s did not answer in time", c.Address)
+		<-call.Done
+		return result.Wrap(ctx.Err(), result.DaemonUnreached, "daemon at %s did not reply in time", c.Address)
 	}
 }
 
-// Close closes the connection; a later call opens another one.
+// Close closes the connection if there is one; a later call opens another.
 func (c *Client) Close() {
-	if conn := c.openConn(); conn != nil {
+	if conn := c.currentConn(); conn != nil {
 		c.closeConn(conn)
 	}
 }
 
-// DropUnheard closes the connection when nothing has come over it since a time; calls that are under way on it fail.
+// DropUnheard closes the connection unless it was opened or received a reply at or after the given time. Calls in
+// progress on the connection fail.
 func (c *Client) DropUnheard(since time.Time) {
 	c.mu.Lock()
 	conn, lastContact := c.conn, c.lastContact
@@ -87,10 +89,10 @@
 	}
 	if _, ok := err.(rpc.ServerError); ok { //nolint:errorlint // net/rpc returns this type itself
 		c.noteContact(conn)
-		return result.Wrap(err, result.PeerRefused, "daemon at %s refused", c.Address)
+		return result.Wrap(err, result.PeerRefused, "daemon at %s refused the call", c.Address)
 	}
 	c.closeConn(conn)
-	return result.Wrap(err, result.DaemonUnreached, "connection to daemon at %s broke", c.Address)
+	return result.Wrap(err, result.DaemonUnreached, "connection to daemon at %s failed", c.Address)
 }
 
 func (c *Client) noteContact(conn *rpc.Client) {
@@ -103,12 +105,12 @@
 
 func (c *Client) connect(ctx context.Context) (*rpc.Client, error) {
 	select {
-	case c.dialing <- struct{}{}:
-		defer func() { <-c.dialing }()
+	case c.dialLock <- struct{}{}:
+		defer func() { <-c.dialLock }()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	if open := c.openConn(); open != nil {
+	if open := c.currentConn(); open != nil {
 		return open, nil
 	}
 	conn, err := c.dial(ctx)
@@ -132,7 +134,7 @@
 	return c.Dial(ctx, c.Address)
 }
 
-func (c *Client) openConn() *rpc.Client {
+func (c *Client) currentConn() *rpc.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.conn
--- a/link/client_test.go
+++ b/link/client_test.go
@@ -11,7 +11,8 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// A peer without power does not answer to the opening of a connection: the call fails soon, so that another peer can be asked.
+// A peer that is switched off does not answer SYN packets. The call must fail after DialTimeout, long before its own
+// time-out, so that the caller can use another peer.
 func TestDialTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := link.NewClient("peer", "Service")
@@ -25,7 +26,7 @@
 			t.Errorf("code %d, want %d", code, result.DaemonUnreached)
 		}
 		if elapsed := time.Since(start); elapsed != link.DialTimeout {
-			t.Errorf("the call took %v, want %v", elapsed, link.DialTimeout)
+			t.Errorf("call took %v, want %v", elapsed, link.DialTimeout)
 		}
 	})
 }
--- a/link/doc.go
+++ b/link/doc.go
@@ -1,2 +1,3 @@
-// Package link keeps one net/rpc connection to another daemon and serves such connections.
+// Package link makes net/rpc calls to another daemon over one connection, and serves such connections. It decides when
+// a connection is replaced.
 package link
--- a/link/server.go
+++ b/link/server.go
@@ -19,7 +19,8 @@
 	closed bool
 }
 
-// NewServer returns a server on ln that offers receiver's methods under name; ln is closed when that fails.
+// NewServer returns a server on ln for the receiver's methods, with name as their prefix on the wire. On an error ln is
+// closed.
 func NewServer(ln net.Listener, name string, receiver any) (*Server, error) {
 	s := &Server{listener: ln, rpcServer: rpc.NewServer(), conns: map[net.Conn]struct{}{}}
 	if err := s.rpcServer.RegisterName(name, receiver); err != nil {
@@ -41,7 +42,7 @@
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
-			// The listener may be closed a moment before the connections are; both are when Run returns.
+			// Accept may fail before a concurrent close has closed the connections; all are closed when Run returns.
 			s.close()
 			return
 		}
--- a/link/unheard_test.go
+++ b/link/silent_conn_test.go
@@ -10,16 +10,17 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// Echo answers what it is asked.
+// Echo is a service with one method.
 type Echo struct{}
 
-// Repeat answers.
+// Repeat replies with its argument.
 func (Echo) Repeat(in string, out *string) error {
 	*out = in
 	return nil
 }
 
-// A connection over which nothing has come since a moment is replaced, one that has brought an answer since stays.
+// A connection without a reply since the given time is closed, and the next call opens another; one with a later reply
+// stays open.
 func TestSilentConnectionsAreReplaced(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,7 +46,7 @@
 		t.Helper()
 		var out string
 		if err := c.Call(ctx, 10*time.Second, "Repeat", "x", &out); err != nil || opened != want {
-			t.Errorf("%v, %d connections opened, want %d", err, opened, want)
+			t.Errorf("error %v, %d connections opened, want %d", err, opened, want)
 		}
 	}
 	c.DropUnheard(time.Now())
--- a/park/doc.go
+++ b/park/doc.go
@@ -1,2 +1,2 @@
-// Package park starts goroutines in constructors and keeps them parked until Run releases them.
+// Package park starts goroutines in constructors and blocks them until Run is called.
 package park
--- a/park/park.go
+++ b/park/park.go
@@ -1,21 +1,20 @@
 package park
 
-// Constructors in this project start their goroutines as closures, but a
-// goroutine must not read exported fields before the caller has set them. A
-// Group solves that: Go starts the goroutine at once, and the closure waits
-// until Run releases the group.
+// Constructors in this project create their goroutines, but a goroutine must
+// not read exported fields before the caller has set them. Go of a Group
+// therefore starts a goroutine that waits for Run before it calls its function.
 //
 //	n := &Node{}
-//	n.tasks.Go(n.loop) // parked
+//	n.tasks.Go(n.loop) // the goroutine waits
 //	n.Send = send      // fields are set
-//	n.Run(ctx)         // loop starts, Run returns after it has ended
+//	n.tasks.Run(ctx)   // calls loop; returns after loop has returned
 
 import (
 	"context"
 	"sync"
 )
 
-// Group is a set of parked goroutines; the zero value is not usable, see New.
+// Group is a set of goroutines that wait for Run; the zero value is not usable, see New.
 type Group struct {
 	release chan struct{}
 	once    sync.Once
@@ -28,7 +27,7 @@
 	return &Group{release: make(chan struct{})}
 }
 
-// Go starts fn in a goroutine that waits for Run and then receives Run's context.
+// Go starts a goroutine that waits for Run and then calls fn with Run's context.
 func (g *Group) Go(fn func(ctx context.Context)) {
 	g.wg.Go(func() {
 		<-g.release
@@ -38,7 +37,7 @@
 	})
 }
 
-// Run releases the goroutines with ctx and returns when all of them have ended; a second call only waits.
+// Run makes the goroutines call their functions with ctx and returns when all have ended; a second call only waits.
 func (g *Group) Run(ctx context.Context) {
 	g.once.Do(func() {
 		g.ctx = ctx
@@ -47,7 +46,7 @@
 	g.wg.Wait()
 }
 
-// Discard ends the parked goroutines of a group that will never run.
+// Discard ends the goroutines of a group that will never run, without calling their functions.
 func (g *Group) Discard() {
 	g.once.Do(func() { close(g.release) })
 	g.wg.Wait()
--- a/peer/client.go
+++ b/peer/client.go
@@ -24,10 +24,10 @@
 	maxDeliverBatch    = 64
 )
 
-// Client calls one other daemon over a connection that it opens when needed; exported fields are set before Run.
+// Client calls one other daemon. It opens its connection when needed; exported fields are set before Run.
 type Client struct {
 	Address string
-	// Dial opens a connection; with TLS set the connection is then secured.
+	// Dial opens a connection, over which Client runs TLS if TLS is set.
 	Dial transport.Dial
 	// TLS is nil for plain TCP.
 	TLS *tls.Config
@@ -48,23 +48,23 @@
 	return c
 }
 
-// Run sends queued log messages until ctx ends.
+// Run sends queued log messages until ctx ends, then closes the connection.
 func (c *Client) Run(ctx context.Context) {
 	c.goroutines.Run(ctx)
 	c.link.Close()
 }
 
-// Discard ends a client that will not run.
+// Discard releases a client that will not run.
 func (c *Client) Discard() {
 	c.goroutines.Discard()
 }
 
-// Bytes returns how many bytes were sent to and received from the peer by this client.
+// Bytes returns how many bytes this client has sent and received, without TLS overhead.
 func (c *Client) Bytes() (sent, received int64) {
 	return c.sent.Load(), c.received.Load()
 }
 
-// Enqueue hands over a log message; when the queue is full it is dropped, as a network may.
+// Enqueue queues a log message for delivery. A full queue drops it: the log tolerates lost messages.
 func (c *Client) Enqueue(m *quorum.Message) {
 	select {
 	case c.deliverQueue <- *m:
@@ -72,7 +72,7 @@
 	}
 }
 
-// deliverLoop has one call on its way at a time, which keeps messages in order and gathers those that come meanwhile.
+// deliverLoop makes one call at a time, which keeps messages in order; messages queued meanwhile form the next batch.
 func (c *Client) deliverLoop(ctx context.Context) {
 	for {
 		select {
@@ -98,43 +98,43 @@
 	return messages
 }
 
-// Beat tells the peer how this daemon is.
+// Beat sends this daemon's status to the peer.
 func (c *Client) Beat(ctx context.Context, timeout time.Duration, beat *Beat) (reply BeatReply, err error) {
 	err = c.call(ctx, timeout, "Beat", beat, &reply)
 	return reply, err
 }
 
-// Follow waits for commands after a revision.
+// Follow requests the commands after a revision from a control member.
 func (c *Client) Follow(ctx context.Context, timeout time.Duration, call *FollowCall) (reply FollowReply, err error) {
 	err = c.call(ctx, timeout, "Follow", call, &reply)
 	return reply, err
 }
 
-// Propose forwards a command to the peer.
+// Propose forwards a command to the peer, which must lead the instance.
 func (c *Client) Propose(ctx context.Context, timeout time.Duration, call *ProposeCall) (reply ProposeReply, err error) {
 	err = c.call(ctx, timeout, "Propose", call, &reply)
 	return reply, err
 }
 
-// Hello asks a control member who it is.
+// Hello requests a control member's description.
 func (c *Client) Hello(ctx context.Context, timeout time.Duration) (reply HelloReply, err error) {
 	err = c.call(ctx, timeout, "Hello", &Nothing{}, &reply)
 	return reply, err
 }
 
-// Admit asks the leader of an instance to take a member with a new data folder.
+// Admit asks the leader of an instance to admit a member with a new data folder.
 func (c *Client) Admit(ctx context.Context, timeout time.Duration, call *AdmitCall) (reply AdmitReply, err error) {
 	err = c.call(ctx, timeout, "Admit", call, &reply)
 	return reply, err
 }
 
-// Permit asks the coordinator of an upstream for one request there.
+// Permit requests a permit from the coordinator of an upstream.
 func (c *Client) Permit(ctx context.Context, timeout time.Duration, call *PermitCall) (reply PermitReply, err error) {
 	err = c.call(ctx, timeout, "Permit", call, &reply)
 	return reply, err
 }
 
-// call makes one call; after a failure of the connection the next call opens another one.
+// call makes one call. The link is configured first, because exported fields may change until the first call.
 func (c *Client) call(ctx context.Context, timeout time.Duration, method string, args, reply any) error {
 	c.setup.Do(func() {
 		c.link.Dial = c.Dial
@@ -143,7 +143,7 @@
 	return c.link.Call(ctx, timeout, method, args, reply)
 }
 
-// wrapConn secures a new connection and counts its bytes.
+// wrapConn runs TLS over a new connection if configured, and counts bytes.
 func (c *Client) wrapConn(ctx context.Context, conn net.Conn) (net.Conn, error) {
 	if c.TLS == nil {
 		return &countedConn{conn, c}, nil
@@ -166,27 +166,27 @@
 	return secured, nil
 }
 
-// countedConn counts bytes for the daemon's metrics.
+// countedConn counts the bytes of a connection at its client.
 type countedConn struct {
 	net.Conn
 	client *Client
 }
 
-// Read counts what arrives.
+// Read counts received bytes.
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.client.received.Add(int64(n))
 	return n, err
 }
 
-// Write counts what leaves.
+// Write counts sent bytes.
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.client.sent.Add(int64(n))
 	return n, err
 }
 
-// TLS returns the configuration for mutual TLS from PEM files, or nil when there are none.
+// TLS returns the configuration for mutual TLS from PEM files, or nil if cfg is nil.
 func TLS(cfg *settings.TLS) (*tls.Config, error) {
 	if cfg == nil {
 		return nil, nil
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -1,2 +1,2 @@
-// Package peer carries the calls between daemons over net/rpc, with mutual TLS when certificates are given.
+// Package peer defines the calls between daemons and makes them over net/rpc, with mutual TLS if certificates are given.
 package peer
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -13,63 +13,68 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// Beat is what a daemon tells every other one, a few times a second.
+// Beat is the status that a daemon sends to every other one in each beat interval. Beats detect which daemons are live
+// and carry probe results, demands and limits.
 type Beat struct {
 	From        ident.Daemon
 	Hall        ident.Hall
 	Incarnation ident.Incarnation
 	Revision    ident.Revision
 	Stopping    bool
-	// Observations are the sender's newest probes, InFlight its requests at groups that drain.
+	// Observations are the sender's newest probe results.
 	Observations []presence.Observation
-	InFlight     map[ident.Group]int
-	Demands      []admission.Demand
-	// Held are works under which upstreams ended, as the sender knows them.
+	// InFlight counts the sender's requests in progress at draining groups.
+	InFlight map[ident.Group]int
+	Demands  []admission.Demand
+	// Held is the sender's evidence about request fingerprints under which upstreams crashed.
 	Held []quarantine.Report
-	// Limits are what the sender knows of the limits of upstreams.
+	// Limits are the rate limits of upstreams that the sender knows.
 	Limits []Limit
 }
 
-// Limit is what an upstream told a daemon of its limit, 0 for none any more, and how long ago.
+// Limit is an upstream's newest rate limit as a daemon knows it; Rate 0 means that the upstream no longer has one.
 type Limit struct {
 	Upstream string
 	Rate     ratelimit.Rate
-	Age      time.Duration
-	// Own is set when the upstream told the sender, Apart when the sender can't reach the coordinator and takes its own part.
-	Own   bool
+	// Age is the time since the upstream advertised Rate.
+	Age time.Duration
+	// Own is set when the sender saw the limit in a response of the upstream itself.
+	Own bool
+	// Apart is set when the sender can't reach the upstream's coordinator and uses its local share of the limit.
 	Apart bool
 }
 
-// PermitCall asks the coordinator of an upstream for one request there.
+// PermitCall requests a permit for one request from the coordinator of an upstream.
 type PermitCall struct {
 	From     ident.Daemon
 	Question ratelimit.PermitRequest[string]
 }
 
-// PermitReply is its answer, when Known is set.
+// PermitReply is the coordinator's reply; Known is false when the receiver can't tell which daemon coordinates.
 type PermitReply struct {
 	Known  bool
 	Answer ratelimit.PermitReply[string]
 }
 
-// BeatReply is the receiver's side; Shares come from the control leader only.
+// BeatReply is the receiver's status.
 type BeatReply struct {
 	Incarnation ident.Incarnation
-	// Current is set by a control member that has known everything accepted at some time since it started.
+	// Current is set by a control member that has known every committed change at some time since its start.
 	Current  bool
 	Revision ident.Revision
 	// Leaders names the leader of each instance as far as the receiver knows.
 	Leaders map[quorum.Instance]ident.Daemon
-	Shares  map[ident.Customer]admission.Share
+	// Shares are the shares that the control leader leases to the sender of the beat; other daemons leave them empty.
+	Shares map[ident.Customer]admission.Share
 }
 
-// FollowCall asks for the commands after a revision, waiting up to WaitMillis for the next one.
+// FollowCall requests the commands after a revision, and waits up to WaitMillis if there are none.
 type FollowCall struct {
 	After      ident.Revision
 	WaitMillis int64
 }
 
-// FollowReply holds commands, or a snapshot when they are no longer kept.
+// FollowReply holds commands, or a snapshot if the commands after the requested revision are no longer kept.
 type FollowReply struct {
 	Entries  []fleet.Entry
 	Snapshot []byte
@@ -82,7 +87,7 @@
 	Data     []byte
 }
 
-// ProposeReply holds the state machine's answer for the instance, or the error's code and words.
+// ProposeReply holds the answer of the instance's state machine, or an error's code and message.
 type ProposeReply struct {
 	Answer []byte
 	Index  quorum.Index
@@ -90,7 +95,7 @@
 	Text   string
 }
 
-// HelloReply says who a control member is.
+// HelloReply describes a control member.
 type HelloReply struct {
 	ID       quorum.MemberID
 	Formed   bool
@@ -98,22 +103,22 @@
 	Members  []quorum.Member
 }
 
-// AdmitCall names the member to be admitted to an instance.
+// AdmitCall asks the leader of an instance to admit a member.
 type AdmitCall struct {
 	Instance quorum.Instance
 	Member   ident.Daemon
 }
 
-// AdmitReply is OK, or the error's code and words.
+// AdmitReply has the code OK, or an error's code and message.
 type AdmitReply struct {
 	Code result.Code
 	Text string
 }
 
-// Nothing is the argument or reply of a call that needs none.
+// Nothing is the argument or reply of a call without one.
 type Nothing struct{}
 
-// DeliverCall carries log messages of any instance.
+// DeliverCall carries messages of the replicated logs, of any instance.
 type DeliverCall struct {
 	Messages []quorum.Message
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -26,7 +26,7 @@
 	"github.com/dunlinquay/dunlinquay/settings"
 )
 
-// startServer runs a server whose beats are answered with revision 7.
+// startServer runs a server until stop is called; stop returns when the server has ended.
 func startServer(t *testing.T, cfg *settings.TLS, handlers *peer.Handlers) (address string, stop func()) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,6 +53,7 @@
 	}
 }
 
+// testHandlers answers beats with revision 7 and Hello with an error.
 func testHandlers() *peer.Handlers {
 	return &peer.Handlers{
 		Beat:  func(*peer.Beat) peer.BeatReply { return peer.BeatReply{Revision: 7} },
@@ -84,16 +85,16 @@
 		t.Fatalf("revision %d, error %v", revision, err)
 	}
 	if _, err := c.Hello(context.Background(), time.Minute); result.CodeOf(err) != result.PeerRefused {
-		t.Errorf("a refusal: %v", err)
+		t.Errorf("call that the peer refuses: error %v, want code peer-refused", err)
 	}
 	if _, err := sendBeat(c, time.Minute); err != nil {
-		t.Errorf("after a refusal: %v", err)
+		t.Errorf("call after a refused one: %v", err)
 	}
 	stop()
 	if _, err := sendBeat(c, time.Minute); result.CodeOf(err) != result.DaemonUnreached {
-		t.Errorf("after the peer has gone: %v", err)
+		t.Errorf("call after the peer has stopped: error %v, want code daemon-unreached", err)
 	}
-	// It comes back at the same address.
+	// The peer restarts at the same address.
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -106,7 +107,7 @@
 	defer cancel()
 	go s.Run(ctx)
 	if revision, err := sendBeat(c, time.Minute); err != nil || revision != 7 {
-		t.Errorf("after it has come back: revision %d, error %v", revision, err)
+		t.Errorf("call after the peer has restarted: revision %d, error %v", revision, err)
 	}
 }
 
@@ -121,7 +122,7 @@
 	defer stop()
 	defer close(release)
 	if _, err := sendBeat(newTestClient(t, address, nil), 10*time.Millisecond); result.CodeOf(err) != result.DaemonUnreached {
-		t.Errorf("a silent peer: %v", err)
+		t.Errorf("call without a reply: error %v, want code daemon-unreached", err)
 	}
 }
 
@@ -142,31 +143,31 @@
 		c.Run(ctx)
 		close(done)
 	}()
-	const messages = 200
-	for i := range uint64(messages) {
+	const messageCount = 200
+	for i := range uint64(messageCount) {
 		c.Enqueue(&quorum.Message{Round: i})
 	}
-	for i := range uint64(messages) {
+	for i := range uint64(messageCount) {
 		if round := <-rounds; round != i {
-			t.Fatalf("message %d arrived where %d was due", round, i)
+			t.Fatalf("received message %d, want %d", round, i)
 		}
 	}
 	cancel()
 	<-done
 }
 
-// writeCertificates writes an authority and a certificate for 127.0.0.1 by it.
+// writeCertificates creates an authority and a certificate for 127.0.0.1 that it has signed, as PEM files.
 func writeCertificates(t *testing.T) *settings.TLS {
 	t.Helper()
 	folder := t.TempDir()
-	write := func(name, kind string, b []byte) string {
+	write := func(name, kind string, der []byte) string {
 		path := filepath.Join(folder, name)
-		if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: b}), 0o600); err != nil {
+		if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return path
 	}
-	key := func() *ecdsa.PrivateKey {
+	newKey := func() *ecdsa.PrivateKey {
 		k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 		if err != nil {
 			t.Fatal(err)
@@ -180,21 +181,21 @@
 			ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}, IPAddresses: []net.IP{net.ParseIP("127.0.0.1")},
 		}
 	}
-	authority, own := key(), key()
-	root, err := x509.CreateCertificate(rand.Reader, template(1, true), template(1, true), &authority.PublicKey, authority)
+	authorityKey, leafKey := newKey(), newKey()
+	root, err := x509.CreateCertificate(rand.Reader, template(1, true), template(1, true), &authorityKey.PublicKey, authorityKey)
 	if err != nil {
 		t.Fatal(err)
 	}
-	leaf, err := x509.CreateCertificate(rand.Reader, template(2, false), template(1, true), &own.PublicKey, authority)
+	leaf, err := x509.CreateCertificate(rand.Reader, template(2, false), template(1, true), &leafKey.PublicKey, authorityKey)
 	if err != nil {
 		t.Fatal(err)
 	}
-	private, err := x509.MarshalECPrivateKey(own)
+	leafKeyDER, err := x509.MarshalECPrivateKey(leafKey)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return &settings.TLS{
-		Certificate: write("cert.pem", "CERTIFICATE", leaf), Key: write("key.pem", "EC PRIVATE KEY", private), Authority: write("root.pem", "CERTIFICATE", root),
+		Certificate: write("cert.pem", "CERTIFICATE", leaf), Key: write("key.pem", "EC PRIVATE KEY", leafKeyDER), Authority: write("root.pem", "CERTIFICATE", root),
 	}
 }
 
@@ -207,9 +208,9 @@
 		cfg  *settings.TLS
 		code result.Code
 	}{
-		{"a daemon of ours", trusted, result.OK},
-		{"a stranger's certificate", untrusted, result.DaemonUnreached},
-		{"a stranger that trusts us", &settings.TLS{Certificate: untrusted.Certificate, Key: untrusted.Key, Authority: trusted.Authority}, result.DaemonUnreached},
+		{"certificate of the server's authority", trusted, result.OK},
+		{"certificate and authority unknown to the server", untrusted, result.DaemonUnreached},
+		{"certificate unknown to the server, authority known", &settings.TLS{Certificate: untrusted.Certificate, Key: untrusted.Key, Authority: trusted.Authority}, result.DaemonUnreached},
 		{"no TLS", nil, result.DaemonUnreached},
 	} {
 		if _, err := sendBeat(newTestClient(t, address, c.cfg), 5*time.Second); result.CodeOf(err) != c.code {
@@ -217,11 +218,11 @@
 		}
 	}
 	if _, err := peer.TLS(&settings.TLS{Certificate: "none", Key: "none", Authority: "none"}); result.CodeOf(err) != result.SettingsValue {
-		t.Errorf("files that are missing: %v", err)
+		t.Errorf("missing files: error %v, want code settings-value", err)
 	}
 }
 
-// fakeConn is a connection that gives what it was made with and takes everything.
+// fakeConn is a connection that reads from Reader and writes to Writer.
 type fakeConn struct {
 	io.Reader
 	io.Writer
@@ -248,7 +249,7 @@
 			Hello:   func() (peer.HelloReply, error) { return peer.HelloReply{}, nil },
 			Admit:   func(*peer.AdmitCall) peer.AdmitReply { return peer.AdmitReply{} },
 		}))
-		// Whatever arrives must neither end the process nor keep it.
+		// No input may crash the process or make ServeConn block.
 		s.ServeConn(fakeConn{bytes.NewReader(input), io.Discard})
 	})
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -7,7 +7,7 @@
 	"github.com/dunlinquay/dunlinquay/link"
 )
 
-// Handlers are what a daemon does with each call; all must be set.
+// Handlers handle the calls of other daemons; all must be set.
 type Handlers struct {
 	Deliver func(c *DeliverCall)
 	Beat    func(b *Beat) BeatReply
@@ -18,7 +18,7 @@
 	Permit  func(c *PermitCall) PermitReply
 }
 
-// Service is the receiver that net/rpc calls; its methods are the wire interface.
+// Service is the receiver that net/rpc calls. Its method names are part of the wire protocol.
 type Service struct {
 	handlers *Handlers
 }
@@ -28,52 +28,52 @@
 	return &Service{handlers}
 }
 
-// Deliver takes log messages.
+// Deliver receives messages of the replicated logs.
 func (s *Service) Deliver(call *DeliverCall, _ *Nothing) error {
 	s.handlers.Deliver(call)
 	return nil
 }
 
-// Beat takes a beat.
+// Beat receives another daemon's status and replies with this one's.
 func (s *Service) Beat(beat *Beat, reply *BeatReply) error {
 	*reply = s.handlers.Beat(beat)
 	return nil
 }
 
-// Follow gives commands or a snapshot.
+// Follow returns commands after a revision, or a snapshot.
 func (s *Service) Follow(call *FollowCall, reply *FollowReply) (err error) {
 	*reply, err = s.handlers.Follow(call)
 	return err
 }
 
-// Propose takes a command for the log.
+// Propose proposes a command to an instance that the receiver leads.
 func (s *Service) Propose(call *ProposeCall, reply *ProposeReply) error {
 	*reply = s.handlers.Propose(call)
 	return nil
 }
 
-// Hello says who this control member is.
+// Hello describes this control member.
 func (s *Service) Hello(_ *Nothing, reply *HelloReply) (err error) {
 	*reply, err = s.handlers.Hello()
 	return err
 }
 
-// Admit takes a member with a new data folder into an instance that the receiver leads.
+// Admit admits a member with a new data folder to an instance that the receiver leads.
 func (s *Service) Admit(call *AdmitCall, reply *AdmitReply) error {
 	*reply = s.handlers.Admit(call)
 	return nil
 }
 
-// Permit answers whether a request may go to an upstream with a limit.
+// Permit answers another daemon's permit request.
 func (s *Service) Permit(call *PermitCall, reply *PermitReply) error {
 	*reply = s.handlers.Permit(call)
 	return nil
 }
 
-// serviceName is the name under which the methods stand on the wire.
+// serviceName is the prefix of method names on the wire.
 const serviceName = "Peer"
 
-// Server listens for other daemons.
+// Server accepts connections of other daemons.
 type Server = link.Server
 
 // NewServer returns a server on ln; cfg nil means no TLS.
