--- a/daemon/beat.go
+++ b/daemon/beat.go
@@ -57,7 +57,7 @@
 func (d *Daemon) beatLoop(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	var pending sync.Map
+	var callsInProgress sync.Map
 	runEvery(ctx, d.cfg.Times.Beat.Std(), func() {
 		beat := d.newBeat()
 		d.receiveBeat(beat)
@@ -66,15 +66,15 @@
 		d.noteOwnRevision()
 		for name, client := range d.peers {
 			// An unresponsive peer must neither delay beats to others nor accumulate calls.
-			if _, running := pending.LoadOrStore(name, true); running {
+			if _, running := callsInProgress.LoadOrStore(name, true); running {
 				continue
 			}
 			wg.Go(func() {
-				defer pending.Delete(name)
-				sent := d.now()
+				defer callsInProgress.Delete(name)
+				sentAt := d.now()
 				reply, err := client.Beat(ctx, callTimeout, beat)
 				if err == nil {
-					d.applyBeatReply(name, sent, &reply)
+					d.applyBeatReply(name, sentAt, &reply)
 				}
 			})
 		}
@@ -150,15 +150,15 @@
 	return reply
 }
 
-func (d *Daemon) applyBeatReply(name ident.Daemon, sent time.Time, reply *peer.BeatReply) {
+func (d *Daemon) applyBeatReply(name ident.Daemon, sentAt time.Time, reply *peer.BeatReply) {
 	if !reply.Current {
 		return
 	}
-	d.freshness.noteReply(name, sent, reply.Revision)
+	d.freshness.noteReply(name, sentAt, reply.Revision)
 	d.updateLeaders(reply.Leaders)
 	if reply.Shares != nil {
 		// The lease starts when the call was sent, which is before the leader starts it on its side.
-		d.shares.apply(sent, reply.Shares)
+		d.shares.apply(sentAt, reply.Shares)
 	}
 }
 
--- a/daemon/cache.go
+++ b/daemon/cache.go
@@ -56,7 +56,7 @@
 		reader.retryAt = d.now().Add(cacheRetryDelay)
 		return
 	}
-	// The first response starts at the oldest event that the engine keeps; no record exists yet.
+	// The first response starts at the oldest event that the engine keeps; the record is still empty then.
 	if events.First > reader.nextEvent && reader.nextEvent > 1 {
 		d.routes.Record.Invalidate(target)
 	}
--- a/daemon/limits.go
+++ b/daemon/limits.go
@@ -72,7 +72,7 @@
 	}()
 }
 
-// handlePermit answers another daemon's permit request; Known stays false where this daemon does not coordinate.
+// handlePermit answers another daemon's permit request; Known stays false if the upstream's coordinator is unknown here.
 func (d *Daemon) handlePermit(call *peer.PermitCall) peer.PermitReply {
 	answer, ok := d.dispatch.Limits.HandleRequest(&call.Question, string(call.From))
 	if !ok {
@@ -97,7 +97,7 @@
 	return limits
 }
 
-// mergeLimits merges the limits that another daemon has seen, and at which of them it uses its local share.
+// mergeLimits merges the limits that another daemon has seen, and records for which it uses its local share.
 func (d *Daemon) mergeLimits(now time.Time, beat *peer.Beat) {
 	localShareUsed := map[string]bool{}
 	for i := range beat.Limits {
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -45,7 +45,7 @@
 	_ = m.meter.Close()
 }
 
-func (m *metrics) seriesOf(customer ident.Customer, class ident.Class) *requestHistograms {
+func (m *metrics) histogramsFor(customer ident.Customer, class ident.Class) *requestHistograms {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	key := histogramsKey{customer, class}
@@ -65,16 +65,16 @@
 }
 
 func (m *metrics) observeRequest(t *dispatch.Timing) {
-	s := m.seriesOf(t.Customer, t.Class)
-	s.admissionWait.RecordDuration(t.Wait)
+	histograms := m.histogramsFor(t.Customer, t.Class)
+	histograms.admissionWait.RecordDuration(t.Wait)
 	if t.Err != nil {
 		m.countRequest(t.Customer, result.CodeOf(t.Err))
 		return
 	}
-	s.firstToken.RecordDuration(t.First)
-	s.request.RecordDuration(t.Total)
+	histograms.firstToken.RecordDuration(t.First)
+	histograms.request.RecordDuration(t.Total)
 	if t.Tokens > 1 {
-		s.betweenTokens.RecordDuration((t.Total - t.First) / time.Duration(t.Tokens-1))
+		histograms.betweenTokens.RecordDuration((t.Total - t.First) / time.Duration(t.Tokens-1))
 	}
 	m.countRequest(t.Customer, result.OK)
 }
@@ -110,7 +110,7 @@
 	}
 }
 
-func (m *metrics) groupTotals() groupTotals {
+func (m *metrics) currentGroupTotals() groupTotals {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.latestTotals
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -93,7 +93,7 @@
 	}
 	status.Serving = status.Reason == ""
 	d.fleet.Read(func(state *fleet.State) { status.VMs, status.Groups = len(state.VMs), len(state.Groups) })
-	totals := d.metrics.groupTotals()
+	totals := d.metrics.currentGroupTotals()
 	status.Whole, status.Stranded, status.StrandedMillis, status.DownMillis = totals.wholeGroups, totals.strandedAccelerators, totals.strandedAcceleratorTime.Milliseconds(), totals.downtime.Milliseconds()
 	for _, p := range d.daemons.All() {
 		status.Daemons = append(status.Daemons, operator.DaemonView{
@@ -126,7 +126,7 @@
 	return answer
 }
 
-// groupTotals holds the current numbers of groups and accelerators, and times added up since the daemon's start.
+// currentGroupTotals holds the current numbers of groups and accelerators, and times added up since the daemon's start.
 type groupTotals struct {
 	wholeGroups             int
 	strandedAccelerators    ident.Accelerators
--- a/link/client.go
+++ b/link/client.go
@@ -32,8 +32,8 @@
 	Prepare func(ctx context.Context, conn net.Conn) (net.Conn, error)
 
 	dialLock chan struct{}
-	mu      sync.Mutex
-	conn    *rpc.Client
+	mu       sync.Mutex
+	conn     *rpc.Client
 	// lastContact is when conn was opened or last received a reply.
 	lastContact time.Time
 }
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -50,7 +50,7 @@
 	Question ratelimit.PermitRequest[string]
 }
 
-// PermitReply is the coordinator's reply; Known is false when the receiver can't tell which daemon coordinates.
+// PermitReply is the coordinator's reply; Known is false if the receiver does not know the upstream's coordinator.
 type PermitReply struct {
 	Known  bool
 	Answer ratelimit.PermitReply[string]
