--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -48,7 +48,7 @@
 
 // Daemon is one process; exported fields are set before Run.
 type Daemon struct {
-	// Log must be set before Run; it discards lines by default.
+	// Log discards everything by default.
 	Log logr.Logger
 
 	network     Network
--- a/daemon/lead.go
+++ b/daemon/lead.go
@@ -56,7 +56,7 @@
 	d.Log.V(1).Info("order failed", "vm", vm, "order", kind, "code", int(result.CodeOf(err)), "text", result.Message(err))
 }
 
-// leadLoop runs the leader's checks while this control member leads, and counts group downtime on every one.
+// leadLoop runs the leader's checks while this control member leads; group downtime is counted whether it leads or not.
 func (d *Daemon) leadLoop(ctx context.Context) {
 	d.leader.Log = d.Log
 	closedFor := map[ident.Daemon]ident.Incarnation{}
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -105,7 +105,7 @@
 }
 
 // revisionInForce reports whether each daemon of the settings serves by the revision. A daemon without contact for more
-// than the control bound and the time of two calls has lost its majority and refuses requests, see configFreshness.
+// than the control bound and the time of two calls counts as refusing requests by itself, see configFreshness.
 func (d *Daemon) revisionInForce(revision ident.Revision) operator.InForce {
 	now := d.now()
 	answer := operator.InForce{Revision: revision, Done: true}
@@ -126,7 +126,7 @@
 	return answer
 }
 
-// currentGroupTotals holds the current numbers of groups and accelerators, and times added up since the daemon's start.
+// groupTotals holds the current numbers of groups and accelerators, and times added up since the daemon's start.
 type groupTotals struct {
 	wholeGroups             int
 	strandedAccelerators    ident.Accelerators
