--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -24,272 +24,276 @@
 	"github.com/dunlinquay/dunlinquay/vmlist"
 )
 
-// bubble runs fn with a site whose daemons are up and have a leader.
-func bubble(t *testing.T, domains []string, fn func(t *testing.T, s *site)) {
+// withTestCluster runs fn in a synctest bubble with a cluster whose daemons serve and have a leader.
+func withTestCluster(t *testing.T, domains []string, fn func(t *testing.T, s *testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, domains...)
-		defer s.end()
+		s := newTestCluster(t, domains...)
+		defer s.stop()
 		s.start(s.names...)
-		s.awaitServing(s.names...)
+		s.waitServing(s.names...)
 		fn(t, s)
 	})
 }
 
-func TestEveryDaemonServesAWholeAnswer(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2 w3"}, func(t *testing.T, s *site) {
-		s.create("g", 2)
+func TestEveryDaemonServesCompletions(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1 w2 w3"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 2)
 		for i, name := range s.names {
-			s.awaitWhole(name, "g")
+			s.waitWhole(name, "g")
 			prompt := fmt.Sprint("prompt ", i)
-			a := s.ask(name, "g", prompt, 5, nil)
-			if diff := cmp.Diff(expected(prompt, 5), a.text); diff != "" || a.err != nil {
+			a := s.complete(name, "g", prompt, 5, nil)
+			if diff := cmp.Diff(expectedText(prompt, 5), a.text); diff != "" || a.err != nil {
 				t.Errorf("%s: status %d, error %v (-want +got):\n%s", name, a.status, a.err, diff)
 			}
 		}
 	})
 }
 
-// Hundreds of changes, every daemon killed, and all of them come back to the current state.
-func TestRestartOfAllDaemons(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2"}, func(t *testing.T, s *site) {
-		s.create("g", 2)
-		var last ident.Revision
+// After many changes all daemons are killed. Restarted, none of them serves by an older revision than the newest.
+func TestRestartOfAllDaemonsKeepsState(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 2)
+		var newest ident.Revision
 		for i := range 200 {
 			label := &operator.LabelChange{VM: "w1", Set: map[string]string{"n": fmt.Sprint(i)}}
-			revision, err := s.change(s.names[i%3], &operator.Change{Label: label})
-			s.must(err)
-			if revision <= last {
-				t.Fatalf("revision %d after %d", revision, last)
+			revision, err := s.submitChange(s.names[i%3], &operator.Change{Label: label})
+			s.noError(err)
+			if revision <= newest {
+				t.Fatalf("revision %d after %d", revision, newest)
 			}
-			last = revision
+			newest = revision
 		}
 		s.kill(s.names...)
 		s.start(s.names...)
-		// From the first moment on whoever says that it serves does so by the newest revision.
+		// From its start on a daemon that reports that it serves has the newest revision.
 		for range 100 {
 			for _, name := range s.names {
-				if st := s.status(name); st.Serving && st.Revision < last {
-					t.Fatalf("%s serves by revision %d after the restart, %d was accepted", name, st.Revision, last)
+				if st := s.status(name); st.Serving && st.Revision < newest {
+					t.Fatalf("%s serves by revision %d after the restart, want at least %d", name, st.Revision, newest)
 				}
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		s.awaitServing(s.names...)
+		s.waitServing(s.names...)
 		for _, name := range s.names {
 			v, err := s.client(name).VM(t.Context(), "w1")
-			s.must(err)
+			s.noError(err)
 			if got := v.Labels["n"]; got != "199" {
 				t.Errorf("%s: label %q after the restart, want 199", name, got)
 			}
-			if st := s.status(name); st.Revision < last {
-				t.Errorf("%s: revision %d after the restart, was %d", name, st.Revision, last)
+			if st := s.status(name); st.Revision < newest {
+				t.Errorf("%s: revision %d after the restart, want at least %d", name, st.Revision, newest)
 			}
 		}
-		s.awaitWhole("a", "g")
+		s.waitWhole("a", "g")
 	})
 }
 
-// The leader is cut off and still believes it leads: it orders nothing, accepts nothing, and refuses requests by itself.
-func TestLeaderCutOffSilently(t *testing.T) {
-	for _, checks := range []bool{true, false} {
-		t.Run(fmt.Sprint("engines check orders: ", checks), func(t *testing.T) {
+// A leader that is partitioned still believes that it leads. It must send no orders, accept no changes and refuse
+// requests by itself, with engines that check fences and with engines that don't.
+func TestPartitionedLeader(t *testing.T) {
+	for _, checkOrders := range []bool{true, false} {
+		t.Run(fmt.Sprint("engines check orders: ", checkOrders), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newSite(t, "d1: w1 w2 w3")
-				defer s.end()
-				for i := range s.upstream {
-					s.upstream[i].ChecksOrders = checks
-					s.engines[s.upstream[i].Name].ChecksOrders = checks
+				s := newTestCluster(t, "d1: w1 w2 w3")
+				defer s.stop()
+				for i := range s.upstreams {
+					s.upstreams[i].ChecksOrders = checkOrders
+					s.engines[s.upstreams[i].Name].ChecksOrders = checkOrders
 				}
 				s.start(s.names...)
-				s.awaitServing(s.names...)
-				s.create("g", 2)
-				old := s.status("a").Leader
-				others := slices.DeleteFunc(slices.Clone(s.names), func(n ident.Daemon) bool { return n == old })
-				s.wire.setCut(old, true)
-				fence := s.engines["w1"].Fence()
-				// A change through the one that is cut off must not be accepted.
-				lost := &operator.Change{ID: "lost", Label: &operator.LabelChange{VM: "w3", Set: map[string]string{"by": "old"}}}
-				if _, err := s.change(old, lost); result.CodeOf(err) != result.NoLeader {
-					t.Errorf("a change through the cut off leader: %v", err)
+				s.waitServing(s.names...)
+				s.createGroup("g", 2)
+				oldLeader := s.status("a").Leader
+				others := slices.DeleteFunc(slices.Clone(s.names), func(n ident.Daemon) bool { return n == oldLeader })
+				s.network.setPartitioned(oldLeader, true)
+				oldFence := s.engines["w1"].Fence()
+				// The partitioned leader must not accept a change.
+				rejected := &operator.Change{ID: "lost", Label: &operator.LabelChange{VM: "w3", Set: map[string]string{"by": "old"}}}
+				if _, err := s.submitChange(oldLeader, rejected); result.CodeOf(err) != result.NoLeader {
+					t.Errorf("change through the partitioned leader: error %v, want code no-leader", err)
 				}
-				revision, err := s.change(others[0], &operator.Change{Label: &operator.LabelChange{VM: "w3", Set: map[string]string{"by": "new"}}})
-				s.must(err)
-				s.until("the cut off daemon refuses", 20*time.Second, func() bool { return !s.status(old).Serving })
-				a := s.ask(old, "g", "to the cut off one", 3, nil)
+				revision, err := s.submitChange(others[0], &operator.Change{Label: &operator.LabelChange{VM: "w3", Set: map[string]string{"by": "new"}}})
+				s.noError(err)
+				s.waitFor("the partitioned daemon refuses requests", 20*time.Second, func() bool { return !s.status(oldLeader).Serving })
+				a := s.complete(oldLeader, "g", "to the cut off one", 3, nil)
 				if a.code != fmt.Sprint(int(result.ControlUnreachable)) || !a.notRun || s.runsOf("to the cut off one") != 0 {
-					t.Errorf("the cut off daemon answered %d, code %s, not run %t", a.status, a.code, a.notRun)
+					t.Errorf("request to the partitioned daemon: status %d, code %s, not run %t; want control-unreachable, not run", a.status, a.code, a.notRun)
 				}
-				f, err := s.client(others[0]).Wait(t.Context(), revision, "30s")
-				s.must(err)
-				if !f.Done {
-					t.Errorf("revision %d is not in force everywhere: %v", revision, f.Daemons)
+				inForce, err := s.client(others[0]).Wait(t.Context(), revision, "30s")
+				s.noError(err)
+				if !inForce.Done {
+					t.Errorf("revision %d is not in force on all daemons: %v", revision, inForce.Daemons)
 				}
-				// A member dies: only the new leader may repair.
-				gone := s.group(others[0], "g").Members[1]
-				s.engines[gone].Kill()
-				s.until("repair by the new leader", 20*time.Second, func() bool {
+				// A group member crashes: only the new leader may repair the group.
+				killed := s.group(others[0], "g").Members[1]
+				s.engines[killed].Kill()
+				s.waitFor("repair by the new leader", 20*time.Second, func() bool {
 					g := s.group(others[0], "g")
-					return g.Whole && !slices.Contains(g.Members, gone)
+					return g.Whole && !slices.Contains(g.Members, killed)
 				})
-				if now := s.engines["w3"].Fence(); now.Term <= fence.Term {
-					t.Errorf("the order came with term %d, the old leader's was %d", now.Term, fence.Term)
+				if newFence := s.engines["w3"].Fence(); newFence.Term <= oldFence.Term {
+					t.Errorf("last order had term %d, want a term above the old leader's %d", newFence.Term, oldFence.Term)
 				}
-				s.wire.setCut(old, false)
-				s.awaitServing(s.names...)
-				v, err := s.client(old).VM(t.Context(), "w3")
-				s.must(err)
+				s.network.setPartitioned(oldLeader, false)
+				s.waitServing(s.names...)
+				v, err := s.client(oldLeader).VM(t.Context(), "w3")
+				s.noError(err)
 				if got := v.Labels["by"]; got != "new" {
-					t.Errorf("after its return the old leader has label %q", got)
+					t.Errorf("label on the old leader after the partition: %q, want new", got)
 				}
 			})
 		})
 	}
 }
 
-// A daemon that cannot reach the control members refuses after the bound; one that only has no leader serves on.
-func TestWhatIsServedWithoutControl(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2"}, func(t *testing.T, s *site) {
-		s.create("g", 2)
-		s.awaitWhole("c", "g")
+// A daemon without contact to a majority of control members serves until the control bound and refuses requests after it.
+func TestRefusesWithoutControlMajority(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 2)
+		s.waitWhole("c", "g")
 		s.kill("a", "b")
-		if a := s.ask("c", "g", "at once", 2, nil); a.status != 200 {
-			t.Errorf("right after the loss: status %d, code %s", a.status, a.code)
+		if a := s.complete("c", "g", "at once", 2, nil); a.status != 200 {
+			t.Errorf("right after the loss of the majority: status %d, code %s", a.status, a.code)
 		}
 		time.Sleep(10 * time.Second)
-		if a := s.ask("c", "g", "later", 2, nil); a.code != fmt.Sprint(int(result.ControlUnreachable)) || s.runsOf("later") != 0 {
-			t.Errorf("after the bound: status %d, code %s, ran %d times", a.status, a.code, s.runsOf("later"))
+		if a := s.complete("c", "g", "later", 2, nil); a.code != fmt.Sprint(int(result.ControlUnreachable)) || s.runsOf("later") != 0 {
+			t.Errorf("after the control bound: status %d, code %s, ran %d times", a.status, a.code, s.runsOf("later"))
 		}
 	})
 }
 
-func TestLostDataFolder(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2"}, func(t *testing.T, s *site) {
-		s.create("g", 2)
+// A control member that restarts with an empty data folder has no vote and no state until an operator admits it.
+func TestLostDataFolderNeedsAdmission(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 2)
 		s.kill("c")
-		s.must(os.RemoveAll(s.settings("c").DataFolder))
+		s.noError(os.RemoveAll(s.settings("c").DataFolder))
 		s.start("c")
 		time.Sleep(5 * time.Second)
 		if st := s.status("c"); st.Role == "leader" || st.Revision != 0 {
-			t.Errorf("with a new folder and not admitted: role %s, revision %d", st.Role, st.Revision)
+			t.Errorf("with a new folder before admission: role %s, revision %d, want no leader and revision 0", st.Role, st.Revision)
 		}
-		// The two others are the majority; a change is accepted.
-		_, err := s.change("a", &operator.Change{Label: &operator.LabelChange{VM: "w1", Set: map[string]string{"x": "1"}}})
-		s.must(err)
-		s.must(s.client("b").Admit(t.Context(), "c"))
-		s.awaitServing("a", "b", "c")
+		// The two others are a majority and accept a change.
+		_, err := s.submitChange("a", &operator.Change{Label: &operator.LabelChange{VM: "w1", Set: map[string]string{"x": "1"}}})
+		s.noError(err)
+		s.noError(s.client("b").Admit(t.Context(), "c"))
+		s.waitServing("a", "b", "c")
 		v, err := s.client("c").VM(t.Context(), "w1")
-		s.must(err)
+		s.noError(err)
 		if v.Labels["x"] != "1" {
-			t.Errorf("the admitted member has labels %v", v.Labels)
+			t.Errorf("labels on the admitted member: %v, want x=1", v.Labels)
 		}
-		// Its vote counts now: the system survives the loss of another member.
+		// The admitted member has a vote: with it, a majority remains after the loss of another member.
 		time.Sleep(3 * time.Second)
 		s.kill("a")
-		_, err = s.change("b", &operator.Change{Label: &operator.LabelChange{VM: "w1", Set: map[string]string{"x": "2"}}})
-		s.must(err)
+		_, err = s.submitChange("b", &operator.Change{Label: &operator.LabelChange{VM: "w1", Set: map[string]string{"x": "2"}}})
+		s.noError(err)
 	})
 }
 
-func TestOperatorsRaceAndResend(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2"}, func(t *testing.T, s *site) {
-		s.create("g", 1)
+// Of two changes based on the same revision only the first is accepted, and the first, when sent again, has its first answer.
+func TestConflictingAndResentChanges(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 1)
 		g := s.group("a", "g")
 		change := func(id ident.Change, priority int) *operator.Change {
 			spec := g.Spec
 			spec.Priority = priority
 			return &operator.Change{ID: id, IfRevision: g.Changed, Change: &spec}
 		}
-		first, err := s.change("a", change("one", 1))
-		s.must(err)
-		if _, err := s.change("b", change("two", 2)); result.CodeOf(err) != result.ChangeConflict {
-			t.Errorf("the second of two racing changes: %v", err)
+		first, err := s.submitChange("a", change("one", 1))
+		s.noError(err)
+		if _, err := s.submitChange("b", change("two", 2)); result.CodeOf(err) != result.ChangeConflict {
+			t.Errorf("second of two changes based on one revision: error %v, want code change-conflict", err)
 		}
-		// The answer to the first one was lost; its operator sends it again through another daemon, after a change of leader.
+		// As if the first answer was lost, the operator sends the change again through each daemon after a change of leader.
 		s.kill(s.status("a").Leader)
 		for _, name := range s.names {
 			if s.running[name] == nil {
 				continue
 			}
-			again, err := s.change(name, change("one", 1))
-			if err != nil || again != first {
-				t.Errorf("resend through %s: revision %d, error %v; the first answer was %d", name, again, err, first)
+			resent, err := s.submitChange(name, change("one", 1))
+			if err != nil || resent != first {
+				t.Errorf("change sent again through %s: revision %d, error %v, want revision %d", name, resent, err, first)
 			}
 		}
 	})
 }
 
-// A member that was frozen for longer than the bound returns as if nothing had happened.
+// A group with a member that is frozen for longer than the presence bound is not used, and serves in a new epoch once
+// the member has resumed.
 func TestFrozenMemberReturns(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2"}, func(t *testing.T, s *site) {
-		s.create("g", 2)
+	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 2)
 		before := s.group("a", "g")
 		s.engines[before.Members[1]].Pause()
 		time.Sleep(4 * time.Second)
-		a := s.ask("a", "g", "while frozen", 3, map[string]string{caller.HeaderDeadline: "2s"})
+		a := s.complete("a", "g", "while frozen", 3, map[string]string{caller.HeaderDeadline: "2s"})
 		if a.code != fmt.Sprint(int(result.NoWholeGroup)) || s.runsOf("while frozen") != 0 {
-			t.Errorf("while a member is frozen: status %d, code %s, ran %d times", a.status, a.code, s.runsOf("while frozen"))
+			t.Errorf("request while a member is frozen: status %d, code %s, ran %d times; want no-whole-group, not run", a.status, a.code, s.runsOf("while frozen"))
 		}
 		s.engines[before.Members[1]].Resume()
-		s.awaitWhole("a", "g")
+		s.waitWhole("a", "g")
 		if after := s.group("a", "g"); after.Epoch <= before.Epoch {
-			t.Errorf("the group serves again in epoch %d, it had %d", after.Epoch, before.Epoch)
+			t.Errorf("group serves in epoch %d, want one after %d", after.Epoch, before.Epoch)
 		}
 	})
 }
 
-func TestSecondLossRightAfterARepair(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2 w3 w4"}, func(t *testing.T, s *site) {
-		s.create("g", 2)
+func TestSecondLossRightAfterRepair(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1 w2 w3 w4"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 2)
 		for range 2 {
 			g := s.group("a", "g")
-			gone := g.Members[1]
-			s.engines[gone].Kill()
-			s.until("repaired", 30*time.Second, func() bool {
-				now := s.group("a", "g")
-				return now.Whole && !slices.Contains(now.Members, gone)
+			killed := g.Members[1]
+			s.engines[killed].Kill()
+			s.waitFor("repaired", 30*time.Second, func() bool {
+				repaired := s.group("a", "g")
+				return repaired.Whole && !slices.Contains(repaired.Members, killed)
 			})
 		}
-		s.awaitWhole("b", "g")
-		if a := s.ask("b", "g", "after both", 3, nil); a.text != expected("after both", 3) {
+		s.waitWhole("b", "g")
+		if a := s.complete("b", "g", "after both", 3, nil); a.text != expectedText("after both", 3) {
 			t.Errorf("after two repairs: status %d, code %s", a.status, a.code)
 		}
 	})
 }
 
-// An upstream that says that it leaves gets no new work within two seconds, and what it has in progress ends in peace.
+// Two seconds after it is known that an upstream will leave, no new requests are sent there; those in progress complete.
 func TestLeavingUpstream(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		leave func(s *site, vm ident.VM)
+		name            string
+		announceLeaving func(s *testCluster, vm ident.VM)
 	}{
-		{"its own word", func(s *site, vm ident.VM) { s.engines[vm].SetLeaving(true) }},
-		{"the platform's list", func(s *site, vm ident.VM) { s.listAs(vm, vmlist.StayLeaving) }},
-		{"an operator's change", func(s *site, vm ident.VM) {
-			_, err := s.change("b", &operator.Change{Drain: &operator.DrainChange{VM: vm, Drain: true}})
-			s.must(err)
+		{"announced by the engine", func(s *testCluster, vm ident.VM) { s.engines[vm].SetLeaving(true) }},
+		{"listed by the platform", func(s *testCluster, vm ident.VM) { s.setPlatformStay(vm, vmlist.StayLeaving) }},
+		{"drained by an operator", func(s *testCluster, vm ident.VM) {
+			_, err := s.submitChange("b", &operator.Change{Drain: &operator.DrainChange{VM: vm, Drain: true}})
+			s.noError(err)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			bubble(t, []string{"d1: w1 w2 w3"}, func(t *testing.T, s *site) {
-				s.create("g", 2)
+			withTestCluster(t, []string{"d1: w1 w2 w3"}, func(t *testing.T, s *testCluster) {
+				s.createGroup("g", 2)
 				for _, e := range s.engines {
 					e.TokenTime = 200 * time.Millisecond
 				}
 				head := s.group("a", "g").Members[0]
-				long := make(chan answer)
-				go func() { long <- s.ask("a", "g", "long", 30, nil) }()
+				inProgress := make(chan response)
+				go func() { inProgress <- s.complete("a", "g", "long", 30, nil) }()
 				time.Sleep(time.Second)
-				c.leave(s, head)
+				c.announceLeaving(s, head)
 				time.Sleep(2 * time.Second)
-				s.ask("c", "g", "after", 1, map[string]string{caller.HeaderDeadline: "1s"})
+				s.complete("c", "g", "after", 1, map[string]string{caller.HeaderDeadline: "1s"})
 				if runs := s.runsOf("after"); runs != 0 {
-					t.Errorf("a request was sent to the leaving group")
+					t.Errorf("a request was sent to the group of the leaving VM")
 				}
-				if a := <-long; a.text != expected("long", 30) {
-					t.Errorf("the request in progress: status %d, code %s, error %v", a.status, a.code, a.err)
+				if a := <-inProgress; a.text != expectedText("long", 30) {
+					t.Errorf("request in progress: status %d, code %s, error %v", a.status, a.code, a.err)
 				}
-				s.until("served without the leaving VM", 30*time.Second, func() bool {
+				s.waitFor("served without the leaving VM", 30*time.Second, func() bool {
 					g := s.group("a", "g")
 					return g.Whole && !slices.Contains(g.Members, head)
 				})
@@ -298,15 +302,16 @@
 	}
 }
 
-func TestPlannedStopCutsOffNothing(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2"}, func(t *testing.T, s *site) {
-		s.create("g", 2)
-		s.awaitWhole("b", "g")
+// A daemon in a planned stop completes the request in progress and refuses new ones without running them.
+func TestPlannedStopFinishesRequests(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 2)
+		s.waitWhole("b", "g")
 		for _, e := range s.engines {
 			e.TokenTime = 500 * time.Millisecond
 		}
-		long := make(chan answer)
-		go func() { long <- s.ask("b", "g", "long", 20, nil) }()
+		inProgress := make(chan response)
+		go func() { inProgress <- s.complete("b", "g", "long", 20, nil) }()
 		time.Sleep(time.Second)
 		stopped := make(chan struct{})
 		go func() {
@@ -314,34 +319,35 @@
 			close(stopped)
 		}()
 		time.Sleep(4 * time.Second)
-		a := s.ask("b", "g", "too late", 1, nil)
+		a := s.complete("b", "g", "too late", 1, nil)
 		if a.code != fmt.Sprint(int(result.Stopping)) || !a.notRun || s.runsOf("too late") != 0 {
-			t.Errorf("a request to the stopping daemon: status %d, code %s, not run %t", a.status, a.code, a.notRun)
+			t.Errorf("request to the stopping daemon: status %d, code %s, not run %t; want stopping, not run", a.status, a.code, a.notRun)
 		}
-		if a := <-long; a.text != expected("long", 20) {
-			t.Errorf("the request in progress: status %d, code %s, error %v", a.status, a.code, a.err)
+		if a := <-inProgress; a.text != expectedText("long", 20) {
+			t.Errorf("request in progress: status %d, code %s, error %v", a.status, a.code, a.err)
 		}
 		<-stopped
 		s.kill("b")
-		if a := s.ask("a", "g", "elsewhere", 1, nil); a.status != 200 {
-			t.Errorf("the others: status %d, code %s", a.status, a.code)
+		if a := s.complete("a", "g", "elsewhere", 1, nil); a.status != 200 {
+			t.Errorf("request to another daemon: status %d, code %s", a.status, a.code)
 		}
 	})
 }
 
-// The daemon that sent a not-repeatable call dies; whoever sends it again anywhere never makes it run twice.
-func TestNotRepeatableCallSurvivesItsDaemon(t *testing.T) {
+// The daemon that sent a not-repeatable call crashes. The call must not run twice when the caller sends it again through
+// other daemons.
+func TestAtMostOnceCallAfterDaemonCrash(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		delay time.Duration
 		kill  time.Duration
 		want  []result.Code
 	}{
-		{"died while the call ran", 3 * time.Second, time.Second, []result.Code{result.InProgress, result.OutcomeUnknown}},
-		{"died after the answer was kept", 100 * time.Millisecond, 2 * time.Second, []result.Code{result.OK}},
+		{"crash while the call runs", 3 * time.Second, time.Second, []result.Code{result.InProgress, result.OutcomeUnknown}},
+		{"crash after the answer is stored", 100 * time.Millisecond, 2 * time.Second, []result.Code{result.OK}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			bubble(t, nil, func(t *testing.T, s *site) {
+			withTestCluster(t, nil, func(t *testing.T, s *testCluster) {
 				s.service.Delay = c.delay
 				header := map[string]string{caller.HeaderKey: "k1", caller.HeaderDeadline: "10s"}
 				go s.send("b", "/services/"+serviceName+"/charges", "body", header)
@@ -354,7 +360,7 @@
 						_, _ = fmt.Sscan(a.code, &code)
 					}
 					if !slices.Contains(c.want, code) {
-						t.Errorf("resend %d: code %d, want one of %v: %s", i, code, c.want, a.text)
+						t.Errorf("call sent again, %d: code %d, want one of %v: %s", i, code, c.want, a.text)
 					}
 					time.Sleep(5 * time.Second)
 				}
@@ -366,125 +372,126 @@
 	}
 }
 
-func TestLimitsHoldOverAllDaemons(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2"}, func(t *testing.T, s *site) {
-		s.create("g", 2)
+func TestCustomerLimitAcrossDaemons(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1 w2"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 2)
 		for _, name := range s.names {
-			s.awaitWhole(name, "g")
+			s.waitWhole(name, "g")
 		}
-		_, err := s.change("a", &operator.Change{Limits: &operator.LimitChange{Customer: "cust", Limits: fleet.CustomerLimits{Concurrent: 2}}})
-		s.must(err)
+		_, err := s.submitChange("a", &operator.Change{Limits: &operator.LimitChange{Customer: "cust", Limits: fleet.CustomerLimits{Concurrent: 2}}})
+		s.noError(err)
 		for _, e := range s.engines {
 			e.TokenTime = 300 * time.Millisecond
 		}
 		time.Sleep(2 * time.Second)
-		const sent = 9
-		answers := make(chan answer, sent)
-		for i := range sent {
-			go func() { answers <- s.ask(s.names[i%3], "g", fmt.Sprint("limited ", i), 20, nil) }()
+		const requests = 9
+		answers := make(chan response, requests)
+		for i := range requests {
+			go func() { answers <- s.complete(s.names[i%3], "g", fmt.Sprint("limited ", i), 20, nil) }()
 		}
 		refused := 0
-		for range sent {
+		for range requests {
 			if a := <-answers; a.code == fmt.Sprint(int(result.LimitExceeded)) && a.notRun {
 				refused++
 			}
 		}
-		if ran := sent - refused; ran < 2 || ran > 3 {
-			t.Errorf("%d requests ran at once over all daemons, the limit is 2", ran)
+		if ran := requests - refused; ran < 2 || ran > 3 {
+			t.Errorf("%d requests ran at once over all daemons, want 2 or 3 at a limit of 2", ran)
 		}
 	})
 }
 
-// An upstream that names how many requests a second it takes gets that from all daemons together, which ask one of them for each request.
-func TestLimitsOfUpstreamsHoldOverAllDaemons(t *testing.T) {
-	bubble(t, []string{"d1: w1"}, func(t *testing.T, s *site) {
-		s.create("g", 1)
+// All daemons together send an upstream no more requests a second than its limit, and use nearly all of that: one daemon
+// grants a permit for each request.
+func TestUpstreamLimitAcrossDaemons(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 1)
 		for _, name := range s.names {
-			s.awaitWhole(name, "g")
+			s.waitWhole(name, "g")
 		}
-		const limit, lasts = 2, 10 * time.Second
+		const limit, duration = 2, 10 * time.Second
 		var mu sync.Mutex
 		arrived := map[string]int{}
-		count := func(what string) {
+		count := func(upstream string) {
 			mu.Lock()
 			defer mu.Unlock()
-			arrived[what]++
+			arrived[upstream]++
 		}
 		s.service.Limit, s.service.OnCall = limit, func() { count("worker") }
 		s.engines["w1"].Limit.Store(limit)
 		s.engines["w1"].OnRun = func(ident.Request, string) { count("head") }
 		for _, name := range s.names {
 			s.send(name, "/services/"+serviceName+"/x", "first "+string(name), nil)
-			s.ask(name, "g", "first "+string(name), 1, nil)
+			s.complete(name, "g", "first "+string(name), 1, nil)
 		}
 		time.Sleep(2 * time.Second)
 		clear(arrived)
 		var wg sync.WaitGroup
-		for n := range int(lasts / (50 * time.Millisecond)) {
+		for n := range int(duration / (50 * time.Millisecond)) {
 			name := s.names[n%3]
 			wg.Go(func() { s.send(name, "/services/"+serviceName+"/x", fmt.Sprint(n), nil) })
-			wg.Go(func() { s.ask(name, "g", fmt.Sprint("limited ", n), 1, nil) })
+			wg.Go(func() { s.complete(name, "g", fmt.Sprint("limited ", n), 1, nil) })
 			time.Sleep(50 * time.Millisecond)
 		}
 		mu.Lock()
 		got := maps.Clone(arrived)
 		mu.Unlock()
 		wg.Wait()
-		for _, what := range []string{"worker", "head"} {
-			if most := int(limit*lasts.Seconds()) + 1; got[what] > most || got[what] < most*9/10 {
-				t.Errorf("the %s got %d requests in %v, want %d at most and nearly that", what, got[what], lasts, most)
+		for _, upstream := range []string{"worker", "head"} {
+			if maxArrived := int(limit*duration.Seconds()) + 1; got[upstream] > maxArrived || got[upstream] < maxArrived*9/10 {
+				t.Errorf("%s: %d requests in %v, want at most %d and at least 90%% of that", upstream, got[upstream], duration, maxArrived)
 			}
 		}
 	})
 }
 
-// A daemon learns from cache events what another one has sent where, and forgets it when events are missed.
+// A daemon learns from cache events which engine holds a prompt that another daemon has sent.
 func TestCacheEventsReachOtherDaemons(t *testing.T) {
-	bubble(t, []string{"d1: w1 w2 w3 w4 w5 w6"}, func(t *testing.T, s *site) {
+	withTestCluster(t, []string{"d1: w1 w2 w3 w4 w5 w6"}, func(t *testing.T, s *testCluster) {
 		for _, name := range []ident.Group{"g", "h", "i", "j", "k", "l"} {
 			spec := fleet.GroupSpec{Name: name, Model: "model-g", Size: 1}
-			_, err := s.change("a", &operator.Change{Create: &spec})
-			s.must(err)
+			_, err := s.submitChange("a", &operator.Change{Create: &spec})
+			s.noError(err)
 		}
-		for _, at := range s.names {
+		for _, runningVM := range s.names {
 			for _, name := range []ident.Group{"g", "h", "i", "j", "k", "l"} {
-				s.awaitWhole(at, name)
+				s.waitWhole(runningVM, name)
 			}
 		}
 		prompt := strings.Repeat("a long common beginning ", 2000)
-		if a := s.ask("a", "g", prompt, 2, nil); a.status != 200 {
+		if a := s.complete("a", "g", prompt, 2, nil); a.status != 200 {
 			t.Fatalf("status %d, code %s", a.status, a.code)
 		}
-		first := s.ran(prompt)
+		first := s.vmThatRan(prompt)
 		time.Sleep(12 * time.Second)
-		// Every prompt with that beginning follows, also through the daemons that have not seen the first one.
+		// Prompts with the same prefix are sent to the same engine, also by daemons that did not send the first one.
 		for i := range 10 {
-			again := prompt + fmt.Sprint(i)
-			s.ask(s.names[i%3], "g", again, 2, nil)
-			if at := s.ran(again); at != first {
-				t.Errorf("prompt %d went to %s through %s, the first one to %s", i, at, s.names[i%3], first)
+			longer := prompt + fmt.Sprint(i)
+			s.complete(s.names[i%3], "g", longer, 2, nil)
+			if runningVM := s.vmThatRan(longer); runningVM != first {
+				t.Errorf("prompt %d ran on %s through %s, the first one on %s", i, runningVM, s.names[i%3], first)
 			}
 		}
 	})
 }
 
-// Metrics and logs tell what happened, and neither a key nor a prompt.
+// Metrics and logs report requests and groups, and contain neither keys nor prompts.
 func TestMetricsAndLogs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, "d1: w1 w2")
-		defer s.end()
-		s.adjust = func(cfg *settings.Settings) { cfg.Addresses.Metrics = string(cfg.Name) + ":4" }
+		s := newTestCluster(t, "d1: w1 w2")
+		defer s.stop()
+		s.editSettings = func(cfg *settings.Settings) { cfg.Addresses.Metrics = string(cfg.Name) + ":4" }
 		s.start(s.names...)
-		s.awaitServing(s.names...)
-		s.create("g", 2)
-		s.ask("a", "g", "a secret prompt", 3, nil)
+		s.waitServing(s.names...)
+		s.createGroup("g", 2)
+		s.complete("a", "g", "a secret prompt", 3, nil)
 		s.send("a", "/v1/completions", "{", nil)
 		time.Sleep(3 * time.Second)
 		w, err := s.http.Get("http://a:4/metrics")
-		s.must(err)
+		s.noError(err)
 		defer w.Body.Close()
 		body, err := io.ReadAll(w.Body)
-		s.must(err)
+		s.noError(err)
 		for _, want := range []string{
 			`dunlinquay_request_count{class="interactive",customer="cust"} 1`,
 			`dunlinquay_first_token_count{class="interactive",customer="cust"} 1`,
@@ -496,37 +503,37 @@
 			`dunlinquay_stranded_accelerators 0`,
 		} {
 			if !strings.Contains(string(body), want) {
-				t.Errorf("metrics lack %s:\n%s", want, body)
+				t.Errorf("missing in metrics: %s\n%s", want, body)
 			}
 		}
-		for _, line := range strings.Split(strings.TrimSpace(s.logged()), "\n") {
+		for _, line := range strings.Split(strings.TrimSpace(s.logText()), "\n") {
 			if !json.Valid([]byte(line)) {
-				t.Errorf("a log line is no JSON: %s", line)
+				t.Errorf("log line is not valid JSON: %s", line)
 			}
 		}
-		for _, secret := range []string{s.key, s.op, "secret prompt"} {
-			if strings.Contains(s.logged()+string(body), secret) {
-				t.Errorf("%q stands in logs or metrics", secret)
+		for _, secret := range []string{s.customerKey, s.operatorKey, "secret prompt"} {
+			if strings.Contains(s.logText()+string(body), secret) {
+				t.Errorf("%q found in logs or metrics", secret)
 			}
 		}
-		if ended := `"customer":"cust","class":"interactive","group":"g","epoch":`; !strings.Contains(s.logged(), ended) {
-			t.Errorf("logs lack %s:\n%s", ended, s.logged())
+		if requestFields := `"customer":"cust","class":"interactive","group":"g","epoch":`; !strings.Contains(s.logText(), requestFields) {
+			t.Errorf("missing in logs: %s\n%s", requestFields, s.logText())
 		}
 	})
 }
 
-// The deadline for writing one answer must not cut off the next one on the same connection.
-func TestAKeptConnectionOutlivesItsWriteDeadline(t *testing.T) {
-	bubble(t, []string{"d1: w1"}, func(t *testing.T, s *site) {
-		s.create("g", 1)
+// The write deadline of one response must not apply to the next one on the same connection.
+func TestWriteDeadlineEndsWithResponse(t *testing.T) {
+	withTestCluster(t, []string{"d1: w1"}, func(t *testing.T, s *testCluster) {
+		s.createGroup("g", 1)
 		for _, c := range []struct {
 			name, path, body string
 			status           int
 		}{
-			{"an answer", "/v1/completions", `{"model":"model-g","prompt":"p","max_tokens":2}`, 200},
-			{"a refusal", "/v1/completions", `{`, 400},
-			{"a reply of a service", "/services/" + serviceName + "/x", "b", 200},
-			{"an answer again", "/v1/completions", `{"model":"model-g","prompt":"p","max_tokens":2,"stream":true}`, 200},
+			{"completion", "/v1/completions", `{"model":"model-g","prompt":"p","max_tokens":2}`, 200},
+			{"invalid request", "/v1/completions", `{`, 400},
+			{"service call", "/services/" + serviceName + "/x", "b", 200},
+			{"streamed completion", "/v1/completions", `{"model":"model-g","prompt":"p","max_tokens":2,"stream":true}`, 200},
 		} {
 			if a := s.send("a", c.path, c.body, nil); a.status != c.status || a.err != nil {
 				t.Errorf("%s: status %d, error %v", c.name, a.status, a.err)
--- a/link/server.go
+++ b/link/server.go
@@ -11,18 +11,19 @@
 
 // Server serves net/rpc connections of one listener.
 type Server struct {
-	listener net.Listener
-	rpc      *rpc.Server
+	listener  net.Listener
+	rpcServer *rpc.Server
 
 	mu     sync.Mutex
 	conns  map[net.Conn]struct{}
 	closed bool
 }
 
-// NewServer returns a server on ln that offers receiver's methods under name; ln is closed when that fails.
+// NewServer returns a server on ln for the receiver's methods, with name as their prefix on the wire. On an error ln is
+// closed.
 func NewServer(ln net.Listener, name string, receiver any) (*Server, error) {
-	s := &Server{listener: ln, rpc: rpc.NewServer(), conns: map[net.Conn]struct{}{}}
-	if err := s.rpc.RegisterName(name, receiver); err != nil {
+	s := &Server{listener: ln, rpcServer: rpc.NewServer(), conns: map[net.Conn]struct{}{}}
+	if err := s.rpcServer.RegisterName(name, receiver); err != nil {
 		ln.Close()
 		return nil, result.Wrap(err, result.StartFailed, "service %s cannot be registered", name)
 	}
@@ -41,12 +42,12 @@
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
-			// The listener may be closed a moment before the connections are; both are when Run returns.
+			// Accept may fail before a concurrent close has closed the connections; all are closed when Run returns.
 			s.close()
 			return
 		}
 		if s.track(conn) {
-			go s.serve(conn)
+			go s.serveConn(conn)
 		}
 	}
 }
@@ -62,8 +63,8 @@
 	return true
 }
 
-func (s *Server) serve(conn net.Conn) {
-	s.rpc.ServeConn(conn)
+func (s *Server) serveConn(conn net.Conn) {
+	s.rpcServer.ServeConn(conn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
--- a/link/unheard_test.go
+++ b/link/silent_conn_test.go
@@ -10,17 +10,18 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// Echo answers what it is asked.
+// Echo is a service with one method.
 type Echo struct{}
 
-// Say answers.
-func (Echo) Say(in string, out *string) error {
+// Repeat replies with its argument.
+func (Echo) Repeat(in string, out *string) error {
 	*out = in
 	return nil
 }
 
-// A connection over which nothing has come since a moment is replaced, one that has brought an answer since stays.
-func TestUnheardConnectionsAreReplaced(t *testing.T) {
+// A connection without a reply since the given time is closed, and the next call opens another; one with a later reply
+// stays open.
+func TestSilentConnectionsAreReplaced(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -29,10 +30,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { server.Run(ctx); close(done) }()
-	defer func() { end(); <-done }()
+	defer func() { cancel(); <-done }()
 	opened := 0
 	tcp := transport.TCP()
 	c := link.NewClient(server.Address(), "Echo")
@@ -41,19 +42,19 @@
 		return tcp(ctx, address)
 	}
 	defer c.Close()
-	say := func(want int) {
+	callAndCount := func(want int) {
 		t.Helper()
 		var out string
-		if err := c.Call(ctx, 10*time.Second, "Say", "x", &out); err != nil || opened != want {
-			t.Errorf("%v, %d connections opened, want %d", err, opened, want)
+		if err := c.Call(ctx, 10*time.Second, "Repeat", "x", &out); err != nil || opened != want {
+			t.Errorf("error %v, %d connections opened, want %d", err, opened, want)
 		}
 	}
 	c.DropUnheard(time.Now())
-	say(1)
-	before := time.Now().Add(-time.Hour)
-	c.DropUnheard(before)
-	say(1)
+	callAndCount(1)
+	longAgo := time.Now().Add(-time.Hour)
+	c.DropUnheard(longAgo)
+	callAndCount(1)
 	c.DropUnheard(time.Now().Add(time.Hour))
-	say(2)
-	say(2)
+	callAndCount(2)
+	callAndCount(2)
 }
--- a/peer/client.go
+++ b/peer/client.go
@@ -19,77 +19,77 @@
 )
 
 const (
-	deliverTimeout = 2 * time.Second
-	queueLength    = 256
-	maxDeliver     = 64
+	deliverTimeout     = 2 * time.Second
+	deliverQueueLength = 256
+	maxDeliverBatch    = 64
 )
 
-// Client calls one other daemon over a connection that it opens when needed; exported fields are set before Run.
+// Client calls one other daemon. It opens its connection when needed; exported fields are set before Run.
 type Client struct {
 	Address string
-	// Dial opens a connection; with TLS set the connection is then secured.
+	// Dial opens a connection, over which Client runs TLS if TLS is set.
 	Dial transport.Dial
 	// TLS is nil for plain TCP.
 	TLS *tls.Config
 
-	tasks *park.Group
-	queue chan quorum.Message
-	sent  atomic.Int64
-	got   atomic.Int64
+	goroutines   *park.Group
+	deliverQueue chan quorum.Message
+	sent         atomic.Int64
+	received     atomic.Int64
 
-	once sync.Once
-	link *link.Client
+	setup sync.Once
+	link  *link.Client
 }
 
 // NewClient returns a client of the daemon at address.
 func NewClient(address string) *Client {
-	c := &Client{Address: address, Dial: transport.TCP(), tasks: park.New(), queue: make(chan quorum.Message, queueLength), link: link.NewClient(address, serviceName)}
-	c.tasks.Go(func(ctx context.Context) { c.deliverLoop(ctx) })
+	c := &Client{Address: address, Dial: transport.TCP(), goroutines: park.New(), deliverQueue: make(chan quorum.Message, deliverQueueLength), link: link.NewClient(address, serviceName)}
+	c.goroutines.Go(func(ctx context.Context) { c.deliverLoop(ctx) })
 	return c
 }
 
-// Run sends queued log messages until ctx ends.
+// Run sends queued log messages until ctx ends, then closes the connection.
 func (c *Client) Run(ctx context.Context) {
-	c.tasks.Run(ctx)
+	c.goroutines.Run(ctx)
 	c.link.Close()
 }
 
-// Discard ends a client that will not run.
+// Discard releases a client that will not run.
 func (c *Client) Discard() {
-	c.tasks.Discard()
+	c.goroutines.Discard()
 }
 
-// Bytes returns how many bytes were sent to and received from the peer by this client.
+// Bytes returns how many bytes this client has sent and received, without TLS overhead.
 func (c *Client) Bytes() (sent, received int64) {
-	return c.sent.Load(), c.got.Load()
+	return c.sent.Load(), c.received.Load()
 }
 
-// Enqueue hands over a log message; when the queue is full it is dropped, as a network may.
+// Enqueue queues a log message for delivery. A full queue drops it: the log tolerates lost messages.
 func (c *Client) Enqueue(m *quorum.Message) {
 	select {
-	case c.queue <- *m:
+	case c.deliverQueue <- *m:
 	default:
 	}
 }
 
-// deliverLoop has one call on its way at a time, which keeps messages in order and gathers those that come meanwhile.
+// deliverLoop makes one call at a time, which keeps messages in order; messages queued meanwhile form the next batch.
 func (c *Client) deliverLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-c.queue:
-			call := &DeliverCall{Messages: c.gather(m)}
+		case m := <-c.deliverQueue:
+			call := &DeliverCall{Messages: c.collectBatch(m)}
 			_ = c.call(ctx, deliverTimeout, "Deliver", call, &Nothing{})
 		}
 	}
 }
 
-func (c *Client) gather(first quorum.Message) []quorum.Message {
+func (c *Client) collectBatch(first quorum.Message) []quorum.Message {
 	messages := []quorum.Message{first}
-	for len(messages) < maxDeliver {
+	for len(messages) < maxDeliverBatch {
 		select {
-		case m := <-c.queue:
+		case m := <-c.deliverQueue:
 			messages = append(messages, m)
 		default:
 			return messages
@@ -98,64 +98,64 @@
 	return messages
 }
 
-// Beat tells the peer how this daemon is.
-func (c *Client) Beat(ctx context.Context, timeout time.Duration, b *Beat) (reply BeatReply, err error) {
-	err = c.call(ctx, timeout, "Beat", b, &reply)
+// Beat sends this daemon's status to the peer.
+func (c *Client) Beat(ctx context.Context, timeout time.Duration, beat *Beat) (reply BeatReply, err error) {
+	err = c.call(ctx, timeout, "Beat", beat, &reply)
 	return reply, err
 }
 
-// Follow waits for commands after a revision.
+// Follow requests the commands after a revision from a control member.
 func (c *Client) Follow(ctx context.Context, timeout time.Duration, call *FollowCall) (reply FollowReply, err error) {
 	err = c.call(ctx, timeout, "Follow", call, &reply)
 	return reply, err
 }
 
-// Propose forwards a command to the peer.
+// Propose forwards a command to the peer, which must lead the instance.
 func (c *Client) Propose(ctx context.Context, timeout time.Duration, call *ProposeCall) (reply ProposeReply, err error) {
 	err = c.call(ctx, timeout, "Propose", call, &reply)
 	return reply, err
 }
 
-// Hello asks a control member who it is.
+// Hello requests a control member's description.
 func (c *Client) Hello(ctx context.Context, timeout time.Duration) (reply HelloReply, err error) {
 	err = c.call(ctx, timeout, "Hello", &Nothing{}, &reply)
 	return reply, err
 }
 
-// Admit asks the leader of an instance to take a member with a new data folder.
+// Admit asks the leader of an instance to admit a member with a new data folder.
 func (c *Client) Admit(ctx context.Context, timeout time.Duration, call *AdmitCall) (reply AdmitReply, err error) {
 	err = c.call(ctx, timeout, "Admit", call, &reply)
 	return reply, err
 }
 
-// Permit asks the coordinator of an upstream for one request there.
+// Permit requests a permit from the coordinator of an upstream.
 func (c *Client) Permit(ctx context.Context, timeout time.Duration, call *PermitCall) (reply PermitReply, err error) {
 	err = c.call(ctx, timeout, "Permit", call, &reply)
 	return reply, err
 }
 
-// call makes one call; after a failure of the connection the next call opens another one.
+// call makes one call. The link is configured first, because exported fields may change until the first call.
 func (c *Client) call(ctx context.Context, timeout time.Duration, method string, args, reply any) error {
-	c.once.Do(func() {
+	c.setup.Do(func() {
 		c.link.Dial = c.Dial
-		c.link.Prepare = c.prepare
+		c.link.Prepare = c.wrapConn
 	})
 	return c.link.Call(ctx, timeout, method, args, reply)
 }
 
-// prepare secures a new connection and counts its bytes.
-func (c *Client) prepare(ctx context.Context, conn net.Conn) (net.Conn, error) {
+// wrapConn runs TLS over a new connection if configured, and counts bytes.
+func (c *Client) wrapConn(ctx context.Context, conn net.Conn) (net.Conn, error) {
 	if c.TLS == nil {
 		return &countedConn{conn, c}, nil
 	}
-	secured, err := c.secure(ctx, conn)
+	secured, err := c.handshake(ctx, conn)
 	if err != nil {
 		return nil, err
 	}
 	return &countedConn{secured, c}, nil
 }
 
-func (c *Client) secure(ctx context.Context, conn net.Conn) (net.Conn, error) {
+func (c *Client) handshake(ctx context.Context, conn net.Conn) (net.Conn, error) {
 	cfg := c.TLS.Clone()
 	cfg.ServerName, _, _ = net.SplitHostPort(c.Address)
 	secured := tls.Client(conn, cfg)
@@ -166,27 +166,27 @@
 	return secured, nil
 }
 
-// countedConn counts bytes for the daemon's metrics.
+// countedConn counts the bytes of a connection at its client.
 type countedConn struct {
 	net.Conn
 	client *Client
 }
 
-// Read counts what arrives.
+// Read counts received bytes.
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.client.got.Add(int64(n))
+	c.client.received.Add(int64(n))
 	return n, err
 }
 
-// Write counts what leaves.
+// Write counts sent bytes.
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.client.sent.Add(int64(n))
 	return n, err
 }
 
-// TLS returns the configuration for mutual TLS from PEM files, or nil when there are none.
+// TLS returns the configuration for mutual TLS from PEM files, or nil if cfg is nil.
 func TLS(cfg *settings.TLS) (*tls.Config, error) {
 	if cfg == nil {
 		return nil, nil
@@ -195,12 +195,12 @@
 	if err != nil {
 		return nil, result.Wrap(err, result.SettingsValue, "tls certificate and key cannot be loaded")
 	}
-	pem, err := os.ReadFile(cfg.Authority)
+	authorityPEM, err := os.ReadFile(cfg.Authority)
 	if err != nil {
 		return nil, result.Wrap(err, result.SettingsValue, "tls authority cannot be read")
 	}
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(pem) {
+	if !pool.AppendCertsFromPEM(authorityPEM) {
 		return nil, result.New(result.SettingsValue, "tls authority %s holds no certificate", cfg.Authority)
 	}
 	return &tls.Config{
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -26,8 +26,8 @@
 	"github.com/dunlinquay/dunlinquay/settings"
 )
 
-// serve runs a server whose beats are answered with revision 7.
-func serve(t *testing.T, cfg *settings.TLS, handlers *peer.Handlers) (address string, stop func()) {
+// startServer runs a server until stop is called; stop returns when the server has ended.
+func startServer(t *testing.T, cfg *settings.TLS, handlers *peer.Handlers) (address string, stop func()) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,14 +53,15 @@
 	}
 }
 
-func beats() *peer.Handlers {
+// testHandlers answers beats with revision 7 and Hello with an error.
+func testHandlers() *peer.Handlers {
 	return &peer.Handlers{
 		Beat:  func(*peer.Beat) peer.BeatReply { return peer.BeatReply{Revision: 7} },
 		Hello: func() (peer.HelloReply, error) { return peer.HelloReply{}, result.New(result.PeerRefused, "no") },
 	}
 }
 
-func newClient(t *testing.T, address string, cfg *settings.TLS) *peer.Client {
+func newTestClient(t *testing.T, address string, cfg *settings.TLS) *peer.Client {
 	t.Helper()
 	c := peer.NewClient(address)
 	tlsConfig, err := peer.TLS(cfg)
@@ -72,68 +73,68 @@
 	return c
 }
 
-func beat(c *peer.Client, timeout time.Duration) (ident.Revision, error) {
+func sendBeat(c *peer.Client, timeout time.Duration) (ident.Revision, error) {
 	reply, err := c.Beat(context.Background(), timeout, &peer.Beat{From: "a"})
 	return reply.Revision, err
 }
 
-func TestCallsAndTheirFailures(t *testing.T) {
-	address, stop := serve(t, nil, beats())
-	c := newClient(t, address, nil)
-	if revision, err := beat(c, time.Minute); err != nil || revision != 7 {
+func TestCallErrors(t *testing.T) {
+	address, stop := startServer(t, nil, testHandlers())
+	c := newTestClient(t, address, nil)
+	if revision, err := sendBeat(c, time.Minute); err != nil || revision != 7 {
 		t.Fatalf("revision %d, error %v", revision, err)
 	}
 	if _, err := c.Hello(context.Background(), time.Minute); result.CodeOf(err) != result.PeerRefused {
-		t.Errorf("a refusal: %v", err)
+		t.Errorf("call that the peer refuses: error %v, want code peer-refused", err)
 	}
-	if _, err := beat(c, time.Minute); err != nil {
-		t.Errorf("after a refusal: %v", err)
+	if _, err := sendBeat(c, time.Minute); err != nil {
+		t.Errorf("call after a refused one: %v", err)
 	}
 	stop()
-	if _, err := beat(c, time.Minute); result.CodeOf(err) != result.DaemonUnreached {
-		t.Errorf("after the peer has gone: %v", err)
+	if _, err := sendBeat(c, time.Minute); result.CodeOf(err) != result.DaemonUnreached {
+		t.Errorf("call after the peer has stopped: error %v, want code daemon-unreached", err)
 	}
-	// It comes back at the same address.
+	// The peer restarts at the same address.
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := peer.NewServer(ln, nil, beats())
+	s, err := peer.NewServer(ln, nil, testHandlers())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go s.Run(ctx)
-	if revision, err := beat(c, time.Minute); err != nil || revision != 7 {
-		t.Errorf("after it has come back: revision %d, error %v", revision, err)
+	if revision, err := sendBeat(c, time.Minute); err != nil || revision != 7 {
+		t.Errorf("call after the peer has restarted: revision %d, error %v", revision, err)
 	}
 }
 
-func TestASilentPeerCostsNoMoreThanTheTimeout(t *testing.T) {
-	handlers := beats()
-	hold := make(chan struct{})
+func TestUnansweredCallTimesOut(t *testing.T) {
+	handlers := testHandlers()
+	release := make(chan struct{})
 	handlers.Beat = func(*peer.Beat) peer.BeatReply {
-		<-hold
+		<-release
 		return peer.BeatReply{}
 	}
-	address, stop := serve(t, nil, handlers)
+	address, stop := startServer(t, nil, handlers)
 	defer stop()
-	defer close(hold)
-	if _, err := beat(newClient(t, address, nil), 10*time.Millisecond); result.CodeOf(err) != result.DaemonUnreached {
-		t.Errorf("a silent peer: %v", err)
+	defer close(release)
+	if _, err := sendBeat(newTestClient(t, address, nil), 10*time.Millisecond); result.CodeOf(err) != result.DaemonUnreached {
+		t.Errorf("call without a reply: error %v, want code daemon-unreached", err)
 	}
 }
 
 func TestMessagesArriveInOrder(t *testing.T) {
-	got := make(chan uint64, 1000)
-	handlers := beats()
+	rounds := make(chan uint64, 1000)
+	handlers := testHandlers()
 	handlers.Deliver = func(c *peer.DeliverCall) {
 		for i := range c.Messages {
-			got <- c.Messages[i].Round
+			rounds <- c.Messages[i].Round
 		}
 	}
-	address, stop := serve(t, nil, handlers)
+	address, stop := startServer(t, nil, handlers)
 	defer stop()
 	c := peer.NewClient(address)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -142,31 +143,31 @@
 		c.Run(ctx)
 		close(done)
 	}()
-	const messages = 200
-	for i := range uint64(messages) {
+	const messageCount = 200
+	for i := range uint64(messageCount) {
 		c.Enqueue(&quorum.Message{Round: i})
 	}
-	for i := range uint64(messages) {
-		if round := <-got; round != i {
-			t.Fatalf("message %d arrived where %d was due", round, i)
+	for i := range uint64(messageCount) {
+		if round := <-rounds; round != i {
+			t.Fatalf("received message %d, want %d", round, i)
 		}
 	}
 	cancel()
 	<-done
 }
 
-// certificates writes an authority and a certificate for 127.0.0.1 by it.
-func certificates(t *testing.T) *settings.TLS {
+// writeCertificates creates an authority and a certificate for 127.0.0.1 that it has signed, as PEM files.
+func writeCertificates(t *testing.T) *settings.TLS {
 	t.Helper()
 	folder := t.TempDir()
-	write := func(name, kind string, b []byte) string {
+	write := func(name, kind string, der []byte) string {
 		path := filepath.Join(folder, name)
-		if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: b}), 0o600); err != nil {
+		if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return path
 	}
-	key := func() *ecdsa.PrivateKey {
+	newKey := func() *ecdsa.PrivateKey {
 		k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 		if err != nil {
 			t.Fatal(err)
@@ -180,55 +181,55 @@
 			ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}, IPAddresses: []net.IP{net.ParseIP("127.0.0.1")},
 		}
 	}
-	authority, own := key(), key()
-	root, err := x509.CreateCertificate(rand.Reader, template(1, true), template(1, true), &authority.PublicKey, authority)
+	authorityKey, leafKey := newKey(), newKey()
+	root, err := x509.CreateCertificate(rand.Reader, template(1, true), template(1, true), &authorityKey.PublicKey, authorityKey)
 	if err != nil {
 		t.Fatal(err)
 	}
-	leaf, err := x509.CreateCertificate(rand.Reader, template(2, false), template(1, true), &own.PublicKey, authority)
+	leaf, err := x509.CreateCertificate(rand.Reader, template(2, false), template(1, true), &leafKey.PublicKey, authorityKey)
 	if err != nil {
 		t.Fatal(err)
 	}
-	private, err := x509.MarshalECPrivateKey(own)
+	leafKeyDER, err := x509.MarshalECPrivateKey(leafKey)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return &settings.TLS{
-		Certificate: write("cert.pem", "CERTIFICATE", leaf), Key: write("key.pem", "EC PRIVATE KEY", private), Authority: write("root.pem", "CERTIFICATE", root),
+		Certificate: write("cert.pem", "CERTIFICATE", leaf), Key: write("key.pem", "EC PRIVATE KEY", leafKeyDER), Authority: write("root.pem", "CERTIFICATE", root),
 	}
 }
 
 func TestMutualTLS(t *testing.T) {
-	ours, strangers := certificates(t), certificates(t)
-	address, stop := serve(t, ours, beats())
+	trusted, untrusted := writeCertificates(t), writeCertificates(t)
+	address, stop := startServer(t, trusted, testHandlers())
 	defer stop()
 	for _, c := range []struct {
 		name string
 		cfg  *settings.TLS
 		code result.Code
 	}{
-		{"a daemon of ours", ours, result.OK},
-		{"a stranger's certificate", strangers, result.DaemonUnreached},
-		{"a stranger that trusts us", &settings.TLS{Certificate: strangers.Certificate, Key: strangers.Key, Authority: ours.Authority}, result.DaemonUnreached},
+		{"certificate of the server's authority", trusted, result.OK},
+		{"certificate and authority unknown to the server", untrusted, result.DaemonUnreached},
+		{"certificate unknown to the server, authority known", &settings.TLS{Certificate: untrusted.Certificate, Key: untrusted.Key, Authority: trusted.Authority}, result.DaemonUnreached},
 		{"no TLS", nil, result.DaemonUnreached},
 	} {
-		if _, err := beat(newClient(t, address, c.cfg), 5*time.Second); result.CodeOf(err) != c.code {
+		if _, err := sendBeat(newTestClient(t, address, c.cfg), 5*time.Second); result.CodeOf(err) != c.code {
 			t.Errorf("%s: %v, want code %d", c.name, err, c.code)
 		}
 	}
 	if _, err := peer.TLS(&settings.TLS{Certificate: "none", Key: "none", Authority: "none"}); result.CodeOf(err) != result.SettingsValue {
-		t.Errorf("files that are missing: %v", err)
+		t.Errorf("missing files: error %v, want code settings-value", err)
 	}
 }
 
-// conn is a connection that gives what it was made with and takes everything.
-type conn struct {
+// fakeConn is a connection that reads from Reader and writes to Writer.
+type fakeConn struct {
 	io.Reader
 	io.Writer
 }
 
 // Close does nothing.
-func (conn) Close() error { return nil }
+func (fakeConn) Close() error { return nil }
 
 func FuzzServe(f *testing.F) {
 	var call bytes.Buffer
@@ -248,7 +249,7 @@
 			Hello:   func() (peer.HelloReply, error) { return peer.HelloReply{}, nil },
 			Admit:   func(*peer.AdmitCall) peer.AdmitReply { return peer.AdmitReply{} },
 		}))
-		// Whatever arrives must neither end the process nor keep it.
-		s.ServeConn(conn{bytes.NewReader(input), io.Discard})
+		// No input may crash the process or make ServeConn block.
+		s.ServeConn(fakeConn{bytes.NewReader(input), io.Discard})
 	})
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -7,7 +7,7 @@
 	"github.com/dunlinquay/dunlinquay/link"
 )
 
-// Handlers are what a daemon does with each call; all must be set.
+// Handlers handle the calls of other daemons; all must be set.
 type Handlers struct {
 	Deliver func(c *DeliverCall)
 	Beat    func(b *Beat) BeatReply
@@ -18,7 +18,7 @@
 	Permit  func(c *PermitCall) PermitReply
 }
 
-// Service is the receiver that net/rpc calls; its methods are the wire interface.
+// Service is the receiver that net/rpc calls. Its method names are part of the wire protocol.
 type Service struct {
 	handlers *Handlers
 }
@@ -28,58 +28,58 @@
 	return &Service{handlers}
 }
 
-// Deliver takes log messages.
-func (s *Service) Deliver(c *DeliverCall, _ *Nothing) error {
-	s.handlers.Deliver(c)
+// Deliver receives messages of the replicated logs.
+func (s *Service) Deliver(call *DeliverCall, _ *Nothing) error {
+	s.handlers.Deliver(call)
 	return nil
 }
 
-// Beat takes a beat.
-func (s *Service) Beat(b *Beat, reply *BeatReply) error {
-	*reply = s.handlers.Beat(b)
+// Beat receives another daemon's status and replies with this one's.
+func (s *Service) Beat(beat *Beat, reply *BeatReply) error {
+	*reply = s.handlers.Beat(beat)
 	return nil
 }
 
-// Follow gives commands or a snapshot.
-func (s *Service) Follow(c *FollowCall, reply *FollowReply) (err error) {
-	*reply, err = s.handlers.Follow(c)
+// Follow returns commands after a revision, or a snapshot.
+func (s *Service) Follow(call *FollowCall, reply *FollowReply) (err error) {
+	*reply, err = s.handlers.Follow(call)
 	return err
 }
 
-// Propose takes a command for the log.
-func (s *Service) Propose(c *ProposeCall, reply *ProposeReply) error {
-	*reply = s.handlers.Propose(c)
+// Propose proposes a command to an instance that the receiver leads.
+func (s *Service) Propose(call *ProposeCall, reply *ProposeReply) error {
+	*reply = s.handlers.Propose(call)
 	return nil
 }
 
-// Hello says who this control member is.
+// Hello describes this control member.
 func (s *Service) Hello(_ *Nothing, reply *HelloReply) (err error) {
 	*reply, err = s.handlers.Hello()
 	return err
 }
 
-// Admit takes a member with a new data folder into an instance that the receiver leads.
-func (s *Service) Admit(c *AdmitCall, reply *AdmitReply) error {
-	*reply = s.handlers.Admit(c)
+// Admit admits a member with a new data folder to an instance that the receiver leads.
+func (s *Service) Admit(call *AdmitCall, reply *AdmitReply) error {
+	*reply = s.handlers.Admit(call)
 	return nil
 }
 
-// Permit answers whether a request may go to an upstream with a limit.
-func (s *Service) Permit(c *PermitCall, reply *PermitReply) error {
-	*reply = s.handlers.Permit(c)
+// Permit answers another daemon's permit request.
+func (s *Service) Permit(call *PermitCall, reply *PermitReply) error {
+	*reply = s.handlers.Permit(call)
 	return nil
 }
 
-// serviceName is the name under which the methods stand on the wire.
+// serviceName is the prefix of method names on the wire.
 const serviceName = "Peer"
 
-// Server listens for other daemons.
+// Server accepts connections of other daemons.
 type Server = link.Server
 
 // NewServer returns a server on ln; cfg nil means no TLS.
-func NewServer(ln net.Listener, cfg *tls.Config, handlers *Handlers) (*Server, error) {
-	if cfg != nil {
-		ln = tls.NewListener(ln, cfg)
+func NewServer(listener net.Listener, tlsConfig *tls.Config, handlers *Handlers) (*Server, error) {
+	if tlsConfig != nil {
+		listener = tls.NewListener(listener, tlsConfig)
 	}
-	return link.NewServer(ln, serviceName, NewService(handlers))
+	return link.NewServer(listener, serviceName, NewService(handlers))
 }
