--- a/replicaset/drain_test.go
+++ b/replicaset/drain_test.go
@@ -9,8 +9,8 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// servingIn counts the open groups of a model whose heads are in a hall.
-func (f *fleet) servingIn(hall ident.Hall) int {
+// openIn counts the open groups of a model whose heads are in a hall.
+func (f *fleet) openIn(hall ident.Hall) int {
 	n := 0
 	for _, g := range f.roster.Groups() {
 		if u, ok := f.roster.Upstream(g.Head()); ok && u.Hall == hall && g.Phase == roster.PhaseOpen {
@@ -22,22 +22,22 @@
 
 // While a hall is drained nothing is formed there; its groups go on, so they serve at once when it is taken back, and other halls make up for
 // them as far as they have room.
-func TestADrainedHall(t *testing.T) {
+func TestDrainedHall(t *testing.T) {
 	f := newFleet(t, 1, 6, 8)
 	f.demand = map[ident.Model]float64{"large": 20, "small": 10}
 	f.run(20*time.Second, nil)
 	const hall = "hall-0"
-	before := f.servingIn(hall)
+	before := f.openIn(hall)
 	if before == 0 {
 		t.Fatal("nothing serves in the hall: the test shows nothing")
 	}
 	f.drained = map[ident.Hall]bool{hall: true}
-	elsewhere := f.servingIn("hall-1") + f.servingIn("hall-2")
+	otherHalls := f.openIn("hall-1") + f.openIn("hall-2")
 	f.run(10*time.Second, nil)
-	if got := f.servingIn("hall-1") + f.servingIn("hall-2"); got < elsewhere {
-		t.Errorf("%d groups elsewhere, %d before", got, elsewhere)
+	if got := f.openIn("hall-1") + f.openIn("hall-2"); got < otherHalls {
+		t.Errorf("%d groups elsewhere, %d before", got, otherHalls)
 	}
-	if got := f.servingIn(hall); got != before {
+	if got := f.openIn(hall); got != before {
 		t.Errorf("%d groups in the drained hall, %d before", got, before)
 	}
 	for _, e := range f.engines {
@@ -47,24 +47,24 @@
 		}
 	}
 	f.run(5*time.Second, nil)
-	if got := f.servingIn(hall); got != before-1 {
+	if got := f.openIn(hall); got != before-1 {
 		t.Errorf("%d groups in the drained hall after the loss of one, want %d", got, before-1)
 	}
 	f.drained = nil
 	f.run(10*time.Second, nil)
-	if got := f.servingIn(hall); got < before {
+	if got := f.openIn(hall); got < before {
 		t.Errorf("%d groups in the hall once it is taken back, want %d", got, before)
 	}
-	if len(f.faults) > 0 {
-		t.Error(f.faults)
+	if len(f.violations) > 0 {
+		t.Error(f.violations)
 	}
 }
 
 // A head that takes few requests yet is avoided where another member can be the head.
-func TestAWarmHead(t *testing.T) {
+func TestColdHeadIsAvoided(t *testing.T) {
 	free := candidates("a:WWWW")
 	free[0].Cold, free[1].Cold = true, true
-	d := replicaset.Plan(&replicaset.PlanInput{Engine: models(), Free: free, Usable: len(free), LoadBudget: 9})
+	d := replicaset.Plan(&replicaset.PlanInput{Engine: engineConfig(), Free: free, Usable: len(free), LoadBudget: 9})
 	if len(d.Groups) != 1 || d.Groups[0].Members[0] != "a-2" {
 		t.Errorf("decided %+v", d.Groups)
 	}
--- a/replicaset/explain.go
+++ b/replicaset/explain.go
@@ -40,36 +40,36 @@
 
 // Explain returns the outlook of every model, or nothing before the first step.
 func (f *Formation) Explain() []Outlook {
-	if f.world == nil {
+	if f.snapshot == nil {
 		return nil
 	}
-	return Explain(f.situation())
+	return Explain(f.planInput())
 }
 
 // Explain returns the outlook of every model.
-func Explain(s *PlanInput) []Outlook {
-	p := newPlan(s)
-	var list []Outlook
-	for i := range s.Engine.Models {
-		m := &s.Engine.Models[i]
-		o := Outlook{Model: m.Name, Size: m.Size, Serving: p.served[m.Name], Wanted: p.wanted(m.Name), Rooms: p.rooms(m)}
-		if o.Serving > 0 {
-			o.Load = p.load(m, 0)
+func Explain(input *PlanInput) []Outlook {
+	p := newPlan(input)
+	var reports []Outlook
+	for i := range input.Engine.Models {
+		m := &input.Engine.Models[i]
+		report := Outlook{Model: m.Name, Size: m.Size, Serving: p.capacity[m.Name], Wanted: p.wantedGroups(m.Name), Rooms: p.domainCapacities(m)}
+		if report.Serving > 0 {
+			report.Load = p.load(m, 0)
 		}
-		o.Why = p.outlook(m, o.Rooms)
-		list = append(list, o)
+		report.Why = p.explain(m, report.Rooms)
+		reports = append(reports, report)
 	}
-	return list
+	return reports
 }
 
-func (p *plan) rooms(m *httproute.Model) []DomainCapacity {
+func (p *plan) domainCapacities(m *httproute.Model) []DomainCapacity {
 	domains := byDomain(p.free, func(*Candidate) bool { return true })
-	var rooms []DomainCapacity
+	var capacities []DomainCapacity
 	for _, name := range sortedKeys(domains) {
 		r := DomainCapacity{Domain: name}
 		for i := range domains[name] {
 			switch c := &domains[name][i]; {
-			case !quick(c):
+			case !fastEnough(c):
 				r.Slow++
 			case hasWeights(m, c):
 				r.Ready++
@@ -79,16 +79,16 @@
 				r.Other++
 			}
 		}
-		rooms = append(rooms, r)
+		capacities = append(capacities, r)
 	}
-	return rooms
+	return capacities
 }
 
-// outlook says why m has the groups that it has.
-func (p *plan) outlook(m *httproute.Model, rooms []DomainCapacity) string {
+// explain says why m has the groups that it has.
+func (p *plan) explain(m *httproute.Model, capacities []DomainCapacity) string {
 	ready, loading, other, slow := 0, 0, 0, 0
-	for _, r := range rooms {
-		if r.Ready >= m.Size && p.need(m.Name) > 0 {
+	for _, r := range capacities {
+		if r.Ready >= m.Size && p.deficit(m.Name) > 0 {
 			return fmt.Sprintf("domain %s has the members of a group, it is begun unless a model lacks groups more", r.Domain)
 		}
 		ready += r.Ready
@@ -97,12 +97,12 @@
 		slow += r.Slow
 	}
 	switch {
-	case p.need(m.Name) <= 0:
+	case p.deficit(m.Name) <= 0:
 		return "has the groups that it needs"
-	case len(p.roomFor(m)) > 0:
+	case len(p.closingsFor(m)) > 0:
 		return "groups end so that a domain has the members of a better one"
 	case ready >= m.Size:
-		return fmt.Sprintf("no domain has %d free upstreams with the weights; one across domains is formed when %.0f%% of the groups lack", m.Size, farNeed*100)
+		return fmt.Sprintf("no domain has %d free upstreams with the weights; one across domains is formed when %.0f%% of the groups lack", m.Size, crossDomainDeficit*100)
 	case ready+loading+other >= m.Size:
 		return fmt.Sprintf("of %d free upstreams %d have the weights and %d are getting them", ready+loading+other, ready, loading)
 	case slow > 0:
@@ -122,41 +122,41 @@
 			return fmt.Sprintf("member %d of %d of %s, which is %s", rank+1, len(g.Members), g.Name, g.Phase)
 		}
 	}
-	return f.freeBecause(u)
+	return f.freeReason(u)
 }
 
-func (f *Formation) freeBecause(u *roster.Upstream) string {
+func (f *Formation) freeReason(u *roster.Upstream) string {
 	c := f.candidate(u)
 	switch {
 	case u.Draining:
 		return "leaves"
 	case u.Silent:
 		return "silent"
-	case f.world.Unreachable[u.ID]:
+	case f.snapshot.Unreachable[u.ID]:
 		return "takes no connections"
-	case f.world.ReportAges[u.ID] >= missedReport:
+	case f.snapshot.ReportAges[u.ID] >= missedReportAge:
 		return "has missed a report"
-	case !f.out(u):
+	case !f.outOfGroup(u):
 		return "has not left " + string(u.Member.Group) + " yet"
-	case !f.bound[u.ID].IsZero():
-		return fmt.Sprintf("may be put back into a group that has ended by late orders for another %v", f.bound[u.ID].Sub(f.world.Now).Round(100*time.Millisecond))
-	case f.reserved(u.Domain):
+	case !f.boundUntil[u.ID].IsZero():
+		return fmt.Sprintf("may be put back into a group that has ended by late orders for another %v", f.boundUntil[u.ID].Sub(f.snapshot.Now).Round(100*time.Millisecond))
+	case f.domainReserved(u.Domain):
 		return "waits for a group of its domain that ends for a better one"
 	case c.Staging != "":
 		return "free, gets the weights of " + string(c.Staging)
-	case fresh(&c):
+	case withoutWeights(&c):
 		return "free, without weights"
 	}
-	return "free, with the weights of " + strings.Join(weightsAt(&c), " and ")
+	return "free, with the weights of " + strings.Join(modelsWithWeights(&c), " and ")
 }
 
-// weightsAt names the models that c joins without a load.
-func weightsAt(c *Candidate) []string {
-	var names []string
+// modelsWithWeights names the models that c joins without a load.
+func modelsWithWeights(c *Candidate) []string {
+	var models []string
 	for _, m := range append([]ident.Model{c.LastModel}, c.Staged...) {
-		if m != "" && !slices.Contains(names, string(m)) {
-			names = append(names, string(m))
+		if m != "" && !slices.Contains(models, string(m)) {
+			models = append(models, string(m))
 		}
 	}
-	return names
+	return models
 }
--- a/replicaset/explain_test.go
+++ b/replicaset/explain_test.go
@@ -20,18 +20,18 @@
 		// want tells, for the large model, groups, load, rooms and the reason.
 		want string
 	}{
-		{"enough", candidates("a:W"), placed("large b:WWWW", "small b:ww"), groupsOf(1, 1), "1.0 of 1, load 0.94, [{a 1 0 0 0}]: has the groups that it needs"},
-		{"about to begin", candidates("a:WWWW"), placed("small b:ww"), groupsOf(1, 1), "0.0 of 1, load 0.00, [{a 4 0 0 0}]: domain a has the members of a group, it is begun unless a model lacks groups more"},
+		{"enough", candidates("a:W"), existingGroups("large b:WWWW", "small b:ww"), demandFor(1, 1), "1.0 of 1, load 0.94, [{a 1 0 0 0}]: has the groups that it needs"},
+		{"about to begin", candidates("a:WWWW"), existingGroups("small b:ww"), demandFor(1, 1), "0.0 of 1, load 0.00, [{a 4 0 0 0}]: domain a has the members of a group, it is begun unless a model lacks groups more"},
 		{
-			"in several domains", candidates("a:WWW", "b:W"), placed("large c:WWWW", "large d:WWWW", "small d:ww"), groupsOf(3, 0.1),
+			"in several domains", candidates("a:WWW", "b:W"), existingGroups("large c:WWWW", "large d:WWWW", "small d:ww"), demandFor(3, 0.1),
 			"2.0 of 3, load 1.41, [{a 3 0 0 0} {b 1 0 0 0}]: no domain has 4 free upstreams with the weights; one across domains is formed when 40% of the groups lack",
 		},
-		{"without weights", candidates("a:WW**"), placed("small b:ww"), groupsOf(1, 1), "0.0 of 1, load 0.00, [{a 2 0 2 0}]: of 4 free upstreams 2 have the weights and 0 are getting them"},
-		{"too few", candidates("a:WW"), placed("small b:ww"), groupsOf(1, 1), "0.0 of 1, load 0.00, [{a 2 0 0 0}]: only 2 upstreams are free"},
-		{"slow ones", slowed(candidates("a:WWWW"), 2), placed("small b:ww"), groupsOf(1, 1), "0.0 of 1, load 0.00, [{a 2 0 0 2}]: only 2 upstreams are free, and 2 that are slow"},
-		{"groups end for it", candidates("a:WWW"), placed("small a:ww", "small b:ww"), groupsOf(2, 1), "0.0 of 2, load 0.00, [{a 3 0 0 0}]: groups end so that a domain has the members of a better one"},
+		{"without weights", candidates("a:WW**"), existingGroups("small b:ww"), demandFor(1, 1), "0.0 of 1, load 0.00, [{a 2 0 2 0}]: of 4 free upstreams 2 have the weights and 0 are getting them"},
+		{"too few", candidates("a:WW"), existingGroups("small b:ww"), demandFor(1, 1), "0.0 of 1, load 0.00, [{a 2 0 0 0}]: only 2 upstreams are free"},
+		{"slow ones", slowed(candidates("a:WWWW"), 2), existingGroups("small b:ww"), demandFor(1, 1), "0.0 of 1, load 0.00, [{a 2 0 0 2}]: only 2 upstreams are free, and 2 that are slow"},
+		{"groups end for it", candidates("a:WWW"), existingGroups("small a:ww", "small b:ww"), demandFor(2, 1), "0.0 of 2, load 0.00, [{a 3 0 0 0}]: groups end so that a domain has the members of a better one"},
 	} {
-		o := replicaset.Explain(&replicaset.PlanInput{Engine: models(), Free: c.free, Groups: c.groups, Demand: c.demand, Usable: 48})[0]
+		o := replicaset.Explain(&replicaset.PlanInput{Engine: engineConfig(), Free: c.free, Groups: c.groups, Demand: c.demand, Usable: 48})[0]
 		got := fmt.Sprintf("%.1f of %.0f, load %.2f, %v: %s", o.Serving, o.Wanted, o.Load, o.Rooms, o.Why)
 		if diff := cmp.Diff(c.want, got); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", c.name, diff)
@@ -48,10 +48,10 @@
 }
 
 // Every upstream has a place, whatever happened to it.
-func TestPlace(t *testing.T) {
+func TestDescribeUpstream(t *testing.T) {
 	f := newFleet(t, 9, 2, 8)
 	f.run(20*time.Second, nil)
-	f.demand = groupsOf(2, 2)
+	f.demand = demandFor(2, 2)
 	free := f.spare()
 	if got := f.formation.DescribeUpstream(free.id); got != "free, with the weights of large and small" && got != "free, with the weights of small and large" {
 		t.Errorf("a spare: %s", got)
@@ -60,19 +60,19 @@
 	if got, want := f.formation.DescribeUpstream(head.members[1]), fmt.Sprintf("member 2 of 4 of %s, which is open", head.member.Group); got != want {
 		t.Errorf("a member: %s, want %s", got, want)
 	}
-	free.draining, free.changed = true, true
-	late := f.add("domain-0", "hall-0", "")
-	f.run(step, nil)
+	free.draining, free.reportDue = true, true
+	added := f.add("domain-0", "hall-0", "")
+	f.run(tick, nil)
 	if got := f.formation.DescribeUpstream(free.id); got != "leaves" {
 		t.Errorf("one that leaves: %s", got)
 	}
 	f.run(100*time.Millisecond, nil)
-	if got := f.formation.DescribeUpstream(late.id); got != "free, gets the weights of large" && got != "free, gets the weights of small" {
+	if got := f.formation.DescribeUpstream(added.id); got != "free, gets the weights of large" && got != "free, gets the weights of small" {
 		t.Errorf("a new one: %s", got)
 	}
-	f.kill(late)
+	f.kill(added)
 	f.run(4*time.Second, nil)
-	if got := f.formation.DescribeUpstream(late.id); got != "silent" && got != "takes no connections" {
+	if got := f.formation.DescribeUpstream(added.id); got != "silent" && got != "takes no connections" {
 		t.Errorf("a dead one: %s", got)
 	}
 	if got := f.formation.DescribeUpstream("nobody"); got != "unknown" {
@@ -84,16 +84,16 @@
 func TestEndedGroupsAreForgotten(t *testing.T) {
 	f := newFleet(t, 9, 2, 8)
 	f.run(20*time.Second, nil)
-	f.demand = groupsOf(2, 2)
+	f.demand = demandFor(2, 2)
 	for range 6 {
 		f.kill(f.headOf("large"))
 		f.run(10*time.Second, nil)
 	}
-	if f.formation.Ended() == 0 {
+	if f.formation.EndedGroupCount() == 0 {
 		t.Fatal("no group has ended")
 	}
 	f.run(3*time.Minute, nil)
-	if got := f.formation.Ended(); got != 0 {
+	if got := f.formation.EndedGroupCount(); got != 0 {
 		t.Errorf("%d groups are remembered three minutes after the last one ended", got)
 	}
 }
--- a/replicaset/export_test.go
+++ b/replicaset/export_test.go
@@ -1,4 +1,4 @@
 package replicaset
 
-// Ended returns how many groups that have ended are remembered.
-func (f *Formation) Ended() int { return len(f.over) + len(f.lost) }
+// EndedGroupCount returns how many groups that have ended are remembered.
+func (f *Formation) EndedGroupCount() int { return len(f.endedGroups) + len(f.lostGroups) }
--- a/replicaset/formation.go
+++ b/replicaset/formation.go
@@ -31,57 +31,57 @@
 const (
 	// resendAfter is how long an order without an answer waits before it is sent again; engines answer within milliseconds.
 	resendAfter = time.Second
-	// rememberOrders is how long an order is remembered; none is carried out later than that.
-	rememberOrders = time.Minute
-	// rememberEnded is how long a group that ended is remembered at least: an upstream that was cut off may report it again
+	// orderRetention is how long an order is remembered; none is carried out later than that.
+	orderRetention = time.Minute
+	// endedRetention is how long a group that ended is remembered at least: an upstream that was cut off may report it again
 	// until the roster has forgotten that upstream. Kept for good, each takes a leader about 100 bytes.
-	rememberEnded = 2 * time.Minute
-	// lateMost is how long after it was given an order without an answer may be carried out: engines take orders up to some 12 s late.
-	lateMost = 15 * time.Second
+	endedRetention = 2 * time.Minute
+	// maxOrderDelay is how long after it was given an order without an answer may be carried out: engines take orders up to some 12 s late.
+	maxOrderDelay = 15 * time.Second
 	// repeatAfter is how long an order that was taken may stay without effect in the reports; reports come with each change.
 	repeatAfter = 3 * time.Second
-	// loadFactor and loadSlack bound a load: past some at once, each takes longer.
-	loadFactor = 3
-	loadSlack  = 5 * time.Second
-	// closeLimit is how long a group may finish its work; an engine that leaves stays for 10 s at most.
-	closeLimit = 10 * time.Second
-	// homeLimit is the same for a group that makes room for a better one: the upstreams of a whole domain wait for it, and
+	// loadTimeoutFactor and loadTimeoutSlack bound a load: past some at once, each takes longer.
+	loadTimeoutFactor = 3
+	loadTimeoutSlack  = 5 * time.Second
+	// closeTimeout is how long a group may finish its work; an engine that leaves stays for 10 s at most.
+	closeTimeout = 10 * time.Second
+	// replaceTimeout is the same for a group that makes room for a better one: the upstreams of a whole domain wait for it, and
 	// its requests can be continued elsewhere.
-	homeLimit = 1200 * time.Millisecond
-	// stallAlone is how long a group may show no sign of life when all its members report.
-	stallAlone = 1500 * time.Millisecond
-	// stallWithSilent is the same when a member has missed a report.
-	stallWithSilent = 700 * time.Millisecond
-	// missedReport is the age from which on a report counts as missed.
-	missedReport = 1700 * time.Millisecond
-	// stallWithDead is the same when a member does not take connections.
-	stallWithDead = 250 * time.Millisecond
-	// cutAfter is the age of a report at which, by the group's last sign to entries, its member must have reported again if
+	replaceTimeout = 1200 * time.Millisecond
+	// stallTimeout is how long a group may show no sign of life when all its members report.
+	stallTimeout = 1500 * time.Millisecond
+	// stallTimeoutMissedReport is the same when a member has missed a report.
+	stallTimeoutMissedReport = 700 * time.Millisecond
+	// missedReportAge is the age from which on a report counts as missed.
+	missedReportAge = 1700 * time.Millisecond
+	// stallTimeoutUnreachable is the same when a member does not take connections.
+	stallTimeoutUnreachable = 250 * time.Millisecond
+	// cutOffAge is the age of a report at which, by the group's last sign to entries, its member must have reported again if
 	// control reached it: a report interval and some slack.
-	cutAfter = 1500 * time.Millisecond
-	// deadAfter is how long a head must be silent to control and to all entries until its group is certainly over: an
+	cutOffAge = 1500 * time.Millisecond
+	// deadTimeout is how long a head must be silent to control and to all entries until its group is certainly over: an
 	// engine breaks a group that stands still for 5 s.
-	deadAfter = 6500 * time.Millisecond
+	deadTimeout = 6500 * time.Millisecond
 	// settledAfter is how long a group serves before it may be closed for a better one.
 	settledAfter = time.Second
-	// hearAll is how long a new leader waits for the reports of upstreams that it knows only from a copy: reports come every
+	// reportWait is how long a new leader waits for the reports of upstreams that it knows only from a copy: reports come every
 	// 1.2 s, and a daemon that takes them may lose one.
-	hearAll = 3 * time.Second
-	// hearMost is the part of the upstreams that must have reported by then: more than a domain that is dark is missing only where
-	// reports wait for a leader that has too much to do, and it must not make itself more by taking groups apart. hearLongest is how
+	reportWait = 3 * time.Second
+	// minReportedFraction is the part of the upstreams that must have reported by then: more than a domain that is dark is missing only where
+	// reports wait for a leader that has too much to do, and it must not make itself more by taking groups apart. maxReportWait is how
 	// long it waits in any case.
-	hearMost    = 0.75
-	hearLongest = 10 * time.Second
-	// stageAgain is how long an upstream whose order to stage was not taken is left alone.
-	stageAgain = 2 * time.Second
+	minReportedFraction = 0.75
+	maxReportWait       = 10 * time.Second
+	// stageRetryAfter is how long an upstream whose order to stage was not taken is left alone.
+	stageRetryAfter = 2 * time.Second
 	// loadBurst is how many loads may begin at once, beyond the rate of the weight store.
 	loadBurst = 4
-	// loadShare is the part of the weight store's rate that is used; late orders may shift loads in time.
-	loadShare = 0.75
+	// loadRateFraction is the part of the weight store's rate that is used; late orders may shift loads in time.
+	loadRateFraction = 0.75
 )
 
-// staged is an order to load weights to a host; until is when it is taken for lost.
-type staged struct {
+// stagingOrder is an order to load weights to a host; until is when it is taken for lost.
+type stagingOrder struct {
 	model ident.Model
 	until time.Time
 }
@@ -101,30 +101,30 @@
 	// BeforeFirstRequest is set until the first request is seen.
 	BeforeFirstRequest bool
 
-	// began is when the formation looked for the first time.
-	began  time.Time
-	engine *httproute.Engine
-	world  *Snapshot
-	byID   map[ident.Incarnation]*roster.Upstream
-	orders map[orderKey]*sentOrder
+	// startedAt is when the formation looked for the first time.
+	startedAt time.Time
+	engine    *httproute.Engine
+	snapshot  *Snapshot
+	byID      map[ident.Incarnation]*roster.Upstream
+	orders    map[orderKey]*sentOrder
 	// staging holds the orders to stage whose weights are not on the host yet.
-	staging map[ident.Incarnation]staged
-	// homing holds groups that close so that a domain gets a whole group instead.
-	homing map[ident.Group]Closing
-	// stood holds heads of groups that stood still although all their members reported.
-	stood map[ident.Incarnation]bool
-	// headed holds the model of the group that an upstream was last the head of.
-	headed map[ident.Incarnation]ident.Model
+	staging map[ident.Incarnation]stagingOrder
+	// replacing holds groups that close so that a domain gets a whole group instead.
+	replacing map[ident.Group]Closing
+	// stalledHeads holds heads of groups that stood still although all their members reported.
+	stalledHeads map[ident.Incarnation]bool
+	// lastHeaded holds the model of the group that an upstream was last the head of.
+	lastHeaded map[ident.Incarnation]ident.Model
 	// headless holds groups whose head has not reported; their members leave one by one.
 	headless map[ident.Group]bool
-	// lost holds when groups were given up whose heads may still be there.
-	lost map[ident.Group]time.Time
-	// over holds when groups ended for certain; reports may still name them.
-	over map[ident.Group]time.Time
-	// bound holds until when upstreams may be put back into a group that has ended, and serves there again.
-	bound    map[ident.Incarnation]time.Time
-	loads    float64
-	loadedAt time.Time
+	// lostGroups holds when groups were given up whose heads may still be there.
+	lostGroups map[ident.Group]time.Time
+	// endedGroups holds when groups ended for certain; reports may still name them.
+	endedGroups map[ident.Group]time.Time
+	// boundUntil holds until when upstreams may be put back into a group that has ended, and serves there again.
+	boundUntil    map[ident.Incarnation]time.Time
+	loadAllowance float64
+	allowanceAt   time.Time
 }
 
 // NewFormation returns a formation without any history.
@@ -132,64 +132,64 @@
 	return &Formation{
 		RecordDecision: func(*roster.Group, string, string) {},
 		orders:         map[orderKey]*sentOrder{},
-		lost:           map[ident.Group]time.Time{},
-		over:           map[ident.Group]time.Time{},
-		bound:          map[ident.Incarnation]time.Time{},
-		homing:         map[ident.Group]Closing{},
-		stood:          map[ident.Incarnation]bool{},
+		lostGroups:     map[ident.Group]time.Time{},
+		endedGroups:    map[ident.Group]time.Time{},
+		boundUntil:     map[ident.Incarnation]time.Time{},
+		replacing:      map[ident.Group]Closing{},
+		stalledHeads:   map[ident.Incarnation]bool{},
 		headless:       map[ident.Group]bool{},
-		headed:         map[ident.Incarnation]ident.Model{},
-		staging:        map[ident.Incarnation]staged{},
-		loads:          loadBurst,
+		lastHeaded:     map[ident.Incarnation]ident.Model{},
+		staging:        map[ident.Incarnation]stagingOrder{},
+		loadAllowance:  loadBurst,
 	}
 }
 
 // Step takes every group one step further and begins new ones.
 func (f *Formation) Step(w *Snapshot, engine *httproute.Engine) {
-	f.look(w, engine)
-	f.forget()
-	f.adopt(f.heardAll())
+	f.setSnapshot(w, engine)
+	f.pruneUpstreams()
+	f.adopt(f.allReported())
 	for _, g := range f.groups() {
 		f.advance(&g)
 	}
-	f.begin()
+	f.startPlanned()
 }
 
 // Adopt takes over the whole groups that engines report and orders nothing, as long as not all upstreams may be known.
 func (f *Formation) Adopt(w *Snapshot, engine *httproute.Engine) {
-	f.look(w, engine)
+	f.setSnapshot(w, engine)
 	f.adopt(false)
 }
 
-// heardAll reports whether every upstream has reported since this formation began, or will hardly do so. Before that a group of
+// allReported reports whether every upstream has reported since this formation began, or will hardly do so. Before that a group of
 // which only some members have reported may be whole, and taking it apart would end groups that serve.
-func (f *Formation) heardAll() bool {
-	led := f.world.Now.Sub(f.began)
-	heard := 0
+func (f *Formation) allReported() bool {
+	elapsed := f.snapshot.Now.Sub(f.startedAt)
+	reported := 0
 	for id := range f.byID {
-		if f.heard(id) {
-			heard++
+		if f.hasReported(id) {
+			reported++
 		}
 	}
 	switch {
-	case heard == len(f.byID), led >= hearLongest:
+	case reported == len(f.byID), elapsed >= maxReportWait:
 		return true
 	}
-	return led >= hearAll && float64(heard) >= hearMost*float64(len(f.byID))
+	return elapsed >= reportWait && float64(reported) >= minReportedFraction*float64(len(f.byID))
 }
 
-// heard reports whether an upstream has reported since this formation began, and is not only known from a copy.
-func (f *Formation) heard(id ident.Incarnation) bool {
-	return f.world.ReportAges[id] < f.world.Now.Sub(f.began)
+// hasReported reports whether an upstream has reported since this formation began, and is not only known from a copy.
+func (f *Formation) hasReported(id ident.Incarnation) bool {
+	return f.snapshot.ReportAges[id] < f.snapshot.Now.Sub(f.startedAt)
 }
 
-func (f *Formation) look(w *Snapshot, engine *httproute.Engine) {
-	f.world, f.engine = w, engine
-	if f.began.IsZero() {
-		f.began = w.Now
+func (f *Formation) setSnapshot(w *Snapshot, engine *httproute.Engine) {
+	f.snapshot, f.engine = w, engine
+	if f.startedAt.IsZero() {
+		f.startedAt = w.Now
 		if !f.BeforeFirstRequest {
 			// The leader before may have begun as many at once a moment ago, and the store's rate is one for all leaders.
-			f.loads = 0
+			f.loadAllowance = 0
 		}
 	}
 	first := f.byID == nil
@@ -201,7 +201,7 @@
 		}
 		f.byID[u.ID] = u
 		if first && u.Bound {
-			f.bound[u.ID] = w.Now.Add(lateMost)
+			f.boundUntil[u.ID] = w.Now.Add(maxOrderDelay)
 		}
 	}
 }
@@ -216,30 +216,30 @@
 	return list
 }
 
-// forget drops what was kept about upstreams that have ended.
-func (f *Formation) forget() {
+// pruneUpstreams drops what was kept about upstreams that have ended.
+func (f *Formation) pruneUpstreams() {
 	for key, o := range f.orders {
-		if f.byID[key.to] == nil || f.world.Now.Sub(o.at) > rememberOrders {
+		if f.byID[key.to] == nil || f.snapshot.Now.Sub(o.sentAt) > orderRetention {
 			delete(f.orders, key)
 		}
 	}
 	gone := func(id ident.Incarnation) bool { return f.byID[id] == nil }
-	maps.DeleteFunc(f.staging, func(id ident.Incarnation, _ staged) bool { return gone(id) })
-	maps.DeleteFunc(f.headed, func(id ident.Incarnation, _ ident.Model) bool { return gone(id) })
-	f.release()
-	maps.DeleteFunc(f.stood, func(id ident.Incarnation, _ bool) bool { return gone(id) })
-	f.forgetEnded()
+	maps.DeleteFunc(f.staging, func(id ident.Incarnation, _ stagingOrder) bool { return gone(id) })
+	maps.DeleteFunc(f.lastHeaded, func(id ident.Incarnation, _ ident.Model) bool { return gone(id) })
+	f.releaseBound()
+	maps.DeleteFunc(f.stalledHeads, func(id ident.Incarnation, _ bool) bool { return gone(id) })
+	f.pruneGroups()
 }
 
-// forgetEnded drops groups that ended long ago and that no upstream reports any more.
-func (f *Formation) forgetEnded() {
+// pruneGroups drops groups that ended long ago and that no upstream reports any more.
+func (f *Formation) pruneGroups() {
 	reported := map[ident.Group]bool{}
 	for _, u := range f.byID {
 		reported[u.Member.Group] = true
 	}
-	old := func(g ident.Group, at time.Time) bool { return !reported[g] && f.world.Now.Sub(at) > rememberEnded }
-	maps.DeleteFunc(f.over, old)
-	maps.DeleteFunc(f.lost, old)
+	expired := func(g ident.Group, at time.Time) bool { return !reported[g] && f.snapshot.Now.Sub(at) > endedRetention }
+	maps.DeleteFunc(f.endedGroups, expired)
+	maps.DeleteFunc(f.lostGroups, expired)
 }
 
 func (f *Formation) advance(g *roster.Group) {
@@ -257,16 +257,16 @@
 	}
 }
 
-// in returns the state that u reports for g, or none when it reports another group.
-func in(u *roster.Upstream, g *roster.Group) roster.MemberState {
+// memberState returns the state that u reports for g, or none when it reports another group.
+func memberState(u *roster.Upstream, g *roster.Group) roster.MemberState {
 	if u == nil || u.Member.Group != g.Name || u.Member.Epoch != g.Epoch {
 		return roster.MemberNone
 	}
 	return u.Member.State
 }
 
-// unfit returns why g can't be formed from its members any more, or nothing.
-func (f *Formation) unfit(g *roster.Group) string {
+// unfitReason returns why g can't be formed from its members any more, or nothing.
+func (f *Formation) unfitReason(g *roster.Group) string {
 	for _, id := range g.Members {
 		u := f.byID[id]
 		switch {
@@ -276,39 +276,39 @@
 			return "member " + string(id) + " is leaving"
 		case u.Silent:
 			return "member " + string(id) + " is silent"
-		case f.world.Unreachable[id]:
+		case f.snapshot.Unreachable[id]:
 			return "member " + string(id) + " takes no connections"
 		}
-		if o := f.outcome(g, id, ActionJoin); hopeless(o) {
+		if o := f.outcome(g, id, ActionJoin); joinImpossible(o) {
 			return "member " + string(id) + " answered the order to join: " + string(o)
 		}
 	}
 	return ""
 }
 
-func hopeless(o Outcome) bool {
+func joinImpossible(o Outcome) bool {
 	return o == OutcomeFenced || o == OutcomeWrongIncarnation || o == OutcomeConnectionRefused
 }
 
 func (f *Formation) advanceForming(g *roster.Group) {
-	if why := f.unfit(g); why != "" {
-		f.drop(g, why)
+	if reason := f.unfitReason(g); reason != "" {
+		f.markEnded(g, reason)
 		return
 	}
-	if f.world.Now.Sub(g.Since) > f.loadLimit(g.Model) {
-		f.drop(g, "not formed in time")
+	if f.snapshot.Now.Sub(g.Since) > f.loadTimeout(g.Model) {
+		f.markEnded(g, "not formed in time")
 		return
 	}
 	ready := 0
 	for _, id := range g.Members {
-		switch in(f.byID[id], g) {
+		switch memberState(f.byID[id], g) {
 		case roster.MemberReady:
 			ready++
 		case roster.MemberJoining:
 		default:
 			// It may have been put back into an earlier group by orders that were carried out late.
-			if f.out(f.byID[id]) {
-				f.order(g, id, ActionJoin)
+			if f.outOfGroup(f.byID[id]) {
+				f.sendOrder(g, id, ActionJoin)
 			}
 		}
 	}
@@ -316,32 +316,32 @@
 		return
 	}
 	if g.WarmUp {
-		f.leave(g, "the spare is warm")
+		f.startLeaving(g, "the spare is warm")
 		return
 	}
-	f.phase(g, roster.PhaseOpening, "every member is ready")
-	f.order(g, g.Head(), ActionOpen)
+	f.setPhase(g, roster.PhaseOpening, "every member is ready")
+	f.sendOrder(g, g.Head(), ActionOpen)
 }
 
 func (f *Formation) advanceOpening(g *roster.Group) {
-	if why := f.unfit(g); why != "" {
-		f.leave(g, why)
+	if reason := f.unfitReason(g); reason != "" {
+		f.startLeaving(g, reason)
 		return
 	}
-	switch in(f.byID[g.Head()], g) {
+	switch memberState(f.byID[g.Head()], g) {
 	case roster.MemberOpen:
-		f.headed[g.Head()] = g.Model
-		f.phase(g, roster.PhaseOpen, "the head serves")
+		f.lastHeaded[g.Head()] = g.Model
+		f.setPhase(g, roster.PhaseOpen, "the head serves")
 	case roster.MemberReady:
-		f.order(g, g.Head(), ActionOpen)
+		f.sendOrder(g, g.Head(), ActionOpen)
 	default:
-		f.phase(g, roster.PhaseLeaving, "the head is no longer ready")
+		f.setPhase(g, roster.PhaseLeaving, "the head is no longer ready")
 	}
 }
 
-func (f *Formation) phase(g *roster.Group, to roster.Phase, why string) {
+func (f *Formation) setPhase(g *roster.Group, to roster.Phase, reason string) {
 	g.Phase = to
-	g.Since = f.world.Now
+	g.Since = f.snapshot.Now
 	f.Roster.PutGroup(g)
-	f.RecordDecision(g, string(to), why)
+	f.RecordDecision(g, string(to), reason)
 }
--- a/replicaset/formation_test.go
+++ b/replicaset/formation_test.go
@@ -14,7 +14,7 @@
 
 // After a calm start every domain has a group of each model and a warm spare for each; all upstreams but those that a restart
 // of the domain needs as they are have the other model on their host.
-func TestACalmStart(t *testing.T) {
+func TestStartWithoutFaults(t *testing.T) {
 	f := newFleet(t, 1, 6, 8)
 	f.run(20*time.Second, nil)
 	want := map[ident.Model]int{"large": 6, "small": 6}
@@ -34,27 +34,27 @@
 			places[e.domain] = p
 		}
 		if e.member.State == roster.MemberNone {
-			p.Spares[e.last]++
+			p.Spares[e.lastModel]++
 		}
-		p.Hosts[e.staged]++
-		if e.staged == e.last {
+		p.Hosts[e.stagedModel]++
+		if e.stagedModel == e.lastModel {
 			p.Rigid++
 		}
 	}
-	wanted := place{map[ident.Model]int{"large": 1, "small": 1}, map[ident.Model]int{"large": 4, "small": 4}, 1}
+	wantDomain := place{map[ident.Model]int{"large": 1, "small": 1}, map[ident.Model]int{"large": 4, "small": 4}, 1}
 	for d, p := range places {
-		if diff := cmp.Diff(wanted, *p); diff != "" {
+		if diff := cmp.Diff(wantDomain, *p); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", d, diff)
 		}
 	}
-	if len(f.faults) > 0 {
-		t.Error(f.faults)
+	if len(f.violations) > 0 {
+		t.Error(f.violations)
 	}
 }
 
-// decisionLimit is more than any one fault calls for: a domain has four groups at most, and each ends and begins in a few
+// maxDecisions is more than any one fault calls for: a domain has four groups at most, and each ends and begins in a few
 // steps.
-const decisionLimit = 50
+const maxDecisions = 50
 
 // Each fault strikes a formed fleet; what must hold always is checked by the engines, what must hold in the end by the table.
 func TestFaults(t *testing.T) {
@@ -92,30 +92,30 @@
 			for _, e := range slices.Clone(f.engines) {
 				if e.domain == domain {
 					f.kill(e)
-					f.add(e.domain, e.hall, e.address).staged = e.staged
+					f.add(e.domain, e.hall, e.address).stagedModel = e.stagedModel
 				}
 			}
 		}, 6 * time.Second, 6, 6},
 		{"a head signs off and goes on for a while", func(f *fleet) {
 			e := f.headOf("large")
-			e.left = true
+			e.signedOff = true
 			f.roster.SignOff(f.now, e.id)
 		}, 12 * time.Second, 6, 6},
 		{"a member drains", func(f *fleet) {
 			e := f.byID[f.headOf("small").members[1]]
-			e.draining, e.changed = true, true
+			e.draining, e.reportDue = true, true
 		}, 4 * time.Second, 6, 6},
 		{"a member drains and the head dies before it has finished", func(f *fleet) {
 			head := f.headOf("large")
 			e := f.byID[head.members[2]]
-			e.draining, e.changed = true, true
+			e.draining, e.reportDue = true, true
 			f.run(200*time.Millisecond, nil)
 			head.closedAt = f.now.Add(time.Hour)
 			f.kill(head)
 		}, 5 * time.Second, 6, 6},
 		{"a head drains and ends before it has finished", func(f *fleet) {
 			head := f.headOf("large")
-			head.draining, head.changed = true, true
+			head.draining, head.reportDue = true, true
 			f.run(200*time.Millisecond, nil)
 			head.closedAt = f.now.Add(time.Hour)
 			f.kill(head)
@@ -125,20 +125,20 @@
 		{"a head starts again under its id", func(f *fleet) { f.restart(f.headOf("large")) }, 2 * time.Second, 6, 6},
 		{"a member starts again behind a cut", func(f *fleet) {
 			e := f.byID[f.headOf("large").members[2]]
-			e.cut = true
+			e.cutOff = true
 			f.run(3*time.Second, nil)
-			f.restart(e).cut = false
+			f.restart(e).cutOff = false
 		}, 2 * time.Second, 6, 6},
 		{"control does not reach a group that serves", func(f *fleet) {
 			for _, id := range f.headOf("large").members {
-				f.byID[id].cut = true
+				f.byID[id].cutOff = true
 			}
 		}, 8 * time.Second, 6, 6},
-		{"a new leader with a fresh copy", func(f *fleet) { f.elect(f.copied()) }, 2 * time.Second, 6, 6},
+		{"a new leader with a fresh copy", func(f *fleet) { f.elect(f.copyRoster()) }, 2 * time.Second, 6, 6},
 		{"a new leader with nothing", func(f *fleet) {
 			f.elect(nil)
 			for range 40 { // it waits until every upstream has reported
-				f.now = f.now.Add(step)
+				f.now = f.now.Add(tick)
 				for _, e := range f.engines {
 					f.progress(e)
 				}
@@ -148,39 +148,39 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, 7, 6, 8)
 			f.run(12*time.Second, nil)
-			f.demand = groupsOf(6, 6)
+			f.demand = demandFor(6, 6)
 			f.run(20*time.Second, nil)
 			f.decisions = 0
 			c.strike(f)
 			f.run(c.within, nil)
 			got := f.serving()
-			if f.decisions > decisionLimit {
+			if f.decisions > maxDecisions {
 				t.Errorf("%d decisions for one fault", f.decisions)
 			}
 			if got["large"] < c.large || got["small"] < c.small {
 				t.Errorf("%d large and %d small groups serve after %v, want %d and %d", got["large"], got["small"], c.within, c.large, c.small)
 			}
-			if len(f.faults) > 0 {
-				t.Error(f.faults)
+			if len(f.violations) > 0 {
+				t.Error(f.violations)
 			}
 		})
 	}
 }
 
 // Control does not reach a member of a group that serves: a short pause of that group does not mean that the member is dead.
-func TestAPauseOfAGroupThatControlDoesNotReach(t *testing.T) {
+func TestPauseOfUnreachableGroup(t *testing.T) {
 	for _, rank := range []int{0, 2} {
 		f := newFleet(t, 17, 6, 8)
 		f.run(12*time.Second, nil)
-		f.demand = groupsOf(6, 6)
+		f.demand = demandFor(6, 6)
 		f.run(20*time.Second, nil)
 		head := f.headOf("large")
 		name := head.member.Group
-		f.byID[head.members[rank]].cut = true
+		f.byID[head.members[rank]].cutOff = true
 		f.run(4*time.Second, nil)
-		head.pausedAt = f.now
+		head.pausedSince = f.now
 		f.run(800*time.Millisecond, nil)
-		head.pausedAt = time.Time{}
+		head.pausedSince = time.Time{}
 		f.run(2*time.Second, nil)
 		if head.member.Group != name || head.member.State != roster.MemberOpen {
 			t.Errorf("member %d not reached: the head is %+v, want it open in %s", rank, head.member, name)
@@ -191,27 +191,27 @@
 		if got := f.serving(); got["large"] < 6 {
 			t.Errorf("member %d not reached, then lost: %d large groups serve", rank, got["large"])
 		}
-		if len(f.faults) > 0 {
-			t.Error(f.faults)
+		if len(f.violations) > 0 {
+			t.Error(f.violations)
 		}
 	}
 }
 
 // A group whose entries found together that it stands still ends as soon as a member is known to take no connections, and no sooner;
 // one that only pauses goes on.
-func TestAGroupThatStandsStill(t *testing.T) {
-	for _, together := range []bool{false, true} {
+func TestStalledGroup(t *testing.T) {
+	for _, confirmed := range []bool{false, true} {
 		f := newFleet(t, 11, 6, 8)
 		f.run(12*time.Second, nil)
-		f.demand = groupsOf(6, 6)
+		f.demand = demandFor(6, 6)
 		f.run(20*time.Second, nil)
-		f.together = together
+		f.stallConfirmed = confirmed
 		paused := f.headOf("small")
-		paused.pausedAt = f.now
+		paused.pausedSince = f.now
 		f.run(300*time.Millisecond, nil)
-		paused.pausedAt = time.Time{}
+		paused.pausedSince = time.Time{}
 		if paused.member.State != roster.MemberOpen {
-			t.Errorf("together %v: a group that paused is %s", together, paused.member.State)
+			t.Errorf("together %v: a group that paused is %s", confirmed, paused.member.State)
 		}
 		head := f.headOf("large")
 		group := head.member.Group
@@ -221,30 +221,30 @@
 			return !slices.ContainsFunc(f.roster.Groups(), func(g roster.Group) bool { return g.Name == group && g.Phase == roster.PhaseOpen })
 		}
 		after := time.Duration(0)
-		for ; !ended() && after < 2*time.Second; after += step {
-			f.run(step, nil)
+		for ; !ended() && after < 2*time.Second; after += tick {
+			f.run(tick, nil)
 		}
-		if together && after > 200*time.Millisecond {
+		if confirmed && after > 200*time.Millisecond {
 			t.Errorf("ended after %v, want 200 ms at most", after)
 		}
-		if len(f.faults) > 0 {
-			t.Error(f.faults)
+		if len(f.violations) > 0 {
+			t.Error(f.violations)
 		}
 	}
 }
 
 // A leader that was cut off opens a group that its successor's copy shows as still forming, or not at all.
-func TestASuccessorLeavesWhatItsPredecessorOpened(t *testing.T) {
+func TestNewLeaderHandlesGroupMissingFromCopy(t *testing.T) {
 	f := newFleet(t, 3, 2, 8)
 	for len(f.roster.Groups()) == 0 {
-		f.pass()
+		f.advance()
 	}
-	stale := f.copied()
+	stale := f.copyRoster()
 	f.run(20*time.Second, nil)
 	f.elect(stale)
 	f.run(20*time.Second, nil)
-	if len(f.faults) > 0 {
-		t.Error(f.faults)
+	if len(f.violations) > 0 {
+		t.Error(f.violations)
 	}
 	if n := f.serving(); n["large"]+n["small"] == 0 {
 		t.Error("nothing serves")
@@ -252,11 +252,11 @@
 }
 
 // A successor whose copy lacks a group hears of its members one after the other, and must not take it apart meanwhile.
-func TestASuccessorKeepsGroupsThatItDoesNotKnow(t *testing.T) {
+func TestNewLeaderKeepsUnknownGroups(t *testing.T) {
 	for seed := range uint64(8) {
 		f := newFleet(t, seed, 3, 8)
 		f.run(12*time.Second, nil)
-		stale := f.copied()
+		stale := f.copyRoster()
 		for name := range stale.Groups {
 			delete(stale.Groups, name)
 		}
@@ -268,27 +268,27 @@
 		before := f.openGroups()
 		f.elect(stale)
 		for range 80 {
-			f.pass()
+			f.advance()
 			now := f.openGroups()
 			for name := range before {
 				if !now[name] {
-					t.Fatalf("seed %d: %s serves no more %v after the election", seed, name, f.now.Sub(f.began)-12*time.Second)
+					t.Fatalf("seed %d: %s serves no more %v after the election", seed, name, f.now.Sub(f.startedAt)-12*time.Second)
 				}
 			}
 		}
-		if len(f.faults) > 0 {
-			t.Error(f.faults)
+		if len(f.violations) > 0 {
+			t.Error(f.violations)
 		}
 	}
 }
 
 // A leader ends the groups of a domain that goes dark; its successor knows their members from a copy in which they are still in those
 // groups, and must not offer them again. Once the members are back, and have reported that nothing holds them, all serves.
-func TestASuccessorDoesNotReviveWhatHasEnded(t *testing.T) {
+func TestNewLeaderDoesNotReopenEndedGroups(t *testing.T) {
 	for seed := range uint64(4) {
 		f := newFleet(t, seed, 3, 8)
 		f.run(12*time.Second, nil)
-		f.demand = groupsOf(3, 3)
+		f.demand = demandFor(3, 3)
 		f.run(10*time.Second, nil)
 		domain := f.headOf("large").domain
 		dark := map[ident.Incarnation]bool{}
@@ -305,14 +305,14 @@
 		if offered() {
 			t.Fatalf("seed %d: a group of the dark domain is still open", seed)
 		}
-		f.elect(f.copied())
+		f.elect(f.copyRoster())
 		f.run(6*time.Second, func() {
 			if offered() {
-				t.Fatalf("seed %d: a group of the dark domain is open again %v after the election", seed, f.now.Sub(f.began)-24*time.Second)
+				t.Fatalf("seed %d: a group of the dark domain is open again %v after the election", seed, f.now.Sub(f.startedAt)-24*time.Second)
 			}
 		})
-		if len(f.faults) > 0 {
-			t.Error(f.faults)
+		if len(f.violations) > 0 {
+			t.Error(f.violations)
 		}
 	}
 }
@@ -321,7 +321,7 @@
 func (f *fleet) openGroups() map[ident.Group]bool {
 	open := map[ident.Group]bool{}
 	for _, e := range f.engines {
-		if e.alive && e.member.State == roster.MemberOpen && f.whole(e) {
+		if e.alive && e.member.State == roster.MemberOpen && f.complete(e) {
 			open[e.member.Group] = true
 		}
 	}
@@ -330,7 +330,7 @@
 
 // Orders of a group that ended are carried out late, while the order to join the next one is lost: its member is then the
 // open head of the old group again, and has to leave that before it joins.
-func TestLateOrdersOfAGroupThatEnded(t *testing.T) {
+func TestLateOrdersOfEndedGroup(t *testing.T) {
 	f := newFleet(t, 5, 1, 4)
 	f.run(12*time.Second, nil)
 	head := f.byID["i-001"]
@@ -339,25 +339,25 @@
 	open := join
 	open.Action = replicaset.ActionOpen
 	lost := replicaset.ActionJoin
-	f.lose = func(o *replicaset.Order) bool { return o.To == head.id && o.Action == lost }
+	f.loseOrder = func(o *replicaset.Order) bool { return o.To == head.id && o.Action == lost }
 	f.kill(f.byID[head.members[3]])
-	back := f.add("domain-0", "hall-0", "")
-	back.staged = "large"
+	replacement := f.add("domain-0", "hall-0", "")
+	replacement.stagedModel = "large"
 	f.run(1500*time.Millisecond, nil)
 	if head.member.State != roster.MemberNone {
 		t.Fatalf("the head has not left: %+v", head.member)
 	}
-	f.carryOut(head, &join)
+	f.execute(head, &join)
 	f.run(400*time.Millisecond, nil)
 	lost = replicaset.ActionLeave
-	f.lateNow = true
-	f.carryOut(head, &open)
-	f.lateNow = false
+	f.executingLate = true
+	f.execute(head, &open)
+	f.executingLate = false
 	f.run(3*time.Second, nil)
-	f.lose = nil
+	f.loseOrder = nil
 	f.run(10*time.Second, nil)
-	if len(f.faults) > 0 {
-		t.Error(f.faults)
+	if len(f.violations) > 0 {
+		t.Error(f.violations)
 	}
 	if diff := cmp.Diff(map[ident.Model]int{"large": 1}, f.serving()); diff != "" {
 		t.Errorf("groups that serve (-want +got):\n%s", diff)
@@ -366,46 +366,46 @@
 
 // A head that has left joins and opens its group again by late orders of an earlier leader; the other members must be out of
 // that group before they join elsewhere.
-func TestAHeadThatReopensAfterItsLeaderIsGone(t *testing.T) {
+func TestHeadReopensAfterLeaderChange(t *testing.T) {
 	f := newFleet(t, 5, 1, 6)
 	f.run(12*time.Second, nil)
 	head := f.byID["i-001"]
 	join := replicaset.Order{To: head.id, Action: replicaset.ActionJoin, Group: head.member.Group, Epoch: head.member.Epoch, Model: "large", Members: head.members}
 	open := join
 	open.Action = replicaset.ActionOpen
-	f.elect(f.copied())
+	f.elect(f.copyRoster())
 	f.run(200*time.Millisecond, nil)
 	other := f.byID[head.members[2]]
-	other.draining, other.changed = true, true
+	other.draining, other.reportDue = true, true
 	// The group closes and its head leaves; then the late orders arrive before the next order to the head.
-	f.lose = func(o *replicaset.Order) bool { return o.To == head.id && o.Action == replicaset.ActionJoin }
+	f.loseOrder = func(o *replicaset.Order) bool { return o.To == head.id && o.Action == replicaset.ActionJoin }
 	for head.member.State != roster.MemberNone {
-		f.run(step, nil)
+		f.run(tick, nil)
 	}
-	f.lateNow = true
-	f.carryOut(head, &join)
+	f.executingLate = true
+	f.execute(head, &join)
 	head.readyAt = f.now
 	f.progress(head)
-	f.carryOut(head, &open)
-	f.lateNow = false
-	head.changed = false
+	f.execute(head, &open)
+	f.executingLate = false
+	head.reportDue = false
 	f.run(3*time.Second, nil)
-	if len(f.faults) > 0 {
-		t.Error(f.faults)
+	if len(f.violations) > 0 {
+		t.Error(f.violations)
 	}
 }
 
 // A head that signed off and that control does not reach any more is forgotten, but may serve on; its members leave it before
 // they join elsewhere.
-func TestAHeadThatSignedOffAndIsCutOff(t *testing.T) {
+func TestSignedOffHeadIsCutOff(t *testing.T) {
 	f := newFleet(t, 5, 1, 6)
 	f.run(12*time.Second, nil)
 	head := f.byID["i-001"]
-	head.left, head.cut = true, true
+	head.signedOff, head.cutOff = true, true
 	f.roster.SignOff(f.now, head.id)
 	f.run(40*time.Second, nil)
-	if len(f.faults) > 0 {
-		t.Error(f.faults)
+	if len(f.violations) > 0 {
+		t.Error(f.violations)
 	}
 	if diff := cmp.Diff(map[ident.Model]int{"large": 1}, f.serving()); diff != "" {
 		t.Errorf("groups that serve (-want +got):\n%s", diff)
@@ -414,69 +414,69 @@
 
 // Random series of losses, cuts, late and lost orders, sign-offs and new leaders, with what must always hold checked at
 // every order; once they end, every model is served again, however quickly its weights come from a host.
-func TestNoMemberIsInTwoGroupsWhateverHappens(t *testing.T) {
+func TestNoMemberIsInTwoGroups(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
 		f := newFleet(t, seed, 4, 8)
-		f.lateShare = 0.15
-		f.lostShare = 0.05
-		for i := range f.model.Models {
-			f.model.Models[i].Warm = time.Duration(f.random.Int64N(int64(2 * time.Second)))
+		f.lateFraction = 0.15
+		f.lostFraction = 0.05
+		for i := range f.config.Models {
+			f.config.Models[i].Warm = time.Duration(f.random.Int64N(int64(2 * time.Second)))
 		}
 		f.run(12*time.Second, nil)
 		// Spares only, as many groups as there are upstreams for, or more than there are.
-		f.demand = groupsOf(float64(seed%3+2), float64(seed%5+3))
-		copied := f.copied()
-		f.run(40*time.Second, func() { f.trouble(&copied) })
-		f.heals(seed)
+		f.demand = demandFor(float64(seed%3+2), float64(seed%5+3))
+		copied := f.copyRoster()
+		f.run(40*time.Second, func() { f.injectFault(&copied) })
+		f.checkRecovery(seed)
 	}
 }
 
 // Upstreams start again under their ids at any moment, behind cuts too, while orders to the life before are still on their way.
-func TestUpstreamsThatStartAgainUnderTheirIDs(t *testing.T) {
+func TestRestartsUnderTheSameID(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		f := newFleet(t, seed, 4, 8)
-		f.lateShare = 0.15
-		f.lostShare = 0.05
+		f.lateFraction = 0.15
+		f.lostFraction = 0.05
 		f.run(12*time.Second, nil)
-		f.demand = groupsOf(3, 4)
+		f.demand = demandFor(3, 4)
 		f.run(40*time.Second, func() {
 			if f.random.IntN(30) != 0 {
 				return
 			}
-			list := f.alive()
+			list := f.living()
 			e := list[f.random.IntN(len(list))]
 			switch f.random.IntN(4) {
 			case 0:
-				e.cut = !e.cut
+				e.cutOff = !e.cutOff
 			case 1:
-				f.elect(f.copied())
+				f.elect(f.copyRoster())
 			default:
 				f.restart(e)
 			}
 		})
-		f.heals(seed)
+		f.checkRecovery(seed)
 	}
 }
 
-// heals ends all trouble and checks that nothing has broken and that every model is served again.
-func (f *fleet) heals(seed uint64) {
+// checkRecovery ends all trouble and checks that nothing has broken and that every model is served again.
+func (f *fleet) checkRecovery(seed uint64) {
 	f.t.Helper()
-	f.calm()
+	f.endFaults()
 	f.run(40*time.Second, nil)
-	if len(f.faults) > 0 {
-		f.t.Fatalf("seed %d: %v", seed, f.faults)
+	if len(f.violations) > 0 {
+		f.t.Fatalf("seed %d: %v", seed, f.violations)
 	}
 	if got := f.serving(); got["large"] == 0 || got["small"] == 0 {
 		f.t.Errorf("seed %d: %v groups serve long after all trouble has ended", seed, got)
 	}
 }
 
-// calm ends all trouble and makes sure that there is a domain with enough upstreams.
-func (f *fleet) calm() {
-	f.lateShare, f.lostShare, f.garbledShare, f.droppedShare, f.reportDelay = 0, 0, 0, 0, 0
+// endFaults ends all trouble and makes sure that there is a domain with enough upstreams.
+func (f *fleet) endFaults() {
+	f.lateFraction, f.lostFraction, f.unreadableFraction, f.droppedFraction, f.maxReportDelay = 0, 0, 0, 0, 0
 	for _, e := range f.engines {
-		e.cut = false
-		if e.left && e.alive {
+		e.cutOff = false
+		if e.signedOff && e.alive {
 			// One that has signed off ends within seconds; it reports to nobody, so a new leader may only know it from a copy.
 			f.kill(e)
 		}
@@ -486,14 +486,14 @@
 	}
 }
 
-func (f *fleet) trouble(copied **roster.Copy) {
+func (f *fleet) injectFault(copied **roster.Copy) {
 	if f.random.IntN(20) == 0 {
-		*copied = f.copied()
+		*copied = f.copyRoster()
 	}
 	if f.random.IntN(30) != 0 {
 		return
 	}
-	list := f.alive()
+	list := f.living()
 	if len(list) < 8 {
 		return
 	}
@@ -501,32 +501,32 @@
 	switch f.random.IntN(8) {
 	case 0:
 		f.kill(e)
-		back := f.add(e.domain, e.hall, e.address)
-		back.staged = e.staged
+		restarted := f.add(e.domain, e.hall, e.address)
+		restarted.stagedModel = e.stagedModel
 	case 1:
 		f.kill(e)
 	case 2:
-		e.draining, e.changed = true, true
+		e.draining, e.reportDue = true, true
 	case 3:
-		e.left = true
+		e.signedOff = true
 		f.roster.SignOff(f.now, e.id)
 	case 4:
-		e.cut = !e.cut
+		e.cutOff = !e.cutOff
 	case 5:
 		f.add(e.domain, e.hall, "")
 	case 6:
 		f.elect(*copied)
 	case 7:
-		f.elect(f.copied())
+		f.elect(f.copyRoster())
 	}
 }
 
-func TestOrdersStayFew(t *testing.T) {
+func TestNoOrdersWhenIdle(t *testing.T) {
 	f := newFleet(t, 5, 6, 8)
 	f.run(20*time.Second, nil)
-	before := f.orders
+	before := f.ordersSent
 	f.run(20*time.Second, nil)
-	if got := f.orders - before; got > 0 {
+	if got := f.ordersSent - before; got > 0 {
 		t.Errorf("%d orders while nothing happens", got)
 	}
 }
--- a/replicaset/fuzz_test.go
+++ b/replicaset/fuzz_test.go
@@ -19,7 +19,7 @@
 	f.Add(-1, 1, 1<<40, 1<<62, -1.0, 1e308, -5.0, int64(-1<<62), int64(1<<62), -1.0, -7, -1.0, -3.0, 1e300)
 	f.Add(1<<62, 1<<62, 2, 1, 1e-300, 1e300, 1e300, int64(1), int64(-1), 1e-300, 1<<62, 1e300, 1e300, -1e300)
 	f.Fuzz(func(_ *testing.T, slots, stride, size, other int, share, otherShare, pace float64, load, warm int64, read float64, atOnce int, perSecond, far, demand float64) {
-		e := &httproute.Engine{
+		engine := &httproute.Engine{
 			Slots: slots, Stride: max(1, stride), Step: 6 * time.Millisecond, PerSequence: time.Millisecond, ReadRate: read, LoadsPerSecond: perSecond,
 			ConcurrentLoads: atOnce, OpenTime: time.Duration(warm), FarFactor: far,
 			Models: []httproute.Model{
@@ -50,10 +50,10 @@
 		for n := range 20 {
 			w.Now = now.Add(time.Duration(n) * time.Second)
 			if n == 0 {
-				formation.Adopt(w, e)
+				formation.Adopt(w, engine)
 				continue
 			}
-			formation.Step(w, e)
+			formation.Step(w, engine)
 			formation.Explain()
 		}
 	})
--- a/replicaset/late_test.go
+++ b/replicaset/late_orders_test.go
@@ -12,24 +12,24 @@
 
 // Orders without an answer may be carried out many seconds later, without a report that tells of it in time. What may be put back into a
 // group that has ended, and serves there again, joins no other one until that is over.
-func TestLateOrdersNobodyKnowsOf(t *testing.T) {
+func TestLateOrdersWithoutReports(t *testing.T) {
 	for _, seed := range []uint64{276, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20} {
 		f := newFleet(t, seed, 4, 8)
 		f.run(12*time.Second, nil)
-		f.lateShare, f.lostShare, f.strict = 0.15, 0.05, true
-		f.demand = groupsOf(float64(seed%3+2), float64(seed%5+3))
-		copied := f.copied()
-		f.run(40*time.Second, func() { f.trouble(&copied) })
-		f.heals(seed)
+		f.lateFraction, f.lostFraction, f.strict = 0.15, 0.05, true
+		f.demand = demandFor(float64(seed%3+2), float64(seed%5+3))
+		copied := f.copyRoster()
+		f.run(40*time.Second, func() { f.injectFault(&copied) })
+		f.checkRecovery(seed)
 	}
 }
 
-// latest is how long after it was given an order may be carried out.
-const latest = 12 * time.Second
+// maxLateness is how long after it was given an order may be carried out.
+const maxLateness = 12 * time.Second
 
 // A group is formed by orders whose first tries had no answer; it ends, and right before its members join elsewhere these first tries are
 // carried out at the head and at another member. A leader that is behind drops outcomes, and knows no more of them.
-func TestTheFirstTriesOfAGroupThatEnded(t *testing.T) {
+func TestFirstAttemptsOfEndedGroup(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		whom    []int
@@ -44,88 +44,88 @@
 			f := newFleet(t, 5, 1, 6)
 			f.strict = true
 			first := map[string]*replicaset.Order{}
-			var given time.Time
-			f.lose = func(o *replicaset.Order) bool {
+			var lastSent time.Time
+			f.loseOrder = func(o *replicaset.Order) bool {
 				key := string(o.To) + string(o.Action)
 				if first[key] != nil || o.Action != replicaset.ActionJoin && o.Action != replicaset.ActionOpen {
 					return false
 				}
 				first[key] = o
-				given = f.now
+				lastSent = f.now
 				return true
 			}
 			seen := map[string]bool{}
-			f.drop = func(o *replicaset.Order) bool {
+			f.dropOutcome = func(o *replicaset.Order) bool {
 				key := string(o.To) + string(o.Action)
 				dropped := c.dropped && first[key] != nil && !seen[key]
 				seen[key] = true
 				return dropped
 			}
 			for f.serving()["large"] == 0 {
-				f.pass()
+				f.advance()
 			}
-			f.drop = nil
+			f.dropOutcome = nil
 			head := f.headOf("large")
 			members := append([]ident.Incarnation(nil), head.members...)
-			late := func(to ident.Incarnation, action replicaset.Action) {
-				f.lateNow = true
-				f.carryOut(f.byID[to], first[string(to)+string(action)])
+			executeLate := func(to ident.Incarnation, action replicaset.Action) {
+				f.executingLate = true
+				f.execute(f.byID[to], first[string(to)+string(action)])
 				f.byID[to].readyAt = f.now
-				f.lateNow = false
+				f.executingLate = false
 			}
 			// They are carried out in the moment before a member joins elsewhere, or as late as orders are at all.
-			played := false
-			play := func() {
-				played = true
+			replayed := false
+			replay := func() {
+				replayed = true
 				for _, i := range c.whom {
-					late(members[i], replicaset.ActionJoin)
+					executeLate(members[i], replicaset.ActionJoin)
 					if e := f.byID[members[i]]; e.member.State == roster.MemberJoining {
 						e.member.State = roster.MemberReady
 					}
 				}
-				late(head.id, replicaset.ActionOpen)
+				executeLate(head.id, replicaset.ActionOpen)
 			}
-			f.lose = func(o *replicaset.Order) bool {
+			f.loseOrder = func(o *replicaset.Order) bool {
 				left := head.member.State == roster.MemberNone
-				if o.Action == replicaset.ActionJoin && !played && left && slices.Contains(members, o.To) {
-					play()
+				if o.Action == replicaset.ActionJoin && !replayed && left && slices.Contains(members, o.To) {
+					replay()
 				}
 				return false
 			}
 			f.kill(f.byID[members[3]])
 			f.run(30*time.Second, func() {
-				if !played && f.now.Sub(given) >= latest {
-					play()
+				if !replayed && f.now.Sub(lastSent) >= maxLateness {
+					replay()
 				}
 			})
-			if !played {
+			if !replayed {
 				t.Error("no late order was carried out: the test shows nothing")
 			}
-			if len(f.faults) > 0 {
-				t.Error(f.faults)
+			if len(f.violations) > 0 {
+				t.Error(f.violations)
 			}
 		})
 	}
 }
 
 // Orders and answers take their time, some outcomes never get to a leader that is behind, and reports come late, beside all other trouble.
-func TestOrdersUnderWay(t *testing.T) {
+func TestDelayedOrdersAndOutcomes(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		f := newFleet(t, seed, 4, 8)
 		f.run(12*time.Second, nil)
-		f.lateShare, f.lostShare, f.garbledShare, f.reportDelay, f.strict = 0.1, 0.05, 0.03, 200*time.Millisecond, true
-		f.transit, f.droppedShare = time.Duration(seed)*80*time.Millisecond, 0.05
-		f.demand = groupsOf(float64(seed%3+2), float64(seed%5+3))
-		copied := f.copied()
+		f.lateFraction, f.lostFraction, f.unreadableFraction, f.maxReportDelay, f.strict = 0.1, 0.05, 0.03, 200*time.Millisecond, true
+		f.maxTransit, f.droppedFraction = time.Duration(seed)*80*time.Millisecond, 0.05
+		f.demand = demandFor(float64(seed%3+2), float64(seed%5+3))
+		copied := f.copyRoster()
 		f.run(40*time.Second, func() {
-			f.trouble(&copied)
-			switch list := f.alive(); f.random.IntN(60) {
+			f.injectFault(&copied)
+			switch list := f.living(); f.random.IntN(60) {
 			case 0:
-				f.cutOff(list[f.random.IntN(len(list))])
+				f.cutOffRefusing(list[f.random.IntN(len(list))])
 			case 1:
-				list[f.random.IntN(len(list))].cut = false
+				list[f.random.IntN(len(list))].cutOff = false
 			}
 		})
-		f.heals(seed)
+		f.checkRecovery(seed)
 	}
 }
--- a/replicaset/loads_test.go
+++ b/replicaset/loads_test.go
@@ -9,42 +9,42 @@
 
 // The store takes so many loads a second from all upstreams, whoever leads: a new leader does not begin with a burst of its own beside its
 // predecessor's.
-func TestLoadsOfSeveralLeaders(t *testing.T) {
+func TestLoadRateAcrossLeaders(t *testing.T) {
 	const window = 5 * time.Second
 	f := newFleet(t, 3, 8, 8)
 	f.run(12*time.Second, nil)
-	began := []time.Time{}
-	f.lose = func(o *replicaset.Order) bool {
+	starts := []time.Time{}
+	f.loseOrder = func(o *replicaset.Order) bool {
 		if o.Action == replicaset.ActionStage {
-			began = append(began, f.now)
+			starts = append(starts, f.now)
 		}
 		return false
 	}
 	// All hosts lose their weights, and leaders follow each other quickly.
 	for _, e := range f.engines {
-		e.staged, e.changed = "", true
+		e.stagedModel, e.reportDue = "", true
 	}
 	steps := 0
 	f.run(20*time.Second, func() {
 		if steps++; steps%30 == 0 {
-			f.elect(f.copied())
+			f.elect(f.copyRoster())
 		}
 	})
-	most := 0
-	for i := range began {
+	maxStarts := 0
+	for i := range starts {
 		n := 0
-		for _, at := range began[i:] {
-			if at.Sub(began[i]) < window {
+		for _, at := range starts[i:] {
+			if at.Sub(starts[i]) < window {
 				n++
 			}
 		}
-		most = max(most, n)
+		maxStarts = max(maxStarts, n)
 	}
 	// A burst of the first leader, and the part of the rate that is used.
-	if allowed := 4 + int(window.Seconds()*f.model.LoadsPerSecond*3/4); most > allowed {
-		t.Errorf("%d loads begin within %v under several leaders, want %d at most", most, window, allowed)
+	if allowed := 4 + int(window.Seconds()*f.config.LoadsPerSecond*3/4); maxStarts > allowed {
+		t.Errorf("%d loads begin within %v under several leaders, want %d at most", maxStarts, window, allowed)
 	}
-	if most == 0 {
+	if maxStarts == 0 {
 		t.Error("no load begins: the test shows nothing")
 	}
 }
--- a/replicaset/orders.go
+++ b/replicaset/orders.go
@@ -10,15 +10,15 @@
 
 // sentOrder is what became of an order.
 type sentOrder struct {
-	at time.Time
-	// answered is when the outcome was known.
-	answered time.Time
-	outcome  Outcome
-	waiting  bool
-	// doubtful is set when one of the earlier tries has no known outcome: it may be carried out late. Doubted is when the last such one
+	sentAt time.Time
+	// answeredAt is when the outcome was known.
+	answeredAt time.Time
+	outcome    Outcome
+	pending    bool
+	// mayArriveLate is set when one of the earlier tries has no known outcome: it may be carried out late. Doubted is when the last such one
 	// was given.
-	doubtful bool
-	doubted  time.Time
+	mayArriveLate  bool
+	uncertainSince time.Time
 }
 
 // orderKey names an order: engines take the same one twice as one.
@@ -31,22 +31,22 @@
 // outcome returns what became of the last order of that kind for g, or nothing while it is not known.
 func (f *Formation) outcome(g *roster.Group, to ident.Incarnation, action Action) Outcome {
 	o := f.orders[orderKey{to, action, g.Epoch}]
-	if o == nil || o.waiting {
+	if o == nil || o.pending {
 		return ""
 	}
 	return o.outcome
 }
 
-// order sends an order unless the same one is on its way or was taken a moment ago.
-func (f *Formation) order(g *roster.Group, to ident.Incarnation, action Action) {
+// sendOrder sends an order unless the same one is on its way or was taken a moment ago.
+func (f *Formation) sendOrder(g *roster.Group, to ident.Incarnation, action Action) {
 	key := orderKey{to, action, g.Epoch}
-	now := f.world.Now
+	now := f.snapshot.Now
 	if o := f.orders[key]; o != nil {
 		wait := resendAfter
-		if o.outcome == OutcomeAccepted && !o.waiting {
+		if o.outcome == OutcomeAccepted && !o.pending {
 			wait = repeatAfter
 		}
-		if now.Sub(o.at) < wait {
+		if now.Sub(o.sentAt) < wait {
 			return
 		}
 	}
@@ -54,88 +54,88 @@
 	if u == nil {
 		return
 	}
-	sent := &sentOrder{at: now, waiting: true}
+	sent := &sentOrder{sentAt: now, pending: true}
 	o := Order{
 		To: to, Address: u.Address, Action: action, Group: g.Name, Epoch: g.Epoch,
-		Model: g.Model, Members: g.Members, Fence: f.Fence, Context: f.known(u),
+		Model: g.Model, Members: g.Members, Fence: f.Fence, Context: f.orderContext(u),
 	}
-	if before := f.orders[key]; before != nil {
-		sent.doubtful, sent.doubted = before.unsure()
-		if before.waiting {
+	if previous := f.orders[key]; previous != nil {
+		sent.mayArriveLate, sent.uncertainSince = previous.uncertain()
+		if previous.pending {
 			// Its outcome was dropped by a leader that is behind.
-			f.noteDoubt(&o)
+			f.markDoubtful(&o)
 		}
 	}
 	f.orders[key] = sent
 	f.Send(o)
 }
 
-// unsure reports whether a try of an order may still be carried out late, and when the last such one was given.
-func (o *sentOrder) unsure() (bool, time.Time) {
-	if o.waiting {
-		return true, o.at
+// uncertain reports whether a try of an order may still be carried out late, and when the last such one was given.
+func (o *sentOrder) uncertain() (bool, time.Time) {
+	if o.pending {
+		return true, o.sentAt
 	}
-	return o.doubtful, o.doubted
+	return o.mayArriveLate, o.uncertainSince
 }
 
-// describe writes a membership for operators.
-func describe(m roster.Membership) string {
+// describeMembership writes a membership for operators.
+func describeMembership(m roster.Membership) string {
 	if m.Group == "" {
 		return "in no group"
 	}
 	return fmt.Sprintf("%s/%d member %d %s", m.Group, m.Epoch, m.Rank, m.State)
 }
 
-// known returns what is known of an engine and of the group that it last reported.
-func (f *Formation) known(u *roster.Upstream) OrderContext {
-	m, now := u.Member, f.world.Now
-	k := OrderContext{LastReport: describe(m), LastReportAgeMS: f.world.ReportAges[u.ID].Milliseconds()}
+// orderContext returns what is known of an engine and of the group that it last reported.
+func (f *Formation) orderContext(u *roster.Upstream) OrderContext {
+	m, now := u.Member, f.snapshot.Now
+	c := OrderContext{LastReport: describeMembership(m), LastReportAgeMS: f.snapshot.ReportAges[u.ID].Milliseconds()}
 	if m.Group == "" {
-		return k
+		return c
 	}
 	for _, other := range f.byID {
 		if o := other.Member; o.Group == m.Group && o.Rank == 0 && other.ID != u.ID {
-			k.Head, k.HeadLastReport, k.HeadLastReportAgeMS = other.ID, describe(o), f.world.ReportAges[other.ID].Milliseconds()
+			c.Head, c.HeadLastReport, c.HeadLastReportAgeMS = other.ID, describeMembership(o), f.snapshot.ReportAges[other.ID].Milliseconds()
 		}
 	}
-	if at, ok := f.over[m.Group]; ok {
-		k.Ended, k.EndedAgoMS = "over", now.Sub(at).Milliseconds()
+	if at, ok := f.endedGroups[m.Group]; ok {
+		c.Ended, c.EndedAgoMS = "over", now.Sub(at).Milliseconds()
 	}
-	if at, ok := f.lost[m.Group]; ok {
-		k.Ended, k.EndedAgoMS = "lost", now.Sub(at).Milliseconds()
+	if at, ok := f.lostGroups[m.Group]; ok {
+		c.Ended, c.EndedAgoMS = "lost", now.Sub(at).Milliseconds()
 	}
-	if o := f.orders[orderKey{u.ID, ActionLeave, m.Epoch}]; o != nil && !o.waiting {
-		k.LeaveOutcome = o.outcome
+	if o := f.orders[orderKey{u.ID, ActionLeave, m.Epoch}]; o != nil && !o.pending {
+		c.LeaveOutcome = o.outcome
 	}
 	join := f.orders[orderKey{u.ID, ActionJoin, m.Epoch}]
-	k.JoinPending = join == nil
+	c.JoinPending = join == nil
 	if join != nil {
-		k.JoinPending, _ = join.unsure()
+		c.JoinPending, _ = join.uncertain()
 	}
-	return k
+	return c
 }
 
 // HandleOutcome takes the outcome of an order.
 func (f *Formation) HandleOutcome(o *Order, outcome Outcome) {
 	if o.Action == ActionStage {
-		f.stageAnswered(o, outcome)
+		f.handleStageOutcome(o, outcome)
 		return
 	}
 	sent := f.orders[orderKey{o.To, o.Action, o.Epoch}]
 	if sent == nil {
 		return
 	}
-	sent.waiting = false
-	sent.answered = f.world.Now
+	sent.pending = false
+	sent.answeredAt = f.snapshot.Now
 	sent.outcome = outcome
 	if outcome == OutcomeUnknown {
-		sent.doubtful, sent.doubted = true, sent.at
-		f.noteDoubt(o)
+		sent.mayArriveLate, sent.uncertainSince = true, sent.sentAt
+		f.markDoubtful(o)
 	}
 }
 
-// noteDoubt marks the group of an order that may be carried out late, for this leader's successors.
-func (f *Formation) noteDoubt(o *Order) {
+// markDoubtful marks the group of an order that may be carried out late, for this leader's successors.
+func (f *Formation) markDoubtful(o *Order) {
 	if o.Action != ActionJoin && o.Action != ActionOpen {
 		return
 	}
@@ -151,19 +151,19 @@
 // one by one.
 func (f *Formation) lateUntil(g *roster.Group, to ident.Incarnation, action Action) time.Time {
 	if o := f.orders[orderKey{to, action, g.Epoch}]; o != nil {
-		if unsure, given := o.unsure(); unsure {
-			return given.Add(lateMost)
+		if uncertain, sentAt := o.uncertain(); uncertain {
+			return sentAt.Add(maxOrderDelay)
 		}
 		return time.Time{}
 	}
 	if g.Doubtful {
-		return f.began.Add(lateMost)
+		return f.startedAt.Add(maxOrderDelay)
 	}
 	return time.Time{}
 }
 
-func (f *Formation) stageAnswered(o *Order, outcome Outcome) {
+func (f *Formation) handleStageOutcome(o *Order, outcome Outcome) {
 	if st, ok := f.staging[o.To]; ok && outcome != OutcomeAccepted {
-		f.staging[o.To] = staged{st.model, f.world.Now.Add(stageAgain)}
+		f.staging[o.To] = stagingOrder{st.model, f.snapshot.Now.Add(stageRetryAfter)}
 	}
 }
--- a/replicaset/plan.go
+++ b/replicaset/plan.go
@@ -35,17 +35,17 @@
 const (
 	// rejoinTime is how long an engine takes to join when its last group had the same model.
 	rejoinTime = 200 * time.Millisecond
-	// sparesKept is how many upstreams of a domain stay free while no model lacks groups: losses come one by one.
-	sparesKept = 1
-	// farNeed is the part of a model's groups that must be missing until one across domains is formed: it takes the spares
+	// sparesPerDomain is how many upstreams of a domain stay free while no model lacks groups: losses come one by one.
+	sparesPerDomain = 1
+	// crossDomainDeficit is the part of a model's groups that must be missing until one across domains is formed: it takes the spares
 	// of several domains and carries a third of a whole one.
-	farNeed = 0.4
-	// groupLoad is the load of a group, in parts of a full one (see Work), that is planned for.
-	groupLoad = 0.95
-	// moveGain is how much lower the highest load has to become for a group to end for one of another model, movePart the
+	crossDomainDeficit = 0.4
+	// plannedGroupLoad is the load of a group, in parts of a full one (see Work), that is planned for.
+	plannedGroupLoad = 0.95
+	// minLoadGain is how much lower the highest load has to become for a group to end for one of another model, minGainFraction the
 	// same in parts of what one group more brings, where that is less.
-	moveGain = 0.08
-	movePart = 0.5
+	minLoadGain     = 0.08
+	minGainFraction = 0.5
 )
 
 // Candidate is an upstream as a possible member of a group.
@@ -138,198 +138,198 @@
 // plan is the work on one decision.
 type plan struct {
 	*PlanInput
-	targets map[ident.Model]int
-	needs   map[ident.Model]int
-	// served counts the groups of each model; one across domains counts for as much as it carries.
-	served map[ident.Model]float64
-	// open is the part of served that serves already.
-	open map[ident.Model]float64
-	// homes counts the groups of each model within a domain.
-	homes map[ident.Domain]map[ident.Model]int
-	free  []Candidate
-	loads int
+	targetGroups   map[ident.Model]int
+	requiredGroups map[ident.Model]int
+	// capacity counts the groups of each model; one across domains counts for as much as it carries.
+	capacity map[ident.Model]float64
+	// openCapacity is the part of served that serves already.
+	openCapacity map[ident.Model]float64
+	// localGroups counts the groups of each model within a domain.
+	localGroups map[ident.Domain]map[ident.Model]int
+	free        []Candidate
+	loadsLeft   int
 }
 
-func newPlan(s *PlanInput) *plan {
+func newPlan(input *PlanInput) *plan {
 	p := &plan{
-		PlanInput: s, targets: TargetGroups(s), needs: RequiredGroups(s), loads: s.LoadBudget,
-		served: map[ident.Model]float64{}, open: map[ident.Model]float64{}, homes: map[ident.Domain]map[ident.Model]int{},
+		PlanInput: input, targetGroups: TargetGroups(input), requiredGroups: RequiredGroups(input), loadsLeft: input.LoadBudget,
+		capacity: map[ident.Model]float64{}, openCapacity: map[ident.Model]float64{}, localGroups: map[ident.Domain]map[ident.Model]int{},
 	}
-	p.free = append(p.free, s.Free...)
-	for i := range s.Groups {
-		g := &s.Groups[i]
-		p.settle(g.Model, p.part(g), g.CrossDomain, g.Members[0].Domain)
+	p.free = append(p.free, input.Free...)
+	for i := range input.Groups {
+		g := &input.Groups[i]
+		p.addGroup(g.Model, p.groupCapacity(g), g.CrossDomain, g.Members[0].Domain)
 		if g.Open {
-			p.open[g.Model] += p.part(g)
+			p.openCapacity[g.Model] += p.groupCapacity(g)
 		}
 	}
-	for domain, c := range s.Expected {
+	for domain, c := range input.Expected {
 		for range c.Count {
-			p.settle(c.Model, 1, false, domain)
+			p.addGroup(c.Model, 1, false, domain)
 		}
 	}
 	return p
 }
 
 // Plan returns what to begin now.
-func Plan(s *PlanInput) Decision {
-	p := newPlan(s)
+func Plan(input *PlanInput) Decision {
+	p := newPlan(input)
 	var d Decision
-	d.Groups = p.begin((*plan).near)
-	if !s.BeforeFirstRequest {
-		d.Close = p.makeRoom()
+	d.Groups = p.formGroups((*plan).planLocal)
+	if !input.BeforeFirstRequest {
+		d.Close = p.chooseClosings()
 	}
-	if len(d.Close) == 0 && !s.BeforeFirstRequest {
-		d.Groups = append(d.Groups, p.begin((*plan).far)...)
+	if len(d.Close) == 0 && !input.BeforeFirstRequest {
+		d.Groups = append(d.Groups, p.formGroups((*plan).planCrossDomain)...)
 	}
-	d.Stage = p.stage()
-	d.WarmUp = p.warmUp(d.Stage)
-	d.Reason = p.why()
+	d.Stage = p.chooseStaging()
+	d.WarmUp = p.chooseWarmUps(d.Stage)
+	d.Reason = p.summary()
 	return d
 }
 
-// why tells, for each model, the groups that it has of those that it needs, or would get by its share.
-func (p *plan) why() string {
+// summary tells, for each model, the groups that it has of those that it needs, or would get by its share.
+func (p *plan) summary() string {
 	var list []string
 	for i := range p.Engine.Models {
 		m := p.Engine.Models[i].Name
-		list = append(list, fmt.Sprintf("%s %.1f of %.0f", m, p.served[m], p.wanted(m)))
+		list = append(list, fmt.Sprintf("%s %.1f of %.0f", m, p.capacity[m], p.wantedGroups(m)))
 	}
 	return strings.Join(list, ", ")
 }
 
-// begin chooses groups one by one as long as choose finds one for a model, the neediest first.
-func (p *plan) begin(choose func(p *plan, m *httproute.Model) (GroupPlan, bool)) []GroupPlan {
-	var list []GroupPlan
+// formGroups chooses groups one by one as long as choose finds one for a model, the neediest first.
+func (p *plan) formGroups(choose func(p *plan, m *httproute.Model) (GroupPlan, bool)) []GroupPlan {
+	var groups []GroupPlan
 	for {
-		choice, ok := p.next(choose)
+		group, ok := p.nextGroup(choose)
 		if !ok {
-			return list
+			return groups
 		}
-		list = append(list, choice)
-		p.loads -= choice.Loads
-		part := 1.0
-		if choice.CrossDomain {
-			part = p.farPart()
+		groups = append(groups, group)
+		p.loadsLeft -= group.Loads
+		capacity := 1.0
+		if group.CrossDomain {
+			capacity = p.crossDomainCapacity()
 		}
-		p.settle(choice.Model, part, choice.CrossDomain, p.take(choice.Members))
+		p.addGroup(group.Model, capacity, group.CrossDomain, p.claimMembers(group.Members))
 	}
 }
 
-func (p *plan) next(choose func(p *plan, m *httproute.Model) (GroupPlan, bool)) (GroupPlan, bool) {
-	for _, m := range p.byNeed() {
-		if choice, ok := choose(p, m); ok {
-			return choice, true
+func (p *plan) nextGroup(choose func(p *plan, m *httproute.Model) (GroupPlan, bool)) (GroupPlan, bool) {
+	for _, m := range p.byDeficit() {
+		if group, ok := choose(p, m); ok {
+			return group, true
 		}
 	}
 	return GroupPlan{}, false
 }
 
-// settle counts a group of a model in a domain, which carries part of what a whole one does.
-func (p *plan) settle(model ident.Model, part float64, far bool, domain ident.Domain) {
-	p.served[model] += part
-	if far {
+// addGroup counts a group of a model in a domain, which carries part of what a whole one does.
+func (p *plan) addGroup(model ident.Model, capacity float64, crossDomain bool, domain ident.Domain) {
+	p.capacity[model] += capacity
+	if crossDomain {
 		return
 	}
-	if p.homes[domain] == nil {
-		p.homes[domain] = map[ident.Model]int{}
+	if p.localGroups[domain] == nil {
+		p.localGroups[domain] = map[ident.Model]int{}
 	}
-	p.homes[domain][model]++
+	p.localGroups[domain][model]++
 }
 
-// take removes members from the free upstreams and returns the domain of the last one.
-func (p *plan) take(members []ident.Incarnation) ident.Domain {
-	var rest []Candidate
+// claimMembers removes members from the free upstreams and returns the domain of the last one.
+func (p *plan) claimMembers(members []ident.Incarnation) ident.Domain {
+	var remaining []Candidate
 	var domain ident.Domain
 	for i := range p.free {
 		if slices.Contains(members, p.free[i].ID) {
 			domain = p.free[i].Domain
 			continue
 		}
-		rest = append(rest, p.free[i])
+		remaining = append(remaining, p.free[i])
 	}
-	p.free = rest
+	p.free = remaining
 	return domain
 }
 
-// near returns the best group of m within one domain: the soonest ready, in a domain with the fewest groups of m, with the
+// planLocal returns the best group of m within one domain: the soonest ready, in a domain with the fewest groups of m, with the
 // fewest upstreams left over.
-func (p *plan) near(m *httproute.Model) (GroupPlan, bool) {
-	short := p.short(m.Name)
-	if !short && p.othersFirst(m) {
+func (p *plan) planLocal(m *httproute.Model) (GroupPlan, bool) {
+	lacking := p.hasDeficit(m.Name)
+	if !lacking && p.yieldsToOthers(m) {
 		return GroupPlan{}, false
 	}
-	if choice, ok := p.nearOf(m, short, quick); ok || p.served[m.Name] > 0 {
-		return choice, ok
+	if group, ok := p.planLocalFrom(m, lacking, fastEnough); ok || p.capacity[m.Name] > 0 {
+		return group, ok
 	}
 	// A slow group is better than none.
-	return p.nearOf(m, short, func(*Candidate) bool { return true })
+	return p.planLocalFrom(m, lacking, func(*Candidate) bool { return true })
 }
 
-// nearOf is near among the upstreams that fit.
-func (p *plan) nearOf(m *httproute.Model, short bool, fits func(c *Candidate) bool) (GroupPlan, bool) {
+// planLocalFrom is near among the upstreams that fit.
+func (p *plan) planLocalFrom(m *httproute.Model, lacking bool, accept func(c *Candidate) bool) (GroupPlan, bool) {
 	var best GroupPlan
-	var bestRank rank
+	var bestRank groupRank
 	found := false
-	all := byDomain(p.free, fits)
-	usable := byDomain(p.free, func(c *Candidate) bool { return fits(c) && (p.BeforeFirstRequest || hasWeights(m, c)) })
-	for _, name := range sortedKeys(usable) {
-		list := usable[name]
-		if len(list) < m.Size || !short && !p.sparesStay(name, len(all[name])-m.Size) {
+	allFree := byDomain(p.free, accept)
+	usable := byDomain(p.free, func(c *Candidate) bool { return accept(c) && (p.BeforeFirstRequest || hasWeights(m, c)) })
+	for _, domain := range sortedKeys(usable) {
+		candidates := usable[domain]
+		if len(candidates) < m.Size || !lacking && !p.leavesEnoughSpares(domain, len(allFree[domain])-m.Size) {
 			continue
 		}
-		choice := soonest(m, list)
-		if choice.Loads > p.loads {
+		group := fastestMembers(m, candidates)
+		if group.Loads > p.loadsLeft {
 			continue
 		}
-		left := len(all[name]) - m.Size
-		r := rank{choice.ReadyIn, p.homes[name][m.Name], left < sparesKept, left}
+		leftOver := len(allFree[domain]) - m.Size
+		r := groupRank{group.ReadyIn, p.localGroups[domain][m.Name], leftOver < sparesPerDomain, leftOver}
 		if !found || r.less(bestRank) {
-			best, bestRank, found = choice, r, true
+			best, bestRank, found = group, r, true
 		}
 	}
 	return best, found
 }
 
-// othersFirst reports whether free upstreams are kept for what completes a group of a model that needs one more than m.
-func (p *plan) othersFirst(m *httproute.Model) bool {
-	if len(p.needs) == 0 && !p.BeforeFirstRequest {
-		return p.need(m.Name) < p.need(p.byNeed()[0].Name)
+// yieldsToOthers reports whether free upstreams are kept for what completes a group of a model that needs one more than m.
+func (p *plan) yieldsToOthers(m *httproute.Model) bool {
+	if len(p.requiredGroups) == 0 && !p.BeforeFirstRequest {
+		return p.deficit(m.Name) < p.deficit(p.byDeficit()[0].Name)
 	}
-	return p.anyShort()
+	return p.anyDeficit()
 }
 
-// sparesStay reports whether a domain may be left with so many free upstreams; the first group of a domain may use all.
-func (p *plan) sparesStay(name ident.Domain, left int) bool {
-	return left >= sparesKept || len(p.homes[name]) == 0
+// leavesEnoughSpares reports whether a domain may be left with so many free upstreams; the first group of a domain may use all.
+func (p *plan) leavesEnoughSpares(domain ident.Domain, leftOver int) bool {
+	return leftOver >= sparesPerDomain || len(p.localGroups[domain]) == 0
 }
 
-// rank orders choices; lower is better.
-type rank struct {
-	ready time.Duration
-	// same is how many groups of the model the domain has, bare whether it would have no spare, left how many would be free.
-	same int
-	bare bool
-	left int
+// groupRank orders choices; lower is better.
+type groupRank struct {
+	readyIn time.Duration
+	// sameModel is how many groups of the model the domain has, bare whether it would have no spare, left how many would be free.
+	sameModel int
+	noSpare   bool
+	leftOver  int
 }
 
-func (r rank) less(o rank) bool {
-	if r.ready != o.ready {
-		return r.ready < o.ready
+func (r groupRank) less(other groupRank) bool {
+	if r.readyIn != other.readyIn {
+		return r.readyIn < other.readyIn
 	}
-	if r.same != o.same {
-		return r.same < o.same
+	if r.sameModel != other.sameModel {
+		return r.sameModel < other.sameModel
 	}
-	if r.bare != o.bare {
-		return o.bare
+	if r.noSpare != other.noSpare {
+		return other.noSpare
 	}
-	return r.left < o.left
+	return r.leftOver < other.leftOver
 }
 
-func byDomain(list []Candidate, fits func(c *Candidate) bool) map[ident.Domain][]Candidate {
+func byDomain(candidates []Candidate, accept func(c *Candidate) bool) map[ident.Domain][]Candidate {
 	domains := map[ident.Domain][]Candidate{}
-	for i := range list {
-		if c := &list[i]; fits(c) {
+	for i := range candidates {
+		if c := &candidates[i]; accept(c) {
 			domains[c.Domain] = append(domains[c.Domain], *c)
 		}
 	}
@@ -341,57 +341,57 @@
 	return slices.Sorted(maps.Keys(m))
 }
 
-// far puts together what is left over in several domains, those of one hall first, for a model that lacks groups.
-func (p *plan) far(m *httproute.Model) (GroupPlan, bool) {
-	if p.load(m, 0) <= groupLoad || p.need(m.Name) < farNeed {
+// planCrossDomain puts together what is left over in several domains, those of one hall first, for a model that lacks groups.
+func (p *plan) planCrossDomain(m *httproute.Model) (GroupPlan, bool) {
+	if p.load(m, 0) <= plannedGroupLoad || p.deficit(m.Name) < crossDomainDeficit {
 		return GroupPlan{}, false
 	}
-	halls := map[ident.Hall]int{}
+	readyByHall := map[ident.Hall]int{}
 	var ready []Candidate
 	for i := range p.free {
-		if c := &p.free[i]; quick(c) && hasWeights(m, c) {
+		if c := &p.free[i]; fastEnough(c) && hasWeights(m, c) {
 			ready = append(ready, *c)
-			halls[c.Hall]++
+			readyByHall[c.Hall]++
 		}
 	}
 	if len(ready) < m.Size {
 		return GroupPlan{}, false
 	}
 	sort.SliceStable(ready, func(i, j int) bool {
-		if a, b := halls[ready[i].Hall], halls[ready[j].Hall]; a != b {
+		if a, b := readyByHall[ready[i].Hall], readyByHall[ready[j].Hall]; a != b {
 			return a > b
 		}
 		return ready[i].Hall < ready[j].Hall
 	})
-	choice := soonest(m, ready[:m.Size])
-	choice.CrossDomain = true
-	return choice, true
+	group := fastestMembers(m, ready[:m.Size])
+	group.CrossDomain = true
+	return group, true
 }
 
-// soonest takes the members that are ready first.
-func soonest(m *httproute.Model, list []Candidate) GroupPlan {
-	sorted := slices.Clone(list)
+// fastestMembers takes the members that are ready first.
+func fastestMembers(m *httproute.Model, candidates []Candidate) GroupPlan {
+	sorted := slices.Clone(candidates)
 	slices.SortStableFunc(sorted, func(a, b Candidate) int {
-		return cmp.Or(cmp.Compare(readyIn(m, &a), readyIn(m, &b)), cmp.Compare(unlikelyHead(m, &a), unlikelyHead(m, &b)))
+		return cmp.Or(cmp.Compare(joinTime(m, &a), joinTime(m, &b)), cmp.Compare(headPenalty(m, &a), headPenalty(m, &b)))
 	})
-	choice := GroupPlan{Model: m.Name}
+	group := GroupPlan{Model: m.Name}
 	slices.SortStableFunc(sorted[:m.Size], func(a, b Candidate) int {
-		return cmp.Compare(unlikelyHead(m, &a), unlikelyHead(m, &b))
+		return cmp.Compare(headPenalty(m, &a), headPenalty(m, &b))
 	})
 	for i := range sorted[:m.Size] {
 		c := &sorted[i]
-		choice.Members = append(choice.Members, c.ID)
-		choice.ReadyIn = max(choice.ReadyIn, readyIn(m, c))
+		group.Members = append(group.Members, c.ID)
+		group.ReadyIn = max(group.ReadyIn, joinTime(m, c))
 		if !hasWeights(m, c) {
-			choice.Loads++
+			group.Loads++
 		}
 	}
-	return choice
+	return group
 }
 
-// unlikelyHead is higher for a worse head of a group of m: one that took requests and sent nothing, one that takes few requests yet, and
+// headPenalty is higher for a worse head of a group of m: one that took requests and sent nothing, one that takes few requests yet, and
 // one to which entries that have not heard of the change yet still send requests for another model.
-func unlikelyHead(m *httproute.Model, c *Candidate) int {
+func headPenalty(m *httproute.Model, c *Candidate) int {
 	switch {
 	case c.StalledAsHead:
 		return 3
@@ -406,7 +406,7 @@
 // SlowdownLimit is the pace from which on an upstream is left out of groups: at less a group still answers in time.
 const SlowdownLimit = 1.5
 
-func quick(c *Candidate) bool {
+func fastEnough(c *Candidate) bool {
 	return c.Slowdown < SlowdownLimit
 }
 
@@ -415,8 +415,8 @@
 	return c.LastModel == m.Name || roster.HasModel(c.Staged, m.Name)
 }
 
-// readyIn returns how long c takes to join a group of m.
-func readyIn(m *httproute.Model, c *Candidate) time.Duration {
+// joinTime returns how long c takes to join a group of m.
+func joinTime(m *httproute.Model, c *Candidate) time.Duration {
 	switch {
 	case c.LastModel == m.Name:
 		return rejoinTime
--- a/replicaset/plan_test.go
+++ b/replicaset/plan_test.go
@@ -44,7 +44,7 @@
 	return list
 }
 
-func text(d *replicaset.Decision) []string {
+func decisionText(d *replicaset.Decision) []string {
 	list := []string{}
 	for i := range d.Groups {
 		g := &d.Groups[i]
@@ -75,9 +75,9 @@
 	return list
 }
 
-// placed reads "large a:WWWW" as a settled group of large in domain a, "forming large a:WWWW" as one that does not serve yet;
+// existingGroups reads "large a:WWWW" as a settled group of large in domain a, "forming large a:WWWW" as one that does not serve yet;
 // its name is its place in the list.
-func placed(groups ...string) []replicaset.ExistingGroup {
+func existingGroups(groups ...string) []replicaset.ExistingGroup {
 	var list []replicaset.ExistingGroup
 	for i, text := range groups {
 		rest, forming := strings.CutPrefix(text, "forming ")
@@ -93,8 +93,8 @@
 	return list
 }
 
-// groupsOf is the demand that so many groups of each model carry at the load that is planned for.
-func groupsOf(large, small float64) map[ident.Model]float64 {
+// demandFor is the demand that so many groups of each model carry at the load that is planned for.
+func demandFor(large, small float64) map[ident.Model]float64 {
 	return map[ident.Model]float64{"large": large * 4 * 0.94, "small": small * 2 * 0.94}
 }
 
@@ -113,96 +113,96 @@
 		{name: "a whole domain that has the weights", free: candidates("a:WWWW"), want: []string{"large a-0 a-1 a-2 a-3"}},
 		{name: "a spare stays", free: candidates("a:WWWWWWWW"), want: []string{"large a-0 a-1 a-2 a-3", "small a-4 a-5"}},
 		{
-			name: "no spare stays where groups lack", free: candidates("a:WWWWWWWW"), demand: groupsOf(1, 2),
+			name: "no spare stays where groups lack", free: candidates("a:WWWWWWWW"), demand: demandFor(1, 2),
 			want: []string{"large a-0 a-1 a-2 a-3", "small a-4 a-5", "small a-6 a-7"},
 		},
 		{
-			name: "the free ones of another domain than the last", free: candidates("a:WWWW", "b:WW"), groups: placed("small a:ww"), demand: groupsOf(1, 2),
+			name: "the free ones of another domain than the last", free: candidates("a:WWWW", "b:WW"), groups: existingGroups("small a:ww"), demand: demandFor(1, 2),
 			want: []string{"large a-0 a-1 a-2 a-3", "small b-0 b-1"},
 		},
 		{
 			name: "what is left serves no model that has enough while the other lacks", free: candidates("a:WWW"),
-			groups: placed("small b:ww", "small c:ww"), demand: groupsOf(1, 2), want: []string{},
+			groups: existingGroups("small b:ww", "small c:ww"), demand: demandFor(1, 2), want: []string{},
 		},
-		{name: "the needy model first", free: candidates("a:wwWWWW"), groups: placed("small b:ww"), demand: groupsOf(1, 4), want: []string{"large a-2 a-3 a-4 a-5", "small a-0 a-1"}},
+		{name: "the needy model first", free: candidates("a:wwWWWW"), groups: existingGroups("small b:ww"), demand: demandFor(1, 4), want: []string{"large a-2 a-3 a-4 a-5", "small a-0 a-1"}},
 		{
 			name: "the model with the higher load first where both lack one group", free: candidates("a:WWWW"),
-			groups: placed("large b:WWWW", "large c:WWWW", "small d:ww", "small e:ww"), demand: groupsOf(2.1, 2.9), want: []string{"small a-0 a-1"},
+			groups: existingGroups("large b:WWWW", "large c:WWWW", "small d:ww", "small e:ww"), demand: demandFor(2.1, 2.9), want: []string{"small a-0 a-1"},
 		},
 		{name: "those who join soonest", free: candidates("a:llWWWW"), want: []string{"large a-2 a-3 a-4 a-5", "warm large a-0", "warm large a-1"}},
-		{name: "across domains where most groups lack", free: candidates("a:WWW", "b:W"), demand: groupsOf(2, 0.1), want: []string{"small a-0 a-1"}},
+		{name: "across domains where most groups lack", free: candidates("a:WWW", "b:W"), demand: demandFor(2, 0.1), want: []string{"small a-0 a-1"}},
 		{
-			name: "across domains where no whole one is possible", free: candidates("a:WWW", "b:W"), groups: placed("small c:ww"), demand: groupsOf(2, 0.1),
+			name: "across domains where no whole one is possible", free: candidates("a:WWW", "b:W"), groups: existingGroups("small c:ww"), demand: demandFor(2, 0.1),
 			want: []string{"large far a-0 a-1 a-2 b-0"},
 		},
-		{name: "too few", free: candidates("a:WWW"), groups: placed("small c:ww"), demand: groupsOf(2, 0.1), want: []string{}},
+		{name: "too few", free: candidates("a:WWW"), groups: existingGroups("small c:ww"), demand: demandFor(2, 0.1), want: []string{}},
 		{
-			name: "not across domains when a few lack", free: candidates("a:WWW", "b:W"), groups: placed("large c:WWWW", "large d:WWWW", "small d:ww"),
-			demand: groupsOf(3, 0.1), want: []string{},
+			name: "not across domains when a few lack", free: candidates("a:WWW", "b:W"), groups: existingGroups("large c:WWWW", "large d:WWWW", "small d:ww"),
+			demand: demandFor(3, 0.1), want: []string{},
 		},
-		{name: "not across domains while demand is unknown", free: candidates("a:WWW", "b:W"), groups: placed("small b:ww"), want: []string{}},
+		{name: "not across domains while demand is unknown", free: candidates("a:WWW", "b:W"), groups: existingGroups("small b:ww"), want: []string{}},
 		{
 			name: "a group of a model with too many ends for one that lacks", free: candidates("a:WWW"),
-			groups: placed("small a:ww", "small b:ww"), demand: groupsOf(2, 1), want: []string{"close g0 for a"},
+			groups: existingGroups("small a:ww", "small b:ww"), demand: demandFor(2, 1), want: []string{"close g0 for a"},
 		},
 		{
 			name: "no group ends where the other model needs it more", free: candidates("a:WWW"),
-			groups: placed("small a:ww", "small b:ww", "large b:WWWW"), demand: groupsOf(1.5, 2), want: []string{},
+			groups: existingGroups("small a:ww", "small b:ww", "large b:WWWW"), demand: demandFor(1.5, 2), want: []string{},
 		},
 		{
 			name: "a group ends for one of a model that lacks it more", free: candidates("a:WWW"),
-			groups: placed("small a:ww", "small b:ww", "small c:ww", "large b:WWWW"), demand: groupsOf(2, 3), want: []string{"close g0 for a"},
+			groups: existingGroups("small a:ww", "small b:ww", "small c:ww", "large b:WWWW"), demand: demandFor(2, 3), want: []string{"close g0 for a"},
 		},
 		{
 			name: "no group ends while others of its model still form", free: candidates("a:WW"),
-			groups: placed("small a:ww", "small b:ww", "forming small c:ww", "large b:WWWW"), demand: groupsOf(2, 3), want: []string{},
+			groups: existingGroups("small a:ww", "small b:ww", "forming small c:ww", "large b:WWWW"), demand: demandFor(2, 3), want: []string{},
 		},
 		{
-			name: "a large group ends for two small ones", groups: placed("large a:WWWW", "large b:WWWW", "small c:ww"), demand: groupsOf(0.9, 2.9),
+			name: "a large group ends for two small ones", groups: existingGroups("large a:WWWW", "large b:WWWW", "small c:ww"), demand: demandFor(0.9, 2.9),
 			want: []string{"close g0 for a (2)"},
 		},
 		{
-			name: "no further group ends when two come", groups: placed("large b:WWWW", "large d:WWWW", "small c:ww"), demand: groupsOf(1.5, 2.9),
+			name: "no further group ends when two come", groups: existingGroups("large b:WWWW", "large d:WWWW", "small c:ww"), demand: demandFor(1.5, 2.9),
 			coming: map[ident.Domain]replicaset.ExpectedGroups{"a": {Model: "small", Count: 2}}, want: []string{},
 		},
 		{
 			name: "no group ends in vain", free: candidates("a:W"),
-			groups: placed("small a:ww", "small b:ww"), demand: groupsOf(1, 1), want: []string{},
+			groups: existingGroups("small a:ww", "small b:ww"), demand: demandFor(1, 1), want: []string{},
 		},
 		{
 			name: "a group across domains ends for a whole one", free: candidates("a:WW"),
-			groups: placed("large a:WW b:WW", "small c:ww"), demand: groupsOf(1, 1), want: []string{"close g0 for a"},
+			groups: existingGroups("large a:WW b:WW", "small c:ww"), demand: demandFor(1, 1), want: []string{"close g0 for a"},
 		},
 		{
 			name: "groups end in a second domain while those of another one do", free: candidates("b:WW"), coming: map[ident.Domain]replicaset.ExpectedGroups{"a": {Model: "large", Count: 1}},
-			groups: placed("small b:ww", "small c:ww"), demand: groupsOf(2, 1), want: []string{"close g0 for b"},
+			groups: existingGroups("small b:ww", "small c:ww"), demand: demandFor(2, 1), want: []string{"close g0 for b"},
 		},
 		{
 			name: "no group ends when what comes suffices", free: candidates("b:WW"), coming: map[ident.Domain]replicaset.ExpectedGroups{"a": {Model: "large", Count: 1}},
-			groups: placed("small b:ww", "small c:ww"), demand: groupsOf(1, 1), want: []string{},
+			groups: existingGroups("small b:ww", "small c:ww"), demand: demandFor(1, 1), want: []string{},
 		},
 		{
 			name: "no further group ends in a domain that makes room", free: candidates("a:WWW"), coming: map[ident.Domain]replicaset.ExpectedGroups{"a": {Model: "large", Count: 1}},
-			groups: placed("small a:ww", "small b:ww"), demand: groupsOf(2, 1), want: []string{},
+			groups: existingGroups("small a:ww", "small b:ww"), demand: demandFor(2, 1), want: []string{},
 		},
-		{name: "weights for the one that completes a group", free: candidates("a:WWW*"), groups: placed("small b:ww"), loads: 9, want: []string{"stage large a-3"}},
-		{name: "no loads left", free: candidates("a:WWW*"), groups: placed("small a:ww", "large b:WWWW"), demand: groupsOf(1, 1), want: []string{"small a-0 a-1"}},
+		{name: "weights for the one that completes a group", free: candidates("a:WWW*"), groups: existingGroups("small b:ww"), loads: 9, want: []string{"stage large a-3"}},
+		{name: "no loads left", free: candidates("a:WWW*"), groups: existingGroups("small a:ww", "large b:WWWW"), demand: demandFor(1, 1), want: []string{"small a-0 a-1"}},
 		{name: "no group that has to load", free: candidates("a:****"), loads: 3, want: []string{"stage small a-0", "stage small a-1", "stage small a-2"}},
 		{
 			name: "a further model where the domain can spare the one on the host, spares first", free: candidates("a:L"),
-			groups: placed("large a:LLLL", "small a:Sw"), loads: 9, demand: groupsOf(1, 1),
+			groups: existingGroups("large a:LLLL", "small a:Sw"), loads: 9, demand: demandFor(1, 1),
 			want: []string{"stage small a-0", "stage small g0-0", "stage large g1-0"},
 		},
 		{
-			name: "no further model where the host's is needed after a restart", groups: placed("large a:LLLL", "small a:SS"), loads: 9, demand: groupsOf(1, 1),
+			name: "no further model where the host's is needed after a restart", groups: existingGroups("large a:LLLL", "small a:SS"), loads: 9, demand: demandFor(1, 1),
 			want: []string{},
 		},
 		{name: "all at once before the first request", free: candidates("a:********"), early: true, loads: 8, want: []string{"large a-0 a-1 a-2 a-3", "small a-4 a-5", "warm large a-6", "warm small a-7"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := &replicaset.PlanInput{Engine: models(), Free: c.free, Groups: c.groups, Expected: c.coming, Demand: c.demand, Usable: 48, LoadBudget: c.loads, BeforeFirstRequest: c.early}
+			s := &replicaset.PlanInput{Engine: engineConfig(), Free: c.free, Groups: c.groups, Expected: c.coming, Demand: c.demand, Usable: 48, LoadBudget: c.loads, BeforeFirstRequest: c.early}
 			d := replicaset.Plan(s)
-			if diff := cmp.Diff(c.want, text(&d)); diff != "" {
+			if diff := cmp.Diff(c.want, decisionText(&d)); diff != "" {
 				t.Errorf("decision (-want +got):\n%s", diff)
 			}
 		})
@@ -218,18 +218,18 @@
 		want   []string
 	}{
 		{"in use", candidates("a:LLLLSS"), nil, []string{"large a-0 a-1 a-2 a-3", "small a-4 a-5"}},
-		{"on the host", candidates("a:llll"), placed("small b:ww"), []string{"large a-0 a-1 a-2 a-3"}},
-		{"across domains", candidates("a:LLL", "b:L"), placed("small c:ww"), []string{"large far a-0 a-1 a-2 b-0"}},
-		{"for a group that ends", candidates("a:LLL"), placed("small a:Ww", "small b:ww"), []string{"close g0 for a"}},
-		{"no weights", candidates("a:****"), placed("small b:ww"), []string{}},
+		{"on the host", candidates("a:llll"), existingGroups("small b:ww"), []string{"large a-0 a-1 a-2 a-3"}},
+		{"across domains", candidates("a:LLL", "b:L"), existingGroups("small c:ww"), []string{"large far a-0 a-1 a-2 b-0"}},
+		{"for a group that ends", candidates("a:LLL"), existingGroups("small a:Ww", "small b:ww"), []string{"close g0 for a"}},
+		{"no weights", candidates("a:****"), existingGroups("small b:ww"), []string{}},
 	} {
 		for _, warm := range []time.Duration{0, 100 * time.Millisecond, time.Minute} {
-			engine := models()
+			engine := engineConfig()
 			for i := range engine.Models {
 				engine.Models[i].Warm = warm
 			}
-			d := replicaset.Plan(&replicaset.PlanInput{Engine: engine, Free: c.free, Groups: c.groups, Demand: groupsOf(1, 1), Usable: 48})
-			if diff := cmp.Diff(c.want, text(&d)); diff != "" {
+			d := replicaset.Plan(&replicaset.PlanInput{Engine: engine, Free: c.free, Groups: c.groups, Demand: demandFor(1, 1), Usable: 48})
+			if diff := cmp.Diff(c.want, decisionText(&d)); diff != "" {
 				t.Errorf("weights %s, %v from the host (-want +got):\n%s", c.name, warm, diff)
 			}
 		}
@@ -238,7 +238,7 @@
 
 // Who headed a group of another model gets late requests for that one, and who stood still gets none done: they are the
 // last choice for a head.
-func TestHeads(t *testing.T) {
+func TestChoiceOfHead(t *testing.T) {
 	free := candidates("a:wwwwwwww")
 	free[0].StalledAsHead = true
 	free[1].LastHeadedModel = "large"
@@ -251,14 +251,14 @@
 		{"a new one", free[:4], "a-2"},
 		{"one that headed another model rather than one that stood still", free[:2], "a-1"},
 	} {
-		d := replicaset.Plan(&replicaset.PlanInput{Engine: models(), Free: c.free, Groups: placed("large b:WWWW"), Usable: 48, Demand: groupsOf(0.5, 1)})
+		d := replicaset.Plan(&replicaset.PlanInput{Engine: engineConfig(), Free: c.free, Groups: existingGroups("large b:WWWW"), Usable: 48, Demand: demandFor(0.5, 1)})
 		if len(d.Groups) == 0 || d.Groups[0].Members[0] != c.want {
-			t.Errorf("%s: %v, want %s as head", c.name, text(&d), c.want)
+			t.Errorf("%s: %v, want %s as head", c.name, decisionText(&d), c.want)
 		}
 	}
 }
 
-func TestTargets(t *testing.T) {
+func TestTargetGroups(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		total int
@@ -268,46 +268,46 @@
 		{"too few for one", 1, map[ident.Model]int{}},
 		{"a few", 6, map[ident.Model]int{"large": 1, "small": 1}},
 	} {
-		got := replicaset.TargetGroups(&replicaset.PlanInput{Engine: models(), Usable: c.total})
+		got := replicaset.TargetGroups(&replicaset.PlanInput{Engine: engineConfig(), Usable: c.total})
 		if diff := cmp.Diff(c.want, got); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", c.name, diff)
 		}
 	}
 }
 
-func TestNeeds(t *testing.T) {
+func TestRequiredGroups(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		demand map[ident.Model]float64
 		want   map[ident.Model]int
 	}{
 		{"unknown", nil, map[ident.Model]int{}},
-		{"as much as so many groups carry", groupsOf(5, 7), map[ident.Model]int{"large": 5, "small": 7}},
-		{"a little more", groupsOf(5.1, 7.1), map[ident.Model]int{"large": 6, "small": 8}},
-		{"one group of a model that nobody asks for", groupsOf(0, 3), map[ident.Model]int{"large": 1, "small": 3}},
+		{"as much as so many groups carry", demandFor(5, 7), map[ident.Model]int{"large": 5, "small": 7}},
+		{"a little more", demandFor(5.1, 7.1), map[ident.Model]int{"large": 6, "small": 8}},
+		{"one group of a model that nobody asks for", demandFor(0, 3), map[ident.Model]int{"large": 1, "small": 3}},
 	} {
-		got := replicaset.RequiredGroups(&replicaset.PlanInput{Engine: models(), Usable: 48, Demand: c.demand})
+		got := replicaset.RequiredGroups(&replicaset.PlanInput{Engine: engineConfig(), Usable: 48, Demand: c.demand})
 		if diff := cmp.Diff(c.want, got); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", c.name, diff)
 		}
 	}
 }
 
-// near counts the large groups that serve within one domain.
-func (f *fleet) near() int {
-	return f.count("large", func(head, member *engine) bool { return member.domain == head.domain })
+// localGroups counts the large groups that serve within one domain.
+func (f *fleet) localGroups() int {
+	return f.countGroups("large", func(head, member *engine) bool { return member.domain == head.domain })
 }
 
-// count counts the groups of a model that serve and all of whose members fit.
-func (f *fleet) count(model ident.Model, fits func(head, member *engine) bool) int {
+// countGroups counts the groups of a model that serve and all of whose members fit.
+func (f *fleet) countGroups(model ident.Model, accept func(head, member *engine) bool) int {
 	n := 0
 	for _, e := range f.engines {
-		if !e.alive || e.model != model || e.member.State != roster.MemberOpen || !f.whole(e) {
+		if !e.alive || e.model != model || e.member.State != roster.MemberOpen || !f.complete(e) {
 			continue
 		}
 		all := true
 		for _, id := range e.members {
-			all = all && fits(e, f.byID[id])
+			all = all && accept(e, f.byID[id])
 		}
 		if all {
 			n++
@@ -317,10 +317,10 @@
 }
 
 // What is left of two domains serves together where most groups are lost, and goes home when a domain has enough again.
-func TestSurvivorsComeHome(t *testing.T) {
+func TestCrossDomainGroupMovesBack(t *testing.T) {
 	f := newFleet(t, 11, 4, 8)
 	f.run(12*time.Second, nil)
-	f.demand = groupsOf(4, 2)
+	f.demand = demandFor(4, 2)
 	f.run(2*time.Second, nil)
 	for _, domain := range []ident.Domain{"domain-0", "domain-1"} {
 		left := 8
@@ -332,41 +332,41 @@
 		}
 	}
 	f.run(4*time.Second, nil)
-	if got := f.serving()["large"]; got < 3 || f.near() != 2 {
-		t.Errorf("%d large groups serve, %d of them within a domain, want 3 or more and 2", got, f.near())
+	if got := f.serving()["large"]; got < 3 || f.localGroups() != 2 {
+		t.Errorf("%d large groups serve, %d of them within a domain, want 3 or more and 2", got, f.localGroups())
 	}
 	for range 3 {
 		e := f.add("domain-0", "hall-0", "")
-		e.staged = "large"
+		e.stagedModel = "large"
 	}
 	f.run(5*time.Second, nil)
-	if got := f.near(); got != 3 {
+	if got := f.localGroups(); got != 3 {
 		t.Errorf("%d large groups serve within a domain, want 3", got)
 	}
-	if len(f.faults) > 0 {
-		t.Error(f.faults)
+	if len(f.violations) > 0 {
+		t.Error(f.violations)
 	}
 }
 
 // A model whose demand grows by several groups gets them at once, not one domain after the other.
-func TestDomainsMakeRoomTogether(t *testing.T) {
+func TestDomainsRebalanceConcurrently(t *testing.T) {
 	f := newFleet(t, 13, 12, 8)
 	f.run(12*time.Second, nil)
-	f.demand = groupsOf(12, 12)
+	f.demand = demandFor(12, 12)
 	f.run(60*time.Second, nil)
-	f.demand = groupsOf(18, 6)
+	f.demand = demandFor(18, 6)
 	f.run(3600*time.Millisecond, nil)
 	if got := f.serving(); got["large"] != 18 || got["small"] != 6 {
 		t.Errorf("%d large and %d small groups serve, want 18 and 6", got["large"], got["small"])
 	}
-	if len(f.faults) > 0 {
-		t.Error(f.faults)
+	if len(f.violations) > 0 {
+		t.Error(f.violations)
 	}
 }
 
-// quick counts the groups of a model that serve without a slow member.
-func (f *fleet) quick(model ident.Model) int {
-	return f.count(model, func(_, member *engine) bool { return member.pace <= 1 })
+// fastGroups counts the groups of a model that serve without a slow member.
+func (f *fleet) fastGroups(model ident.Model) int {
+	return f.countGroups(model, func(_, member *engine) bool { return member.slowdown <= 1 })
 }
 
 // Groups with a slow member are formed again of the others where these suffice; a model is served by slow ones rather than not
@@ -374,15 +374,15 @@
 func TestSlowUpstreams(t *testing.T) {
 	f := newFleet(t, 15, 6, 8)
 	f.run(12*time.Second, nil)
-	f.demand = groupsOf(6, 6)
+	f.demand = demandFor(6, 6)
 	f.run(40*time.Second, nil)
 	for i, e := range f.engines {
 		if i%8 == 1 {
-			e.pace = 6
+			e.slowdown = 6
 		}
 	}
 	f.run(4*time.Second, nil)
-	if large, small := f.quick("large"), f.quick("small"); large < 6 || small < 6 {
+	if large, small := f.fastGroups("large"), f.fastGroups("small"); large < 6 || small < 6 {
 		t.Errorf("%d large and %d small groups without slow members serve, want 6 and 6", large, small)
 	}
 	for _, g := range f.roster.Groups() {
@@ -396,14 +396,14 @@
 		t.Errorf("%d decisions while nothing changes", f.decisions)
 	}
 	for _, e := range f.engines {
-		e.pace = 6
+		e.slowdown = 6
 	}
 	f.kill(f.headOf("large"))
 	f.run(5*time.Second, nil)
 	if got := f.serving(); got["large"] < 5 || got["small"] < 6 {
 		t.Errorf("%v groups serve when all are slow, want 5 large and 6 small ones", got)
 	}
-	if len(f.faults) > 0 {
-		t.Error(f.faults)
+	if len(f.violations) > 0 {
+		t.Error(f.violations)
 	}
 }
--- a/replicaset/refused_test.go
+++ b/replicaset/refused_test.go
@@ -20,72 +20,72 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// cutOff lets control reach an upstream no more, which goes on; connections to it are refused.
-func (f *fleet) cutOff(e *engine) {
-	e.cut, e.refuses, e.probedAt = true, true, f.now.Add(time.Duration(f.random.Int64N(int64(6*time.Second))))
+// cutOffRefusing lets control reach an upstream no more, which goes on; connections to it are refused.
+func (f *fleet) cutOffRefusing(e *engine) {
+	e.cutOff, e.refuses, e.probeFailsAt = true, true, f.now.Add(time.Duration(f.random.Int64N(int64(6*time.Second))))
 }
 
 // A head that refuses connections of control may serve on; its members leave it before they join elsewhere.
-func TestAHeadThatRefusesControl(t *testing.T) {
-	for name, strike := range map[string]func(f *fleet, head *engine){
+func TestHeadRefusesControlConnections(t *testing.T) {
+	for name, inject := range map[string]func(f *fleet, head *engine){
 		"a member is lost too": func(f *fleet, head *engine) {
-			f.cutOff(head)
+			f.cutOffRefusing(head)
 			f.kill(f.byID[head.members[2]])
 		},
 		"another member is cut off too and comes back": func(f *fleet, head *engine) {
 			other := f.byID[head.members[1]]
-			f.cutOff(head)
-			f.cutOff(other)
+			f.cutOffRefusing(head)
+			f.cutOffRefusing(other)
 			f.kill(f.byID[head.members[2]])
 			f.run(2*time.Second, nil)
-			other.cut = false
+			other.cutOff = false
 		},
 		"it signs off": func(f *fleet, head *engine) {
-			f.cutOff(head)
-			head.left = true
+			f.cutOffRefusing(head)
+			head.signedOff = true
 			f.roster.SignOff(f.now, head.id)
 		},
 		"a member leaves": func(f *fleet, head *engine) {
-			f.cutOff(head)
+			f.cutOffRefusing(head)
 			other := f.byID[head.members[1]]
-			other.draining, other.changed = true, true
+			other.draining, other.reportDue = true, true
 		},
 		"a new leader": func(f *fleet, head *engine) {
-			f.cutOff(head)
+			f.cutOffRefusing(head)
 			f.kill(f.byID[head.members[2]])
-			f.elect(f.copied())
+			f.elect(f.copyRoster())
 		},
 		"it was ordered to open a moment ago": func(f *fleet, head *engine) {
-			f.opened = func(e *engine) {
-				f.cutOff(e)
-				f.opened = nil
+			f.onOpen = func(e *engine) {
+				f.cutOffRefusing(e)
+				f.onOpen = nil
 			}
 			f.kill(f.byID[head.members[2]])
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(10) {
-				playRefused(t, seed, strike)
+				runRefused(t, seed, inject)
 			}
 		})
 	}
 }
 
-// playRefused strikes a formed fleet and ends all cuts after a while.
-func playRefused(t *testing.T, seed uint64, strike func(f *fleet, head *engine)) {
+// runRefused strikes a formed fleet and ends all cuts after a while.
+func runRefused(t *testing.T, seed uint64, inject func(f *fleet, head *engine)) {
 	t.Helper()
 	f := newFleet(t, seed, 2, 8)
 	f.run(12*time.Second, nil)
-	f.demand = groupsOf(2, 2)
+	f.demand = demandFor(2, 2)
 	f.run(10*time.Second, nil)
-	strike(f, f.headOf("large"))
+	inject(f, f.headOf("large"))
 	f.run(12*time.Second, nil)
 	for _, e := range f.engines {
-		e.cut = false
+		e.cutOff = false
 	}
 	f.run(20*time.Second, nil)
-	if len(f.faults) > 0 {
-		t.Fatalf("seed %d: %v", seed, f.faults)
+	if len(f.violations) > 0 {
+		t.Fatalf("seed %d: %v", seed, f.violations)
 	}
 	if got := f.serving(); got["large"] == 0 || got["small"] == 0 {
 		t.Errorf("seed %d: %v groups serve long after", seed, got)
@@ -93,29 +93,29 @@
 }
 
 // Random series of losses and of cuts behind which connections are refused, late and unreadable answers, delayed reports and new leaders.
-func TestCutsThatRefuse(t *testing.T) {
+func TestCutOffsWithRefusedConnections(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		f := newFleet(t, seed, 4, 8)
-		f.lostShare, f.garbledShare, f.reportDelay = 0.02, 0.03, 300*time.Millisecond
+		f.lostFraction, f.unreadableFraction, f.maxReportDelay = 0.02, 0.03, 300*time.Millisecond
 		f.run(12*time.Second, nil)
-		f.demand = groupsOf(float64(seed%3+2), float64(seed%5+3))
-		copied := f.copied()
+		f.demand = demandFor(float64(seed%3+2), float64(seed%5+3))
+		copied := f.copyRoster()
 		var cut []ident.Incarnation
 		f.run(40*time.Second, func() {
-			f.trouble(&copied)
+			f.injectFault(&copied)
 			if f.random.IntN(25) != 0 {
 				return
 			}
-			list := f.alive()
+			list := f.living()
 			e := list[f.random.IntN(len(list))]
 			if f.random.IntN(2) == 0 {
-				f.cutOff(e)
+				f.cutOffRefusing(e)
 				cut = append(cut, e.id)
 			} else if len(cut) > 0 {
-				f.byID[cut[0]].cut = false
+				f.byID[cut[0]].cutOff = false
 				cut = cut[1:]
 			}
 		})
-		f.heals(seed)
+		f.checkRecovery(seed)
 	}
 }
--- a/replicaset/serving.go
+++ b/replicaset/serving.go
@@ -13,34 +13,34 @@
 func (f *Formation) advanceOpen(g *roster.Group) {
 	head := f.byID[g.Head()]
 	if head == nil {
-		f.leave(g, "the head has ended")
+		f.startLeaving(g, "the head has ended")
 		return
 	}
-	switch in(head, g) {
+	switch memberState(head, g) {
 	case roster.MemberBroken:
-		f.drop(g, "the head says that the group is broken")
+		f.markEnded(g, "the head says that the group is broken")
 		return
 	case roster.MemberNone:
-		f.leave(g, "the head is in another group")
+		f.startLeaving(g, "the head is in another group")
 		return
 	}
-	if why := f.broken(g); why != "" {
-		f.leave(g, why)
+	if reason := f.brokenReason(g); reason != "" {
+		f.startLeaving(g, reason)
 		return
 	}
-	f.noteSlow(g)
+	f.updateSlow(g)
 	for _, id := range g.Members {
 		if f.byID[id].Draining {
-			f.phase(g, roster.PhaseClosing, "member "+string(id)+" is leaving")
+			f.setPhase(g, roster.PhaseClosing, "member "+string(id)+" is leaving")
 			f.advanceClosing(g)
 			return
 		}
 	}
 }
 
-// noteSlow lets entries know of a group with a slow member.
-func (f *Formation) noteSlow(g *roster.Group) {
-	slow := slices.ContainsFunc(g.Members, func(id ident.Incarnation) bool { return f.world.Slowdowns[id] >= SlowdownLimit })
+// updateSlow lets entries know of a group with a slow member.
+func (f *Formation) updateSlow(g *roster.Group) {
+	slow := slices.ContainsFunc(g.Members, func(id ident.Incarnation) bool { return f.snapshot.Slowdowns[id] >= SlowdownLimit })
 	if slow == g.Slow {
 		return
 	}
@@ -53,47 +53,47 @@
 	f.RecordDecision(g, "as usual", "no member is slow any more")
 }
 
-// broken returns why an open group can't serve any more, or nothing. Silence alone proves nothing: a member that control
+// brokenReason returns why an open group can't serve any more, or nothing. Silence alone proves nothing: a member that control
 // does not reach may serve.
-func (f *Formation) broken(g *roster.Group) string {
-	missed, dead := false, false
+func (f *Formation) brokenReason(g *roster.Group) string {
+	reportMissed, unreachable := false, false
 	for _, id := range g.Members {
 		u := f.byID[id]
 		if u == nil {
 			return "member " + string(id) + " has ended"
 		}
-		if s := in(u, g); s == roster.MemberNone && u.Member.Epoch > g.Epoch {
+		if s := memberState(u, g); s == roster.MemberNone && u.Member.Epoch > g.Epoch {
 			return "member " + string(id) + " is in another group"
 		}
-		if f.cutOff(g, id) {
+		if f.isCutOff(g, id) {
 			continue
 		}
-		missed = missed || f.world.ReportAges[id] >= missedReport
-		dead = dead || f.world.Unreachable[id]
+		reportMissed = reportMissed || f.snapshot.ReportAges[id] >= missedReportAge
+		unreachable = unreachable || f.snapshot.Unreachable[id]
 	}
-	return f.standsStill(g, missed, dead)
+	return f.stallReason(g, reportMissed, unreachable)
 }
 
-// cutOff reports whether a member does not reach control but works: a dead one would have reported before, and the group has
+// isCutOff reports whether a member does not reach control but works: a dead one would have reported before, and the group has
 // answered entries since.
-func (f *Formation) cutOff(g *roster.Group, id ident.Incarnation) bool {
-	return f.world.ReportAges[id]-f.world.Observations[g.Name].SinceLastResponse >= cutAfter
+func (f *Formation) isCutOff(g *roster.Group, id ident.Incarnation) bool {
+	return f.snapshot.ReportAges[id]-f.snapshot.Observations[g.Name].SinceLastResponse >= cutOffAge
 }
 
-// standsStill weighs what entries see of a group, given whether a member missed a report or takes no connections.
-func (f *Formation) standsStill(g *roster.Group, missed, dead bool) string {
-	sight := f.world.Observations[g.Name]
+// stallReason weighs what entries see of a group, given whether a member missed a report or takes no connections.
+func (f *Formation) stallReason(g *roster.Group, reportMissed, unreachable bool) string {
+	observation := f.snapshot.Observations[g.Name]
 	switch {
-	case sight.BlamedMember != "" && slices.ContainsFunc(g.Members, func(id ident.Incarnation) bool { return id.UpstreamID() == sight.BlamedMember }):
-		return "the head blames member " + sight.BlamedMember
-	case dead && (sight.StallConfirmed || sight.StalledFor >= stallWithDead):
+	case observation.BlamedMember != "" && slices.ContainsFunc(g.Members, func(id ident.Incarnation) bool { return id.UpstreamID() == observation.BlamedMember }):
+		return "the head blames member " + observation.BlamedMember
+	case unreachable && (observation.StallConfirmed || observation.StalledFor >= stallTimeoutUnreachable):
 		return "stands still, and a member takes no connections"
-	case missed && sight.StalledFor >= stallWithSilent:
+	case reportMissed && observation.StalledFor >= stallTimeoutMissedReport:
 		return "stands still, and a member is silent"
-	case sight.StalledFor >= stallAlone:
-		f.stood[g.Head()] = true
+	case observation.StalledFor >= stallTimeout:
+		f.stalledHeads[g.Head()] = true
 		return "stands still"
-	case sight.ConnectionRefused && f.world.ReportAges[g.Head()] >= missedReport:
+	case observation.ConnectionRefused && f.snapshot.ReportAges[g.Head()] >= missedReportAge:
 		return "the head refuses connections"
 	}
 	return ""
--- a/replicaset/weights.go
+++ b/replicaset/weights.go
@@ -9,43 +9,43 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// stage chooses weights to load to hosts: for upstreams that have none, those of the model for which one more upstream is
+// chooseStaging chooses weights to load to hosts: for upstreams that have none, those of the model for which one more upstream is
 // most useful in the domain; for the others, beside their work, those of a model that they could not join soon.
-func (p *plan) stage() []WeightLoad {
-	var list []WeightLoad
-	add := func(c *Candidate, m ident.Model) {
-		list = append(list, WeightLoad{c.ID, m})
-		p.loads--
+func (p *plan) chooseStaging() []WeightLoad {
+	var loads []WeightLoad
+	addLoad := func(c *Candidate, m ident.Model) {
+		loads = append(loads, WeightLoad{c.ID, m})
+		p.loadsLeft--
 	}
-	have := p.collected()
+	available := p.availableMembers()
 	for i := range p.free {
 		c := &p.free[i]
-		if p.loads < 1 || c.Staging != "" || !fresh(c) || p.BeforeFirstRequest {
+		if p.loadsLeft < 1 || c.Staging != "" || !withoutWeights(c) || p.BeforeFirstRequest {
 			continue
 		}
-		m := p.missing(have[c.Domain])
-		have[c.Domain][m]++
-		add(c, m)
+		m := p.mostUsefulModel(available[c.Domain])
+		available[c.Domain][m]++
+		addLoad(c, m)
 	}
-	hosts := p.onHosts()
-	for _, c := range p.everyone() {
-		if p.loads < 1 {
+	hosts := p.stagedHosts()
+	for _, c := range p.stagingCandidates() {
+		if p.loadsLeft < 1 {
 			break
 		}
-		if m := p.further(c, hosts[c.Domain]); m != "" {
+		if m := p.additionalModel(c, hosts[c.Domain]); m != "" {
 			hosts[c.Domain][c.LastModel]--
 			hosts[c.Domain][m]++
-			add(c, m)
+			addLoad(c, m)
 		}
 	}
-	return list
+	return loads
 }
 
-// onHosts counts, for each domain, the hosts that have the weights of each model or are getting them. Only these are left
+// stagedHosts counts, for each domain, the hosts that have the weights of each model or are getting them. Only these are left
 // when a whole domain restarts.
-func (p *plan) onHosts() map[ident.Domain]map[ident.Model]int {
+func (p *plan) stagedHosts() map[ident.Domain]map[ident.Model]int {
 	hosts := map[ident.Domain]map[ident.Model]int{}
-	for _, c := range p.everyone() {
+	for _, c := range p.stagingCandidates() {
 		if hosts[c.Domain] == nil {
 			hosts[c.Domain] = map[ident.Model]int{}
 		}
@@ -60,16 +60,16 @@
 	return hosts
 }
 
-// fresh reports whether c has no weights at all.
-func fresh(c *Candidate) bool {
+// withoutWeights reports whether c has no weights at all.
+func withoutWeights(c *Candidate) bool {
 	return c.LastModel == "" && len(c.Staged) == 0
 }
 
-// everyone returns the free upstreams, then the members of groups.
-func (p *plan) everyone() []*Candidate {
-	var list []*Candidate
+// stagingCandidates returns the free upstreams, then the members of groups.
+func (p *plan) stagingCandidates() []*Candidate {
+	var candidates []*Candidate
 	for i := range p.free {
-		list = append(list, &p.free[i])
+		candidates = append(candidates, &p.free[i])
 	}
 	for i := range p.Groups {
 		g := &p.Groups[i]
@@ -77,15 +77,15 @@
 			continue
 		}
 		for j := range g.Members {
-			list = append(list, &g.Members[j])
+			candidates = append(candidates, &g.Members[j])
 		}
 	}
-	return list
+	return candidates
 }
 
-// further returns a model that c should get on its host beside the one that it can join at once. A host keeps one model, so
+// additionalModel returns a model that c should get on its host beside the one that it can join at once. A host keeps one model, so
 // what c has there must not be needed: neither by c itself, nor by its domain for a group after a restart.
-func (p *plan) further(c *Candidate, hosts map[ident.Model]int) ident.Model {
+func (p *plan) additionalModel(c *Candidate, hosts map[ident.Model]int) ident.Model {
 	if c.Staging != "" || c.LastModel == "" {
 		return ""
 	}
@@ -94,10 +94,10 @@
 			return ""
 		}
 	}
-	if last, ok := p.Engine.Model(c.LastModel); ok && roster.HasModel(c.Staged, c.LastModel) && hosts[c.LastModel] <= last.Size {
+	if lastModel, ok := p.Engine.Model(c.LastModel); ok && roster.HasModel(c.Staged, c.LastModel) && hosts[c.LastModel] <= lastModel.Size {
 		return ""
 	}
-	for _, m := range p.byNeed() {
+	for _, m := range p.byDeficit() {
 		if m.Name != c.LastModel {
 			return m.Name
 		}
@@ -105,40 +105,40 @@
 	return ""
 }
 
-// collected counts, for each domain and model, the upstreams outside whole groups that could make up a group there.
-func (p *plan) collected() map[ident.Domain]map[ident.Model]int {
-	have := map[ident.Domain]map[ident.Model]int{}
-	count := func(c *Candidate) {
-		if have[c.Domain] == nil {
-			have[c.Domain] = map[ident.Model]int{}
+// availableMembers counts, for each domain and model, the upstreams outside whole groups that could make up a group there.
+func (p *plan) availableMembers() map[ident.Domain]map[ident.Model]int {
+	available := map[ident.Domain]map[ident.Model]int{}
+	add := func(c *Candidate) {
+		if available[c.Domain] == nil {
+			available[c.Domain] = map[ident.Model]int{}
 		}
 		for i := range p.Engine.Models {
 			if m := &p.Engine.Models[i]; hasWeights(m, c) || c.Staging == m.Name {
-				have[c.Domain][m.Name]++
+				available[c.Domain][m.Name]++
 			}
 		}
 	}
 	for i := range p.free {
-		count(&p.free[i])
+		add(&p.free[i])
 	}
 	for i := range p.Groups {
 		if !p.Groups[i].CrossDomain {
 			continue
 		}
 		for j := range p.Groups[i].Members {
-			count(&p.Groups[i].Members[j])
+			add(&p.Groups[i].Members[j])
 		}
 	}
-	return have
+	return available
 }
 
-// missing returns the model for which one more upstream is most useful in a domain that has those in have.
-func (p *plan) missing(have map[ident.Model]int) ident.Model {
+// mostUsefulModel returns the model for which one more upstream is most useful in a domain that has those in have.
+func (p *plan) mostUsefulModel(available map[ident.Model]int) ident.Model {
 	var best *httproute.Model
 	bestScore := 0.0
-	for _, m := range p.byNeed() {
+	for _, m := range p.byDeficit() {
 		// A group that lacks one member is worth more than one that lacks all.
-		score := p.need(m.Name) + float64(have[m.Name]%m.Size+1)/float64(m.Size)
+		score := p.deficit(m.Name) + float64(available[m.Name]%m.Size+1)/float64(m.Size)
 		if best == nil || score > bestScore {
 			best, bestScore = m, score
 		}
@@ -146,36 +146,36 @@
 	return best.Name
 }
 
-// warmUp chooses spares that have been in no group yet. After the start they take the weights from their host; before the
+// chooseWarmUps chooses spares that have been in no group yet. After the start they take the weights from their host; before the
 // first request a load is cheap, and the spares of a domain take the models in turn, the one with the largest groups first,
 // because it loses members most often.
-func (p *plan) warmUp(staged []WeightLoad) []WeightLoad {
-	busy := map[ident.Incarnation]bool{}
+func (p *plan) chooseWarmUps(staged []WeightLoad) []WeightLoad {
+	toStage := map[ident.Incarnation]bool{}
 	for _, l := range staged {
-		busy[l.ID] = true
+		toStage[l.ID] = true
 	}
-	var list []WeightLoad
-	spares := map[ident.Domain]int{}
+	var joins []WeightLoad
+	warmedUp := map[ident.Domain]int{}
 	for i := range p.free {
 		c := &p.free[i]
-		if c.LastModel != "" || c.Staging != "" || busy[c.ID] {
+		if c.LastModel != "" || c.Staging != "" || toStage[c.ID] {
 			continue
 		}
 		switch {
 		case len(c.Staged) > 0:
-			list = append(list, WeightLoad{c.ID, c.Staged[0]})
-		case p.BeforeFirstRequest && p.loads > 0:
-			list = append(list, WeightLoad{c.ID, p.bySize()[spares[c.Domain]%len(p.Engine.Models)].Name})
-			spares[c.Domain]++
-			p.loads--
+			joins = append(joins, WeightLoad{c.ID, c.Staged[0]})
+		case p.BeforeFirstRequest && p.loadsLeft > 0:
+			joins = append(joins, WeightLoad{c.ID, p.bySize()[warmedUp[c.Domain]%len(p.Engine.Models)].Name})
+			warmedUp[c.Domain]++
+			p.loadsLeft--
 		}
 	}
-	return list
+	return joins
 }
 
 // bySize returns the models, those with the largest groups first.
 func (p *plan) bySize() []httproute.Model {
-	list := slices.Clone(p.Engine.Models)
-	slices.SortStableFunc(list, func(a, b httproute.Model) int { return cmp.Compare(b.Size, a.Size) })
-	return list
+	models := slices.Clone(p.Engine.Models)
+	slices.SortStableFunc(models, func(a, b httproute.Model) int { return cmp.Compare(b.Size, a.Size) })
+	return models
 }
--- /dev/null
+++ b/replicaset/worst_timing_test.go
@@ -0,0 +1,63 @@
+package replicaset_test
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+// traceLines is how many lines of a trace a failing seed shows.
+const traceLines = 120
+
+// runWorstTiming plays a small world in which orders are lost, late and unreadable, upstreams end, start again and are cut off, and leaders change,
+// and in which late orders are carried out at the worst moment. It reports what broke.
+func runWorstTiming(t *testing.T, seed uint64) *fleet {
+	f := newFleet(t, seed, 1, 10)
+	f.run(12*time.Second, nil)
+	f.lateFraction, f.lostFraction, f.unreadableFraction, f.strict, f.worstTiming = 0.35, 0.1, 0.05, true, true
+	f.demand = demandFor(float64(seed%2+1), float64(seed%3+1))
+	copied := f.copyRoster()
+	const cut, reconnect, demand, restart = 50, 50, 50, 60
+	oneIn := func(n int) bool { return f.random.IntN(n) == 0 }
+	f.run(40*time.Second, func() {
+		f.injectFault(&copied)
+		switch list := f.living(); {
+		case oneIn(cut):
+			f.cutOffRefusing(list[f.random.IntN(len(list))])
+		case oneIn(reconnect):
+			list[f.random.IntN(len(list))].cutOff = false
+		case oneIn(demand):
+			f.demand = demandFor(float64(f.random.IntN(3)), float64(f.random.IntN(4)))
+		case oneIn(restart):
+			f.restart(list[f.random.IntN(len(list))])
+		}
+		for len(f.living()) < 8 {
+			f.add("domain-0", "hall-0", "")
+		}
+	})
+	return f
+}
+
+// No member joins another group while the head of its own is open, whatever is lost, late or doubled, and whoever leads. In seed 137 a head
+// that had left its group by its own word opened it again after a change of leaders: the new one did not know that it was bound.
+func TestLateOrdersAtTheWorstMoment(t *testing.T) {
+	seeds := []uint64{137}
+	for seed := uint64(1); seed <= 40; seed++ {
+		seeds = append(seeds, seed)
+	}
+	for _, seed := range seeds {
+		if f := runWorstTiming(t, seed); len(f.violations) > 0 {
+			t.Errorf("seed %d: %v\n%s", seed, f.violations, strings.Join(f.trace[max(0, len(f.trace)-traceLines):], "\n"))
+		}
+	}
+}
+
+// FuzzLateOrders goes through any seed.
+func FuzzLateOrders(f *testing.F) {
+	f.Add(uint64(137))
+	f.Fuzz(func(t *testing.T, seed uint64) {
+		if f := runWorstTiming(t, seed); len(f.violations) > 0 {
+			t.Errorf("%v", f.violations)
+		}
+	})
+}
