--- a/replicaset/begin.go
+++ b/replicaset/begin.go
@@ -9,15 +9,16 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
+// groupKey identifies a group in the reports of its members.
 type groupKey struct {
 	name  ident.Group
 	epoch ident.Epoch
 }
 
-// adopt takes over groups that engines report and the roster lacks, as after the loss of a leader. A whole one goes on
-// serving; any other is dissolved once all is known: its former leader may have ordered it to open, and an order may be
-// carried out late. What a copy says of members that this leader has not heard does not count: the former leader had ended
-// their group, perhaps because they are dark, and entries would send requests there again.
+// adopt adds groups to the roster that engines report and the roster lacks, as after the loss of a leader. A complete group continues to
+// serve; any other is dissolved once all upstreams have reported, since the former leader may have ordered it to open and orders may be
+// carried out late. A member that is known only from a copy of the roster does not make a group complete: the former leader may have
+// ended that group because its members were unreachable, and entries would send requests there again.
 func (f *Formation) adopt(allReported bool) {
 	inRoster := map[ident.Group]bool{}
 	for _, g := range f.groups() {
@@ -41,14 +42,14 @@
 	}
 }
 
-// staleReport reports whether the last report of u is older than the loss of the group that it names.
+// staleReport reports whether the last report of u is older than the decision that the group it names is lost.
 func (f *Formation) staleReport(u *roster.Upstream) bool {
 	at, lost := f.lostGroups[u.Member.Group]
 	return lost && f.snapshot.ReportAges[u.ID] >= f.snapshot.Now.Sub(at)
 }
 
-// outOfGroup reports whether u is certainly out of the group that it last reported: that group is over, or u has left it. An
-// order that was given before the end of a group may be carried out after it, so a head may open a group again.
+// outOfGroup reports whether u is certainly no longer in the group that it last reported: the group has ended, or u has left it. A head
+// that reports to serve after the end of its group is still in it: an order sent before the end may have been carried out late.
 func (f *Formation) outOfGroup(u *roster.Upstream) bool {
 	m := u.Member
 	if m.State == roster.MemberNone {
@@ -61,8 +62,8 @@
 	return f.hasLeft(u, m.Epoch)
 }
 
-// groupFromReports puts a group together from its members' reports, in the order of their ranks. Unless it is whole and open
-// it is to be left; its first member is then the head, if the head reported at all.
+// groupFromReports builds a group from the reports of its members, sorted by rank. A group that is incomplete or not open is put into the
+// leaving phase; it is headless if its head has not reported.
 func (f *Formation) groupFromReports(key groupKey, members []*roster.Upstream) *roster.Group {
 	head := members[0]
 	g := &roster.Group{Name: key.name, Epoch: key.epoch, Service: f.Service, Phase: roster.PhaseOpen, Since: f.snapshot.Now}
@@ -78,7 +79,7 @@
 		complete = complete && u.Member.Rank == i
 	}
 	model, ok := f.engine.Model(g.Model)
-	// What became of the orders by which it was formed is not known here.
+	// The outcomes of the orders by which the group was formed are unknown to this leader.
 	g.Doubtful = true
 	if !complete || !ok || model.Size != len(members) {
 		g.Phase = roster.PhaseLeaving
@@ -87,7 +88,7 @@
 	return g
 }
 
-// startPlanned starts groups from the upstreams that are free, closes groups for better ones, and loads weights ahead.
+// startPlanned carries out the decision of Plan.
 func (f *Formation) startPlanned() {
 	d := Plan(f.planInput())
 	for i := range d.Groups {
@@ -107,10 +108,10 @@
 	f.startGroup(&roster.Group{Model: group.Model, Members: group.Members, Far: group.CrossDomain}, "ready in "+group.ReadyIn.String()+"; groups now: "+reason)
 }
 
-// warmUpSpare lets a spare join a group of its own, which it leaves as soon as it is ready: an engine joins at once when its last
-// group had the same model.
+// warmUpSpare forms a group of one spare, which leaves the group as soon as it is ready: an engine joins a group quickly if its last group
+// had the same model.
 func (f *Formation) warmUpSpare(l WeightLoad) {
-	f.startGroup(&roster.Group{Model: l.Model, Members: []ident.Incarnation{l.ID}, WarmUp: true}, "a spare gets ready to join at once")
+	f.startGroup(&roster.Group{Model: l.Model, Members: []ident.Incarnation{l.ID}, WarmUp: true}, "warms up a spare, so that it joins a group of this model without a load")
 }
 
 func (f *Formation) startGroup(g *roster.Group, reason string) {
@@ -126,13 +127,13 @@
 	}
 }
 
-// closeGroups begins to close groups for better ones.
+// closeGroups starts closing groups to replace them by better ones.
 func (f *Formation) closeGroups(closings []Closing, reason string) {
 	for _, g := range f.groups() {
 		for _, c := range closings {
 			if c.Group == g.Name {
 				f.replacing[g.Name] = c
-				f.setPhase(&g, roster.PhaseClosing, "domain "+string(c.Domain)+" has enough members for a better one; groups now: "+reason)
+				f.setPhase(&g, roster.PhaseClosing, "domain "+string(c.Domain)+" has enough members for a better group; groups now: "+reason)
 			}
 		}
 	}
@@ -154,8 +155,8 @@
 		for _, id := range g.Members {
 			inGroup[id] = true
 		}
-		if p, ok := f.existingGroup(&g); ok && !f.snapshot.DrainedHalls[p.Members[0].Hall] {
-			input.Groups = append(input.Groups, p)
+		if existing, ok := f.existingGroup(&g); ok && !f.snapshot.DrainedHalls[existing.Members[0].Hall] {
+			input.Groups = append(input.Groups, existing)
 		}
 	}
 	for i := range f.snapshot.Upstreams {
@@ -172,32 +173,33 @@
 	return input
 }
 
-// isFree reports whether an upstream that no group has may join one: it has left its last one for certain, and is there.
+// isFree reports whether an upstream outside all groups may join one: it is reachable, has certainly left its last group, and is neither
+// reserved nor bound.
 func (f *Formation) isFree(u *roster.Upstream) bool {
 	reachable := f.snapshot.ReportAges[u.ID] < missedReportAge && !f.snapshot.Unreachable[u.ID]
 	return reachable && f.outOfGroup(u) && !f.domainReserved(u.Domain) && f.boundUntil[u.ID].IsZero()
 }
 
-// existingGroup describes g to the planner if it serves or will serve.
+// existingGroup returns g as input of Plan; the result is false unless g serves or will serve.
 func (f *Formation) existingGroup(g *roster.Group) (ExistingGroup, bool) {
-	p := ExistingGroup{Name: g.Name, Model: g.Model, CrossDomain: g.Far}
+	existing := ExistingGroup{Name: g.Name, Model: g.Model, CrossDomain: g.Far}
 	switch g.Phase {
 	case roster.PhaseForming, roster.PhaseOpening:
 	case roster.PhaseOpen:
-		p.Open = true
-		p.Settled = f.snapshot.Now.Sub(g.Since) >= settledAfter
+		existing.Open = true
+		existing.Settled = f.snapshot.Now.Sub(g.Since) >= settledAfter
 	default:
-		return p, false
+		return existing, false
 	}
 	for _, id := range g.Members {
 		if u := f.byID[id]; u != nil {
-			p.Members = append(p.Members, f.candidate(u))
+			existing.Members = append(existing.Members, f.candidate(u))
 		}
 	}
-	return p, !g.WarmUp && len(p.Members) > 0
+	return existing, !g.WarmUp && len(existing.Members) > 0
 }
 
-// domainReserved reports whether a group closes so that a better one can be formed in domain.
+// domainReserved reports whether a group is closing so that a better one can be formed in domain.
 func (f *Formation) domainReserved(domain ident.Domain) bool {
 	for _, c := range f.replacing {
 		if c.Domain == domain {
@@ -207,19 +209,20 @@
 	return false
 }
 
+// candidate returns u as input of Plan, and drops an order to stage weights that is done or overdue.
 func (f *Formation) candidate(u *roster.Upstream) Candidate {
 	c := Candidate{ID: u.ID, Hall: u.Hall, Domain: u.Domain, LastModel: u.Last, Staged: u.Staged, Cold: u.Cold, StalledAsHead: f.stalledHeads[u.ID], LastHeadedModel: f.lastHeaded[u.ID], Slowdown: f.snapshot.Slowdowns[u.ID]}
-	if st, ok := f.staging[u.ID]; ok {
-		if roster.HasModel(u.Staged, st.model) || f.snapshot.Now.After(st.until) {
+	if order, ok := f.staging[u.ID]; ok {
+		if roster.HasModel(u.Staged, order.model) || f.snapshot.Now.After(order.deadline) {
 			delete(f.staging, u.ID)
 		} else {
-			c.Staging = st.model
+			c.Staging = order.model
 		}
 	}
 	return c
 }
 
-// loadTimeout is how long a load may take until it is taken for lost.
+// loadTimeout is how long a load may take before it is treated as failed.
 func (f *Formation) loadTimeout(model ident.Model) time.Duration {
 	if m, ok := f.engine.Model(model); ok {
 		return loadTimeoutFactor*m.Load + loadTimeoutSlack
@@ -227,14 +230,14 @@
 	return loadTimeoutSlack
 }
 
-// useLoads takes loads out of the allowance, which counts only after the start.
+// useLoads subtracts loads from the allowance, which applies only after the first request.
 func (f *Formation) useLoads(loads int) {
 	if !f.BeforeFirstRequest {
 		f.loadAllowance -= float64(loads)
 	}
 }
 
-// loadBudget returns how many loads may begin; those before the first request do not count against the weight store's rate.
+// loadBudget returns how many loads may start now; before the first request the weight store's rate does not limit them.
 func (f *Formation) loadBudget() int {
 	now := f.snapshot.Now
 	if f.BeforeFirstRequest {
@@ -244,6 +247,6 @@
 		f.loadAllowance = min(loadBurst, f.loadAllowance+now.Sub(f.allowanceAt).Seconds()*f.engine.LoadsPerSecond*loadRateFraction)
 	}
 	f.allowanceAt = now
-	// Past the number that the store serves at once, each load only takes longer.
+	// Beyond the number of loads that the store serves concurrently, each load only takes longer.
 	return max(0, min(int(f.loadAllowance), f.engine.ConcurrentLoads-len(f.staging)))
 }
--- a/replicaset/demand.go
+++ b/replicaset/demand.go
@@ -9,8 +9,7 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// TargetGroups returns the number of groups that each model would have if all upstreams were used: by declared shares, or in
-// proportion to demand where it is known.
+// TargetGroups returns the number of groups of each model if all usable upstreams are divided by the models' declared shares.
 func TargetGroups(input *PlanInput) map[ident.Model]int {
 	shares := modelShares(input)
 	targets := map[ident.Model]int{}
@@ -36,6 +35,7 @@
 	}
 }
 
+// modelShares returns the declared shares, scaled to a sum of 1; without declared shares all models get the same.
 func modelShares(input *PlanInput) map[ident.Model]float64 {
 	shares := map[ident.Model]float64{}
 	sum := 0.0
@@ -52,7 +52,7 @@
 	return shares
 }
 
-// RequiredGroups returns how many whole groups of each model carry the demand; nothing while no demand is known.
+// RequiredGroups returns how many groups of each model the demand requires; the map is empty while the demand is unknown.
 func RequiredGroups(input *PlanInput) map[ident.Model]int {
 	total := 0.0
 	for _, modelDemand := range input.Demand {
@@ -69,7 +69,7 @@
 	return required
 }
 
-// deficit is the part of a model's groups that is missing; 0 or less when it has enough.
+// deficit is the fraction of a model's wanted groups that is missing; 0 or less if the model has enough.
 func (p *plan) deficit(m ident.Model) float64 {
 	wanted := p.wantedGroups(m)
 	if wanted == 0 {
@@ -78,7 +78,7 @@
 	return (wanted - p.capacity[m]) / wanted
 }
 
-// wantedGroups is the number of groups that m should have.
+// wantedGroups is the number of groups that the demand requires or, while the demand is unknown, the target by declared shares.
 func (p *plan) wantedGroups(m ident.Model) float64 {
 	if len(p.requiredGroups) > 0 {
 		return float64(p.requiredGroups[m])
@@ -86,7 +86,7 @@
 	return float64(p.targetGroups[m])
 }
 
-// hasDeficit reports whether m is known to have fewer groups than its demand needs.
+// hasDeficit reports whether the demand is known and m has fewer groups than the demand requires.
 func (p *plan) hasDeficit(m ident.Model) bool {
 	return len(p.requiredGroups) > 0 && p.deficit(m) > 0
 }
@@ -100,9 +100,9 @@
 	return false
 }
 
-// byDeficit returns the models, the neediest first: those that lack groups, then the one with the highest load, so that no group
-// is begun and another one of its model ends for a model that needs it more. While demand is not known the part of the groups
-// that is missing decides. Of equal ones the one with the larger groups comes first, which are harder to place.
+// byDeficit returns the models sorted by need: first those with a deficit, then by load, highest first. Sorting by load keeps a group from
+// being formed for one model while another group of that model is closed for a model with a higher load. While the demand is unknown,
+// the larger deficit is first. Of equal models, the one with the larger groups is first, since large groups are harder to place.
 func (p *plan) byDeficit() []*httproute.Model {
 	var models []*httproute.Model
 	for i := range p.Engine.Models {
@@ -117,7 +117,7 @@
 	return models
 }
 
-// deficitFlag is 1 for a model that lacks groups, for sorting.
+// deficitFlag is 1 for a model with a deficit and 0 otherwise, for sorting.
 func (p *plan) deficitFlag(m *httproute.Model) int {
 	if p.hasDeficit(m.Name) {
 		return 1
@@ -125,7 +125,8 @@
 	return 0
 }
 
-// groupCapacity is what a group carries, in parts of a whole one: it runs at its slowest member's pace.
+// groupCapacity is the throughput of a group as a fraction of that of a group within one domain without slow members. The slowest member
+// determines the speed.
 func (p *plan) groupCapacity(g *ExistingGroup) float64 {
 	slowdown := 1.0
 	for i := range g.Members {
@@ -137,22 +138,23 @@
 	return 1 / slowdown
 }
 
-// crossDomainCapacity is what a group across domains carries.
+// crossDomainCapacity is the capacity of a group across domains without slow members.
 func (p *plan) crossDomainCapacity() float64 {
 	return 1 / max(1, p.Engine.FarFactor)
 }
 
-// degraded reports whether a group is worth ending for a whole one of its model: it spans domains or has a slow member.
+// degraded reports whether a group spans domains or has a slow member, and should be replaced by a group of the same model that does
+// neither.
 func degraded(g *ExistingGroup) bool {
 	return g.CrossDomain || slices.ContainsFunc(g.Members, func(c Candidate) bool { return !fastEnough(&c) })
 }
 
-// load is the part of the throughput of m's groups that is asked for, if it had so many more of them.
+// load is the demand for m as a fraction of the throughput of its groups and of additional ones.
 func (p *plan) load(m *httproute.Model, additional float64) float64 {
 	return p.loadWith(m, p.capacity[m.Name]+additional)
 }
 
-// openLoad is the same for the groups that serve already.
+// openLoad is load with only the groups that already serve.
 func (p *plan) openLoad(m *httproute.Model, additional float64) float64 {
 	return p.loadWith(m, p.openCapacity[m.Name]+additional)
 }
--- a/replicaset/drain_test.go
+++ b/replicaset/drain_test.go
@@ -9,7 +9,7 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// openIn counts the open groups of a model whose heads are in a hall.
+// openIn counts the open groups whose heads are in a hall.
 func (f *fleet) openIn(hall ident.Hall) int {
 	n := 0
 	for _, g := range f.roster.Groups() {
@@ -20,8 +20,8 @@
 	return n
 }
 
-// While a hall is drained nothing is formed there; its groups go on, so they serve at once when it is taken back, and other halls make up for
-// them as far as they have room.
+// In a drained hall no groups are formed. Its existing groups stay, so that they can serve at once when the drain ends, and other halls form
+// additional groups as far as their capacity allows.
 func TestDrainedHall(t *testing.T) {
 	f := newFleet(t, 1, 6, 8)
 	f.demand = map[ident.Model]float64{"large": 20, "small": 10}
@@ -29,16 +29,16 @@
 	const hall = "hall-0"
 	before := f.openIn(hall)
 	if before == 0 {
-		t.Fatal("nothing serves in the hall: the test shows nothing")
+		t.Fatal("no group is open in the hall, so the test would check nothing")
 	}
-	f.drained = map[ident.Hall]bool{hall: true}
+	f.drainedHalls = map[ident.Hall]bool{hall: true}
 	otherHalls := f.openIn("hall-1") + f.openIn("hall-2")
 	f.run(10*time.Second, nil)
 	if got := f.openIn("hall-1") + f.openIn("hall-2"); got < otherHalls {
-		t.Errorf("%d groups elsewhere, %d before", got, otherHalls)
+		t.Errorf("%d groups in other halls, %d before the drain", got, otherHalls)
 	}
 	if got := f.openIn(hall); got != before {
-		t.Errorf("%d groups in the drained hall, %d before", got, before)
+		t.Errorf("%d groups in the drained hall, %d before the drain", got, before)
 	}
 	for _, e := range f.engines {
 		if e.hall == hall && e.member.State == roster.MemberOpen {
@@ -50,22 +50,22 @@
 	if got := f.openIn(hall); got != before-1 {
 		t.Errorf("%d groups in the drained hall after the loss of one, want %d", got, before-1)
 	}
-	f.drained = nil
+	f.drainedHalls = nil
 	f.run(10*time.Second, nil)
 	if got := f.openIn(hall); got < before {
-		t.Errorf("%d groups in the hall once it is taken back, want %d", got, before)
+		t.Errorf("%d groups in the hall after the drain, want %d", got, before)
 	}
 	if len(f.violations) > 0 {
 		t.Error(f.violations)
 	}
 }
 
-// A head that takes few requests yet is avoided where another member can be the head.
+// A cold upstream is not made the head if another member can be.
 func TestColdHeadIsAvoided(t *testing.T) {
 	free := candidates("a:WWWW")
 	free[0].Cold, free[1].Cold = true, true
 	d := replicaset.Plan(&replicaset.PlanInput{Engine: engineConfig(), Free: free, Usable: len(free), LoadBudget: 9})
 	if len(d.Groups) != 1 || d.Groups[0].Members[0] != "a-2" {
-		t.Errorf("decided %+v", d.Groups)
+		t.Errorf("groups to form: %+v, want one with head a-2", d.Groups)
 	}
 }
--- a/replicaset/ending.go
+++ b/replicaset/ending.go
@@ -1,8 +1,9 @@
 package replicaset
 
 // A group ends in one of three ways: its head has finished and left, its head
-// is gone or broken, or nobody reaches its head and the others have left. What
-// is told apart here is whether a member is certainly free for another group.
+// is gone or has broken the group, or its head is unreachable and the other
+// members have left. The functions below determine which members are certainly
+// free for another group.
 
 import (
 	"time"
@@ -14,33 +15,34 @@
 func (f *Formation) advanceClosing(g *roster.Group) {
 	head := f.byID[g.Head()]
 	if head == nil || f.outcome(g, head.ID, ActionClose) == OutcomeConnectionRefused {
-		f.startLeaving(g, "the head takes no connections, or is not known any more")
+		f.startLeaving(g, "the head accepts no connections, or is no longer known")
 		return
 	}
 	switch memberState(head, g) {
 	case roster.MemberReady:
-		// An order to open it that was taken for lost may still come; a head that has left refuses it.
-		f.startLeaving(g, "has finished its work")
+		// An order to open the group without a known outcome may still arrive; a head that has left refuses it.
+		f.startLeaving(g, "has finished its requests")
 		return
 	case roster.MemberBroken:
-		f.markEnded(g, "the head says that the group is broken")
+		f.markEnded(g, "the head reports the group as broken")
 		return
 	case roster.MemberNone:
-		f.endAfterHeadLeft(g, "has finished its work")
+		f.endAfterHeadLeft(g, "has finished its requests")
 		return
 	case roster.MemberJoining:
-		// Only an order to join that was carried out late puts it back, and one to open it may follow.
-		f.startLeaving(g, "the head joins it again")
+		// Only an order to join that was carried out late causes this; an order to open may follow.
+		f.startLeaving(g, "the head is joining the group again")
 		return
 	}
 	if f.snapshot.Unreachable[head.ID] && f.snapshot.Observations[g.Name].SinceLastResponse >= stallTimeout {
-		// Entries send nothing there any more, so nothing else tells; one that still answers them is only cut off from here.
-		f.startLeaving(g, "the head takes no connections")
+		// Entries send no requests to a closing group, so no stall would show. A head that still answers entries is only cut off from
+		// control.
+		f.startLeaving(g, "the head accepts no connections")
 		return
 	}
 	if reason := f.brokenReason(g); reason != "" || f.snapshot.Now.Sub(g.Since) > f.closeTimeoutFor(g) {
 		if reason == "" {
-			reason = "did not finish in time"
+			reason = "did not finish its requests in time"
 		}
 		f.startLeaving(g, reason)
 		return
@@ -48,7 +50,7 @@
 	f.sendOrder(g, g.Head(), ActionClose)
 }
 
-// startLeaving begins to take g apart.
+// startLeaving starts dissolving g.
 func (f *Formation) startLeaving(g *roster.Group, reason string) {
 	f.setPhase(g, roster.PhaseLeaving, reason)
 	f.advanceLeaving(g)
@@ -63,30 +65,30 @@
 	}
 	head := f.byID[g.Head()]
 	if head == nil {
-		// One that signed off and is cut off from here may still serve; who has left it is free all the same.
+		// A head that signed off and is cut off from control may still serve. Members that have left the group are free nevertheless.
 		if f.leaveMembers(g, 1) {
-			f.loseAfterMembersLeft(g, "the head is not known any more, the others have left")
+			f.loseAfterMembersLeft(g, "the head is no longer known, the other members have left")
 		}
 		return
 	}
 	if f.hasLeft(head, g.Epoch) {
-		f.endAfterHeadLeft(g, "the head has left: "+string(f.outcome(g, head.ID, ActionLeave)))
+		f.endAfterHeadLeft(g, "the head has left, its order to leave: "+string(f.outcome(g, head.ID, ActionLeave)))
 		return
 	}
 	if f.snapshot.ReportAges[head.ID] >= deadTimeout && f.snapshot.Observations[g.Name].SinceLastResponse >= deadTimeout {
-		f.markLost(g, "the head is silent to everyone")
+		f.markLost(g, "the head answers neither control nor entries")
 		return
 	}
-	// A refused connection is no word of the head: what is between may refuse, while entries reach it and it serves.
+	// A refused connection does not prove that the head has ended: a device on the path may refuse it while the head serves entries.
 	unreachable := f.snapshot.Unreachable[head.ID] || f.outcome(g, head.ID, ActionLeave) == OutcomeConnectionRefused
 	if unreachable && f.leaveMembers(g, 1) {
-		f.loseAfterMembersLeft(g, "the head takes no connections, the others have left")
+		f.loseAfterMembersLeft(g, "the head accepts no connections, the other members have left")
 		return
 	}
 	f.sendOrder(g, head.ID, ActionLeave)
 }
 
-// endAfterHeadLeft forgets g, whose head has left it by its own word, once its members are free.
+// endAfterHeadLeft removes g, whose head has confirmed that it left, once the other members are free.
 func (f *Formation) endAfterHeadLeft(g *roster.Group, reason string) {
 	if !f.mayReopen(g) {
 		f.markEnded(g, reason)
@@ -95,16 +97,16 @@
 	if !f.leaveMembers(g, 1) {
 		return
 	}
-	// Late orders may open it again only if one to join and one to open are on their way to the head.
+	// Late orders can open the group again only if both an order to join and an order to open may still arrive at the head.
 	reopenUntil := earlier(f.lateUntil(g, g.Head(), ActionJoin), f.lateUntil(g, g.Head(), ActionOpen))
 	f.bind(g.Head(), reopenUntil)
 	for _, id := range g.Members[1:] {
 		f.bind(id, earlier(reopenUntil, f.lateUntil(g, id, ActionJoin)))
 	}
-	f.markLost(g, reason+", the others too")
+	f.markLost(g, reason+", and so have the other members")
 }
 
-// loseAfterMembersLeft forgets g, whose head may serve on; the others have left it, but late orders may put them back.
+// loseAfterMembersLeft removes g, whose head may still serve. The other members have left, but late orders may make them join again.
 func (f *Formation) loseAfterMembersLeft(g *roster.Group, reason string) {
 	for _, id := range g.Members {
 		f.bind(id, f.lateUntil(g, id, ActionJoin))
@@ -112,7 +114,8 @@
 	f.markLost(g, reason)
 }
 
-// bind keeps an upstream out of other groups until a time, also under this leader's successors, who know of no single order.
+// bind keeps an upstream out of other groups until a time. The roster passes the mark on to later leaders, which do not know the single
+// orders.
 func (f *Formation) bind(id ident.Incarnation, until time.Time) {
 	if until.After(f.snapshot.Now) && until.After(f.boundUntil[id]) {
 		f.boundUntil[id] = until
@@ -120,7 +123,7 @@
 	}
 }
 
-// releaseBound ends what bind began.
+// releaseBound releases bound upstreams whose time is over.
 func (f *Formation) releaseBound() {
 	for id, until := range f.boundUntil {
 		if f.byID[id] == nil || f.snapshot.Now.After(until) {
@@ -137,8 +140,8 @@
 	return b
 }
 
-// mayReopen reports whether the head may join and open g again by orders that are carried out late: those of an earlier
-// leader, or without a known outcome. Its members are then free only after they have left it themselves.
+// mayReopen reports whether the head may join and open g again because of orders that are carried out late: those of an earlier leader,
+// or those without a known outcome. The other members are then free only after they have left the group themselves.
 func (f *Formation) mayReopen(g *roster.Group) bool {
 	for _, action := range []Action{ActionJoin, ActionOpen} {
 		o := f.orders[orderKey{g.Head(), action, g.Epoch}]
@@ -155,8 +158,8 @@
 	return false
 }
 
-// leaveMembers takes the members from an index on out of a group whose head does not answer, and reports whether none is left in it. A
-// member that has left belongs to no group, whatever its old head does.
+// leaveMembers orders the members from an index on to leave a group, and reports whether all of them have left or are gone. A member that
+// has left belongs to no group, whatever its former head does.
 func (f *Formation) leaveMembers(g *roster.Group, from int) bool {
 	allLeft := true
 	for _, id := range g.Members[from:] {
@@ -173,8 +176,8 @@
 	return allLeft
 }
 
-// hasLeft reports whether u has left the group of that epoch. A report that is newer than its answer and still names the
-// group comes from an order to join that was carried out late.
+// hasLeft reports whether u has left the group of that epoch. A report that still names the group and is newer than the answer to the
+// order to leave means that an order to join was carried out late.
 func (f *Formation) hasLeft(u *roster.Upstream, epoch ident.Epoch) bool {
 	o := f.orders[orderKey{u.ID, ActionLeave, epoch}]
 	if o == nil || o.pending || !leaveConfirmed(o.outcome) {
@@ -183,18 +186,19 @@
 	return u.Member.Epoch != epoch || f.snapshot.ReportAges[u.ID] >= f.snapshot.Now.Sub(o.answeredAt)
 }
 
-// leaveConfirmed reports whether an order to leave that came to this outcome is certainly carried out, by the word of who listens there.
+// leaveConfirmed reports whether the outcome of an order to leave is an answer of the engine that proves that the upstream is out of the
+// group.
 func leaveConfirmed(o Outcome) bool {
 	return o == OutcomeAccepted || o == OutcomeRefused || o == OutcomeWrongIncarnation
 }
 
-// markEnded forgets a group that is certainly over.
+// markEnded removes a group that has certainly ended.
 func (f *Formation) markEnded(g *roster.Group, reason string) {
 	f.endedGroups[g.Name] = f.snapshot.Now
 	f.removeGroup(g, reason)
 }
 
-// markLost forgets a group whose head may still be there: whoever reports it again has to leave it.
+// markLost removes a group whose head may still serve; an upstream that reports the group again is ordered to leave it.
 func (f *Formation) markLost(g *roster.Group, reason string) {
 	f.lostGroups[g.Name] = f.snapshot.Now
 	f.removeGroup(g, reason)
@@ -207,7 +211,7 @@
 	f.RecordDecision(g, "dropped", reason)
 }
 
-// closeTimeoutFor is how long g may finish its work.
+// closeTimeoutFor is how long g may take to finish its requests.
 func (f *Formation) closeTimeoutFor(g *roster.Group) time.Duration {
 	if _, ok := f.replacing[g.Name]; ok {
 		return replaceTimeout
--- a/replicaset/explain.go
+++ b/replicaset/explain.go
@@ -1,8 +1,8 @@
 package replicaset
 
-// What operators ask for: what each model has and needs, what keeps it from
-// having more, and what every upstream does. It is worked out from what the
-// planner works on, so it says what the planner sees.
+// Capacity reports for operators: the groups that each model has and needs, the
+// reason why it has no more, and the state of every upstream. The reports are
+// computed from the input of Plan, so they show the same state that Plan uses.
 
 import (
 	"fmt"
@@ -15,30 +15,33 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// DomainCapacity counts the free upstreams of a domain as members of a group of one model.
+// DomainCapacity counts the free upstreams of a domain by how soon they could join a group of one model.
 type DomainCapacity struct {
 	Domain ident.Domain `json:"domain"`
-	// Ready have the weights, Loading are getting them, Other would have to; Slow are left out, whatever they have.
+	// Ready upstreams have the weights, Loading ones are loading them, Other ones would have to load them. Slow ones join no group,
+	// with or without the weights.
 	Ready   int `json:"ready"`
 	Loading int `json:"loading"`
 	Other   int `json:"other"`
 	Slow    int `json:"slow"`
 }
 
-// Outlook tells what a model has and needs and what keeps it from having more.
+// Outlook is the capacity report of one model.
 type Outlook struct {
 	Model ident.Model `json:"model"`
 	Size  int         `json:"size"`
-	// Serving counts the groups that serve or are about to, one across domains as the part of a whole one that it carries.
+	// Serving is the number of groups that serve or will serve; degraded groups count by their fraction of the full throughput.
 	Serving float64 `json:"serving"`
-	Wanted  float64 `json:"wanted"`
-	// Load is the demand in parts of what these groups carry, 0 while it is not known or nothing serves.
+	// Wanted is the number of groups that the model should have.
+	Wanted float64 `json:"wanted"`
+	// Load is the demand as a fraction of the throughput of the Serving groups; 0 while the demand is unknown or no group serves.
 	Load  float64          `json:"load"`
 	Rooms []DomainCapacity `json:"rooms"`
-	Why   string           `json:"why"`
+	// Why is the reason why the model has no more groups.
+	Why string `json:"why"`
 }
 
-// Explain returns the outlook of every model, or nothing before the first step.
+// Explain returns the capacity report of every model, or nil before the first step.
 func (f *Formation) Explain() []Outlook {
 	if f.snapshot == nil {
 		return nil
@@ -46,7 +49,7 @@
 	return Explain(f.planInput())
 }
 
-// Explain returns the outlook of every model.
+// Explain returns the capacity report of every model.
 func Explain(input *PlanInput) []Outlook {
 	p := newPlan(input)
 	var reports []Outlook
@@ -65,53 +68,53 @@
 func (p *plan) domainCapacities(m *httproute.Model) []DomainCapacity {
 	domains := byDomain(p.free, func(*Candidate) bool { return true })
 	var capacities []DomainCapacity
-	for _, name := range sortedKeys(domains) {
-		r := DomainCapacity{Domain: name}
-		for i := range domains[name] {
-			switch c := &domains[name][i]; {
+	for _, domain := range sortedKeys(domains) {
+		capacity := DomainCapacity{Domain: domain}
+		for i := range domains[domain] {
+			switch c := &domains[domain][i]; {
 			case !fastEnough(c):
-				r.Slow++
+				capacity.Slow++
 			case hasWeights(m, c):
-				r.Ready++
+				capacity.Ready++
 			case c.Staging == m.Name:
-				r.Loading++
+				capacity.Loading++
 			default:
-				r.Other++
+				capacity.Other++
 			}
 		}
-		capacities = append(capacities, r)
+		capacities = append(capacities, capacity)
 	}
 	return capacities
 }
 
-// explain says why m has the groups that it has.
+// explain returns the reason why m has no more groups.
 func (p *plan) explain(m *httproute.Model, capacities []DomainCapacity) string {
 	ready, loading, other, slow := 0, 0, 0, 0
-	for _, r := range capacities {
-		if r.Ready >= m.Size && p.deficit(m.Name) > 0 {
-			return fmt.Sprintf("domain %s has the members of a group, it is begun unless a model lacks groups more", r.Domain)
+	for _, capacity := range capacities {
+		if capacity.Ready >= m.Size && p.deficit(m.Name) > 0 {
+			return fmt.Sprintf("domain %s has enough members for a group, which is formed unless another model needs one more", capacity.Domain)
 		}
-		ready += r.Ready
-		loading += r.Loading
-		other += r.Other
-		slow += r.Slow
+		ready += capacity.Ready
+		loading += capacity.Loading
+		other += capacity.Other
+		slow += capacity.Slow
 	}
 	switch {
 	case p.deficit(m.Name) <= 0:
-		return "has the groups that it needs"
+		return "has the groups it needs"
 	case len(p.closingsFor(m)) > 0:
-		return "groups end so that a domain has the members of a better one"
+		return "groups are closed to free the members of a better one"
 	case ready >= m.Size:
-		return fmt.Sprintf("no domain has %d free upstreams with the weights; one across domains is formed when %.0f%% of the groups lack", m.Size, crossDomainDeficit*100)
+		return fmt.Sprintf("no domain has %d free upstreams with the weights; a group across domains is formed when %.0f%% of the groups are missing", m.Size, crossDomainDeficit*100)
 	case ready+loading+other >= m.Size:
-		return fmt.Sprintf("of %d free upstreams %d have the weights and %d are getting them", ready+loading+other, ready, loading)
+		return fmt.Sprintf("of %d free upstreams, %d have the weights and %d are loading them", ready+loading+other, ready, loading)
 	case slow > 0:
-		return fmt.Sprintf("only %d upstreams are free, and %d that are slow", ready+loading+other, slow)
+		return fmt.Sprintf("only %d upstreams are free, not counting %d slow ones", ready+loading+other, slow)
 	}
 	return fmt.Sprintf("only %d upstreams are free", ready+loading+other)
 }
 
-// DescribeUpstream tells what an upstream does, and if it is in no group, why.
+// DescribeUpstream returns the group of an upstream or, if it is in no group, its state.
 func (f *Formation) DescribeUpstream(id ident.Incarnation) string {
 	u := f.byID[id]
 	if u == nil {
@@ -129,28 +132,28 @@
 	c := f.candidate(u)
 	switch {
 	case u.Draining:
-		return "leaves"
+		return "shutting down"
 	case u.Silent:
 		return "silent"
 	case f.snapshot.Unreachable[u.ID]:
-		return "takes no connections"
+		return "accepts no connections"
 	case f.snapshot.ReportAges[u.ID] >= missedReportAge:
-		return "has missed a report"
+		return "missed a report"
 	case !f.outOfGroup(u):
 		return "has not left " + string(u.Member.Group) + " yet"
 	case !f.boundUntil[u.ID].IsZero():
-		return fmt.Sprintf("may be put back into a group that has ended by late orders for another %v", f.boundUntil[u.ID].Sub(f.snapshot.Now).Round(100*time.Millisecond))
+		return fmt.Sprintf("late orders may make it join an ended group again, for another %v", f.boundUntil[u.ID].Sub(f.snapshot.Now).Round(100*time.Millisecond))
 	case f.domainReserved(u.Domain):
-		return "waits for a group of its domain that ends for a better one"
+		return "reserved for a better group while a group of its domain closes"
 	case c.Staging != "":
-		return "free, gets the weights of " + string(c.Staging)
+		return "free, loading the weights of " + string(c.Staging)
 	case withoutWeights(&c):
 		return "free, without weights"
 	}
 	return "free, with the weights of " + strings.Join(modelsWithWeights(&c), " and ")
 }
 
-// modelsWithWeights names the models that c joins without a load.
+// modelsWithWeights names the models whose groups c can join without a load from the store.
 func modelsWithWeights(c *Candidate) []string {
 	var models []string
 	for _, m := range append([]ident.Model{c.LastModel}, c.Staged...) {
--- a/replicaset/explain_test.go
+++ b/replicaset/explain_test.go
@@ -17,19 +17,19 @@
 		free   []replicaset.Candidate
 		groups []replicaset.ExistingGroup
 		demand map[ident.Model]float64
-		// want tells, for the large model, groups, load, rooms and the reason.
+		// want is the report of the large model: groups, load, domain capacities and the reason.
 		want string
 	}{
-		{"enough", candidates("a:W"), existingGroups("large b:WWWW", "small b:ww"), demandFor(1, 1), "1.0 of 1, load 0.94, [{a 1 0 0 0}]: has the groups that it needs"},
-		{"about to begin", candidates("a:WWWW"), existingGroups("small b:ww"), demandFor(1, 1), "0.0 of 1, load 0.00, [{a 4 0 0 0}]: domain a has the members of a group, it is begun unless a model lacks groups more"},
+		{"enough groups", candidates("a:W"), existingGroups("large b:WWWW", "small b:ww"), demandFor(1, 1), "1.0 of 1, load 0.94, [{a 1 0 0 0}]: has the groups it needs"},
+		{"about to form a group", candidates("a:WWWW"), existingGroups("small b:ww"), demandFor(1, 1), "0.0 of 1, load 0.00, [{a 4 0 0 0}]: domain a has enough members for a group, which is formed unless another model needs one more"},
 		{
-			"in several domains", candidates("a:WWW", "b:W"), existingGroups("large c:WWWW", "large d:WWWW", "small d:ww"), demandFor(3, 0.1),
-			"2.0 of 3, load 1.41, [{a 3 0 0 0} {b 1 0 0 0}]: no domain has 4 free upstreams with the weights; one across domains is formed when 40% of the groups lack",
+			"free members in several domains", candidates("a:WWW", "b:W"), existingGroups("large c:WWWW", "large d:WWWW", "small d:ww"), demandFor(3, 0.1),
+			"2.0 of 3, load 1.41, [{a 3 0 0 0} {b 1 0 0 0}]: no domain has 4 free upstreams with the weights; a group across domains is formed when 40% of the groups are missing",
 		},
-		{"without weights", candidates("a:WW**"), existingGroups("small b:ww"), demandFor(1, 1), "0.0 of 1, load 0.00, [{a 2 0 2 0}]: of 4 free upstreams 2 have the weights and 0 are getting them"},
-		{"too few", candidates("a:WW"), existingGroups("small b:ww"), demandFor(1, 1), "0.0 of 1, load 0.00, [{a 2 0 0 0}]: only 2 upstreams are free"},
-		{"slow ones", slowed(candidates("a:WWWW"), 2), existingGroups("small b:ww"), demandFor(1, 1), "0.0 of 1, load 0.00, [{a 2 0 0 2}]: only 2 upstreams are free, and 2 that are slow"},
-		{"groups end for it", candidates("a:WWW"), existingGroups("small a:ww", "small b:ww"), demandFor(2, 1), "0.0 of 2, load 0.00, [{a 3 0 0 0}]: groups end so that a domain has the members of a better one"},
+		{"free upstreams without weights", candidates("a:WW**"), existingGroups("small b:ww"), demandFor(1, 1), "0.0 of 1, load 0.00, [{a 2 0 2 0}]: of 4 free upstreams, 2 have the weights and 0 are loading them"},
+		{"too few free upstreams", candidates("a:WW"), existingGroups("small b:ww"), demandFor(1, 1), "0.0 of 1, load 0.00, [{a 2 0 0 0}]: only 2 upstreams are free"},
+		{"slow upstreams", slowed(candidates("a:WWWW"), 2), existingGroups("small b:ww"), demandFor(1, 1), "0.0 of 1, load 0.00, [{a 2 0 0 2}]: only 2 upstreams are free, not counting 2 slow ones"},
+		{"groups are closed for it", candidates("a:WWW"), existingGroups("small a:ww", "small b:ww"), demandFor(2, 1), "0.0 of 2, load 0.00, [{a 3 0 0 0}]: groups are closed to free the members of a better one"},
 	} {
 		o := replicaset.Explain(&replicaset.PlanInput{Engine: engineConfig(), Free: c.free, Groups: c.groups, Demand: c.demand, Usable: 48})[0]
 		got := fmt.Sprintf("%.1f of %.0f, load %.2f, %v: %s", o.Serving, o.Wanted, o.Load, o.Rooms, o.Why)
@@ -39,7 +39,7 @@
 	}
 }
 
-// slowed makes the first n upstreams of a list six times as slow.
+// slowed sets the slowdown of the first n upstreams of a list to six.
 func slowed(list []replicaset.Candidate, n int) []replicaset.Candidate {
 	for i := range n {
 		list[i].Slowdown = 6
@@ -47,40 +47,40 @@
 	return list
 }
 
-// Every upstream has a place, whatever happened to it.
+// Each state of an upstream has a description of its own.
 func TestDescribeUpstream(t *testing.T) {
 	f := newFleet(t, 9, 2, 8)
 	f.run(20*time.Second, nil)
 	f.demand = demandFor(2, 2)
 	free := f.spare()
 	if got := f.formation.DescribeUpstream(free.id); got != "free, with the weights of large and small" && got != "free, with the weights of small and large" {
-		t.Errorf("a spare: %s", got)
+		t.Errorf("spare: %s", got)
 	}
 	head := f.headOf("large")
 	if got, want := f.formation.DescribeUpstream(head.members[1]), fmt.Sprintf("member 2 of 4 of %s, which is open", head.member.Group); got != want {
-		t.Errorf("a member: %s, want %s", got, want)
+		t.Errorf("member: %s, want %s", got, want)
 	}
 	free.draining, free.reportDue = true, true
 	added := f.add("domain-0", "hall-0", "")
 	f.run(tick, nil)
-	if got := f.formation.DescribeUpstream(free.id); got != "leaves" {
-		t.Errorf("one that leaves: %s", got)
+	if got := f.formation.DescribeUpstream(free.id); got != "shutting down" {
+		t.Errorf("upstream that is shutting down: %s", got)
 	}
 	f.run(100*time.Millisecond, nil)
-	if got := f.formation.DescribeUpstream(added.id); got != "free, gets the weights of large" && got != "free, gets the weights of small" {
-		t.Errorf("a new one: %s", got)
+	if got := f.formation.DescribeUpstream(added.id); got != "free, loading the weights of large" && got != "free, loading the weights of small" {
+		t.Errorf("new upstream: %s", got)
 	}
 	f.kill(added)
 	f.run(4*time.Second, nil)
-	if got := f.formation.DescribeUpstream(added.id); got != "silent" && got != "takes no connections" {
-		t.Errorf("a dead one: %s", got)
+	if got := f.formation.DescribeUpstream(added.id); got != "silent" && got != "accepts no connections" {
+		t.Errorf("dead upstream: %s", got)
 	}
 	if got := f.formation.DescribeUpstream("nobody"); got != "unknown" {
-		t.Errorf("an unknown one: %s", got)
+		t.Errorf("unknown upstream: %s", got)
 	}
 }
 
-// A leader does not keep the names of all groups of its reign.
+// A leader drops ended groups after a while, so its memory does not grow with their number.
 func TestEndedGroupsAreForgotten(t *testing.T) {
 	f := newFleet(t, 9, 2, 8)
 	f.run(20*time.Second, nil)
@@ -94,6 +94,6 @@
 	}
 	f.run(3*time.Minute, nil)
 	if got := f.formation.EndedGroupCount(); got != 0 {
-		t.Errorf("%d groups are remembered three minutes after the last one ended", got)
+		t.Errorf("%d ended groups are kept three minutes after the last one ended", got)
 	}
 }
--- a/replicaset/export_test.go
+++ b/replicaset/export_test.go
@@ -1,4 +1,4 @@
 package replicaset
 
-// EndedGroupCount returns how many groups that have ended are remembered.
+// EndedGroupCount returns how many ended and lost groups are kept.
 func (f *Formation) EndedGroupCount() int { return len(f.endedGroups) + len(f.lostGroups) }
--- a/replicaset/formation.go
+++ b/replicaset/formation.go
@@ -1,23 +1,24 @@
 package replicaset
 
-// A Formation drives the groups of one service. It keeps no state that a new
-// leader could not do without: groups stand in the roster, and what engines
-// report decides.
+// A Formation drives the groups of one service. A new leader can continue without
+// its state: the groups are in the roster, and decisions follow from the reports
+// of the engines.
 //
 //	forming -> opening -> open -> closing -> (dropped)
 //	    \          \        \-> leaving -> (dropped)
 //
-// Four rules keep a member out of two groups although any order may be lost,
-// or carried out many seconds late:
+// Any order may be lost or carried out many seconds late. Four rules keep a
+// member from being in two groups nevertheless:
 //
-//   - epochs rise over all groups and leaders, and engines refuse lower ones;
-//   - a group is opened only when every member reported ready in it;
-//   - members of a group that may be open are given to another one only after
-//     the head has left or has said that the group is broken, by its own word,
-//     or after they have left themselves; a connection that is refused, or not
-//     taken, is nobody's word;
-//   - who may be put back into a group by an order without an answer, while its
-//     head may be open, waits until no order can be that late.
+//   - epochs increase over all groups and leaders, and engines refuse lower ones;
+//   - a group is opened only after every member has reported to be ready in it;
+//   - members of a group that may be open join another one only after the head
+//     itself has confirmed that it left or that the group is broken, or after
+//     they have left the group themselves; a refused or failed connection
+//     confirms nothing;
+//   - an upstream that an unanswered order may make join a group again, while
+//     the head of that group may be open, joins no other group until the order
+//     can no longer be carried out.
 
 import (
 	"maps"
@@ -29,105 +30,106 @@
 )
 
 const (
-	// resendAfter is how long an order without an answer waits before it is sent again; engines answer within milliseconds.
+	// resendAfter is the time after which an unanswered order is sent again; engines answer within milliseconds.
 	resendAfter = time.Second
-	// orderRetention is how long an order is remembered; none is carried out later than that.
+	// orderRetention is how long orders are kept; no order is carried out later than that.
 	orderRetention = time.Minute
-	// endedRetention is how long a group that ended is remembered at least: an upstream that was cut off may report it again
-	// until the roster has forgotten that upstream. Kept for good, each takes a leader about 100 bytes.
+	// endedRetention is the minimum time that an ended group is kept: an upstream that was cut off may report the group again until the
+	// roster drops that upstream. Ended groups are not kept for good, since each takes about 100 bytes.
 	endedRetention = 2 * time.Minute
-	// maxOrderDelay is how long after it was given an order without an answer may be carried out: engines take orders up to some 12 s late.
+	// maxOrderDelay is how long after sending an unanswered order may be carried out: engines accept orders up to about 12 s late.
 	maxOrderDelay = 15 * time.Second
-	// repeatAfter is how long an order that was taken may stay without effect in the reports; reports come with each change.
+	// repeatAfter is the time after which an accepted order without effect is sent again; engines report each change at once.
 	repeatAfter = 3 * time.Second
-	// loadTimeoutFactor and loadTimeoutSlack bound a load: past some at once, each takes longer.
+	// loadTimeoutFactor times the declared load time, plus loadTimeoutSlack, bounds a load: concurrent loads slow each other down.
 	loadTimeoutFactor = 3
 	loadTimeoutSlack  = 5 * time.Second
-	// closeTimeout is how long a group may finish its work; an engine that leaves stays for 10 s at most.
+	// closeTimeout is how long a closing group may take to finish its requests; an engine that shuts down stays for 10 s at most.
 	closeTimeout = 10 * time.Second
-	// replaceTimeout is the same for a group that makes room for a better one: the upstreams of a whole domain wait for it, and
-	// its requests can be continued elsewhere.
+	// replaceTimeout is the same for a group that closes for a better one: the free upstreams of the whole domain wait for it, and
+	// its requests can continue at other groups.
 	replaceTimeout = 1200 * time.Millisecond
-	// stallTimeout is how long a group may show no sign of life when all its members report.
+	// stallTimeout is how long a group may be stalled while all its members report.
 	stallTimeout = 1500 * time.Millisecond
-	// stallTimeoutMissedReport is the same when a member has missed a report.
+	// stallTimeoutMissedReport is the same if a member has missed a report.
 	stallTimeoutMissedReport = 700 * time.Millisecond
-	// missedReportAge is the age from which on a report counts as missed.
+	// missedReportAge is the age of the last report from which the next one counts as missed.
 	missedReportAge = 1700 * time.Millisecond
-	// stallTimeoutUnreachable is the same when a member does not take connections.
+	// stallTimeoutUnreachable is like stallTimeout, if a member accepts no connections.
 	stallTimeoutUnreachable = 250 * time.Millisecond
-	// cutOffAge is the age of a report at which, by the group's last sign to entries, its member must have reported again if
-	// control reached it: a report interval and some slack.
+	// cutOffAge is a report interval plus slack. A member whose last report was this old when the group last answered an entry is cut
+	// off from control.
 	cutOffAge = 1500 * time.Millisecond
-	// deadTimeout is how long a head must be silent to control and to all entries until its group is certainly over: an
-	// engine breaks a group that stands still for 5 s.
+	// deadTimeout is how long a head must be silent to control and to all entries before its group has certainly ended: an engine
+	// breaks a group that is stalled for 5 s.
 	deadTimeout = 6500 * time.Millisecond
-	// settledAfter is how long a group serves before it may be closed for a better one.
+	// settledAfter is how long a group must have served before it may be closed for a better one.
 	settledAfter = time.Second
-	// reportWait is how long a new leader waits for the reports of upstreams that it knows only from a copy: reports come every
-	// 1.2 s, and a daemon that takes them may lose one.
+	// reportWait is how long a new leader waits for the reports of upstreams that it knows only from a copy: upstreams report every
+	// 1.2 s, and a daemon that receives reports may lose one.
 	reportWait = 3 * time.Second
-	// minReportedFraction is the part of the upstreams that must have reported by then: more than a domain that is dark is missing only where
-	// reports wait for a leader that has too much to do, and it must not make itself more by taking groups apart. maxReportWait is how
-	// long it waits in any case.
+	// minReportedFraction of the upstreams must have reported by then. If more are missing than one unreachable domain accounts for,
+	// their reports are queued at an overloaded leader, and dissolving groups would increase its load. After maxReportWait the leader
+	// waits no longer.
 	minReportedFraction = 0.75
 	maxReportWait       = 10 * time.Second
-	// stageRetryAfter is how long an upstream whose order to stage was not taken is left alone.
+	// stageRetryAfter is how long an upstream that did not accept an order to stage gets no other one.
 	stageRetryAfter = 2 * time.Second
-	// loadBurst is how many loads may begin at once, beyond the rate of the weight store.
+	// loadBurst is how many loads may start at once, regardless of the weight store's rate.
 	loadBurst = 4
-	// loadRateFraction is the part of the weight store's rate that is used; late orders may shift loads in time.
+	// loadRateFraction is the fraction of the weight store's rate that is used: orders that are carried out late may add loads later.
 	loadRateFraction = 0.75
 )
 
-// stagingOrder is an order to load weights to a host; until is when it is taken for lost.
+// stagingOrder is an order to load weights to a host, which is treated as failed after the deadline.
 type stagingOrder struct {
-	model ident.Model
-	until time.Time
+	model    ident.Model
+	deadline time.Time
 }
 
-// Formation keeps the groups of one service; exported fields are set before use, and Step and Answered must not run concurrently.
+// Formation manages the groups of one service. Exported fields are set before use; Step and HandleOutcome must not run concurrently.
 type Formation struct {
 	Service ident.Service
 	Roster  *roster.Roster
-	// Send gives an order without waiting; its outcome comes back through Answered.
+	// Send sends an order without waiting; the outcome is passed to HandleOutcome.
 	Send func(o Order)
-	// NextEpoch returns a number above all earlier ones.
+	// NextEpoch returns an epoch above all earlier ones, also those of earlier leaders.
 	NextEpoch func() ident.Epoch
-	// Fence is this leader's fence.
+	// Fence is this leader's fencing token.
 	Fence uint64
-	// RecordDecision records a decision on a group and why it was taken.
+	// RecordDecision is called with each decision on a group and the reason for it.
 	RecordDecision func(g *roster.Group, decision, reason string)
-	// BeforeFirstRequest is set until the first request is seen.
+	// BeforeFirstRequest is set until the first request arrives.
 	BeforeFirstRequest bool
 
-	// startedAt is when the formation looked for the first time.
+	// startedAt is the time of the first snapshot.
 	startedAt time.Time
 	engine    *httproute.Engine
 	snapshot  *Snapshot
 	byID      map[ident.Incarnation]*roster.Upstream
 	orders    map[orderKey]*sentOrder
-	// staging holds the orders to stage whose weights are not on the host yet.
+	// staging holds orders to stage whose weights are not on the host yet.
 	staging map[ident.Incarnation]stagingOrder
-	// replacing holds groups that close so that a domain gets a whole group instead.
+	// replacing holds groups that are closing for better ones.
 	replacing map[ident.Group]Closing
-	// stalledHeads holds heads of groups that stood still although all their members reported.
+	// stalledHeads holds heads of groups that stalled although all their members reported.
 	stalledHeads map[ident.Incarnation]bool
-	// lastHeaded holds the model of the group that an upstream was last the head of.
+	// lastHeaded holds the model of the last group that an upstream was the head of.
 	lastHeaded map[ident.Incarnation]ident.Model
-	// headless holds groups whose head has not reported; their members leave one by one.
+	// headless holds groups whose head has not reported.
 	headless map[ident.Group]bool
-	// lostGroups holds when groups were given up whose heads may still be there.
+	// lostGroups holds when groups were removed whose heads may still serve.
 	lostGroups map[ident.Group]time.Time
-	// endedGroups holds when groups ended for certain; reports may still name them.
+	// endedGroups holds when groups certainly ended; reports may still name them.
 	endedGroups map[ident.Group]time.Time
-	// boundUntil holds until when upstreams may be put back into a group that has ended, and serves there again.
-	boundUntil    map[ident.Incarnation]time.Time
+	// boundUntil holds until when late orders may make an upstream join a group again that was removed and may serve again.
+	boundUntil map[ident.Incarnation]time.Time
+	// loadAllowance is the number of loads that may start, as of allowanceAt; it grows with the weight store's rate.
 	loadAllowance float64
 	allowanceAt   time.Time
 }
 
-// NewFormation returns a formation without any history.
+// NewFormation returns a formation without groups and orders.
 func NewFormation() *Formation {
 	return &Formation{
 		RecordDecision: func(*roster.Group, string, string) {},
@@ -144,9 +146,9 @@
 	}
 }
 
-// Step takes every group one step further and begins new ones.
-func (f *Formation) Step(w *Snapshot, engine *httproute.Engine) {
-	f.setSnapshot(w, engine)
+// Step advances every group by one step and starts new ones.
+func (f *Formation) Step(snapshot *Snapshot, engine *httproute.Engine) {
+	f.setSnapshot(snapshot, engine)
 	f.pruneUpstreams()
 	f.adopt(f.allReported())
 	for _, g := range f.groups() {
@@ -155,14 +157,14 @@
 	f.startPlanned()
 }
 
-// Adopt takes over the whole groups that engines report and orders nothing, as long as not all upstreams may be known.
-func (f *Formation) Adopt(w *Snapshot, engine *httproute.Engine) {
-	f.setSnapshot(w, engine)
+// Adopt adds complete groups that engines report to the roster without sending orders, for a leader that may not know all upstreams.
+func (f *Formation) Adopt(snapshot *Snapshot, engine *httproute.Engine) {
+	f.setSnapshot(snapshot, engine)
 	f.adopt(false)
 }
 
-// allReported reports whether every upstream has reported since this formation began, or will hardly do so. Before that a group of
-// which only some members have reported may be whole, and taking it apart would end groups that serve.
+// allReported reports whether every upstream has reported to this formation, or the missing ones probably will not. Until then, a group of
+// which only some members have reported may be complete and serving, and must not be dissolved.
 func (f *Formation) allReported() bool {
 	elapsed := f.snapshot.Now.Sub(f.startedAt)
 	reported := 0
@@ -178,45 +180,45 @@
 	return elapsed >= reportWait && float64(reported) >= minReportedFraction*float64(len(f.byID))
 }
 
-// hasReported reports whether an upstream has reported since this formation began, and is not only known from a copy.
+// hasReported reports whether an upstream has reported to this formation and is not only known from a copy.
 func (f *Formation) hasReported(id ident.Incarnation) bool {
 	return f.snapshot.ReportAges[id] < f.snapshot.Now.Sub(f.startedAt)
 }
 
-func (f *Formation) setSnapshot(w *Snapshot, engine *httproute.Engine) {
-	f.snapshot, f.engine = w, engine
+func (f *Formation) setSnapshot(snapshot *Snapshot, engine *httproute.Engine) {
+	f.snapshot, f.engine = snapshot, engine
 	if f.startedAt.IsZero() {
-		f.startedAt = w.Now
+		f.startedAt = snapshot.Now
 		if !f.BeforeFirstRequest {
-			// The leader before may have begun as many at once a moment ago, and the store's rate is one for all leaders.
+			// The previous leader may just have started a burst of its own, and the store's rate applies to all leaders together.
 			f.loadAllowance = 0
 		}
 	}
-	first := f.byID == nil
+	firstSnapshot := f.byID == nil
 	f.byID = map[ident.Incarnation]*roster.Upstream{}
-	for i := range w.Upstreams {
-		u := &w.Upstreams[i]
+	for i := range snapshot.Upstreams {
+		u := &snapshot.Upstreams[i]
 		if u.Service != f.Service {
 			continue
 		}
 		f.byID[u.ID] = u
-		if first && u.Bound {
-			f.boundUntil[u.ID] = w.Now.Add(maxOrderDelay)
+		if firstSnapshot && u.Bound {
+			f.boundUntil[u.ID] = snapshot.Now.Add(maxOrderDelay)
 		}
 	}
 }
 
 func (f *Formation) groups() []roster.Group {
-	var list []roster.Group
+	var groups []roster.Group
 	for _, g := range f.Roster.Groups() {
 		if g.Service == f.Service {
-			list = append(list, g)
+			groups = append(groups, g)
 		}
 	}
-	return list
+	return groups
 }
 
-// pruneUpstreams drops what was kept about upstreams that have ended.
+// pruneUpstreams drops the state of upstreams that are no longer known, and old orders.
 func (f *Formation) pruneUpstreams() {
 	for key, o := range f.orders {
 		if f.byID[key.to] == nil || f.snapshot.Now.Sub(o.sentAt) > orderRetention {
@@ -231,7 +233,7 @@
 	f.pruneGroups()
 }
 
-// pruneGroups drops groups that ended long ago and that no upstream reports any more.
+// pruneGroups drops ended groups that are older than endedRetention and that no upstream reports.
 func (f *Formation) pruneGroups() {
 	reported := map[ident.Group]bool{}
 	for _, u := range f.byID {
@@ -257,7 +259,7 @@
 	}
 }
 
-// memberState returns the state that u reports for g, or none when it reports another group.
+// memberState returns the state that u reports for g, or MemberNone if it reports another group.
 func memberState(u *roster.Upstream, g *roster.Group) roster.MemberState {
 	if u == nil || u.Member.Group != g.Name || u.Member.Epoch != g.Epoch {
 		return roster.MemberNone
@@ -265,22 +267,22 @@
 	return u.Member.State
 }
 
-// unfitReason returns why g can't be formed from its members any more, or nothing.
+// unfitReason returns why g cannot be formed from its members any more, or "".
 func (f *Formation) unfitReason(g *roster.Group) string {
 	for _, id := range g.Members {
 		u := f.byID[id]
 		switch {
 		case u == nil:
-			return "member " + string(id) + " has ended"
+			return "member " + string(id) + " is no longer known"
 		case u.Draining:
-			return "member " + string(id) + " is leaving"
+			return "member " + string(id) + " is shutting down"
 		case u.Silent:
 			return "member " + string(id) + " is silent"
 		case f.snapshot.Unreachable[id]:
-			return "member " + string(id) + " takes no connections"
+			return "member " + string(id) + " accepts no connections"
 		}
 		if o := f.outcome(g, id, ActionJoin); joinImpossible(o) {
-			return "member " + string(id) + " answered the order to join: " + string(o)
+			return "order to join for member " + string(id) + " failed: " + string(o)
 		}
 	}
 	return ""
@@ -296,7 +298,7 @@
 		return
 	}
 	if f.snapshot.Now.Sub(g.Since) > f.loadTimeout(g.Model) {
-		f.markEnded(g, "not formed in time")
+		f.markEnded(g, "its members were not ready in time")
 		return
 	}
 	ready := 0
@@ -306,7 +308,7 @@
 			ready++
 		case roster.MemberJoining:
 		default:
-			// It may have been put back into an earlier group by orders that were carried out late.
+			// Orders that were carried out late may have made the member join an earlier group again.
 			if f.outOfGroup(f.byID[id]) {
 				f.sendOrder(g, id, ActionJoin)
 			}
@@ -316,7 +318,7 @@
 		return
 	}
 	if g.WarmUp {
-		f.startLeaving(g, "the spare is warm")
+		f.startLeaving(g, "the spare has the weights")
 		return
 	}
 	f.setPhase(g, roster.PhaseOpening, "every member is ready")
@@ -339,9 +341,9 @@
 	}
 }
 
-func (f *Formation) setPhase(g *roster.Group, to roster.Phase, reason string) {
-	g.Phase = to
+func (f *Formation) setPhase(g *roster.Group, phase roster.Phase, reason string) {
+	g.Phase = phase
 	g.Since = f.snapshot.Now
 	f.Roster.PutGroup(g)
-	f.RecordDecision(g, string(to), reason)
+	f.RecordDecision(g, string(phase), reason)
 }
--- a/replicaset/formation_test.go
+++ b/replicaset/formation_test.go
@@ -12,38 +12,38 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// After a calm start every domain has a group of each model and a warm spare for each; all upstreams but those that a restart
-// of the domain needs as they are have the other model on their host.
+// After a start without faults, every domain has a group and a warm spare of each model. The hosts have the weights of the model that the
+// upstream does not use, except where the domain needs the weights of its own model after a restart.
 func TestStartWithoutFaults(t *testing.T) {
 	f := newFleet(t, 1, 6, 8)
 	f.run(20*time.Second, nil)
 	want := map[ident.Model]int{"large": 6, "small": 6}
 	if diff := cmp.Diff(want, f.serving()); diff != "" {
-		t.Errorf("groups that serve (-want +got):\n%s", diff)
+		t.Errorf("serving groups (-want +got):\n%s", diff)
 	}
-	type place struct {
-		Spares map[ident.Model]int
-		Hosts  map[ident.Model]int
-		Rigid  int
+	type domainState struct {
+		Spares    map[ident.Model]int
+		Hosts     map[ident.Model]int
+		SameModel int
 	}
-	places := map[ident.Domain]*place{}
+	domains := map[ident.Domain]*domainState{}
 	for _, e := range f.engines {
-		p := places[e.domain]
-		if p == nil {
-			p = &place{map[ident.Model]int{}, map[ident.Model]int{}, 0}
-			places[e.domain] = p
+		state := domains[e.domain]
+		if state == nil {
+			state = &domainState{map[ident.Model]int{}, map[ident.Model]int{}, 0}
+			domains[e.domain] = state
 		}
 		if e.member.State == roster.MemberNone {
-			p.Spares[e.lastModel]++
+			state.Spares[e.lastModel]++
 		}
-		p.Hosts[e.stagedModel]++
+		state.Hosts[e.stagedModel]++
 		if e.stagedModel == e.lastModel {
-			p.Rigid++
+			state.SameModel++
 		}
 	}
-	wantDomain := place{map[ident.Model]int{"large": 1, "small": 1}, map[ident.Model]int{"large": 4, "small": 4}, 1}
-	for d, p := range places {
-		if diff := cmp.Diff(wantDomain, *p); diff != "" {
+	wantDomain := domainState{map[ident.Model]int{"large": 1, "small": 1}, map[ident.Model]int{"large": 4, "small": 4}, 1}
+	for d, state := range domains {
+		if diff := cmp.Diff(wantDomain, *state); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", d, diff)
 		}
 	}
@@ -52,21 +52,20 @@
 	}
 }
 
-// maxDecisions is more than any one fault calls for: a domain has four groups at most, and each ends and begins in a few
-// steps.
+// maxDecisions is more than any one fault requires: a domain has at most four groups, and each is closed and formed by a few decisions.
 const maxDecisions = 50
 
-// Each fault strikes a formed fleet; what must hold always is checked by the engines, what must hold in the end by the table.
+// Each fault is injected into a fleet with formed groups. The simulation checks the invariants, the table the groups in the end.
 func TestFaults(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		strike func(f *fleet)
-		// within is how long the fleet has to serve with at least so many groups again.
+		inject func(f *fleet)
+		// within is the time after which at least large and small groups must serve again.
 		within time.Duration
 		large  int
 		small  int
 	}{
-		{"nothing", func(*fleet) {}, time.Second, 6, 6},
+		{"no fault", func(*fleet) {}, time.Second, 6, 6},
 		{"a member dies", func(f *fleet) { f.kill(f.byID[f.headOf("large").members[2]]) }, 2 * time.Second, 6, 6},
 		{"a head dies", func(f *fleet) { f.kill(f.headOf("large")) }, 2 * time.Second, 6, 6},
 		{"two members of different groups of one domain die", func(f *fleet) {
@@ -87,7 +86,7 @@
 				}
 			}
 		}, 4 * time.Second, 5, 6},
-		{"a whole domain restarts with what is on its hosts", func(f *fleet) {
+		{"a whole domain restarts with the weights on its hosts", func(f *fleet) {
 			domain := f.headOf("large").domain
 			for _, e := range slices.Clone(f.engines) {
 				if e.domain == domain {
@@ -96,16 +95,16 @@
 				}
 			}
 		}, 6 * time.Second, 6, 6},
-		{"a head signs off and goes on for a while", func(f *fleet) {
+		{"a head signs off and continues for a while", func(f *fleet) {
 			e := f.headOf("large")
 			e.signedOff = true
 			f.roster.SignOff(f.now, e.id)
 		}, 12 * time.Second, 6, 6},
-		{"a member drains", func(f *fleet) {
+		{"a member shuts down", func(f *fleet) {
 			e := f.byID[f.headOf("small").members[1]]
 			e.draining, e.reportDue = true, true
 		}, 4 * time.Second, 6, 6},
-		{"a member drains and the head dies before it has finished", func(f *fleet) {
+		{"a member shuts down and the head dies before it has finished", func(f *fleet) {
 			head := f.headOf("large")
 			e := f.byID[head.members[2]]
 			e.draining, e.reportDue = true, true
@@ -113,7 +112,7 @@
 			head.closedAt = f.now.Add(time.Hour)
 			f.kill(head)
 		}, 5 * time.Second, 6, 6},
-		{"a head drains and ends before it has finished", func(f *fleet) {
+		{"a head shuts down and ends before it has finished", func(f *fleet) {
 			head := f.headOf("large")
 			head.draining, head.reportDue = true, true
 			f.run(200*time.Millisecond, nil)
@@ -121,23 +120,23 @@
 			f.kill(head)
 			f.roster.SignOff(f.now, head.id)
 		}, 5 * time.Second, 6, 6},
-		{"a member starts again under its id", func(f *fleet) { f.restart(f.byID[f.headOf("large").members[2]]) }, 2 * time.Second, 6, 6},
-		{"a head starts again under its id", func(f *fleet) { f.restart(f.headOf("large")) }, 2 * time.Second, 6, 6},
-		{"a member starts again behind a cut", func(f *fleet) {
+		{"a member restarts under its id", func(f *fleet) { f.restart(f.byID[f.headOf("large").members[2]]) }, 2 * time.Second, 6, 6},
+		{"a head restarts under its id", func(f *fleet) { f.restart(f.headOf("large")) }, 2 * time.Second, 6, 6},
+		{"a member restarts while it is cut off", func(f *fleet) {
 			e := f.byID[f.headOf("large").members[2]]
 			e.cutOff = true
 			f.run(3*time.Second, nil)
 			f.restart(e).cutOff = false
 		}, 2 * time.Second, 6, 6},
-		{"control does not reach a group that serves", func(f *fleet) {
+		{"control does not reach a serving group", func(f *fleet) {
 			for _, id := range f.headOf("large").members {
 				f.byID[id].cutOff = true
 			}
 		}, 8 * time.Second, 6, 6},
 		{"a new leader with a fresh copy", func(f *fleet) { f.elect(f.copyRoster()) }, 2 * time.Second, 6, 6},
-		{"a new leader with nothing", func(f *fleet) {
+		{"a new leader without a copy", func(f *fleet) {
 			f.elect(nil)
-			for range 40 { // it waits until every upstream has reported
+			for range 40 { // the leader waits until every upstream has reported
 				f.now = f.now.Add(tick)
 				for _, e := range f.engines {
 					f.progress(e)
@@ -151,7 +150,7 @@
 			f.demand = demandFor(6, 6)
 			f.run(20*time.Second, nil)
 			f.decisions = 0
-			c.strike(f)
+			c.inject(f)
 			f.run(c.within, nil)
 			got := f.serving()
 			if f.decisions > maxDecisions {
@@ -167,7 +166,7 @@
 	}
 }
 
-// Control does not reach a member of a group that serves: a short pause of that group does not mean that the member is dead.
+// A short pause of a group is no evidence that a member which control does not reach is dead.
 func TestPauseOfUnreachableGroup(t *testing.T) {
 	for _, rank := range []int{0, 2} {
 		f := newFleet(t, 17, 6, 8)
@@ -183,13 +182,13 @@
 		head.pausedSince = time.Time{}
 		f.run(2*time.Second, nil)
 		if head.member.Group != name || head.member.State != roster.MemberOpen {
-			t.Errorf("member %d not reached: the head is %+v, want it open in %s", rank, head.member, name)
+			t.Errorf("member %d cut off: the head has membership %+v, want it open in %s", rank, head.member, name)
 		}
-		// A stall that lasts shows that the member is lost, wherever control is.
+		// A longer stall means that the member is lost, even if control cannot reach it.
 		f.kill(f.byID[head.members[2]])
 		f.run(6*time.Second, nil)
 		if got := f.serving(); got["large"] < 6 {
-			t.Errorf("member %d not reached, then lost: %d large groups serve", rank, got["large"])
+			t.Errorf("member %d cut off, then lost: %d large groups serve, want 6", rank, got["large"])
 		}
 		if len(f.violations) > 0 {
 			t.Error(f.violations)
@@ -197,8 +196,8 @@
 	}
 }
 
-// A group whose entries found together that it stands still ends as soon as a member is known to take no connections, and no sooner;
-// one that only pauses goes on.
+// A group whose stall is confirmed is dissolved as soon as a member is known to accept no connections, but not before. A group that only
+// pauses stays open.
 func TestStalledGroup(t *testing.T) {
 	for _, confirmed := range []bool{false, true} {
 		f := newFleet(t, 11, 6, 8)
@@ -211,7 +210,7 @@
 		f.run(300*time.Millisecond, nil)
 		paused.pausedSince = time.Time{}
 		if paused.member.State != roster.MemberOpen {
-			t.Errorf("together %v: a group that paused is %s", confirmed, paused.member.State)
+			t.Errorf("stall confirmed %v: the head of a group that paused is %s", confirmed, paused.member.State)
 		}
 		head := f.headOf("large")
 		group := head.member.Group
@@ -220,12 +219,12 @@
 		ended := func() bool {
 			return !slices.ContainsFunc(f.roster.Groups(), func(g roster.Group) bool { return g.Name == group && g.Phase == roster.PhaseOpen })
 		}
-		after := time.Duration(0)
-		for ; !ended() && after < 2*time.Second; after += tick {
+		elapsed := time.Duration(0)
+		for ; !ended() && elapsed < 2*time.Second; elapsed += tick {
 			f.run(tick, nil)
 		}
-		if confirmed && after > 200*time.Millisecond {
-			t.Errorf("ended after %v, want 200 ms at most", after)
+		if confirmed && elapsed > 200*time.Millisecond {
+			t.Errorf("group ended after %v, want at most 200 ms", elapsed)
 		}
 		if len(f.violations) > 0 {
 			t.Error(f.violations)
@@ -233,7 +232,7 @@
 	}
 }
 
-// A leader that was cut off opens a group that its successor's copy shows as still forming, or not at all.
+// A leader that was cut off opens a group that the copy of the next leader shows as forming, or lacks.
 func TestNewLeaderHandlesGroupMissingFromCopy(t *testing.T) {
 	f := newFleet(t, 3, 2, 8)
 	for len(f.roster.Groups()) == 0 {
@@ -247,11 +246,11 @@
 		t.Error(f.violations)
 	}
 	if n := f.serving(); n["large"]+n["small"] == 0 {
-		t.Error("nothing serves")
+		t.Error("no group serves")
 	}
 }
 
-// A successor whose copy lacks a group hears of its members one after the other, and must not take it apart meanwhile.
+// A new leader whose copy lacks a group receives the reports of its members one by one, and must not dissolve the group meanwhile.
 func TestNewLeaderKeepsUnknownGroups(t *testing.T) {
 	for seed := range uint64(8) {
 		f := newFleet(t, seed, 3, 8)
@@ -261,7 +260,7 @@
 			delete(stale.Groups, name)
 		}
 		for id, u := range stale.Upstreams {
-			// The copy is from before these groups.
+			// The copy was made before these groups were formed.
 			u.Member = roster.Membership{}
 			stale.Upstreams[id] = u
 		}
@@ -272,7 +271,7 @@
 			now := f.openGroups()
 			for name := range before {
 				if !now[name] {
-					t.Fatalf("seed %d: %s serves no more %v after the election", seed, name, f.now.Sub(f.startedAt)-12*time.Second)
+					t.Fatalf("seed %d: group %s no longer serves %v after the election", seed, name, f.now.Sub(f.startedAt)-12*time.Second)
 				}
 			}
 		}
@@ -282,8 +281,8 @@
 	}
 }
 
-// A leader ends the groups of a domain that goes dark; its successor knows their members from a copy in which they are still in those
-// groups, and must not offer them again. Once the members are back, and have reported that nothing holds them, all serves.
+// A leader ends the groups of a domain that fails. The next leader knows their members only from a copy, in which they are still in those
+// groups, and must not publish the groups as open again.
 func TestNewLeaderDoesNotReopenEndedGroups(t *testing.T) {
 	for seed := range uint64(4) {
 		f := newFleet(t, seed, 3, 8)
@@ -303,12 +302,12 @@
 		}
 		f.run(2*time.Second, nil)
 		if offered() {
-			t.Fatalf("seed %d: a group of the dark domain is still open", seed)
+			t.Fatalf("seed %d: a group of the failed domain is still open", seed)
 		}
 		f.elect(f.copyRoster())
 		f.run(6*time.Second, func() {
 			if offered() {
-				t.Fatalf("seed %d: a group of the dark domain is open again %v after the election", seed, f.now.Sub(f.startedAt)-24*time.Second)
+				t.Fatalf("seed %d: a group of the failed domain is open again %v after the election", seed, f.now.Sub(f.startedAt)-24*time.Second)
 			}
 		})
 		if len(f.violations) > 0 {
@@ -328,8 +327,8 @@
 	return open
 }
 
-// Orders of a group that ended are carried out late, while the order to join the next one is lost: its member is then the
-// open head of the old group again, and has to leave that before it joins.
+// Orders of an ended group are executed late, while the order to join the next group is lost. The upstream is then the open head of the ended
+// group again, and has to leave that group before it joins the next one.
 func TestLateOrdersOfEndedGroup(t *testing.T) {
 	f := newFleet(t, 5, 1, 4)
 	f.run(12*time.Second, nil)
@@ -338,18 +337,18 @@
 	join := replicaset.Order{To: head.id, Action: replicaset.ActionJoin, Group: old.Group, Epoch: old.Epoch, Model: "large", Members: head.members}
 	open := join
 	open.Action = replicaset.ActionOpen
-	lost := replicaset.ActionJoin
-	f.loseOrder = func(o *replicaset.Order) bool { return o.To == head.id && o.Action == lost }
+	lostAction := replicaset.ActionJoin
+	f.loseOrder = func(o *replicaset.Order) bool { return o.To == head.id && o.Action == lostAction }
 	f.kill(f.byID[head.members[3]])
 	replacement := f.add("domain-0", "hall-0", "")
 	replacement.stagedModel = "large"
 	f.run(1500*time.Millisecond, nil)
 	if head.member.State != roster.MemberNone {
-		t.Fatalf("the head has not left: %+v", head.member)
+		t.Fatalf("the head has not left its group: %+v", head.member)
 	}
 	f.execute(head, &join)
 	f.run(400*time.Millisecond, nil)
-	lost = replicaset.ActionLeave
+	lostAction = replicaset.ActionLeave
 	f.executingLate = true
 	f.execute(head, &open)
 	f.executingLate = false
@@ -360,12 +359,12 @@
 		t.Error(f.violations)
 	}
 	if diff := cmp.Diff(map[ident.Model]int{"large": 1}, f.serving()); diff != "" {
-		t.Errorf("groups that serve (-want +got):\n%s", diff)
+		t.Errorf("serving groups (-want +got):\n%s", diff)
 	}
 }
 
-// A head that has left joins and opens its group again by late orders of an earlier leader; the other members must be out of
-// that group before they join elsewhere.
+// A head that has left joins and opens its group again because of late orders of an earlier leader. The other members must have left that
+// group before they join another one.
 func TestHeadReopensAfterLeaderChange(t *testing.T) {
 	f := newFleet(t, 5, 1, 6)
 	f.run(12*time.Second, nil)
@@ -377,7 +376,7 @@
 	f.run(200*time.Millisecond, nil)
 	other := f.byID[head.members[2]]
 	other.draining, other.reportDue = true, true
-	// The group closes and its head leaves; then the late orders arrive before the next order to the head.
+	// The group closes and its head leaves. Then the late orders arrive before the next order to the head.
 	f.loseOrder = func(o *replicaset.Order) bool { return o.To == head.id && o.Action == replicaset.ActionJoin }
 	for head.member.State != roster.MemberNone {
 		f.run(tick, nil)
@@ -395,8 +394,8 @@
 	}
 }
 
-// A head that signed off and that control does not reach any more is forgotten, but may serve on; its members leave it before
-// they join elsewhere.
+// A head that signed off and is cut off from control is dropped from the roster, but may still serve. Its members leave the group before they
+// join another one.
 func TestSignedOffHeadIsCutOff(t *testing.T) {
 	f := newFleet(t, 5, 1, 6)
 	f.run(12*time.Second, nil)
@@ -408,12 +407,12 @@
 		t.Error(f.violations)
 	}
 	if diff := cmp.Diff(map[ident.Model]int{"large": 1}, f.serving()); diff != "" {
-		t.Errorf("groups that serve (-want +got):\n%s", diff)
+		t.Errorf("serving groups (-want +got):\n%s", diff)
 	}
 }
 
-// Random series of losses, cuts, late and lost orders, sign-offs and new leaders, with what must always hold checked at
-// every order; once they end, every model is served again, however quickly its weights come from a host.
+// Random sequences of losses, cut-offs, late and lost orders, sign-offs and new leaders, with the invariants checked at every order. After
+// the faults every model is served again, for any time to load weights from the host.
 func TestNoMemberIsInTwoGroups(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
 		f := newFleet(t, seed, 4, 8)
@@ -423,7 +422,7 @@
 			f.config.Models[i].Warm = time.Duration(f.random.Int64N(int64(2 * time.Second)))
 		}
 		f.run(12*time.Second, nil)
-		// Spares only, as many groups as there are upstreams for, or more than there are.
+		// The demand leaves spares, uses all upstreams, or requires more than there are.
 		f.demand = demandFor(float64(seed%3+2), float64(seed%5+3))
 		copied := f.copyRoster()
 		f.run(40*time.Second, func() { f.injectFault(&copied) })
@@ -431,7 +430,7 @@
 	}
 }
 
-// Upstreams start again under their ids at any moment, behind cuts too, while orders to the life before are still on their way.
+// Upstreams restart under their ids at any time, also while cut off, while orders to the previous incarnation may still arrive.
 func TestRestartsUnderTheSameID(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		f := newFleet(t, seed, 4, 8)
@@ -458,7 +457,7 @@
 	}
 }
 
-// checkRecovery ends all trouble and checks that nothing has broken and that every model is served again.
+// checkRecovery ends all faults, and checks that no invariant was violated and that every model is served again.
 func (f *fleet) checkRecovery(seed uint64) {
 	f.t.Helper()
 	f.endFaults()
@@ -467,17 +466,17 @@
 		f.t.Fatalf("seed %d: %v", seed, f.violations)
 	}
 	if got := f.serving(); got["large"] == 0 || got["small"] == 0 {
-		f.t.Errorf("seed %d: %v groups serve long after all trouble has ended", seed, got)
+		f.t.Errorf("seed %d: %v groups serve long after all faults have ended", seed, got)
 	}
 }
 
-// endFaults ends all trouble and makes sure that there is a domain with enough upstreams.
+// endFaults ends all faults and adds upstreams, so that one domain has enough.
 func (f *fleet) endFaults() {
 	f.lateFraction, f.lostFraction, f.unreadableFraction, f.droppedFraction, f.maxReportDelay = 0, 0, 0, 0, 0
 	for _, e := range f.engines {
 		e.cutOff = false
 		if e.signedOff && e.alive {
-			// One that has signed off ends within seconds; it reports to nobody, so a new leader may only know it from a copy.
+			// An upstream that has signed off ends within seconds. It sends no reports, so a new leader may know it only from a copy.
 			f.kill(e)
 		}
 	}
@@ -486,6 +485,7 @@
 	}
 }
 
+// injectFault sometimes copies the roster, and sometimes injects a random fault.
 func (f *fleet) injectFault(copied **roster.Copy) {
 	if f.random.IntN(20) == 0 {
 		*copied = f.copyRoster()
@@ -527,6 +527,6 @@
 	before := f.ordersSent
 	f.run(20*time.Second, nil)
 	if got := f.ordersSent - before; got > 0 {
-		t.Errorf("%d orders while nothing happens", got)
+		t.Errorf("%d orders sent while nothing happens", got)
 	}
 }
--- a/replicaset/fuzz_test.go
+++ b/replicaset/fuzz_test.go
@@ -11,20 +11,20 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// FuzzEngines lets a leader form groups by any figures that a configuration may publish of an engine: it ends neither by a panic nor in
-// a loop, and what each next leader would end under ends none.
+// FuzzEngines forms groups with any engine figures that a configuration may contain. The leader must not panic or loop, since every later
+// leader would fail in the same way.
 func FuzzEngines(f *testing.F) {
 	f.Add(26, 5, 4, 2, 0.67, 0.33, 1.0, int64(16*time.Second), int64(time.Second), 46000.0, 6, 4.0, 3.0, 10.0)
 	f.Add(0, 1, 1, 1, 0.0, 0.0, 0.0, int64(0), int64(0), 0.0, 0, 0.0, 0.0, 0.0)
 	f.Add(-1, 1, 1<<40, 1<<62, -1.0, 1e308, -5.0, int64(-1<<62), int64(1<<62), -1.0, -7, -1.0, -3.0, 1e300)
 	f.Add(1<<62, 1<<62, 2, 1, 1e-300, 1e300, 1e300, int64(1), int64(-1), 1e-300, 1<<62, 1e300, 1e300, -1e300)
-	f.Fuzz(func(_ *testing.T, slots, stride, size, other int, share, otherShare, pace float64, load, warm int64, read float64, atOnce int, perSecond, far, demand float64) {
+	f.Fuzz(func(_ *testing.T, slots, stride, size, otherSize int, share, otherShare, pace float64, load, warm int64, readRate float64, concurrentLoads int, loadsPerSecond, crossDomainSlowdown, demand float64) {
 		engine := &httproute.Engine{
-			Slots: slots, Stride: max(1, stride), Step: 6 * time.Millisecond, PerSequence: time.Millisecond, ReadRate: read, LoadsPerSecond: perSecond,
-			ConcurrentLoads: atOnce, OpenTime: time.Duration(warm), FarFactor: far,
+			Slots: slots, Stride: max(1, stride), Step: 6 * time.Millisecond, PerSequence: time.Millisecond, ReadRate: readRate, LoadsPerSecond: loadsPerSecond,
+			ConcurrentLoads: concurrentLoads, OpenTime: time.Duration(warm), FarFactor: crossDomainSlowdown,
 			Models: []httproute.Model{
 				{Name: "a", Size: max(1, size), Share: share, Pace: pace, Load: time.Duration(load), Warm: time.Duration(warm)},
-				{Name: "b", Size: max(1, other), Share: otherShare, Pace: pace, Load: time.Duration(load), Warm: time.Duration(warm)},
+				{Name: "b", Size: max(1, otherSize), Share: otherShare, Pace: pace, Load: time.Duration(load), Warm: time.Duration(warm)},
 			},
 		}
 		formation := replicaset.NewFormation()
@@ -37,23 +37,23 @@
 		}
 		formation.RecordDecision = func(*roster.Group, string, string) {}
 		now := time.Unix(1_000_000, 0)
-		w := &replicaset.Snapshot{
+		snapshot := &replicaset.Snapshot{
 			ReportAges: map[ident.Incarnation]time.Duration{}, Observations: map[ident.Group]replicaset.Observation{}, Unreachable: map[ident.Incarnation]bool{},
 			Demand: map[ident.Model]float64{"a": demand, "b": 1},
 		}
 		for i := range 12 {
 			id := ident.Incarnation(fmt.Sprint("u", i))
-			w.Upstreams = append(w.Upstreams, roster.Upstream{
+			snapshot.Upstreams = append(snapshot.Upstreams, roster.Upstream{
 				ID: id, Service: "s", Address: "10.0.0.1:1", Domain: ident.Domain(fmt.Sprint("d", i/6)), Slots: slots,
 			})
 		}
 		for n := range 20 {
-			w.Now = now.Add(time.Duration(n) * time.Second)
+			snapshot.Now = now.Add(time.Duration(n) * time.Second)
 			if n == 0 {
-				formation.Adopt(w, engine)
+				formation.Adopt(snapshot, engine)
 				continue
 			}
-			formation.Step(w, engine)
+			formation.Step(snapshot, engine)
 			formation.Explain()
 		}
 	})
--- a/replicaset/late_orders_test.go
+++ b/replicaset/late_orders_test.go
@@ -10,8 +10,8 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// Orders without an answer may be carried out many seconds later, without a report that tells of it in time. What may be put back into a
-// group that has ended, and serves there again, joins no other one until that is over.
+// An unanswered order may be executed many seconds later, before any report shows it. An upstream that such an order may make join an ended
+// group again joins no other group until the order can no longer be executed.
 func TestLateOrdersWithoutReports(t *testing.T) {
 	for _, seed := range []uint64{276, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20} {
 		f := newFleet(t, seed, 4, 8)
@@ -24,15 +24,15 @@
 	}
 }
 
-// maxLateness is how long after it was given an order may be carried out.
+// maxLateness is how long after it was sent an order may be executed.
 const maxLateness = 12 * time.Second
 
-// A group is formed by orders whose first tries had no answer; it ends, and right before its members join elsewhere these first tries are
-// carried out at the head and at another member. A leader that is behind drops outcomes, and knows no more of them.
+// A group is formed by orders whose first attempts had no answer. The group ends, and right before its members join another one, the first
+// attempts are executed at the head and at another member. The leader must allow for them even if it has dropped their outcomes.
 func TestFirstAttemptsOfEndedGroup(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		whom    []int
+		ranks   []int
 		dropped bool
 	}{
 		{"the head", []int{0}, false},
@@ -73,11 +73,11 @@
 				f.byID[to].readyAt = f.now
 				f.executingLate = false
 			}
-			// They are carried out in the moment before a member joins elsewhere, or as late as orders are at all.
+			// The first attempts are executed right before a member joins another group, or at maxLateness.
 			replayed := false
 			replay := func() {
 				replayed = true
-				for _, i := range c.whom {
+				for _, i := range c.ranks {
 					executeLate(members[i], replicaset.ActionJoin)
 					if e := f.byID[members[i]]; e.member.State == roster.MemberJoining {
 						e.member.State = roster.MemberReady
@@ -99,7 +99,7 @@
 				}
 			})
 			if !replayed {
-				t.Error("no late order was carried out: the test shows nothing")
+				t.Error("no late order was executed, so the test checked nothing")
 			}
 			if len(f.violations) > 0 {
 				t.Error(f.violations)
@@ -108,7 +108,7 @@
 	}
 }
 
-// Orders and answers take their time, some outcomes never get to a leader that is behind, and reports come late, beside all other trouble.
+// In addition to the other faults, orders, answers and reports are delayed, and some outcomes never reach a leader that is behind.
 func TestDelayedOrdersAndOutcomes(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		f := newFleet(t, seed, 4, 8)
--- a/replicaset/loads_test.go
+++ b/replicaset/loads_test.go
@@ -7,8 +7,8 @@
 	"github.com/dunlinquay/dunlinquay/replicaset"
 )
 
-// The store takes so many loads a second from all upstreams, whoever leads: a new leader does not begin with a burst of its own beside its
-// predecessor's.
+// The rate of the weight store applies to the loads of all leaders together, so a new leader must not add a burst of loads to that of the
+// previous one.
 func TestLoadRateAcrossLeaders(t *testing.T) {
 	const window = 5 * time.Second
 	f := newFleet(t, 3, 8, 8)
@@ -20,7 +20,7 @@
 		}
 		return false
 	}
-	// All hosts lose their weights, and leaders follow each other quickly.
+	// All hosts lose their weights, and the leader changes often.
 	for _, e := range f.engines {
 		e.stagedModel, e.reportDue = "", true
 	}
@@ -40,11 +40,11 @@
 		}
 		maxStarts = max(maxStarts, n)
 	}
-	// A burst of the first leader, and the part of the rate that is used.
+	// The burst of the first leader, and three quarters of the store's rate.
 	if allowed := 4 + int(window.Seconds()*f.config.LoadsPerSecond*3/4); maxStarts > allowed {
-		t.Errorf("%d loads begin within %v under several leaders, want %d at most", maxStarts, window, allowed)
+		t.Errorf("%d loads start within %v under several leaders, want at most %d", maxStarts, window, allowed)
 	}
 	if maxStarts == 0 {
-		t.Error("no load begins: the test shows nothing")
+		t.Error("no load starts, so the test checked nothing")
 	}
 }
--- a/replicaset/orders.go
+++ b/replicaset/orders.go
@@ -8,27 +8,27 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// sentOrder is what became of an order.
+// sentOrder is the state of the last order of one kind to one engine for one epoch.
 type sentOrder struct {
 	sentAt time.Time
-	// answeredAt is when the outcome was known.
+	// answeredAt is when the outcome became known.
 	answeredAt time.Time
 	outcome    Outcome
 	pending    bool
-	// mayArriveLate is set when one of the earlier tries has no known outcome: it may be carried out late. Doubted is when the last such one
-	// was given.
+	// mayArriveLate is set when an attempt to send the order has no known outcome, so that it may be carried out late; uncertainSince
+	// is when the last such attempt was sent.
 	mayArriveLate  bool
 	uncertainSince time.Time
 }
 
-// orderKey names an order: engines take the same one twice as one.
+// orderKey identifies an order; engines treat a repeated order as the same one.
 type orderKey struct {
 	to     ident.Incarnation
 	action Action
 	epoch  ident.Epoch
 }
 
-// outcome returns what became of the last order of that kind for g, or nothing while it is not known.
+// outcome returns the outcome of the last order of that kind for g, or "" while it is unknown.
 func (f *Formation) outcome(g *roster.Group, to ident.Incarnation, action Action) Outcome {
 	o := f.orders[orderKey{to, action, g.Epoch}]
 	if o == nil || o.pending {
@@ -37,16 +37,16 @@
 	return o.outcome
 }
 
-// sendOrder sends an order unless the same one is on its way or was taken a moment ago.
+// sendOrder sends an order unless the same one is unanswered or was accepted recently.
 func (f *Formation) sendOrder(g *roster.Group, to ident.Incarnation, action Action) {
 	key := orderKey{to, action, g.Epoch}
 	now := f.snapshot.Now
-	if o := f.orders[key]; o != nil {
-		wait := resendAfter
-		if o.outcome == OutcomeAccepted && !o.pending {
-			wait = repeatAfter
+	if last := f.orders[key]; last != nil {
+		resendDelay := resendAfter
+		if last.outcome == OutcomeAccepted && !last.pending {
+			resendDelay = repeatAfter
 		}
-		if now.Sub(o.sentAt) < wait {
+		if now.Sub(last.sentAt) < resendDelay {
 			return
 		}
 	}
@@ -55,22 +55,22 @@
 		return
 	}
 	sent := &sentOrder{sentAt: now, pending: true}
-	o := Order{
+	order := Order{
 		To: to, Address: u.Address, Action: action, Group: g.Name, Epoch: g.Epoch,
 		Model: g.Model, Members: g.Members, Fence: f.Fence, Context: f.orderContext(u),
 	}
 	if previous := f.orders[key]; previous != nil {
 		sent.mayArriveLate, sent.uncertainSince = previous.uncertain()
 		if previous.pending {
-			// Its outcome was dropped by a leader that is behind.
-			f.markDoubtful(&o)
+			// A leader that is behind drops outcomes.
+			f.markDoubtful(&order)
 		}
 	}
 	f.orders[key] = sent
-	f.Send(o)
+	f.Send(order)
 }
 
-// uncertain reports whether a try of an order may still be carried out late, and when the last such one was given.
+// uncertain reports whether an attempt of the order may still be carried out late, and when the last such attempt was sent.
 func (o *sentOrder) uncertain() (bool, time.Time) {
 	if o.pending {
 		return true, o.sentAt
@@ -78,7 +78,7 @@
 	return o.mayArriveLate, o.uncertainSince
 }
 
-// describeMembership writes a membership for operators.
+// describeMembership formats a membership for operators.
 func describeMembership(m roster.Membership) string {
 	if m.Group == "" {
 		return "in no group"
@@ -86,7 +86,7 @@
 	return fmt.Sprintf("%s/%d member %d %s", m.Group, m.Epoch, m.Rank, m.State)
 }
 
-// orderContext returns what is known of an engine and of the group that it last reported.
+// orderContext returns the known state of an engine and of the group that it last reported.
 func (f *Formation) orderContext(u *roster.Upstream) OrderContext {
 	m, now := u.Member, f.snapshot.Now
 	c := OrderContext{LastReport: describeMembership(m), LastReportAgeMS: f.snapshot.ReportAges[u.ID].Milliseconds()}
@@ -115,7 +115,7 @@
 	return c
 }
 
-// HandleOutcome takes the outcome of an order.
+// HandleOutcome applies the outcome of an order.
 func (f *Formation) HandleOutcome(o *Order, outcome Outcome) {
 	if o.Action == ActionStage {
 		f.handleStageOutcome(o, outcome)
@@ -134,7 +134,7 @@
 	}
 }
 
-// markDoubtful marks the group of an order that may be carried out late, for this leader's successors.
+// markDoubtful marks the group of an order that may be carried out late, for later leaders.
 func (f *Formation) markDoubtful(o *Order) {
 	if o.Action != ActionJoin && o.Action != ActionOpen {
 		return
@@ -147,8 +147,8 @@
 	}
 }
 
-// lateUntil returns until when an order of g may still be carried out late, zero when none may. Orders of former leaders are not known
-// one by one.
+// lateUntil returns until when an order for g may still be carried out late, or the zero time if none may. The orders of earlier leaders
+// are not known; a doubtful group may have some.
 func (f *Formation) lateUntil(g *roster.Group, to ident.Incarnation, action Action) time.Time {
 	if o := f.orders[orderKey{to, action, g.Epoch}]; o != nil {
 		if uncertain, sentAt := o.uncertain(); uncertain {
@@ -163,7 +163,7 @@
 }
 
 func (f *Formation) handleStageOutcome(o *Order, outcome Outcome) {
-	if st, ok := f.staging[o.To]; ok && outcome != OutcomeAccepted {
-		f.staging[o.To] = stagingOrder{st.model, f.snapshot.Now.Add(stageRetryAfter)}
+	if previous, ok := f.staging[o.To]; ok && outcome != OutcomeAccepted {
+		f.staging[o.To] = stagingOrder{previous.model, f.snapshot.Now.Add(stageRetryAfter)}
 	}
 }
--- a/replicaset/plan.go
+++ b/replicaset/plan.go
@@ -1,13 +1,12 @@
 package replicaset
 
-// Plan is a pure function: from the free upstreams and the groups that exist
-// it chooses the groups to begin, the groups to close for better ones, and the
+// Plan is a pure function: from the free upstreams and the existing groups it
+// chooses the groups to form, the groups to close for better ones, and the
 // weights to load.
 //
-// A load takes longer than many a group lives, so after the start groups are
-// formed only of upstreams that have the weights in use or on their host. What
-// decides how long a lost member is missed is therefore prepared before the
-// loss:
+// Loading weights takes longer than many groups exist. After the start, groups
+// are therefore formed only from upstreams that have the weights in use or on
+// their host, and replacements for lost members are prepared in advance:
 //
 //   - the groups of one model are spread over the domains, and each domain
 //     keeps a spare;
@@ -15,8 +14,9 @@
 //   - every upstream has the weights of a further model on its host, so that
 //     a model can get members from the groups of another one.
 //
-// While demand is not known, models get groups by their declared shares. Then
-// each gets as many as its work needs, and what is left stays spare.
+// While the demand is unknown, models get groups by their declared shares. After
+// that, each model gets the groups that its demand requires, and the remaining
+// upstreams stay free as spares.
 
 import (
 	"cmp"
@@ -33,36 +33,38 @@
 )
 
 const (
-	// rejoinTime is how long an engine takes to join when its last group had the same model.
+	// rejoinTime is the time to join a group of the same model as the engine's last group.
 	rejoinTime = 200 * time.Millisecond
-	// sparesPerDomain is how many upstreams of a domain stay free while no model lacks groups: losses come one by one.
+	// sparesPerDomain upstreams of a domain stay free while no model lacks groups; one is enough since members are mostly lost one at
+	// a time.
 	sparesPerDomain = 1
-	// crossDomainDeficit is the part of a model's groups that must be missing until one across domains is formed: it takes the spares
-	// of several domains and carries a third of a whole one.
+	// crossDomainDeficit is the fraction of a model's groups that must be missing before a group across domains is formed: such a
+	// group uses the spares of several domains and has a third of the capacity of a group within one domain.
 	crossDomainDeficit = 0.4
-	// plannedGroupLoad is the load of a group, in parts of a full one (see Work), that is planned for.
+	// plannedGroupLoad is the load that is planned for a group, as a fraction of its capacity.
 	plannedGroupLoad = 0.95
-	// minLoadGain is how much lower the highest load has to become for a group to end for one of another model, minGainFraction the
-	// same in parts of what one group more brings, where that is less.
+	// minLoadGain is the reduction of the highest load that justifies closing a group for one of another model. The reduction may be
+	// smaller if it is at least minGainFraction of what one more group brings.
 	minLoadGain     = 0.08
 	minGainFraction = 0.5
 )
 
-// Candidate is an upstream as a possible member of a group.
+// Candidate is an upstream that can be a member of a group.
 type Candidate struct {
-	ID        ident.Incarnation
-	Hall      ident.Hall
-	Domain    ident.Domain
+	ID     ident.Incarnation
+	Hall   ident.Hall
+	Domain ident.Domain
+	// LastModel is the model of its last group; Staged models are on its host, and Staging is being loaded to its host.
 	LastModel ident.Model
 	Staged    []ident.Model
 	Staging   ident.Model
-	// StalledAsHead is set when the upstream was the head of a group that stood still although all its members reported.
+	// StalledAsHead is set when the upstream was the head of a group that stalled although all its members reported.
 	StalledAsHead bool
-	// Cold is set while the upstream takes few requests yet.
+	// Cold is set while the upstream, just started, accepts few requests.
 	Cold bool
-	// LastHeadedModel is the model of the group that it was last the head of.
+	// LastHeadedModel is the model of the last group that the upstream was the head of.
 	LastHeadedModel ident.Model
-	// Slowdown is how many times longer all takes than it should; 0 and 1 are as usual.
+	// Slowdown is how many times longer than usual the upstream's work takes; 0 and 1 mean that it is not slow.
 	Slowdown float64
 }
 
@@ -72,12 +74,12 @@
 	Model       ident.Model
 	CrossDomain bool
 	Members     []Candidate
-	// Open is set when the group serves, Settled when it has done so for long enough to be closed for a better one.
+	// Open is set when the group serves, Settled when it has served for long enough to be closed for a better one.
 	Open    bool
 	Settled bool
 }
 
-// GroupPlan is a group to begin; Loads is how many members fetch weights from the store.
+// GroupPlan is a group to form; Loads members have to load the weights from the store first.
 type GroupPlan struct {
 	Model       ident.Model
 	Members     []ident.Incarnation
@@ -86,63 +88,63 @@
 	ReadyIn     time.Duration
 }
 
-// WeightLoad is an upstream that shall get the weights of a model.
+// WeightLoad is a decision that an upstream loads the weights of a model.
 type WeightLoad struct {
 	ID    ident.Incarnation
 	Model ident.Model
 }
 
-// Closing is a group that shall end so that Domain gets better ones: so many of Model.
+// Closing is a group to close so that Domain gets the Expected groups instead.
 type Closing struct {
 	Group    ident.Group
 	Domain   ident.Domain
 	Expected ExpectedGroups
 }
 
-// ExpectedGroups are groups that a domain gets once others of it have ended.
+// ExpectedGroups counts the groups of Model that a domain gets once other groups of the domain have closed.
 type ExpectedGroups struct {
 	Model ident.Model
 	Count int
 }
 
-// Decision is what Plan wants begun, the most wanted first.
+// Decision is the result of Plan, each list with the most useful item first.
 type Decision struct {
 	Groups []GroupPlan
-	// Stage are loads to the host, WarmUp joins of a single upstream that make its later ones short.
+	// Stage lists loads to hosts. WarmUp lists upstreams that join a group of their own, so that they later join without a load.
 	Stage  []WeightLoad
 	WarmUp []WeightLoad
 	Close  []Closing
-	// Reason tells what every model needs and has.
+	// Reason lists the groups that every model has and should have.
 	Reason string
 }
 
-// PlanInput is what Plan decides on.
+// PlanInput is the input of Plan.
 type PlanInput struct {
 	Engine *httproute.Engine
-	// Free are the upstreams without a group, in the order of their ids.
+	// Free lists the upstreams that can join a group, sorted by id.
 	Free []Candidate
-	// Groups are the groups that serve or will serve, in the order of their names.
+	// Groups is sorted by name.
 	Groups []ExistingGroup
-	// Expected is what the domains get in which groups end now.
+	// Expected holds the new groups of domains in which groups are closing.
 	Expected map[ident.Domain]ExpectedGroups
 	// Usable is the number of usable upstreams, free or not.
 	Usable int
-	// Demand is as in World.
+	// Demand is the same as in Snapshot.
 	Demand map[ident.Model]float64
-	// LoadBudget is how many loads may begin now.
+	// LoadBudget is the number of loads that may start now.
 	LoadBudget int
-	// BeforeFirstRequest is set before the first request, while loads are cheap.
+	// BeforeFirstRequest is set until the first request arrives; until then loads are cheap.
 	BeforeFirstRequest bool
 }
 
-// plan is the work on one decision.
+// plan is the working state of one call of Plan.
 type plan struct {
 	*PlanInput
 	targetGroups   map[ident.Model]int
 	requiredGroups map[ident.Model]int
-	// capacity counts the groups of each model; one across domains counts for as much as it carries.
+	// capacity is the number of groups of each model; degraded groups count by the fraction of the throughput that they reach.
 	capacity map[ident.Model]float64
-	// openCapacity is the part of served that serves already.
+	// openCapacity is the capacity of the groups that already serve.
 	openCapacity map[ident.Model]float64
 	// localGroups counts the groups of each model within a domain.
 	localGroups map[ident.Domain]map[ident.Model]int
@@ -171,7 +173,7 @@
 	return p
 }
 
-// Plan returns what to begin now.
+// Plan decides which groups to form or close and which weights to load now.
 func Plan(input *PlanInput) Decision {
 	p := newPlan(input)
 	var d Decision
@@ -188,17 +190,17 @@
 	return d
 }
 
-// summary tells, for each model, the groups that it has of those that it needs, or would get by its share.
+// summary lists the capacity and the wanted groups of each model.
 func (p *plan) summary() string {
-	var list []string
+	var parts []string
 	for i := range p.Engine.Models {
 		m := p.Engine.Models[i].Name
-		list = append(list, fmt.Sprintf("%s %.1f of %.0f", m, p.capacity[m], p.wantedGroups(m)))
+		parts = append(parts, fmt.Sprintf("%s %.1f of %.0f", m, p.capacity[m], p.wantedGroups(m)))
 	}
-	return strings.Join(list, ", ")
+	return strings.Join(parts, ", ")
 }
 
-// formGroups chooses groups one by one as long as choose finds one for a model, the neediest first.
+// formGroups plans groups, for the model with the largest deficit first, until choose finds none for any model.
 func (p *plan) formGroups(choose func(p *plan, m *httproute.Model) (GroupPlan, bool)) []GroupPlan {
 	var groups []GroupPlan
 	for {
@@ -225,7 +227,7 @@
 	return GroupPlan{}, false
 }
 
-// addGroup counts a group of a model in a domain, which carries part of what a whole one does.
+// addGroup counts a group of a model with a fraction of the capacity of a complete group.
 func (p *plan) addGroup(model ident.Model, capacity float64, crossDomain bool, domain ident.Domain) {
 	p.capacity[model] += capacity
 	if crossDomain {
@@ -252,8 +254,8 @@
 	return domain
 }
 
-// planLocal returns the best group of m within one domain: the soonest ready, in a domain with the fewest groups of m, with the
-// fewest upstreams left over.
+// planLocal plans the best group of m within one domain: the one that is ready first, then in the domain with the fewest groups of m,
+// then with the fewest upstreams left over.
 func (p *plan) planLocal(m *httproute.Model) (GroupPlan, bool) {
 	lacking := p.hasDeficit(m.Name)
 	if !lacking && p.yieldsToOthers(m) {
@@ -266,7 +268,7 @@
 	return p.planLocalFrom(m, lacking, func(*Candidate) bool { return true })
 }
 
-// planLocalFrom is near among the upstreams that fit.
+// planLocalFrom is planLocal for the upstreams that accept selects.
 func (p *plan) planLocalFrom(m *httproute.Model, lacking bool, accept func(c *Candidate) bool) (GroupPlan, bool) {
 	var best GroupPlan
 	var bestRank groupRank
@@ -291,7 +293,7 @@
 	return best, found
 }
 
-// yieldsToOthers reports whether free upstreams are kept for what completes a group of a model that needs one more than m.
+// yieldsToOthers reports whether free upstreams are kept for a model with a larger deficit than m.
 func (p *plan) yieldsToOthers(m *httproute.Model) bool {
 	if len(p.requiredGroups) == 0 && !p.BeforeFirstRequest {
 		return p.deficit(m.Name) < p.deficit(p.byDeficit()[0].Name)
@@ -299,15 +301,15 @@
 	return p.anyDeficit()
 }
 
-// leavesEnoughSpares reports whether a domain may be left with so many free upstreams; the first group of a domain may use all.
+// leavesEnoughSpares reports whether a domain may be left with leftOver free upstreams; its first group may use all of them.
 func (p *plan) leavesEnoughSpares(domain ident.Domain, leftOver int) bool {
 	return leftOver >= sparesPerDomain || len(p.localGroups[domain]) == 0
 }
 
-// groupRank orders choices; lower is better.
+// groupRank orders possible groups; a lower rank is better.
 type groupRank struct {
 	readyIn time.Duration
-	// sameModel is how many groups of the model the domain has, bare whether it would have no spare, left how many would be free.
+	// sameModel counts the domain's groups of the model, leftOver the upstreams that would stay free.
 	sameModel int
 	noSpare   bool
 	leftOver  int
@@ -336,12 +338,12 @@
 	return domains
 }
 
-// sortedKeys makes the order in which a map is gone through the same in each run.
+// sortedKeys gives iteration over a map the same order in each run.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	return slices.Sorted(maps.Keys(m))
 }
 
-// planCrossDomain puts together what is left over in several domains, those of one hall first, for a model that lacks groups.
+// planCrossDomain plans a group from free upstreams of several domains, preferably of one hall, for a model that lacks groups.
 func (p *plan) planCrossDomain(m *httproute.Model) (GroupPlan, bool) {
 	if p.load(m, 0) <= plannedGroupLoad || p.deficit(m.Name) < crossDomainDeficit {
 		return GroupPlan{}, false
@@ -368,7 +370,7 @@
 	return group, true
 }
 
-// fastestMembers takes the members that are ready first.
+// fastestMembers plans a group of the candidates that are ready first, with the best head at the front.
 func fastestMembers(m *httproute.Model, candidates []Candidate) GroupPlan {
 	sorted := slices.Clone(candidates)
 	slices.SortStableFunc(sorted, func(a, b Candidate) int {
@@ -389,8 +391,8 @@
 	return group
 }
 
-// headPenalty is higher for a worse head of a group of m: one that took requests and sent nothing, one that takes few requests yet, and
-// one to which entries that have not heard of the change yet still send requests for another model.
+// headPenalty is higher for a worse head of a group of m: one that accepted requests and sent nothing, one that accepts few requests
+// yet, and one to which entries still send requests for another model because they have not received the change.
 func headPenalty(m *httproute.Model, c *Candidate) int {
 	switch {
 	case c.StalledAsHead:
@@ -403,19 +405,19 @@
 	return 0
 }
 
-// SlowdownLimit is the pace from which on an upstream is left out of groups: at less a group still answers in time.
+// SlowdownLimit is the slowdown from which an upstream is left out of groups; below it, a group still answers in time.
 const SlowdownLimit = 1.5
 
 func fastEnough(c *Candidate) bool {
 	return c.Slowdown < SlowdownLimit
 }
 
-// hasWeights reports whether c joins a group of m without a load from the store.
+// hasWeights reports whether c can join a group of m without a load from the store.
 func hasWeights(m *httproute.Model, c *Candidate) bool {
 	return c.LastModel == m.Name || roster.HasModel(c.Staged, m.Name)
 }
 
-// joinTime returns how long c takes to join a group of m.
+// joinTime estimates how long c takes to join a group of m.
 func joinTime(m *httproute.Model, c *Candidate) time.Duration {
 	switch {
 	case c.LastModel == m.Name:
--- a/replicaset/rebalance.go
+++ b/replicaset/rebalance.go
@@ -1,11 +1,15 @@
 package replicaset
 
-// Groups are closed for better ones in two cases: groups that span domains or
-// have slow members, when a domain has the members of a whole one among theirs
-// and those that are free; and groups of another model, when the highest load of the two models
-// becomes lower by it. Both happen only when the members suffice. While the
-// groups of one domain end, others may begin to: what comes of it counts as
-// there.
+// Groups are closed for better ones in two cases, provided that their members and
+// the free upstreams suffice for the new group:
+//
+//   - a group that spans domains or has slow members is replaced by a group of the
+//     same model within one domain;
+//   - a group of another model is replaced if this lowers the higher load of the
+//     two models.
+//
+// Several domains may close groups at the same time, so expected groups count as
+// existing ones.
 
 import (
 	"slices"
@@ -14,7 +18,7 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// chooseClosings returns the groups to close for the neediest model that gains by it.
+// chooseClosings returns the groups to close for the first model, by need, that gains a group.
 func (p *plan) chooseClosings() []Closing {
 	for _, m := range p.byDeficit() {
 		if closings := p.closingsFor(m); len(closings) > 0 {
@@ -24,7 +28,7 @@
 	return nil
 }
 
-// closingsFor returns the fewest groups to close so that some domain has the members of a whole group of m.
+// closingsFor returns the smallest set of groups to close so that some domain has the members of a group of m.
 func (p *plan) closingsFor(m *httproute.Model) []Closing {
 	closable := p.closableGroups(m)
 	var best []Closing
@@ -40,8 +44,8 @@
 	return best
 }
 
-// closableGroups returns the groups that may end for one of m: those of m across domains or with slow members, and where m is short
-// those of the other models.
+// closableGroups returns the settled groups that may be closed for one of m: degraded groups of m and, if m has a deficit, the groups of
+// other models.
 func (p *plan) closableGroups(m *httproute.Model) []*ExistingGroup {
 	var groups []*ExistingGroup
 	for i := range p.Groups {
@@ -63,8 +67,8 @@
 	return sortedKeys(domains)
 }
 
-// closingsIn returns the groups to close so that domain has the members of a whole group of m, those with the most members
-// there first; nothing when they would not suffice, or when it does not pay.
+// closingsIn returns the groups to close so that domain has the members of a group of m, those with the most members there first. It
+// returns nil if the members would not suffice or closing is not worth the cost.
 func (p *plan) closingsIn(m *httproute.Model, domain ident.Domain, closable []*ExistingGroup) []Closing {
 	ready := countReady(m, domain, p.free)
 	sorted := slices.Clone(closable)
@@ -93,8 +97,9 @@
 	return closings
 }
 
-// worthClosing reports whether the highest load becomes clearly lower if m gets so many groups and the model of the last group in
-// ending loses its groups there. What forms does not help that model yet, so only its groups that serve count.
+// worthClosing reports whether the higher load of two models becomes clearly lower if m gets newGroups and the donor, the model of the last
+// group in toClose, loses its groups in toClose. Of the donor only the groups that already serve count, since those being formed do not help
+// it yet.
 func (p *plan) worthClosing(m *httproute.Model, newGroups int, toClose []*ExistingGroup) bool {
 	donor := toClose[len(toClose)-1].Model
 	donorModel, ok := p.Engine.Model(donor)
@@ -110,13 +115,13 @@
 	loadBefore, loadAfter, donorLoad := p.load(m, 0), p.load(m, float64(max(1, newGroups))), p.openLoad(donorModel, -lostCapacity)
 	minGain := minLoadGain
 	if donorLoad <= plannedGroupLoad {
-		// One group among many brings little, however many m lacks; it is still worth the move if the other model can spare it.
+		// One group among many lowers the load of m only a little; closing is still worth it if the donor can spare the group.
 		minGain = min(minLoadGain, minGainFraction*(loadBefore-loadAfter))
 	}
 	return max(loadAfter, donorLoad) < loadBefore-minGain
 }
 
-// countReady counts the upstreams of a domain that can join a whole group of m without a load.
+// countReady counts the upstreams of a domain that are not slow and can join a group of m without a load.
 func countReady(m *httproute.Model, domain ident.Domain, candidates []Candidate) int {
 	n := 0
 	for i := range candidates {
--- a/replicaset/refused_test.go
+++ b/replicaset/refused_test.go
@@ -1,17 +1,9 @@
 package replicaset_test
 
-// A member took a join of another group while the head of its own was open. Some upstreams could not be reached by control, but by entries,
-// and connections to them from control were refused. The leader took that for the end of their processes, forgot their groups, and gave the
-// other members to new ones:
-//
-//	27.832  group leaving   gjz6ry  stands still, and a member takes no connections
-//	27.832  order answered  leave   to the head i-435a1019ce: unreached
-//	27.832  group dropped   gjz6ry  the head has left: unreached
-//	32.015  order answered  join    gjz6sd to i-6e8165d8cc: taken, known: gjz6ry member 9 ready, 0.176 s old; its head open, 9.968 s old; ended: over
-//	33.741  order answered  join    gjz6sg to the head i-435a1019ce itself, which reports again: gjz6ry member 0 broken
-//
-// So a refused connection is no word of the process: what is between may refuse as well. Only an answer or a report of the head itself ends
-// its group for certain; without one its members leave it themselves before they join elsewhere.
+// These tests guard against a member joining another group while the head of its own is open. Connections from control to a head were refused
+// while entries still reached the head; the leader took the refusal for the end of the process, dropped the group, and ordered its members into
+// new ones. A refused connection does not prove that a process has ended, since a device on the path may refuse it. Only an answer or a report
+// of the head ends its group for certain; without one, the members must leave the group themselves before they join another one.
 
 import (
 	"testing"
@@ -20,19 +12,19 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// cutOffRefusing lets control reach an upstream no more, which goes on; connections to it are refused.
+// cutOffRefusing cuts off a running upstream from control, with connections from control refused.
 func (f *fleet) cutOffRefusing(e *engine) {
 	e.cutOff, e.refuses, e.probeFailsAt = true, true, f.now.Add(time.Duration(f.random.Int64N(int64(6*time.Second))))
 }
 
-// A head that refuses connections of control may serve on; its members leave it before they join elsewhere.
+// A head to which connections from control are refused may still serve, so its members leave its group before they join another one.
 func TestHeadRefusesControlConnections(t *testing.T) {
 	for name, inject := range map[string]func(f *fleet, head *engine){
-		"a member is lost too": func(f *fleet, head *engine) {
+		"a member is lost as well": func(f *fleet, head *engine) {
 			f.cutOffRefusing(head)
 			f.kill(f.byID[head.members[2]])
 		},
-		"another member is cut off too and comes back": func(f *fleet, head *engine) {
+		"another member is cut off and becomes reachable again": func(f *fleet, head *engine) {
 			other := f.byID[head.members[1]]
 			f.cutOffRefusing(head)
 			f.cutOffRefusing(other)
@@ -40,12 +32,12 @@
 			f.run(2*time.Second, nil)
 			other.cutOff = false
 		},
-		"it signs off": func(f *fleet, head *engine) {
+		"the head signs off": func(f *fleet, head *engine) {
 			f.cutOffRefusing(head)
 			head.signedOff = true
 			f.roster.SignOff(f.now, head.id)
 		},
-		"a member leaves": func(f *fleet, head *engine) {
+		"a member shuts down": func(f *fleet, head *engine) {
 			f.cutOffRefusing(head)
 			other := f.byID[head.members[1]]
 			other.draining, other.reportDue = true, true
@@ -55,7 +47,7 @@
 			f.kill(f.byID[head.members[2]])
 			f.elect(f.copyRoster())
 		},
-		"it was ordered to open a moment ago": func(f *fleet, head *engine) {
+		"the head was ordered to open a moment ago": func(f *fleet, head *engine) {
 			f.onOpen = func(e *engine) {
 				f.cutOffRefusing(e)
 				f.onOpen = nil
@@ -71,7 +63,7 @@
 	}
 }
 
-// runRefused strikes a formed fleet and ends all cuts after a while.
+// runRefused injects a fault into a fleet with formed groups, and makes all upstreams reachable again after a while.
 func runRefused(t *testing.T, seed uint64, inject func(f *fleet, head *engine)) {
 	t.Helper()
 	f := newFleet(t, seed, 2, 8)
@@ -88,11 +80,11 @@
 		t.Fatalf("seed %d: %v", seed, f.violations)
 	}
 	if got := f.serving(); got["large"] == 0 || got["small"] == 0 {
-		t.Errorf("seed %d: %v groups serve long after", seed, got)
+		t.Errorf("seed %d: %v groups serve long after the fault ended", seed, got)
 	}
 }
 
-// Random series of losses and of cuts behind which connections are refused, late and unreadable answers, delayed reports and new leaders.
+// Random sequences of losses, cut-offs with refused connections, lost orders, unreadable answers, delayed reports and new leaders.
 func TestCutOffsWithRefusedConnections(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		f := newFleet(t, seed, 4, 8)
--- a/replicaset/serving.go
+++ b/replicaset/serving.go
@@ -1,7 +1,7 @@
 package replicaset
 
-// A group that serves goes on until its head or another member is lost, leaves
-// or turns slow; silence alone proves nothing.
+// An open group serves until a member is lost, shuts down or becomes slow.
+// Missing reports alone do not prove a loss.
 
 import (
 	"slices"
@@ -13,15 +13,15 @@
 func (f *Formation) advanceOpen(g *roster.Group) {
 	head := f.byID[g.Head()]
 	if head == nil {
-		f.startLeaving(g, "the head has ended")
+		f.startLeaving(g, "the head is no longer known")
 		return
 	}
 	switch memberState(head, g) {
 	case roster.MemberBroken:
-		f.markEnded(g, "the head says that the group is broken")
+		f.markEnded(g, "the head reports the group as broken")
 		return
 	case roster.MemberNone:
-		f.startLeaving(g, "the head is in another group")
+		f.startLeaving(g, "the head is no longer in the group")
 		return
 	}
 	if reason := f.brokenReason(g); reason != "" {
@@ -31,14 +31,14 @@
 	f.updateSlow(g)
 	for _, id := range g.Members {
 		if f.byID[id].Draining {
-			f.setPhase(g, roster.PhaseClosing, "member "+string(id)+" is leaving")
+			f.setPhase(g, roster.PhaseClosing, "member "+string(id)+" is shutting down")
 			f.advanceClosing(g)
 			return
 		}
 	}
 }
 
-// updateSlow lets entries know of a group with a slow member.
+// updateSlow publishes to entries whether a group has a slow member.
 func (f *Formation) updateSlow(g *roster.Group) {
 	slow := slices.ContainsFunc(g.Members, func(id ident.Incarnation) bool { return f.snapshot.Slowdowns[id] >= SlowdownLimit })
 	if slow == g.Slow {
@@ -47,20 +47,20 @@
 	g.Slow = slow
 	f.Roster.PutGroup(g)
 	if slow {
-		f.RecordDecision(g, "slow", "a member says that it is slow")
+		f.RecordDecision(g, "slow", "a member reports that it is slow")
 		return
 	}
-	f.RecordDecision(g, "as usual", "no member is slow any more")
+	f.RecordDecision(g, "as usual", "no member is slow")
 }
 
-// brokenReason returns why an open group can't serve any more, or nothing. Silence alone proves nothing: a member that control
-// does not reach may serve.
+// brokenReason returns why an open group cannot serve any more, or "". Missing reports alone are no reason, since a member that control
+// does not reach may still serve.
 func (f *Formation) brokenReason(g *roster.Group) string {
 	reportMissed, unreachable := false, false
 	for _, id := range g.Members {
 		u := f.byID[id]
 		if u == nil {
-			return "member " + string(id) + " has ended"
+			return "member " + string(id) + " is no longer known"
 		}
 		if s := memberState(u, g); s == roster.MemberNone && u.Member.Epoch > g.Epoch {
 			return "member " + string(id) + " is in another group"
@@ -74,27 +74,28 @@
 	return f.stallReason(g, reportMissed, unreachable)
 }
 
-// isCutOff reports whether a member does not reach control but works: a dead one would have reported before, and the group has
-// answered entries since.
+// isCutOff reports whether a member works but is cut off from control: the group has answered entries long after the member's last
+// report.
 func (f *Formation) isCutOff(g *roster.Group, id ident.Incarnation) bool {
 	return f.snapshot.ReportAges[id]-f.snapshot.Observations[g.Name].SinceLastResponse >= cutOffAge
 }
 
-// stallReason weighs what entries see of a group, given whether a member missed a report or takes no connections.
+// stallReason returns why the group has to be dissolved by the observations of entries, or "". The fewer members report and accept
+// connections, the shorter is the stall that suffices.
 func (f *Formation) stallReason(g *roster.Group, reportMissed, unreachable bool) string {
 	observation := f.snapshot.Observations[g.Name]
 	switch {
 	case observation.BlamedMember != "" && slices.ContainsFunc(g.Members, func(id ident.Incarnation) bool { return id.UpstreamID() == observation.BlamedMember }):
-		return "the head blames member " + observation.BlamedMember
+		return "the head blames a failure on member " + observation.BlamedMember
 	case unreachable && (observation.StallConfirmed || observation.StalledFor >= stallTimeoutUnreachable):
-		return "stands still, and a member takes no connections"
+		return "stalled, and a member accepts no connections"
 	case reportMissed && observation.StalledFor >= stallTimeoutMissedReport:
-		return "stands still, and a member is silent"
+		return "stalled, and a member missed a report"
 	case observation.StalledFor >= stallTimeout:
 		f.stalledHeads[g.Head()] = true
-		return "stands still"
+		return "stalled"
 	case observation.ConnectionRefused && f.snapshot.ReportAges[g.Head()] >= missedReportAge:
-		return "the head refuses connections"
+		return "the head refuses connections of entries"
 	}
 	return ""
 }
--- a/replicaset/simulation_test.go
+++ b/replicaset/simulation_test.go
@@ -21,7 +21,7 @@
 	orderTimeout   = time.Second
 )
 
-// engine is one upstream as the published interface describes it.
+// engine simulates one upstream by the published interface.
 type engine struct {
 	id        ident.Incarnation
 	address   string
@@ -30,8 +30,9 @@
 	alive     bool
 	signedOff bool
 	draining  bool
-	cutOff    bool // control does not reach it, nor it control
-	// refuses is set when what is sent to it behind the cut is refused and not lost, probeFailsAt is when control finds that out by itself.
+	// cutOff is set while control and the engine cannot reach each other. Orders to an engine that is cut off are lost or, if refuses
+	// is set, refused; from probeFailsAt on, control's probes find the engine unreachable.
+	cutOff       bool
 	refuses      bool
 	probeFailsAt time.Time
 	member       roster.Membership
@@ -44,20 +45,21 @@
 	stagedAt     time.Time
 	stagingModel ident.Model
 	highestEpoch ident.Epoch
+	// stalledSince is since when the group of this head lacks a member; pausedSince is since when the complete group sends nothing.
 	stalledSince time.Time
-	// pausedSince is since when a group that is whole sends nothing.
-	pausedSince time.Time
-	sequence    uint64
-	lastReport  time.Time
-	reportDue   bool
-	openedLate  bool
-	// slowdown is how many times slower it is.
+	pausedSince  time.Time
+	sequence     uint64
+	lastReport   time.Time
+	// reportDue is set when the engine has a change to report, openedLate when a late order opened its group.
+	reportDue  bool
+	openedLate bool
+	// slowdown is how many times slower than usual the engine is.
 	slowdown float64
-	// next is the next life of the same upstream.
+	// next is the next incarnation of the same upstream.
 	next *engine
 }
 
-// newestIncarnation returns the life that answers to the engine's id now.
+// newestIncarnation returns the incarnation that now answers at the engine's address.
 func (e *engine) newestIncarnation() *engine {
 	for e.next != nil {
 		e = e.next
@@ -65,24 +67,25 @@
 	return e
 }
 
-// delayedReport is a report on its way.
+// delayedReport is a report in transit.
 type delayedReport struct {
 	arrivesAt time.Time
 	report    *roster.Report
 }
 
-// delivery is an order or an answer that is under way.
+// delivery is an order or an outcome in transit.
 type delivery struct {
 	due time.Time
 	run func()
 }
 
+// lateOrder is an order that is carried out when it is due.
 type lateOrder struct {
 	due   time.Time
 	order replicaset.Order
 }
 
-// fleet is a set of engines, the present leader, and the checks of what must always hold.
+// fleet simulates a set of engines and the current leader, and checks the invariants at each order.
 type fleet struct {
 	t             *testing.T
 	random        *rand.Rand
@@ -99,37 +102,36 @@
 	executingLate bool
 	lateFraction  float64
 	lostFraction  float64
-	// unreadableFraction is the part of the orders that are carried out and whose answers can't be read, maxReportDelay how long a report is on its
-	// way at most.
+	// unreadableFraction is the fraction of orders that are carried out, but whose answers cannot be read; maxReportDelay is the longest
+	// transit time of a report.
 	unreadableFraction float64
 	maxReportDelay     time.Duration
 	delayedReports     []delayedReport
-	// maxTransit is how long an order, and the answer to it, is under way at most; an answer that can't come is known to be missing after
-	// orderTimeout. droppedFraction is the part of the outcomes that never get to the formation.
+	// maxTransit is the longest transit time of an order and of its outcome; without an answer, the outcome is unknown after orderTimeout.
+	// droppedFraction is the fraction of outcomes that the formation never receives.
 	maxTransit      time.Duration
 	droppedFraction float64
 	inTransit       []delivery
-	// strict is set when a member may join elsewhere only if its own head is certainly not open, also by a late order that nobody can
-	// know of.
+	// strict is set when a member may join another group only if the head of its own is not open, even if a late order opened the head
+	// and no report has shown that yet.
 	strict bool
-	// worstTiming is set when late orders are carried out at the worst moment: right before one of their group joins another.
+	// worstTiming is set when late orders are carried out at the worst moment: right before a member of their group joins another one.
 	worstTiming bool
-	// onOpen is told of heads that open.
+	// onOpen is called with each head that opens.
 	onOpen func(e *engine)
-	// loseOrder tells which orders never arrive, drop which outcomes never get to the formation.
+	// loseOrder selects orders that never arrive, dropOutcome outcomes that the formation never receives.
 	loseOrder   func(o *replicaset.Order) bool
 	dropOutcome func(o *replicaset.Order) bool
 	deadSince   map[ident.Incarnation]time.Time
-	// stallConfirmed is set when entries find out together that a group has missed a pass.
+	// stallConfirmed is set when entries together find that a group has missed an iteration.
 	stallConfirmed bool
 	demand         map[ident.Model]float64
-	// drained are the halls that get no requests.
-	drained    map[ident.Hall]bool
-	ordersSent int
-	decisions  int
-	lastID     int
-	violations []string
-	// trace is what was decided, ordered and carried out.
+	drainedHalls   map[ident.Hall]bool
+	ordersSent     int
+	decisions      int
+	lastID         int
+	violations     []string
+	// trace lists decisions, orders and their execution.
 	trace []string
 }
 
@@ -170,7 +172,7 @@
 	return e
 }
 
-// elect begins another leader's reign, from a copy of the roster or from nothing.
+// elect starts a new leader, with a copy of the roster or without one.
 func (f *fleet) elect(copied *roster.Copy) {
 	f.term++
 	f.epochs = 0
@@ -209,7 +211,7 @@
 	f.formation = formation
 }
 
-// send delivers an order at once, after a moment, late, or never.
+// send delivers an order at once, after a delay, or not at all.
 func (f *fleet) send(o replicaset.Order) {
 	f.ordersSent++
 	if f.maxTransit == 0 {
@@ -237,24 +239,24 @@
 	return time.Duration(f.random.Int64N(int64(f.maxTransit)))
 }
 
-func (f *fleet) schedule(at time.Time, do func()) {
-	f.inTransit = append(f.inTransit, delivery{at, do})
+func (f *fleet) schedule(at time.Time, run func()) {
+	f.inTransit = append(f.inTransit, delivery{at, run})
 }
 
-// deliverDue lets what is under way arrive.
+// deliverDue delivers the orders and outcomes that are due.
 func (f *fleet) deliverDue() {
-	list := f.inTransit
+	deliveries := f.inTransit
 	f.inTransit = nil
-	for _, w := range list {
-		if f.now.Before(w.due) {
-			f.inTransit = append(f.inTransit, w)
+	for _, d := range deliveries {
+		if f.now.Before(d.due) {
+			f.inTransit = append(f.inTransit, d)
 			continue
 		}
-		w.run()
+		d.run()
 	}
 }
 
-// deliverOrder does what becomes of an order where it is sent to, and returns its outcome.
+// deliverOrder executes, delays, loses or refuses an order at the engine, and returns its outcome.
 func (f *fleet) deliverOrder(e *engine, o *replicaset.Order) (outcome replicaset.Outcome) {
 	defer func() { f.tracef("%s of %s/%d to %s: %s", o.Action, o.Group, o.Epoch, e.id, outcome) }()
 	switch draw := f.random.Float64(); {
@@ -277,18 +279,19 @@
 	return f.execute(e, o)
 }
 
+// violationf records that an invariant was violated.
 func (f *fleet) violationf(format string, args ...any) {
 	f.violations = append(f.violations, fmt.Sprintf("%.2f s: ", f.now.Sub(f.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// tracef notes what happens; a failing test shows the end of it.
+// tracef adds a line to the trace, the end of which a failing test prints.
 func (f *fleet) tracef(format string, args ...any) {
 	f.trace = append(f.trace, fmt.Sprintf("%.2f s: ", f.now.Sub(f.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// execute does what an engine does with an order, and checks the rules.
+// execute carries out an order at an engine, and checks the invariants.
 func (f *fleet) execute(e *engine, o *replicaset.Order) replicaset.Outcome {
-	f.tracef("%s of %s/%d carried out at %s, which is in %v, late: %v", o.Action, o.Group, o.Epoch, e.id, e.member, f.executingLate)
+	f.tracef("%s of %s/%d executed at %s with membership %v, late: %v", o.Action, o.Group, o.Epoch, e.id, e.member, f.executingLate)
 	switch o.Action {
 	case replicaset.ActionJoin:
 		return f.join(e, o)
@@ -328,11 +331,11 @@
 		return replicaset.OutcomeFenced
 	}
 	if len(e.members) > 0 {
-		// A head that opened by a late order a moment ago and has not been able to report it can't be known to be open.
+		// Unless strict is set, the leader need not know of a head that a late order opened and that has not reported since.
 		head := f.byID[e.members[0]]
-		unknown := head.openedLate && head.reportDue && !f.strict
+		unreported := head.openedLate && head.reportDue && !f.strict
 		serves := head.member.State == roster.MemberOpen || head.member.State == roster.MemberClosing
-		if head.alive && head.member.Group == e.member.Group && serves && !unknown {
+		if head.alive && head.member.Group == e.member.Group && serves && !unreported {
 			f.violationf("%s joins %s while the head %s of its group %s is %s", e.id, o.Group, head.id, e.member.Group, head.member.State)
 		}
 	}
@@ -347,30 +350,30 @@
 		}
 	}
 	e.member = roster.Membership{Group: o.Group, Epoch: o.Epoch, Rank: rank, State: roster.MemberJoining}
-	wait := f.loadTime(m)
+	joinTime := f.loadTime(m)
 	switch {
 	case e.lastModel == o.Model:
-		wait = 200 * time.Millisecond
+		joinTime = 200 * time.Millisecond
 	case e.stagedModel == o.Model:
-		wait = m.Warm
+		joinTime = m.Warm
 	}
-	e.readyAt = f.now.Add(wait)
+	e.readyAt = f.now.Add(joinTime)
 	e.reportDue = true
 	return replicaset.OutcomeAccepted
 }
 
-// executeLateOrders carries out the late orders of groups that e was in, before it joins another by o. Who joins by one is ready at once, as if that had
-// been a moment ago and nobody had heard of it yet.
+// executeLateOrders executes the late orders of groups that e was in, right before o makes e join another one. An engine that joins by a late
+// order is ready at once, as if it had joined a moment ago and not reported yet.
 func (f *fleet) executeLateOrders(e *engine, o *replicaset.Order) {
 	f.executingLate = true
 	defer func() { f.executingLate = false }()
-	var rest []lateOrder
+	var remaining []lateOrder
 	for _, action := range []replicaset.Action{replicaset.ActionJoin, replicaset.ActionOpen} {
-		rest = nil
+		remaining = nil
 		for _, l := range f.lateOrders {
 			to := f.byID[l.order.To].newestIncarnation()
 			if l.order.Action != action || l.order.Group == o.Group || !slices.Contains(l.order.Members, e.id) || !to.alive {
-				rest = append(rest, l)
+				remaining = append(remaining, l)
 				continue
 			}
 			f.execute(to, &l.order)
@@ -378,11 +381,11 @@
 				to.member.State = roster.MemberReady
 			}
 		}
-		f.lateOrders = rest
+		f.lateOrders = remaining
 	}
 }
 
-// loadTime is how long weights take from the store: a tenth before the first request.
+// loadTime is how long a load from the store takes: a tenth before the first request.
 func (f *fleet) loadTime(m *httproute.Model) time.Duration {
 	if f.now.Sub(f.startedAt) < 10*time.Second {
 		return m.Load / 10
@@ -397,19 +400,19 @@
 	m, _ := f.config.Model(e.model)
 	ready := 0
 	for _, id := range e.members {
-		o := f.byID[id]
-		if o.alive && o.member.Group == e.member.Group && o.member.Epoch == e.member.Epoch && o.member.State == roster.MemberReady {
+		member := f.byID[id]
+		if member.alive && member.member.Group == e.member.Group && member.member.Epoch == e.member.Epoch && member.member.State == roster.MemberReady {
 			ready++
 		}
 	}
-	// A member that was ready and was lost since is no fault of the leader.
+	// A member that was lost after it was ready is not an error of the leader.
 	lost := 0
 	for _, id := range e.members {
 		if !f.byID[id].alive {
 			lost++
 		}
 	}
-	// Nor is what happened since, when the order is carried out late: no entry sends requests to that group any more.
+	// Neither are members that are not ready when the order is executed late: no entry sends requests to that group any more.
 	if !f.executingLate && (len(e.members) != m.Size || ready+lost < m.Size) {
 		f.violationf("%s opens %s with %d of %d members ready", e.id, e.member.Group, ready, m.Size)
 	}
@@ -422,22 +425,22 @@
 	return replicaset.OutcomeAccepted
 }
 
-// advance lets a moment go by.
+// advance simulates one tick.
 func (f *fleet) advance() {
 	f.now = f.now.Add(tick)
 	f.deliverDue()
-	var rest []lateOrder
+	var remaining []lateOrder
 	for _, l := range f.lateOrders {
 		switch e := f.byID[l.order.To].newestIncarnation(); {
 		case f.now.Before(l.due):
-			rest = append(rest, l)
+			remaining = append(remaining, l)
 		case e.alive:
 			f.executingLate = true
 			f.execute(e, &l.order)
 			f.executingLate = false
 		}
 	}
-	f.lateOrders = rest
+	f.lateOrders = remaining
 	for _, e := range f.engines {
 		f.progress(e)
 	}
@@ -484,20 +487,20 @@
 	f.delayedReports = append(f.delayedReports, delayedReport{f.now.Add(delay), f.report(e)})
 }
 
-// deliverReports hands over the reports that have arrived.
+// deliverReports applies the reports that have arrived to the roster.
 func (f *fleet) deliverReports() {
-	var rest []delayedReport
+	var remaining []delayedReport
 	for _, r := range f.delayedReports {
 		if f.now.Before(r.arrivesAt) {
-			rest = append(rest, r)
+			remaining = append(remaining, r)
 			continue
 		}
 		f.roster.ApplyReport(f.now, r.report)
 	}
-	f.delayedReports = rest
+	f.delayedReports = remaining
 }
 
-// updateStall breaks a group whose head lacks a member for long enough.
+// updateStall makes a head break its group once a member has been missing for stallBreakTime.
 func (f *fleet) updateStall(e *engine) {
 	if e.member.State != roster.MemberOpen && e.member.State != roster.MemberClosing {
 		e.stalledSince = time.Time{}
@@ -516,10 +519,11 @@
 	}
 }
 
+// complete reports whether all members of the head's group are in it.
 func (f *fleet) complete(head *engine) bool {
 	for _, id := range head.members {
-		o := f.byID[id]
-		if !o.alive || o.member.Group != head.member.Group || o.member.Epoch != head.member.Epoch {
+		member := f.byID[id]
+		if !member.alive || member.member.Group != head.member.Group || member.member.Epoch != head.member.Epoch {
 			return false
 		}
 	}
@@ -539,51 +543,51 @@
 	return r
 }
 
-// snapshot is what the leader would know: entries use every open group that they know of all the time.
+// snapshot returns what the leader would know if entries constantly sent requests to every open group.
 func (f *fleet) snapshot() *replicaset.Snapshot {
 	upstreams, ages := f.roster.Upstreams(f.now)
-	w := &replicaset.Snapshot{Now: f.now, Upstreams: upstreams, ReportAges: ages, Observations: map[ident.Group]replicaset.Observation{}, Unreachable: map[ident.Incarnation]bool{}, Demand: f.demand}
-	w.DrainedHalls = f.drained
-	w.Slowdowns = map[ident.Incarnation]float64{}
+	snapshot := &replicaset.Snapshot{Now: f.now, Upstreams: upstreams, ReportAges: ages, Observations: map[ident.Group]replicaset.Observation{}, Unreachable: map[ident.Incarnation]bool{}, Demand: f.demand}
+	snapshot.DrainedHalls = f.drainedHalls
+	snapshot.Slowdowns = map[ident.Incarnation]float64{}
 	for _, e := range f.engines {
 		if e.alive && e.slowdown > 1 {
-			w.Slowdowns[e.id] = e.slowdown
+			snapshot.Slowdowns[e.id] = e.slowdown
 		}
 	}
 	for _, g := range f.roster.Groups() {
 		head := f.byID[g.Head()]
-		sight := replicaset.Observation{}
+		observation := replicaset.Observation{}
 		switch {
 		case !head.alive:
-			sight.SinceLastResponse = f.now.Sub(f.deadSince[head.id])
-			// Streams at a group that closes break off with its head, and nothing new is sent there that could stand still.
+			observation.SinceLastResponse = f.now.Sub(f.deadSince[head.id])
+			// The streams of a closing group end with its head, and no new requests are sent there that could stall.
 			if g.Phase == roster.PhaseOpen {
-				sight.StalledFor = sight.SinceLastResponse
+				observation.StalledFor = observation.SinceLastResponse
 			}
 		case !head.pausedSince.IsZero():
-			sight.SinceLastResponse = f.now.Sub(head.pausedSince)
-			sight.StalledFor = sight.SinceLastResponse
+			observation.SinceLastResponse = f.now.Sub(head.pausedSince)
+			observation.StalledFor = observation.SinceLastResponse
 		case !head.stalledSince.IsZero():
-			sight.SinceLastResponse = f.now.Sub(head.stalledSince)
-			sight.StalledFor = sight.SinceLastResponse
+			observation.SinceLastResponse = f.now.Sub(head.stalledSince)
+			observation.StalledFor = observation.SinceLastResponse
 		}
-		sight.StallConfirmed = f.stallConfirmed && sight.StalledFor >= 2*tick
-		w.Observations[g.Name] = sight
+		observation.StallConfirmed = f.stallConfirmed && observation.StalledFor >= 2*tick
+		snapshot.Observations[g.Name] = observation
 	}
 	for _, e := range f.engines {
 		if e.alive && e.cutOff && !f.now.Before(e.probeFailsAt) {
-			w.Unreachable[e.id] = true
+			snapshot.Unreachable[e.id] = true
 		}
 	}
 	for id, at := range f.deadSince {
 		if f.now.Sub(at) > f.probeDelay() && f.now.Sub(at) < 5*time.Second {
-			w.Unreachable[id] = true
+			snapshot.Unreachable[id] = true
 		}
 	}
-	return w
+	return snapshot
 }
 
-// probeDelay is how long after its end it is known that an upstream takes no connections: its group has to be found to stand still first.
+// probeDelay is how long after the end of an engine probes show it as unreachable: the stall of its group has to be detected first.
 func (f *fleet) probeDelay() time.Duration {
 	if f.stallConfirmed {
 		return 150 * time.Millisecond
@@ -596,7 +600,7 @@
 	f.deadSince[e.id] = f.now
 }
 
-// restart ends an engine and starts it again under its id: it holds and knows nothing of before but what is on its host.
+// restart ends an engine and starts it again under its id; of its state only the weights on its host remain.
 func (f *fleet) restart(e *engine) *engine {
 	f.kill(e)
 	startedAt := ident.StartTime(f.now.UnixMilli())
@@ -610,33 +614,33 @@
 	return next
 }
 
-// living returns the living engines in a fixed order.
+// living returns the living engines sorted by id.
 func (f *fleet) living() []*engine {
-	var list []*engine
+	var engines []*engine
 	for _, e := range f.engines {
 		if e.alive {
-			list = append(list, e)
+			engines = append(engines, e)
 		}
 	}
-	sort.Slice(list, func(i, j int) bool { return list[i].id < list[j].id })
-	return list
+	sort.Slice(engines, func(i, j int) bool { return engines[i].id < engines[j].id })
+	return engines
 }
 
 // serving counts the groups that could serve a request now.
 func (f *fleet) serving() map[ident.Model]int {
-	n := map[ident.Model]int{}
+	counts := map[ident.Model]int{}
 	for _, e := range f.engines {
 		if e.alive && e.member.State == roster.MemberOpen && f.complete(e) {
-			n[e.model]++
+			counts[e.model]++
 		}
 	}
-	return n
+	return counts
 }
 
-func (f *fleet) run(d time.Duration, each func()) {
+func (f *fleet) run(d time.Duration, beforeTick func()) {
 	for range int(d / tick) {
-		if each != nil {
-			each()
+		if beforeTick != nil {
+			beforeTick()
 		}
 		f.advance()
 	}
@@ -644,23 +648,23 @@
 
 func (f *fleet) copyRoster() *roster.Copy {
 	c := roster.NewCopy()
-	d := f.roster.Since(0)
-	c.Apply(&d)
+	delta := f.roster.Since(0)
+	c.Apply(&delta)
 	return c
 }
 
-// spare returns an upstream that is in no group.
+// spare returns a living engine that is in no group.
 func (f *fleet) spare() *engine {
 	for _, e := range f.engines {
 		if e.alive && e.member.State == roster.MemberNone {
 			return e
 		}
 	}
-	f.t.Fatal("no spare")
+	f.t.Fatal("no engine is outside all groups")
 	return nil
 }
 
-// headOf returns the head of an open group of model.
+// headOf returns the head of an open group of the model.
 func (f *fleet) headOf(model ident.Model) *engine {
 	for _, e := range f.engines {
 		if e.alive && e.member.State == roster.MemberOpen && e.model == model {
--- a/replicaset/types.go
+++ b/replicaset/types.go
@@ -7,10 +7,10 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// Action is what an order asks of an engine.
+// Action is the operation that an order requests from an engine.
 type Action string
 
-// The actions.
+// The actions. ActionStage loads weights to the engine's host without joining a group.
 const (
 	ActionJoin  Action = "join"
 	ActionOpen  Action = "open"
@@ -28,77 +28,78 @@
 	Epoch   ident.Epoch
 	Model   ident.Model
 	Members []ident.Incarnation
-	// Fence rises with every leader; an engine refuses a lower one than it has seen.
+	// Fence is the leader's fencing token; an engine refuses orders with a lower token than it has seen.
 	Fence uint64
-	// Context is what was known of the engine when the order was given.
+	// Context is logged with the order's outcome.
 	Context OrderContext
 }
 
-// OrderContext is what a leader knew of an engine when it gave it an order, for operators.
+// OrderContext is what the leader knew of an engine when it sent the order, for operators.
 type OrderContext struct {
-	// LastReport is the membership that the engine last reported, LastReportAgeMS how old that report was.
+	// LastReport is the membership in the engine's last report.
 	LastReport      string `json:"was"`
 	LastReportAgeMS int64  `json:"age-ms"`
-	// Head is the head of that group where the leader has it, HeadLastReport what that last reported, HeadLastReportAgeMS how long ago.
+	// Head is the head of that group, if it has reported; HeadLastReport is the membership in the head's last report.
 	Head                ident.Incarnation `json:"head,omitempty"`
 	HeadLastReport      string            `json:"head-is,omitempty"`
 	HeadLastReportAgeMS int64             `json:"head-age-ms,omitempty"`
-	// Ended is how the leader ended that group: over for certain, or lost, and how long ago.
+	// Ended is "over" if the leader knows that the group has ended, and "lost" if the group's head may still serve.
 	Ended      string `json:"ended,omitempty"`
 	EndedAgoMS int64  `json:"ended-ago-ms,omitempty"`
-	// LeaveOutcome is what became of the order to leave that group, Late is set when an order to join it may still be carried out.
+	// LeaveOutcome is the outcome of the order to leave that group.
 	LeaveOutcome Outcome `json:"left,omitempty"`
-	JoinPending  bool    `json:"late,omitempty"`
+	// JoinPending is set when an order to join that group may still be carried out.
+	JoinPending bool `json:"late,omitempty"`
 }
 
-// Outcome is what became of an order.
+// Outcome is the result of an order.
 type Outcome string
 
 // The outcomes.
 const (
-	// OutcomeAccepted means begun, or already so.
+	// OutcomeAccepted means that the engine has started to carry out the order, or had already carried it out.
 	OutcomeAccepted Outcome = "taken"
-	// OutcomeRefused means that the engine's state does not fit.
+	// OutcomeRefused means that the order does not fit the engine's state.
 	OutcomeRefused Outcome = "refused"
-	// OutcomeFenced means that a newer leader has given orders.
+	// OutcomeFenced means that the engine has seen orders of a newer leader.
 	OutcomeFenced Outcome = "fenced"
-	// OutcomeWrongIncarnation means that another life answers at the address.
+	// OutcomeWrongIncarnation means that another incarnation of the upstream answered.
 	OutcomeWrongIncarnation Outcome = "stranger"
-	// OutcomeUnknown means that nothing is known; the order may be carried out later.
+	// OutcomeUnknown means that no valid answer arrived; the order may be carried out later.
 	OutcomeUnknown Outcome = "unknown"
-	// OutcomeConnectionRefused means that the connection was refused: nothing listens at the address, or what is between refuses.
+	// OutcomeConnectionRefused means that nothing listens at the address, or that a device on the path refused the connection.
 	OutcomeConnectionRefused Outcome = "unreached"
 )
 
-// Observation is what entries saw of a group's head.
+// Observation merges what all entries observed of a group's head.
 type Observation struct {
-	// SinceLastResponse is how long ago the head last sent anything, to any entry.
+	// SinceLastResponse is the time since the head last sent anything to any entry.
 	SinceLastResponse time.Duration
-	// StalledFor is how long requests at the head have waited without a sign, at the entry that waits longest; 0 when none.
+	// StalledFor is the longest time that requests of one entry have waited at the head without progress; 0 if none wait.
 	StalledFor time.Duration
-	// StallConfirmed is set when entries found together that the group has missed a pass.
+	// StallConfirmed is set when the entries together found that the group has missed an iteration.
 	StallConfirmed bool
-	// ConnectionRefused is set when a connection to the head was refused after it last answered.
+	// ConnectionRefused is set when a connection to the head was refused after the head's last response.
 	ConnectionRefused bool
-	// EventGap is the mean time between events of the group's streams of late, 0 when too few came.
+	// EventGap is the recent mean time between events of the group's streams; 0 after too few events.
 	EventGap time.Duration
 	// BlamedMember is the id of the member that the head named as the cause of a failure.
 	BlamedMember string
 }
 
-// Snapshot is what one step decides on.
+// Snapshot is the state of the cluster that one step decides on.
 type Snapshot struct {
 	Now       time.Time
 	Upstreams []roster.Upstream
-	// ReportAges are the times since the last reports.
+	// ReportAges holds the time since each upstream's last report.
 	ReportAges   map[ident.Incarnation]time.Duration
 	Observations map[ident.Group]Observation
-	// Unreachable are upstreams that took no connection and have not reported since.
+	// Unreachable holds upstreams that accepted no connection and have not reported since.
 	Unreachable map[ident.Incarnation]bool
-	// DrainedHalls are the halls that get no requests, so nothing is formed there.
+	// DrainedHalls get no requests, so no groups are formed there.
 	DrainedHalls map[ident.Hall]bool
-	// Slowdowns are those of the upstreams that say that they are slow: how many times longer all takes.
+	// Slowdowns holds, for upstreams that report to be slow, how many times longer than usual their work takes.
 	Slowdowns map[ident.Incarnation]float64
-	// Demand is the work asked for by model, in upstream-seconds a second; nil while unknown.
+	// Demand is the requested work for each model, in upstream-seconds per second; nil while unknown.
 	Demand map[ident.Model]float64
 }
--- a/replicaset/weights.go
+++ b/replicaset/weights.go
@@ -9,8 +9,8 @@
 	"github.com/dunlinquay/dunlinquay/roster"
 )
 
-// chooseStaging chooses weights to load to hosts: for upstreams that have none, those of the model for which one more upstream is
-// most useful in the domain; for the others, beside their work, those of a model that they could not join soon.
+// chooseStaging chooses weights to load to hosts. An upstream without weights gets those of the model for which one more member is most
+// useful in its domain; any other upstream gets, while it works, those of a model that it could not join soon.
 func (p *plan) chooseStaging() []WeightLoad {
 	var loads []WeightLoad
 	addLoad := func(c *Candidate, m ident.Model) {
@@ -41,8 +41,8 @@
 	return loads
 }
 
-// stagedHosts counts, for each domain, the hosts that have the weights of each model or are getting them. Only these are left
-// when a whole domain restarts.
+// stagedHosts counts, for each domain, the hosts that have or are loading the weights of each model. Only these weights remain after a
+// whole domain restarts.
 func (p *plan) stagedHosts() map[ident.Domain]map[ident.Model]int {
 	hosts := map[ident.Domain]map[ident.Model]int{}
 	for _, c := range p.stagingCandidates() {
@@ -60,12 +60,12 @@
 	return hosts
 }
 
-// withoutWeights reports whether c has no weights at all.
+// withoutWeights reports whether c has weights of no model, in use or on its host.
 func withoutWeights(c *Candidate) bool {
 	return c.LastModel == "" && len(c.Staged) == 0
 }
 
-// stagingCandidates returns the free upstreams, then the members of groups.
+// stagingCandidates returns the free upstreams, then the members of settled groups.
 func (p *plan) stagingCandidates() []*Candidate {
 	var candidates []*Candidate
 	for i := range p.free {
@@ -83,8 +83,8 @@
 	return candidates
 }
 
-// additionalModel returns a model that c should get on its host beside the one that it can join at once. A host keeps one model, so
-// what c has there must not be needed: neither by c itself, nor by its domain for a group after a restart.
+// additionalModel returns a model to load to the host of c in addition to the model that c can join at once. A host keeps the weights of
+// one model, so those that it has must be needed neither by c itself nor by the domain to form a group after a restart.
 func (p *plan) additionalModel(c *Candidate, hosts map[ident.Model]int) ident.Model {
 	if c.Staging != "" || c.LastModel == "" {
 		return ""
@@ -105,7 +105,8 @@
 	return ""
 }
 
-// availableMembers counts, for each domain and model, the upstreams outside whole groups that could make up a group there.
+// availableMembers counts, for each domain and model, the possible members of a new group: free upstreams and members of groups
+// across domains.
 func (p *plan) availableMembers() map[ident.Domain]map[ident.Model]int {
 	available := map[ident.Domain]map[ident.Model]int{}
 	add := func(c *Candidate) {
@@ -132,12 +133,12 @@
 	return available
 }
 
-// mostUsefulModel returns the model for which one more upstream is most useful in a domain that has those in have.
+// mostUsefulModel returns the model for which one more upstream is most useful in a domain with the available members.
 func (p *plan) mostUsefulModel(available map[ident.Model]int) ident.Model {
 	var best *httproute.Model
 	bestScore := 0.0
 	for _, m := range p.byDeficit() {
-		// A group that lacks one member is worth more than one that lacks all.
+		// The fewer members a group lacks, the higher is the score.
 		score := p.deficit(m.Name) + float64(available[m.Name]%m.Size+1)/float64(m.Size)
 		if best == nil || score > bestScore {
 			best, bestScore = m, score
@@ -146,9 +147,9 @@
 	return best.Name
 }
 
-// chooseWarmUps chooses spares that have been in no group yet. After the start they take the weights from their host; before the
-// first request a load is cheap, and the spares of a domain take the models in turn, the one with the largest groups first,
-// because it loses members most often.
+// chooseWarmUps chooses spares that have been in no group yet. They load the weights that are on their host. Before the first request,
+// when loads are cheap, spares without weights load them from the store: those of one domain get the models in turn, starting with the
+// model with the largest groups, which lose members most often.
 func (p *plan) chooseWarmUps(staged []WeightLoad) []WeightLoad {
 	toStage := map[ident.Incarnation]bool{}
 	for _, l := range staged {
@@ -173,7 +174,7 @@
 	return joins
 }
 
-// bySize returns the models, those with the largest groups first.
+// bySize returns the models sorted by group size, largest first.
 func (p *plan) bySize() []httproute.Model {
 	models := slices.Clone(p.Engine.Models)
 	slices.SortStableFunc(models, func(a, b httproute.Model) int { return cmp.Compare(b.Size, a.Size) })
--- a/replicaset/worst_timing_test.go
+++ b/replicaset/worst_timing_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// traceLines is how many lines of a trace a failing seed shows.
+// traceLines is how many lines of the trace are printed for a failing seed.
 const traceLines = 120
 
-// runWorstTiming plays a small world in which orders are lost, late and unreadable, upstreams end, start again and are cut off, and leaders change,
-// and in which late orders are carried out at the worst moment. It reports what broke.
+// runWorstTiming simulates a small fleet with lost, late and unreadable orders, upstreams that end, restart or are cut off, and changes of
+// the leader, in which late orders are executed at the worst moment.
 func runWorstTiming(t *testing.T, seed uint64) *fleet {
 	f := newFleet(t, seed, 1, 10)
 	f.run(12*time.Second, nil)
@@ -21,15 +21,15 @@
 	oneIn := func(n int) bool { return f.random.IntN(n) == 0 }
 	f.run(40*time.Second, func() {
 		f.injectFault(&copied)
-		switch list := f.living(); {
+		switch engines := f.living(); {
 		case oneIn(cut):
-			f.cutOffRefusing(list[f.random.IntN(len(list))])
+			f.cutOffRefusing(engines[f.random.IntN(len(engines))])
 		case oneIn(reconnect):
-			list[f.random.IntN(len(list))].cutOff = false
+			engines[f.random.IntN(len(engines))].cutOff = false
 		case oneIn(demand):
 			f.demand = demandFor(float64(f.random.IntN(3)), float64(f.random.IntN(4)))
 		case oneIn(restart):
-			f.restart(list[f.random.IntN(len(list))])
+			f.restart(engines[f.random.IntN(len(engines))])
 		}
 		for len(f.living()) < 8 {
 			f.add("domain-0", "hall-0", "")
@@ -38,8 +38,9 @@
 	return f
 }
 
-// No member joins another group while the head of its own is open, whatever is lost, late or doubled, and whoever leads. In seed 137 a head
-// that had left its group by its own word opened it again after a change of leaders: the new one did not know that it was bound.
+// No member joins another group while the head of its own is open, even if orders are lost, late or repeated and leaders change. In seed 137,
+// a head that had confirmed that it left its group opened the group again after a change of leaders, because the new leader did not know
+// that the head was bound.
 func TestLateOrdersAtTheWorstMoment(t *testing.T) {
 	seeds := []uint64{137}
 	for seed := uint64(1); seed <= 40; seed++ {
@@ -52,7 +53,7 @@
 	}
 }
 
-// FuzzLateOrders goes through any seed.
+// FuzzLateOrders is TestLateOrdersAtTheWorstMoment for any seed.
 func FuzzLateOrders(f *testing.F) {
 	f.Add(uint64(137))
 	f.Fuzz(func(t *testing.T, seed uint64) {
