--- a/planner/bench_test.go
+++ b/planner/bench_test.go
@@ -14,8 +14,8 @@
 	benchDomainSize = 16
 )
 
-// benchFleet returns vms VMs in domains of 16 and as many groups of 8 as they can hold, pending or serving.
-func benchFleet(vms int, serving bool) *fleet.State {
+// benchState returns vms VMs in domains of 16 and as many groups of 8 as they can hold, pending or serving.
+func benchState(vms int, serving bool) *fleet.State {
 	s := fleet.NewState()
 	for i := range vms {
 		name := ident.VM(fmt.Sprintf("w%05d", i))
@@ -45,7 +45,7 @@
 func BenchmarkPlanFromScratch(b *testing.B) {
 	for _, vms := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(vms, "-vms"), func(b *testing.B) {
-			s := benchFleet(vms, false)
+			s := benchState(vms, false)
 			for b.Loop() {
 				if n := len(planner.Plan(planner.NewSnapshot(s), planner.DefaultPolicy())); n != vms/benchGroupSize {
 					b.Fatalf("%d groups planned", n)
@@ -58,7 +58,7 @@
 func BenchmarkPlanOneRepair(b *testing.B) {
 	for _, vms := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(vms, "-vms"), func(b *testing.B) {
-			s := benchFleet(vms, true)
+			s := benchState(vms, true)
 			// A spare beside the group that loses a member.
 			s.VMs["spare"] = &fleet.VM{Name: "spare", Hall: "h0", Domain: "d0", Accelerators: 8, Speed: 1, Labels: map[string]string{"gpu": "new"}}
 			w := planner.NewSnapshot(s)
@@ -75,7 +75,7 @@
 func BenchmarkNewWorld(b *testing.B) {
 	for _, vms := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(vms, "-vms"), func(b *testing.B) {
-			s := benchFleet(vms, true)
+			s := benchState(vms, true)
 			for b.Loop() {
 				planner.NewSnapshot(s)
 			}
@@ -86,7 +86,7 @@
 func BenchmarkStateBytes(b *testing.B) {
 	for _, vms := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(vms, "-vms"), func(b *testing.B) {
-			s := benchFleet(vms, true)
+			s := benchState(vms, true)
 			var data []byte
 			for b.Loop() {
 				data, _ = s.Marshal()
--- a/planner/explain.go
+++ b/planner/explain.go
@@ -30,42 +30,42 @@
 }
 
 // Explain describes the group called name under policy; ok is false when there is none.
-func Explain(w *Snapshot, policy Policy, name ident.Group) (e Explanation, ok bool) {
-	g := w.Group(name)
+func Explain(s *Snapshot, policy Policy, name ident.Group) (e Explanation, ok bool) {
+	g := s.Group(name)
 	if g == nil {
 		return e, false
 	}
-	e = Explanation{Group: name, Phase: g.Phase.String(), Epoch: g.Epoch, Wanted: g.Spec.Size, Kept: len(w.kept(g))}
-	for i := range w.VMs {
-		c := w.candidate(g, i)
+	e = Explanation{Group: name, Phase: g.Phase.String(), Epoch: g.Epoch, Wanted: g.Spec.Size, Kept: len(s.keptMembers(g))}
+	for i := range s.VMs {
+		c := s.candidate(g, i)
 		if c.Fits && !c.Member {
 			e.Fitting++
 		}
 		e.Candidates = append(e.Candidates, c)
 	}
-	e.Next = nextStep(g, w.sound(g), Plan(w, policy))
+	e.Next = nextStep(g, s.intact(g), Plan(s, policy))
 	return e, true
 }
 
-func (w *Snapshot) candidate(g *Group, i int) Candidate {
-	v := &w.VMs[i]
+func (s *Snapshot) candidate(g *Group, i int) Candidate {
+	v := &s.VMs[i]
 	c := Candidate{VM: v.Name, Hall: v.Hall, Domain: v.Domain}
 	for _, m := range g.members {
 		if m == i {
 			c.Member = true
-			c.Fits = w.keeps(g, i)
+			c.Fits = s.canKeep(g, i)
 			c.Reason = fmt.Sprintf("member, %s, %s", v.Phase, v.Condition)
 			return c
 		}
 	}
-	fit := w.fit(&g.Spec, i)
+	fit := s.fit(&g.Spec, i)
 	c.Fits = fit == FitYes
-	c.Reason = w.words(g, i, fit)
+	c.Reason = s.fitReason(g, i, fit)
 	return c
 }
 
-func (w *Snapshot) words(g *Group, i int, fit Fit) string {
-	v := &w.VMs[i]
+func (s *Snapshot) fitReason(g *Group, i int, fit Fit) string {
+	v := &s.VMs[i]
 	switch fit {
 	case FitSelector:
 		q := g.Spec.FailedRequirement(v.VM)
@@ -75,12 +75,12 @@
 	case FitAbsent:
 		return fmt.Sprintf("%s: %s for %s", fit, v.Condition, v.StableFor)
 	case FitFlapping:
-		return fmt.Sprintf("%s: lost %d times, steady for %s, wanted %s", fit, v.Flaps, v.StableFor, steadyFor(v.Flaps))
+		return fmt.Sprintf("%s: lost %d times, steady for %s, wanted %s", fit, v.Flaps, v.StableFor, requiredStability(v.Flaps))
 	}
 	return fit.String()
 }
 
-func nextStep(g *Group, sound bool, actions []Action) string {
+func nextStep(g *Group, intact bool, actions []Action) string {
 	for _, a := range actions {
 		if a.Group != g.Spec.Name {
 			continue
@@ -91,9 +91,9 @@
 		return fmt.Sprintf("assign %v: %s", a.Members, a.Reason)
 	}
 	switch {
-	case g.Phase == fleet.GroupServing && sound:
+	case g.Phase == fleet.GroupServing && intact:
 		return "nothing: the group serves"
-	case g.Phase == fleet.GroupForming && sound:
+	case g.Phase == fleet.GroupForming && intact:
 		return "wait until every member has loaded and confirmed"
 	case g.Phase == fleet.GroupDraining:
 		return "wait until requests in progress have ended"
--- a/planner/fit.go
+++ b/planner/fit.go
@@ -30,27 +30,27 @@
 }
 
 const (
-	flapBase  = 5 * time.Second
-	flapLimit = 5 * time.Minute
-	flapShift = 6
+	flapWaitBase     = 5 * time.Second
+	maxFlapWait      = 5 * time.Minute
+	maxFlapDoublings = 6
 )
 
-// steadyFor is how long a VM must have been there before it is used again, doubled by each recent loss.
-func steadyFor(flaps int) time.Duration {
+// requiredStability is how long a VM must have been there before it is used again, doubled by each recent loss.
+func requiredStability(flaps int) time.Duration {
 	if flaps < 2 {
 		return 0
 	}
-	return min(flapBase<<min(flaps, flapShift), flapLimit)
+	return min(flapWaitBase<<min(flaps, maxFlapDoublings), maxFlapWait)
 }
 
 // Steady reports whether the VM has been there for long enough to be used again.
 func (v *VM) Steady() bool {
-	return v.StableFor >= steadyFor(v.Flaps)
+	return v.StableFor >= requiredStability(v.Flaps)
 }
 
-// free says whether VM i could be given to any group at all.
-func (w *Snapshot) free(i int) Fit {
-	v := &w.VMs[i]
+// freeFit says whether VM i could be given to any group at all.
+func (s *Snapshot) freeFit(i int) Fit {
+	v := &s.VMs[i]
 	switch {
 	case v.Listing != fleet.ListingLive:
 		return FitLeavingPlatform
@@ -69,9 +69,9 @@
 }
 
 // fit says whether VM i can join a group of that spec.
-func (w *Snapshot) fit(spec *fleet.GroupSpec, i int) Fit {
-	if spec.FailedRequirement(w.VMs[i].VM) != nil {
+func (s *Snapshot) fit(spec *fleet.GroupSpec, i int) Fit {
+	if spec.FailedRequirement(s.VMs[i].VM) != nil {
 		return FitSelector
 	}
-	return w.free(i)
+	return s.freeFit(i)
 }
--- a/planner/plan.go
+++ b/planner/plan.go
@@ -68,36 +68,36 @@
 }
 
 type plan struct {
-	world   *Snapshot
-	policy  Policy
-	taken   []bool
-	version []int
-	freeIDs []int
-	scanned bool
-	pools   map[string]*pool
-	actions []Action
-	short   []int // groups that lost members and found no replacement
-	unmet   []int // pending groups that found no single domain
+	snapshot         *Snapshot
+	policy           Policy
+	taken            []bool
+	domainVersion    []int
+	freeIndexes      []int
+	freeScanned      bool
+	pools            map[string]*pool
+	actions          []Action
+	unrepairedGroups []int // groups that lost members and found no replacement
+	unformedGroups   []int // pending groups that found no single domain
 }
 
 // Plan returns the next actions for w under policy; equal inputs give equal actions.
-func Plan(w *Snapshot, policy Policy) []Action {
-	p := &plan{world: w, policy: policy, taken: make([]bool, len(w.VMs)), version: make([]int, len(w.domains)), pools: map[string]*pool{}}
+func Plan(s *Snapshot, policy Policy) []Action {
+	p := &plan{snapshot: s, policy: policy, taken: make([]bool, len(s.VMs)), domainVersion: make([]int, len(s.domains)), pools: map[string]*pool{}}
 	for _, g := range p.order() {
 		p.decide(g)
 	}
-	for _, g := range p.unmet {
-		p.formSplit(g)
+	for _, g := range p.unformedGroups {
+		p.formAcrossDomains(g)
 	}
 	p.consolidate()
-	p.moveHome()
+	p.moveToOneDomain()
 	return p.actions
 }
 
-// loading reports whether any VM is on its way into a group.
-func (p *plan) loading() bool {
-	for i := range p.world.VMs {
-		if p.world.VMs[i].Phase == fleet.VMJoining {
+// anyJoining reports whether any VM is on its way into a group.
+func (p *plan) anyJoining() bool {
+	for i := range p.snapshot.VMs {
+		if p.snapshot.VMs[i].Phase == fleet.VMJoining {
 			return true
 		}
 	}
@@ -107,45 +107,45 @@
 // order returns the groups that need a decision, the most useful first.
 func (p *plan) order() []int {
 	var order []int
-	for i := range p.world.Groups {
-		if p.idle(&p.world.Groups[i]) {
+	for i := range p.snapshot.Groups {
+		if p.settled(&p.snapshot.Groups[i]) {
 			continue
 		}
 		order = append(order, i)
 	}
 	sort.SliceStable(order, func(a, b int) bool {
-		return p.before(&p.world.Groups[order[a]], &p.world.Groups[order[b]])
+		return p.precedes(&p.snapshot.Groups[order[a]], &p.snapshot.Groups[order[b]])
 	})
 	return order
 }
 
-// idle is true for the many groups about which nothing has to be decided.
-func (p *plan) idle(g *Group) bool {
-	return !g.Deleted && !g.Reform && (g.Phase == fleet.GroupServing || g.Phase == fleet.GroupForming) && p.world.sound(g)
+// settled is true for the many groups about which nothing has to be decided.
+func (p *plan) settled(g *Group) bool {
+	return !g.Deleted && !g.Reform && (g.Phase == fleet.GroupServing || g.Phase == fleet.GroupForming) && p.snapshot.intact(g)
 }
 
-func (p *plan) before(a, b *Group) bool {
+func (p *plan) precedes(a, b *Group) bool {
 	if a.Spec.Priority != b.Spec.Priority {
 		return a.Spec.Priority < b.Spec.Priority
 	}
-	if x, y := a.Phase != fleet.GroupPending, b.Phase != fleet.GroupPending; x != y {
-		return x
+	if aExisted, bExisted := a.Phase != fleet.GroupPending, b.Phase != fleet.GroupPending; aExisted != bExisted {
+		return aExisted
 	}
 	return a.Spec.Size < b.Spec.Size
 }
 
 func (p *plan) decide(i int) {
-	g := &p.world.Groups[i]
-	alive := p.world.alive(g)
+	g := &p.snapshot.Groups[i]
+	canServe := p.snapshot.canServe(g)
 	switch {
-	case g.Phase == fleet.GroupDraining && !g.Drained && alive:
+	case g.Phase == fleet.GroupDraining && !g.Drained && canServe:
 		// Requests in progress end in peace, also at members that are no longer wanted.
 	case g.Deleted:
 		p.assign(g, nil, "dissolved")
 	case g.Phase == fleet.GroupPending:
 		p.form(i, g)
-	case g.Phase == fleet.GroupServing && alive:
-		p.act(Action{Kind: ActionDrain, Group: g.Spec.Name, BaseEpoch: g.Epoch, Reason: "declared load or members changed"})
+	case g.Phase == fleet.GroupServing && canServe:
+		p.addAction(Action{Kind: ActionDrain, Group: g.Spec.Name, BaseEpoch: g.Epoch, Reason: "declared load or members changed"})
 	case g.Phase == fleet.GroupDraining || g.Reform:
 		p.reform(i, g)
 	default:
@@ -153,7 +153,7 @@
 	}
 }
 
-func (p *plan) act(a Action) {
+func (p *plan) addAction(a Action) {
 	p.actions = append(p.actions, a)
 }
 
@@ -161,26 +161,26 @@
 	for _, i := range members {
 		if !p.taken[i] {
 			p.taken[i] = true
-			p.version[p.world.VMs[i].domain]++
+			p.domainVersion[p.snapshot.VMs[i].domain]++
 		}
 	}
-	p.act(Action{Kind: ActionAssign, Group: g.Spec.Name, BaseEpoch: g.Epoch, Members: p.world.names(members), Reason: reason})
+	p.addAction(Action{Kind: ActionAssign, Group: g.Spec.Name, BaseEpoch: g.Epoch, Members: p.snapshot.vmNames(members), Reason: reason})
 }
 
 // freeVMs lists the VMs that any group could take, found at the first need and not for a plan without one.
 func (p *plan) freeVMs() []int {
-	if !p.scanned {
-		p.scanned = true
-		for i := range p.world.VMs {
-			if p.world.free(i) == FitYes {
-				p.freeIDs = append(p.freeIDs, i)
+	if !p.freeScanned {
+		p.freeScanned = true
+		for i := range p.snapshot.VMs {
+			if p.snapshot.freeFit(i) == FitYes {
+				p.freeIndexes = append(p.freeIndexes, i)
 			}
 		}
 	}
-	return p.freeIDs
+	return p.freeIndexes
 }
 
-func (p *plan) pool(spec *fleet.GroupSpec) *pool {
+func (p *plan) poolFor(spec *fleet.GroupSpec) *pool {
 	key := selectorKey(spec)
 	pl := p.pools[key]
 	if pl == nil {
@@ -191,21 +191,21 @@
 }
 
 func (p *plan) form(i int, g *Group) {
-	members := p.pool(&g.Spec).oneDomain(g.Spec.Size)
+	members := p.poolFor(&g.Spec).fromOneDomain(g.Spec.Size)
 	if members == nil {
-		p.unmet = append(p.unmet, i)
+		p.unformedGroups = append(p.unformedGroups, i)
 		return
 	}
 	p.assign(g, members, "formed in one domain")
 }
 
-// formSplit is tried after every group that fits one domain has had its choice.
-func (p *plan) formSplit(i int) {
-	g := &p.world.Groups[i]
+// formAcrossDomains is tried after every group that fits one domain has had its choice.
+func (p *plan) formAcrossDomains(i int) {
+	g := &p.snapshot.Groups[i]
 	if g.Spec.OneDomain {
 		return
 	}
-	members := p.pool(&g.Spec).manyDomains(g.Spec.Size)
+	members := p.poolFor(&g.Spec).fromSeveralDomains(g.Spec.Size)
 	if members != nil {
 		p.assign(g, members, "formed across domains")
 	}
@@ -213,7 +213,7 @@
 
 // repair keeps the members that are there and looks for as many more as are lost.
 func (p *plan) repair(i int, g *Group) {
-	kept := p.world.kept(g)
+	kept := p.snapshot.keptMembers(g)
 	missing := g.Spec.Size - len(kept)
 	if missing == 0 {
 		p.assign(g, kept, "member restarted")
@@ -223,51 +223,51 @@
 		p.replaceAll(i, g)
 		return
 	}
-	more := p.pool(&g.Spec).beside(kept, missing, g.Spec.OneDomain)
-	if more == nil {
-		p.wait(i, g)
+	added := p.poolFor(&g.Spec).additions(kept, missing, g.Spec.OneDomain)
+	if added == nil {
+		p.waitForVM(i, g)
 		return
 	}
-	p.assign(g, append(kept, more...), "lost member replaced")
+	p.assign(g, append(kept, added...), "lost member replaced")
 }
 
 // replaceAll forms the group elsewhere when its whole domain is dark.
 func (p *plan) replaceAll(i int, g *Group) {
-	pl := p.pool(&g.Spec)
-	members := pl.oneDomain(g.Spec.Size)
+	pl := p.poolFor(&g.Spec)
+	members := pl.fromOneDomain(g.Spec.Size)
 	if members == nil && !g.Spec.OneDomain {
-		members = pl.manyDomains(g.Spec.Size)
+		members = pl.fromSeveralDomains(g.Spec.Size)
 	}
 	if members == nil {
-		p.wait(i, g)
+		p.waitForVM(i, g)
 		return
 	}
 	p.assign(g, members, "all members lost, formed elsewhere")
 }
 
-// wait leaves a broken group as it is until a VM is there for it. That it broke goes into the log,
+// waitForVM leaves a broken group as it is until a VM is there for it. That it broke goes into the log,
 // so that no later leader takes a member's return for an undisturbed formation.
-func (p *plan) wait(i int, g *Group) {
-	p.short = append(p.short, i)
+func (p *plan) waitForVM(i int, g *Group) {
+	p.unrepairedGroups = append(p.unrepairedGroups, i)
 	if g.Phase != fleet.GroupBroken {
-		p.act(Action{Kind: ActionBreak, Group: g.Spec.Name, BaseEpoch: g.Epoch, Reason: "member lost and no VM to replace it"})
+		p.addAction(Action{Kind: ActionBreak, Group: g.Spec.Name, BaseEpoch: g.Epoch, Reason: "member lost and no VM to replace it"})
 	}
 }
 
 // reform chooses members anew after a drain: the same ones if they still are the right ones and lie together.
 func (p *plan) reform(i int, g *Group) {
-	kept := p.world.kept(g)
-	same := len(kept) == g.Spec.Size
-	if same && !p.world.split(kept) {
+	kept := p.snapshot.keptMembers(g)
+	unchanged := len(kept) == g.Spec.Size
+	if unchanged && !p.snapshot.spansDomains(kept) {
 		p.assign(g, kept, "reloaded in place")
 		return
 	}
-	if home := p.homeFor(g, kept); home != nil {
-		p.assign(g, home, "moved into one domain")
+	if members := p.singleDomainSet(g, kept); members != nil {
+		p.assign(g, members, "moved into one domain")
 		return
 	}
 	switch {
-	case same:
+	case unchanged:
 		p.assign(g, kept, "reloaded in place")
 	case len(kept) > g.Spec.Size:
 		p.assign(g, kept[:g.Spec.Size], "made smaller")
@@ -276,74 +276,74 @@
 	}
 }
 
-// homeFor returns a full set of VMs in one domain, own members included, or nil.
-func (p *plan) homeFor(g *Group, kept []int) []int {
-	pl := p.pool(&g.Spec)
-	own := map[int][]int{}
+// singleDomainSet returns a full set of VMs in one domain, own members included, or nil.
+func (p *plan) singleDomainSet(g *Group, kept []int) []int {
+	pl := p.poolFor(&g.Spec)
+	keptByDomain := map[int][]int{}
 	for _, i := range kept {
-		own[p.world.VMs[i].domain] = append(own[p.world.VMs[i].domain], i)
+		keptByDomain[p.snapshot.VMs[i].domain] = append(keptByDomain[p.snapshot.VMs[i].domain], i)
 	}
 	var best []int
-	bestOwn := -1
+	mostKept := -1
 	for _, d := range pl.domains {
 		pl.refresh(d)
-		mine := own[d.index]
-		if len(mine)+len(d.members) < g.Spec.Size || len(mine) <= bestOwn {
+		keptHere := keptByDomain[d.index]
+		if len(keptHere)+len(d.members) < g.Spec.Size || len(keptHere) <= mostKept {
 			continue
 		}
-		set := slices.Concat(mine, d.members)
-		best, bestOwn = set[:g.Spec.Size], len(mine)
+		set := slices.Concat(keptHere, d.members)
+		best, mostKept = set[:g.Spec.Size], len(keptHere)
 	}
 	return best
 }
 
 // consolidate gives up one broken group whose members would complete another one.
 func (p *plan) consolidate() {
-	if len(p.short) < 2 {
+	if len(p.unrepairedGroups) < 2 {
 		return
 	}
-	first := &p.world.Groups[p.short[0]]
-	missing := first.Spec.Size - len(p.world.kept(first))
-	for n := len(p.short) - 1; n > 0; n-- {
-		donor := &p.world.Groups[p.short[n]]
+	first := &p.snapshot.Groups[p.unrepairedGroups[0]]
+	missing := first.Spec.Size - len(p.snapshot.keptMembers(first))
+	for n := len(p.unrepairedGroups) - 1; n > 0; n-- {
+		donor := &p.snapshot.Groups[p.unrepairedGroups[n]]
 		// A VM that paused is back without a load; one that restarts has to load as well, so waiting longer gains nothing.
 		if min(donor.DownFor, first.DownFor) < p.policy.RecoveryWait {
 			continue
 		}
-		if p.usefulTo(first, donor) >= missing {
+		if p.countUsefulVMs(first, donor) >= missing {
 			p.assign(donor, nil, "its VMs complete group "+string(first.Spec.Name))
 			return
 		}
 	}
 }
 
-func (p *plan) usefulTo(g, donor *Group) int {
-	n := 0
-	home, _, _ := p.pool(&g.Spec).home(p.world.kept(g))
-	for _, i := range p.world.kept(donor) {
-		v := &p.world.VMs[i]
-		if g.Spec.FailedRequirement(v.VM) == nil && (!g.Spec.OneDomain || home == none || v.domain == home) {
-			n++
+func (p *plan) countUsefulVMs(g, donor *Group) int {
+	count := 0
+	domain, _, _ := p.poolFor(&g.Spec).mainDomain(p.snapshot.keptMembers(g))
+	for _, i := range p.snapshot.keptMembers(donor) {
+		v := &p.snapshot.VMs[i]
+		if g.Spec.FailedRequirement(v.VM) == nil && (!g.Spec.OneDomain || domain == noIndex || v.domain == domain) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// moveHome drains one split group when one domain could hold it and the speed gained pays for the reload.
-func (p *plan) moveHome() {
-	if len(p.actions) > 0 || !p.worthMoving() || p.loading() {
+// moveToOneDomain drains one split group when one domain could hold it and the speed gained pays for the reload.
+func (p *plan) moveToOneDomain() {
+	if len(p.actions) > 0 || !p.worthMoving() || p.anyJoining() {
 		return
 	}
-	for i := range p.world.Groups {
-		g := &p.world.Groups[i]
+	for i := range p.snapshot.Groups {
+		g := &p.snapshot.Groups[i]
 		if g.Phase == fleet.GroupDraining {
 			return
 		}
-		if g.Phase != fleet.GroupServing || len(g.members) == 0 || !p.world.split(g.members) {
+		if g.Phase != fleet.GroupServing || len(g.members) == 0 || !p.snapshot.spansDomains(g.members) {
 			continue
 		}
-		if p.homeFor(g, p.world.kept(g)) != nil {
-			p.act(Action{Kind: ActionDrain, Group: g.Spec.Name, BaseEpoch: g.Epoch, Reason: "one domain can hold the replica"})
+		if p.singleDomainSet(g, p.snapshot.keptMembers(g)) != nil {
+			p.addAction(Action{Kind: ActionDrain, Group: g.Spec.Name, BaseEpoch: g.Epoch, Reason: "one domain can hold the replica"})
 			return
 		}
 	}
@@ -355,8 +355,8 @@
 	return gain > p.policy.DowntimeWeight*float64(p.policy.LoadTime)
 }
 
-func (p *plan) sortFastest(members []int) {
-	vms := p.world.VMs
+func (p *plan) sortBySpeed(members []int) {
+	vms := p.snapshot.VMs
 	sort.SliceStable(members, func(a, b int) bool {
 		x, y := &vms[members[a]], &vms[members[b]]
 		if x.Speed != y.Speed {
@@ -366,10 +366,10 @@
 	})
 }
 
-// sortClosest puts VMs that were lost least often first, among them those that do not slow the group, the slowest of
+// sortForRepair puts VMs that were lost least often first, among them those that do not slow the group, the slowest of
 // them in front, so that fast ones stay for others.
-func (p *plan) sortClosest(members []int, slowest float64) {
-	vms := p.world.VMs
+func (p *plan) sortForRepair(members []int, slowest float64) {
+	vms := p.snapshot.VMs
 	sort.SliceStable(members, func(a, b int) bool {
 		if f, g := vms[members[a]].Flaps, vms[members[b]].Flaps; f != g {
 			return f < g
--- a/planner/plan_test.go
+++ b/planner/plan_test.go
@@ -13,14 +13,14 @@
 	"github.com/dunlinquay/dunlinquay/planner"
 )
 
-// site writes a fleet in few words: "d1: a b c" puts VMs a, b and c into domain d1; "a*0.5" gives a half the speed.
-func site(t *testing.T, domains ...string) *fleet.State {
+// newState writes a fleet in few words: "d1: a b c" puts VMs a, b and c into domain d1; "a*0.5" gives a half the speed.
+func newState(t *testing.T, domains ...string) *fleet.State {
 	t.Helper()
 	s := fleet.NewState()
 	for _, d := range domains {
 		name, list, _ := strings.Cut(d, ": ")
-		for _, word := range strings.Fields(list) {
-			vm, speed, _ := strings.Cut(word, "*")
+		for _, field := range strings.Fields(list) {
+			vm, speed, _ := strings.Cut(field, "*")
 			v := &fleet.VM{Name: ident.VM(vm), Hall: "h", Domain: ident.Domain(name), Accelerators: 8, Speed: 1, Labels: map[string]string{"d": name}}
 			if speed != "" {
 				if _, err := fmt.Sscan(speed, &v.Speed); err != nil {
@@ -52,7 +52,7 @@
 	return g
 }
 
-func words(actions []planner.Action) []string {
+func describe(actions []planner.Action) []string {
 	list := []string{}
 	for _, a := range actions {
 		verb := map[planner.ActionKind]string{planner.ActionAssign: "assign", planner.ActionDrain: "drain", planner.ActionBreak: "break"}[a.Kind]
@@ -294,7 +294,7 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := site(t, c.domains...)
+			s := newState(t, c.domains...)
 			if c.declare != nil {
 				c.declare(s)
 			}
@@ -307,7 +307,7 @@
 				c.policy(&p)
 			}
 			got := planner.Plan(w, p)
-			if diff := cmp.Diff(c.want, words(got)); diff != "" {
+			if diff := cmp.Diff(c.want, describe(got)); diff != "" {
 				t.Errorf("actions (-want +got):\n%s", diff)
 			}
 			if diff := cmp.Diff(got, planner.Plan(w, p)); diff != "" {
@@ -317,8 +317,8 @@
 	}
 }
 
-func TestExplainSaysWhatPlanningUses(t *testing.T) {
-	s := site(t, "d1: a b c d e", "d2: f")
+func TestExplainMatchesPlan(t *testing.T) {
+	s := newState(t, "d1: a b c d e", "d2: f")
 	g := serve(s, "g", "a b")
 	g.Spec.Selector = []fleet.Requirement{{Label: "d", Values: []string{"d1"}}}
 	serve(s, "h", "c")
--- a/planner/policy_test.go
+++ b/planner/policy_test.go
@@ -21,17 +21,17 @@
 // attention, a VM that has the weights already joins in rejoinTime.
 
 const (
-	tick       = 5 * time.Second
-	loadTime   = time.Minute
-	rejoinTime = 5 * time.Second
-	lossAfter  = 5 * time.Second
-	feeds      = 8 // VMs that the weight store feeds at full rate
+	tick          = 5 * time.Second
+	loadTime      = time.Minute
+	rejoinTime    = 5 * time.Second
+	lossAfter     = 5 * time.Second
+	fullRateLoads = 8 // VMs that the weight store feeds at full rate
 )
 
 // event is something that happens to a fleet at a time.
 type event struct {
-	at   time.Duration
-	what string // "down NAMES", "up NAMES" or "group NAME SIZE [one]"
+	at     time.Duration
+	action string // "down NAMES", "up NAMES" or "group NAME SIZE [one]"
 }
 
 // sequence is one row of the table.
@@ -149,53 +149,53 @@
 // strategy decides on a world; the planner is one, the baselines are the others.
 type strategy func(w *planner.Snapshot) []planner.Action
 
-// table is the running state of one sequence under one strategy.
-type table struct {
-	t        *testing.T
-	at       pace
-	state    *fleet.State
-	revision ident.Revision
-	now      time.Duration
-	down     map[ident.VM]time.Duration
-	changed  map[ident.VM]time.Duration
-	losses   map[ident.VM]int
-	stale    map[ident.VM]bool // was away while it was a member
-	loaded   map[ident.VM]string
-	loading  map[ident.VM]time.Duration // attention still needed
-	broken   map[ident.Group]time.Duration
-	downtime time.Duration
-	stranded time.Duration
+// simulation is the running state of one sequence under one strategy.
+type simulation struct {
+	t            *testing.T
+	times        timings
+	state        *fleet.State
+	revision     ident.Revision
+	now          time.Duration
+	downSince    map[ident.VM]time.Duration
+	changedAt    map[ident.VM]time.Duration
+	losses       map[ident.VM]int
+	lostAsMember map[ident.VM]bool // was away while it was a member
+	loaded       map[ident.VM]string
+	remaining    map[ident.VM]time.Duration // attention still needed
+	brokenSince  map[ident.Group]time.Duration
+	downtime     time.Duration
+	stranded     time.Duration
 }
 
-// pace is how long things take; with everything at once a run shows what no strategy can avoid.
-type pace struct {
+// timings is how long things take; with everything at once a run shows what no strategy can avoid.
+type timings struct {
 	load, loss time.Duration
-	inTurn     bool
+	ordered    bool
 }
 
-func run(t *testing.T, q *sequence, decide strategy, at pace) (downtime, stranded time.Duration) {
+func run(t *testing.T, seq *sequence, decide strategy, times timings) (downtime, stranded time.Duration) {
 	t.Helper()
-	x := &table{
-		t: t, at: at, state: site(t, q.domains...), down: map[ident.VM]time.Duration{}, changed: map[ident.VM]time.Duration{}, losses: map[ident.VM]int{},
-		stale: map[ident.VM]bool{}, loaded: map[ident.VM]string{}, loading: map[ident.VM]time.Duration{}, broken: map[ident.Group]time.Duration{},
+	sim := &simulation{
+		t: t, times: times, state: newState(t, seq.domains...), downSince: map[ident.VM]time.Duration{}, changedAt: map[ident.VM]time.Duration{}, losses: map[ident.VM]int{},
+		lostAsMember: map[ident.VM]bool{}, loaded: map[ident.VM]string{}, remaining: map[ident.VM]time.Duration{}, brokenSince: map[ident.Group]time.Duration{},
 	}
-	for _, g := range q.groups {
-		x.happen("group " + g)
+	for _, g := range seq.groups {
+		sim.trigger("group " + g)
 	}
-	events := slices.Clone(q.events)
-	for x.now = 0; x.now < q.length; x.now += tick {
-		for len(events) > 0 && events[0].at <= x.now {
-			x.happen(events[0].what)
+	events := slices.Clone(seq.events)
+	for sim.now = 0; sim.now < seq.length; sim.now += tick {
+		for len(events) > 0 && events[0].at <= sim.now {
+			sim.trigger(events[0].action)
 			events = events[1:]
 		}
-		x.act(decide(x.world()))
-		x.load()
-		x.count()
+		sim.act(decide(sim.snapshot()))
+		sim.loadWeights()
+		sim.account()
 	}
-	return x.downtime, x.stranded
+	return sim.downtime, sim.stranded
 }
 
-func (x *table) apply(c *fleet.Command) {
+func (x *simulation) apply(c *fleet.Command) {
 	x.t.Helper()
 	x.revision++
 	if a := x.state.Apply(x.revision, c); a.Code != result.OK {
@@ -203,57 +203,57 @@
 	}
 }
 
-func (x *table) happen(what string) {
-	words := strings.Fields(what)
-	switch words[0] {
+func (x *simulation) trigger(action string) {
+	fields := strings.Fields(action)
+	switch fields[0] {
 	case "group":
-		spec := &fleet.GroupSpec{Name: ident.Group(words[1]), Model: "m", OneDomain: len(words) > 3}
-		if _, err := fmt.Sscan(words[2], &spec.Size); err != nil {
+		spec := &fleet.GroupSpec{Name: ident.Group(fields[1]), Model: "m", OneDomain: len(fields) > 3}
+		if _, err := fmt.Sscan(fields[2], &spec.Size); err != nil {
 			x.t.Fatal(err)
 		}
 		x.apply(&fleet.Command{Kind: fleet.KindCreateGroup, Spec: spec})
 	case "down":
-		for _, w := range words[1:] {
+		for _, w := range fields[1:] {
 			name := ident.VM(w)
-			x.down[name], x.changed[name] = x.now, x.now
+			x.downSince[name], x.changedAt[name] = x.now, x.now
 			x.losses[name]++
-			x.stale[name] = x.state.VMs[name].Phase != fleet.VMFree
+			x.lostAsMember[name] = x.state.VMs[name].Phase != fleet.VMFree
 			x.loaded[name] = ""
 		}
 	case "up":
-		for _, w := range words[1:] {
-			delete(x.down, ident.VM(w))
-			x.changed[ident.VM(w)] = x.now
+		for _, w := range fields[1:] {
+			delete(x.downSince, ident.VM(w))
+			x.changedAt[ident.VM(w)] = x.now
 		}
 	}
 }
 
-func (x *table) world() *planner.Snapshot {
-	w := planner.NewSnapshot(x.state.Clone())
-	for i := range w.VMs {
-		v := &w.VMs[i]
-		v.Flaps, v.StableFor = x.losses[v.Name], x.now-x.changed[v.Name]
-		since, down := x.down[v.Name]
+func (x *simulation) snapshot() *planner.Snapshot {
+	snapshot := planner.NewSnapshot(x.state.Clone())
+	for i := range snapshot.VMs {
+		v := &snapshot.VMs[i]
+		v.Flaps, v.StableFor = x.losses[v.Name], x.now-x.changedAt[v.Name]
+		since, down := x.downSince[v.Name]
 		switch {
-		case down && x.now-since >= x.at.loss:
+		case down && x.now-since >= x.times.loss:
 			v.Condition = planner.ConditionLost
 		case down:
 			v.Condition = planner.ConditionSuspect
-		case x.stale[v.Name] && v.Phase == fleet.VMJoined:
+		case x.lostAsMember[v.Name] && v.Phase == fleet.VMJoined:
 			v.Condition = planner.ConditionRestarted
 		}
 	}
-	for i := range w.Groups {
-		g := &w.Groups[i]
+	for i := range snapshot.Groups {
+		g := &snapshot.Groups[i]
 		g.Drained = true
-		if since, ok := x.broken[g.Spec.Name]; ok {
+		if since, ok := x.brokenSince[g.Spec.Name]; ok {
 			g.DownFor = x.now - since
 		}
 	}
-	return w
+	return snapshot
 }
 
-func (x *table) act(actions []planner.Action) {
+func (x *simulation) act(actions []planner.Action) {
 	for _, a := range actions {
 		kind := map[planner.ActionKind]fleet.Kind{
 			planner.ActionAssign: fleet.KindAssign, planner.ActionDrain: fleet.KindDrainGroup, planner.ActionBreak: fleet.KindBreakGroup,
@@ -261,98 +261,98 @@
 		x.apply(&fleet.Command{Kind: kind, Assign: &fleet.Assign{Group: a.Group, Base: a.BaseEpoch, Members: a.Members}})
 	}
 	for _, v := range x.state.SortedVMs() {
-		_, down := x.down[v.Name]
+		_, down := x.downSince[v.Name]
 		if v.Phase == fleet.VMLeaving && !down {
 			x.apply(&fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{{VM: v.Name, Epoch: v.Epoch, Left: true}}})
-			x.stale[v.Name] = false
+			x.lostAsMember[v.Name] = false
 		}
 		if v.Phase != fleet.VMJoining {
-			delete(x.loading, v.Name)
+			delete(x.remaining, v.Name)
 		}
 	}
 }
 
-// load spreads the weight store's attention: in turn, as control.Orders does, or evenly over all that load. A VM that
+// loadWeights spreads the weight store's attention: in turn, as control.Orders does, or evenly over all that load. A VM that
 // has the weights needs none of it.
-func (x *table) load() {
-	var hungry []*fleet.VM
+func (x *simulation) loadWeights() {
+	var loading []*fleet.VM
 	for _, v := range x.state.SortedVMs() {
-		if _, down := x.down[v.Name]; v.Phase != fleet.VMJoining || down {
+		if _, down := x.downSince[v.Name]; v.Phase != fleet.VMJoining || down {
 			continue
 		}
 		if x.loaded[v.Name] == "m" {
 			x.confirm(v)
 			continue
 		}
-		if _, ok := x.loading[v.Name]; !ok {
-			x.loading[v.Name] = x.at.load
+		if _, ok := x.remaining[v.Name]; !ok {
+			x.remaining[v.Name] = x.times.load
 		}
-		hungry = append(hungry, v)
+		loading = append(loading, v)
 	}
 	share := tick
-	if x.at.inTurn {
-		hungry = started(hungry)
+	if x.times.ordered {
+		loading = startedLoads(loading)
 	}
-	if len(hungry) > feeds {
-		share = tick * feeds / time.Duration(len(hungry))
+	if len(loading) > fullRateLoads {
+		share = tick * fullRateLoads / time.Duration(len(loading))
 	}
-	for _, v := range hungry {
-		if x.loading[v.Name] -= share; x.loading[v.Name] <= 0 {
+	for _, v := range loading {
+		if x.remaining[v.Name] -= share; x.remaining[v.Name] <= 0 {
 			x.loaded[v.Name] = "m"
 			x.confirm(v)
 		}
 	}
 }
 
-// started keeps the VMs whose group control would have started to load.
-func started(hungry []*fleet.VM) []*fleet.VM {
+// startedLoads keeps the VMs whose group control would have started to load.
+func startedLoads(loading []*fleet.VM) []*fleet.VM {
 	missing := map[ident.Group]int{}
-	for _, v := range hungry {
+	for _, v := range loading {
 		missing[v.Group]++
 	}
-	slices.SortStableFunc(hungry, func(a, b *fleet.VM) int {
+	slices.SortStableFunc(loading, func(a, b *fleet.VM) int {
 		return cmp.Or(missing[a.Group]-missing[b.Group], int(a.Epoch)-int(b.Epoch))
 	})
-	var list []*fleet.VM
+	var started []*fleet.VM
 	groups := map[ident.Group]bool{}
-	for _, v := range hungry {
-		if !groups[v.Group] && !control.ShouldStartLoad(len(list), len(groups), missing[v.Group], feeds) {
+	for _, v := range loading {
+		if !groups[v.Group] && !control.ShouldStartLoad(len(started), len(groups), missing[v.Group], fullRateLoads) {
 			continue
 		}
 		groups[v.Group] = true
-		list = append(list, v)
+		started = append(started, v)
 	}
-	return list
+	return started
 }
 
-func (x *table) confirm(v *fleet.VM) {
-	x.stale[v.Name] = false
-	delete(x.loading, v.Name)
+func (x *simulation) confirm(v *fleet.VM) {
+	x.lostAsMember[v.Name] = false
+	delete(x.remaining, v.Name)
 	x.apply(&fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{{VM: v.Name, Epoch: v.Epoch, Incarnation: "i"}}})
 }
 
-func (x *table) count() {
+func (x *simulation) account() {
 	used := map[ident.VM]bool{}
 	for _, g := range x.state.SortedGroups() {
-		whole := g.Phase == fleet.GroupServing
+		serving := g.Phase == fleet.GroupServing
 		for _, name := range g.Members {
-			_, down := x.down[name]
-			whole = whole && !down && !x.stale[name]
+			_, down := x.downSince[name]
+			serving = serving && !down && !x.lostAsMember[name]
 		}
-		if !whole {
+		if !serving {
 			x.downtime += tick
-			if _, ok := x.broken[g.Spec.Name]; !ok {
-				x.broken[g.Spec.Name] = x.now
+			if _, ok := x.brokenSince[g.Spec.Name]; !ok {
+				x.brokenSince[g.Spec.Name] = x.now
 			}
 			continue
 		}
-		delete(x.broken, g.Spec.Name)
+		delete(x.brokenSince, g.Spec.Name)
 		for _, name := range g.Members {
 			used[name] = true
 		}
 	}
 	for _, v := range x.state.SortedVMs() {
-		if _, down := x.down[v.Name]; !down && !used[v.Name] {
+		if _, down := x.downSince[v.Name]; !down && !used[v.Name] {
 			x.stranded += tick * time.Duration(v.Accelerators)
 		}
 	}
@@ -360,23 +360,23 @@
 
 // firstFit gives each group that lacks members the first free VMs by name, in any domain unless one is declared, at
 // once and without regard for the weight store.
-func firstFit(w *planner.Snapshot) []planner.Action {
+func firstFit(s *planner.Snapshot) []planner.Action {
 	var actions []planner.Action
 	taken := map[ident.VM]bool{}
-	for i := range w.Groups {
-		g := &w.Groups[i]
+	for i := range s.Groups {
+		g := &s.Groups[i]
 		var kept []ident.VM
-		again := g.Phase == fleet.GroupBroken
+		broken := g.Phase == fleet.GroupBroken
 		for _, name := range g.Members {
-			if c := w.VM(name).Condition; c != planner.ConditionLost {
+			if c := s.VM(name).Condition; c != planner.ConditionLost {
 				kept = append(kept, name)
-				again = again || c == planner.ConditionRestarted
+				broken = broken || c == planner.ConditionRestarted
 			}
 		}
-		if len(kept) == g.Spec.Size && !again {
+		if len(kept) == g.Spec.Size && !broken {
 			continue
 		}
-		members := fill(w, g, kept, taken)
+		members := fillGroup(s, g, kept, taken)
 		if members == nil {
 			continue
 		}
@@ -385,22 +385,22 @@
 	return actions
 }
 
-func fill(w *planner.Snapshot, g *planner.Group, kept []ident.VM, taken map[ident.VM]bool) []ident.VM {
+func fillGroup(s *planner.Snapshot, g *planner.Group, kept []ident.VM, taken map[ident.VM]bool) []ident.VM {
 	var domains []ident.Domain
-	for i := range w.VMs {
-		if !slices.Contains(domains, w.VMs[i].Domain) {
-			domains = append(domains, w.VMs[i].Domain)
+	for i := range s.VMs {
+		if !slices.Contains(domains, s.VMs[i].Domain) {
+			domains = append(domains, s.VMs[i].Domain)
 		}
 	}
 	if !g.Spec.OneDomain {
 		domains = []ident.Domain{""}
 	} else if len(kept) > 0 {
-		domains = []ident.Domain{w.VM(kept[0]).Domain}
+		domains = []ident.Domain{s.VM(kept[0]).Domain}
 	}
 	for _, d := range domains {
 		members := slices.Clone(kept)
-		for i := range w.VMs {
-			v := &w.VMs[i]
+		for i := range s.VMs {
+			v := &s.VMs[i]
 			free := v.Phase == fleet.VMFree && v.Condition == planner.ConditionPresent && !taken[v.Name]
 			if free && (d == "" || v.Domain == d) && len(members) < g.Spec.Size {
 				members = append(members, v.Name)
@@ -417,43 +417,43 @@
 }
 
 // reformAll packs every group anew whenever anything is amiss: the largest first, each into the domain that it fills best.
-func reformAll(w *planner.Snapshot) []planner.Action {
-	amiss := false
-	for i := range w.Groups {
-		g := &w.Groups[i]
-		amiss = amiss || g.Phase == fleet.GroupPending || g.Phase == fleet.GroupBroken
+func reformAll(s *planner.Snapshot) []planner.Action {
+	disturbed := false
+	for i := range s.Groups {
+		g := &s.Groups[i]
+		disturbed = disturbed || g.Phase == fleet.GroupPending || g.Phase == fleet.GroupBroken
 		for _, name := range g.Members {
-			c := w.VM(name).Condition
-			amiss = amiss || c == planner.ConditionLost || c == planner.ConditionRestarted
+			c := s.VM(name).Condition
+			disturbed = disturbed || c == planner.ConditionLost || c == planner.ConditionRestarted
 		}
 	}
-	if !amiss {
+	if !disturbed {
 		return nil
 	}
 	free := map[ident.Domain][]ident.VM{}
-	for i := range w.VMs {
-		if v := &w.VMs[i]; v.Condition != planner.ConditionLost && v.Condition != planner.ConditionSuspect {
+	for i := range s.VMs {
+		if v := &s.VMs[i]; v.Condition != planner.ConditionLost && v.Condition != planner.ConditionSuspect {
 			free[v.Domain] = append(free[v.Domain], v.Name)
 		}
 	}
-	order := make([]*planner.Group, len(w.Groups))
-	for i := range w.Groups {
-		order[i] = &w.Groups[i]
+	order := make([]*planner.Group, len(s.Groups))
+	for i := range s.Groups {
+		order[i] = &s.Groups[i]
 	}
 	slices.SortStableFunc(order, func(a, b *planner.Group) int { return b.Spec.Size - a.Spec.Size })
 	var releases, actions []planner.Action
 	for _, g := range order {
-		members := pack(free, g)
+		members := packGroup(free, g)
 		same := members != nil && sameSet(members, g.Members) && (g.Phase == fleet.GroupServing || g.Phase == fleet.GroupForming)
 		for _, name := range g.Members {
-			same = same && w.VM(name).Condition == planner.ConditionPresent
+			same = same && s.VM(name).Condition == planner.ConditionPresent
 		}
 		if same {
 			continue
 		}
 		available := members != nil
 		for _, m := range members {
-			v := w.VM(m)
+			v := s.VM(m)
 			available = available && (v.Phase == fleet.VMFree || v.Group == g.Spec.Name && v.Phase != fleet.VMLeaving)
 		}
 		if available {
@@ -472,7 +472,7 @@
 	return slices.Equal(x, y)
 }
 
-func pack(free map[ident.Domain][]ident.VM, g *planner.Group) []ident.VM {
+func packGroup(free map[ident.Domain][]ident.VM, g *planner.Group) []ident.VM {
 	best := ident.Domain("")
 	var names []ident.Domain
 	for d := range free {
@@ -505,60 +505,60 @@
 	return members
 }
 
-// user is one of the two deployments with its weights.
-type user struct {
+// deployment is one of the two deployments with its weights.
+type deployment struct {
 	name               string
 	downtime, stranded float64
 }
 
-var users = []user{{"wetterhaus", 4, 1}, {"dakar", 1, 4}}
+var deployments = []deployment{{"wetterhaus", 4, 1}, {"dakar", 1, 4}}
 
-// perAccelerator makes a second of a stranded VM weigh like a second of downtime of a group of one VM.
-const perAccelerator = 1.0 / 8
+// strandedVMWeight makes a second of a stranded VM weigh like a second of downtime of a group of one VM.
+const strandedVMWeight = 1.0 / 8
 
-func (u *user) cost(downtime, stranded time.Duration) float64 {
-	return u.downtime*downtime.Seconds() + u.stranded*stranded.Seconds()*perAccelerator
+func (d *deployment) cost(downtime, stranded time.Duration) float64 {
+	return d.downtime*downtime.Seconds() + d.stranded*stranded.Seconds()*strandedVMWeight
 }
 
-func (u *user) planned(w *planner.Snapshot) []planner.Action {
+func (d *deployment) plan(s *planner.Snapshot) []planner.Action {
 	p := planner.DefaultPolicy()
-	p.DowntimeWeight, p.StrandedWeight, p.LoadTime = u.downtime, u.stranded, loadTime
-	return planner.Plan(w, p)
+	p.DowntimeWeight, p.StrandedWeight, p.LoadTime = d.downtime, d.stranded, loadTime
+	return planner.Plan(s, p)
 }
 
 func TestPolicyTable(t *testing.T) {
-	for i := range users {
-		u := &users[i]
-		sum, best := 0.0, 0.0
-		fixed, ordered := 0.0, 0.0
-		var downSum, downBest time.Duration
+	for i := range deployments {
+		d := &deployments[i]
+		sum, baselineSum := 0.0, 0.0
+		instant, orderedBaseline := 0.0, 0.0
+		var downtimeSum, baselineDowntime time.Duration
 		for j := range sequences {
-			q := &sequences[j]
-			row := [3]float64{}
-			var downs [3]time.Duration
-			text := ""
-			for k, decide := range []strategy{u.planned, firstFit, reformAll} {
-				downtime, stranded := run(t, q, decide, pace{loadTime, lossAfter, k == 0})
-				row[k], downs[k] = u.cost(downtime, stranded), downtime
-				text += fmt.Sprintf(" | %6.0f %7.0f %7.0f", downtime.Seconds(), stranded.Seconds(), row[k])
+			seq := &sequences[j]
+			costs := [3]float64{}
+			var downtimes [3]time.Duration
+			columns := ""
+			for k, decide := range []strategy{d.plan, firstFit, reformAll} {
+				downtime, stranded := run(t, seq, decide, timings{loadTime, lossAfter, k == 0})
+				costs[k], downtimes[k] = d.cost(downtime, stranded), downtime
+				columns += fmt.Sprintf(" | %6.0f %7.0f %7.0f", downtime.Seconds(), stranded.Seconds(), costs[k])
 			}
-			better := min(row[1], row[2])
-			fixed += u.cost(run(t, q, u.planned, pace{}))
+			baseline := min(costs[1], costs[2])
+			instant += d.cost(run(t, seq, d.plan, timings{}))
 			// The order of loads is control.Orders' doing; with it the baselines show what the choice of VMs alone is worth.
-			inTurn := pace{loadTime, lossAfter, true}
-			ordered += min(u.cost(run(t, q, firstFit, inTurn)), u.cost(run(t, q, reformAll, inTurn)))
-			t.Logf("%-10s %-38s%s", u.name, q.name, text)
-			if row[0] > better {
-				t.Errorf("%s, %s: cost %.0f, the better baseline has %.0f", u.name, q.name, row[0], better)
+			orderedLoads := timings{loadTime, lossAfter, true}
+			orderedBaseline += min(d.cost(run(t, seq, firstFit, orderedLoads)), d.cost(run(t, seq, reformAll, orderedLoads)))
+			t.Logf("%-10s %-38s%s", d.name, seq.name, columns)
+			if costs[0] > baseline {
+				t.Errorf("%s, %s: cost %.0f, the better baseline has %.0f", d.name, seq.name, costs[0], baseline)
 			}
-			sum += row[0]
-			best += better
-			downSum += downs[0]
-			downBest += min(downs[1], downs[2])
+			sum += costs[0]
+			baselineSum += baseline
+			downtimeSum += downtimes[0]
+			baselineDowntime += min(downtimes[1], downtimes[2])
 		}
 		t.Logf("%-10s sum %.0f of %.0f: ratio %.2f; downtime alone %s of %s: ratio %.2f; beyond what instant loads cost: %.0f of %.0f: ratio %.2f",
-			u.name, sum, best, sum/best, downSum, downBest, downSum.Seconds()/downBest.Seconds(), sum-fixed, best-fixed, (sum-fixed)/(best-fixed))
+			d.name, sum, baselineSum, sum/baselineSum, downtimeSum, baselineDowntime, downtimeSum.Seconds()/baselineDowntime.Seconds(), sum-instant, baselineSum-instant, (sum-instant)/(baselineSum-instant))
 		t.Logf("%-10s with the same order of loads for all: sum %.0f of %.0f: ratio %.2f; beyond what instant loads cost: ratio %.2f",
-			u.name, sum, ordered, sum/ordered, (sum-fixed)/(ordered-fixed))
+			d.name, sum, orderedBaseline, sum/orderedBaseline, (sum-instant)/(orderedBaseline-instant))
 	}
 }
--- a/planner/pool.go
+++ b/planner/pool.go
@@ -23,16 +23,16 @@
 type poolDomain struct {
 	index   int
 	members []int // free VMs, the fastest first
-	// seen is the domain's version for which members and best hold.
-	seen int
-	best map[int]choice
+	// version is the domain's version for which members and best hold.
+	version int
+	best    map[int]selection
 }
 
-// choice is the best set of a given size in one domain.
-type choice struct {
-	members []int
-	spread  float64
-	left    int
+// selection is the best set of a given size in one domain.
+type selection struct {
+	members     []int
+	speedSpread float64
+	leftOver    int
 }
 
 func selectorKey(spec *fleet.GroupSpec) string {
@@ -46,21 +46,21 @@
 func newPool(p *plan, spec *fleet.GroupSpec) *pool {
 	pl := &pool{plan: p, byIndex: map[int]*poolDomain{}}
 	for _, i := range p.freeVMs() {
-		if spec.FailedRequirement(p.world.VMs[i].VM) == nil {
+		if spec.FailedRequirement(p.snapshot.VMs[i].VM) == nil {
 			pl.add(i)
 		}
 	}
 	for _, d := range pl.domains {
-		p.sortFastest(d.members)
+		p.sortBySpeed(d.members)
 	}
 	return pl
 }
 
 func (pl *pool) add(i int) {
-	index := pl.plan.world.VMs[i].domain
+	index := pl.plan.snapshot.VMs[i].domain
 	d := pl.byIndex[index]
 	if d == nil {
-		d = &poolDomain{index: index, best: map[int]choice{}, seen: pl.plan.version[index]}
+		d = &poolDomain{index: index, best: map[int]selection{}, version: pl.plan.domainVersion[index]}
 		pl.byIndex[index] = d
 		pl.domains = append(pl.domains, d)
 	}
@@ -69,90 +69,90 @@
 
 // refresh drops VMs that were taken since the last look.
 func (pl *pool) refresh(d *poolDomain) {
-	if version := pl.plan.version[d.index]; d.seen != version {
+	if current := pl.plan.domainVersion[d.index]; d.version != current {
 		d.members = slices.DeleteFunc(d.members, func(i int) bool { return pl.plan.taken[i] })
-		d.best = map[int]choice{}
-		d.seen = version
+		d.best = map[int]selection{}
+		d.version = current
 	}
 }
 
 // bestOf returns the set of k VMs in d whose speeds differ least, because the slowest sets the pace.
-func (pl *pool) bestOf(d *poolDomain, k int) (choice, bool) {
+func (pl *pool) bestOf(d *poolDomain, k int) (selection, bool) {
 	pl.refresh(d)
 	if len(d.members) < k {
-		return choice{}, false
+		return selection{}, false
 	}
 	if c, ok := d.best[k]; ok {
 		return c, true
 	}
-	vms := pl.plan.world.VMs
-	best := choice{spread: -1}
+	vms := pl.plan.snapshot.VMs
+	best := selection{speedSpread: -1}
 	for i := 0; i+k <= len(d.members); i++ {
 		spread := vms[d.members[i]].Speed - vms[d.members[i+k-1]].Speed
-		if best.spread < 0 || spread < best.spread {
-			best = choice{members: d.members[i : i+k], spread: spread, left: len(d.members) - k}
+		if best.speedSpread < 0 || spread < best.speedSpread {
+			best = selection{members: d.members[i : i+k], speedSpread: spread, leftOver: len(d.members) - k}
 		}
 	}
 	d.best[k] = best
 	return best, true
 }
 
-// oneDomain returns the best k VMs of a single domain: even speeds first, then the domain that is left with the fewest.
-func (pl *pool) oneDomain(k int) []int {
-	var best choice
+// fromOneDomain returns the best k VMs of a single domain: even speeds first, then the domain that is left with the fewest.
+func (pl *pool) fromOneDomain(k int) []int {
+	var best selection
 	found := false
 	for _, d := range pl.domains {
 		c, ok := pl.bestOf(d, k)
-		if ok && (!found || c.before(&best)) {
+		if ok && (!found || c.betterThan(&best)) {
 			best, found = c, true
 		}
 	}
 	return slices.Clone(best.members)
 }
 
-func (c *choice) before(other *choice) bool {
-	if c.spread != other.spread {
-		return c.spread < other.spread
+func (c *selection) betterThan(other *selection) bool {
+	if c.speedSpread != other.speedSpread {
+		return c.speedSpread < other.speedSpread
 	}
-	return c.left < other.left
+	return c.leftOver < other.leftOver
 }
 
-// manyDomains returns k VMs from as few domains as possible, all of one hall when a hall has enough.
-func (pl *pool) manyDomains(k int) []int {
+// fromSeveralDomains returns k VMs from as few domains as possible, all of one hall when a hall has enough.
+func (pl *pool) fromSeveralDomains(k int) []int {
 	for _, d := range pl.domains {
 		pl.refresh(d)
 	}
-	for _, set := range [][]*poolDomain{pl.richestHall(k), pl.domains} {
-		if members := pl.gather(set, k); members != nil {
+	for _, set := range [][]*poolDomain{pl.fullestHall(k), pl.domains} {
+		if members := pl.collect(set, k); members != nil {
 			return members
 		}
 	}
 	return nil
 }
 
-func (pl *pool) richestHall(k int) []*poolDomain {
-	halls := map[string][]*poolDomain{}
-	count := map[string]int{}
+func (pl *pool) fullestHall(k int) []*poolDomain {
+	domainsByHall := map[string][]*poolDomain{}
+	freeByHall := map[string]int{}
 	best := ""
 	for _, d := range pl.domains {
 		if len(d.members) == 0 {
 			continue
 		}
-		hall := string(pl.plan.world.VMs[d.members[0]].Hall)
-		halls[hall] = append(halls[hall], d)
-		count[hall] += len(d.members)
+		hall := string(pl.plan.snapshot.VMs[d.members[0]].Hall)
+		domainsByHall[hall] = append(domainsByHall[hall], d)
+		freeByHall[hall] += len(d.members)
 		// The fullest hall wins; equal ones are told apart by name, so that the result does not vary.
-		if best == "" || count[hall] > count[best] || count[hall] == count[best] && hall < best {
+		if best == "" || freeByHall[hall] > freeByHall[best] || freeByHall[hall] == freeByHall[best] && hall < best {
 			best = hall
 		}
 	}
-	if count[best] < k {
+	if freeByHall[best] < k {
 		return nil
 	}
-	return halls[best]
+	return domainsByHall[best]
 }
 
-func (pl *pool) gather(domains []*poolDomain, k int) []int {
+func (pl *pool) collect(domains []*poolDomain, k int) []int {
 	domains = slices.Clone(domains)
 	sort.SliceStable(domains, func(i, j int) bool { return len(domains[i].members) > len(domains[j].members) })
 	var members []int
@@ -166,46 +166,46 @@
 	return members
 }
 
-// beside returns n VMs to join those that are kept: of their domain if it has enough, then of their hall, then any.
-func (pl *pool) beside(kept []int, n int, oneDomain bool) []int {
-	home, hall, slowest := pl.home(kept)
-	vms := pl.plan.world.VMs
-	var near, hallwide, far []int
+// additions returns n VMs to join those that are kept: of their domain if it has enough, then of their hall, then any.
+func (pl *pool) additions(kept []int, n int, oneDomain bool) []int {
+	mainDomain, hall, slowest := pl.mainDomain(kept)
+	vms := pl.plan.snapshot.VMs
+	var sameDomain, sameHall, elsewhere []int
 	for _, d := range pl.domains {
 		pl.refresh(d)
 		for _, i := range d.members {
 			switch {
-			case d.index == home:
-				near = append(near, i)
+			case d.index == mainDomain:
+				sameDomain = append(sameDomain, i)
 			case string(vms[i].Hall) == hall:
-				hallwide = append(hallwide, i)
+				sameHall = append(sameHall, i)
 			default:
-				far = append(far, i)
+				elsewhere = append(elsewhere, i)
 			}
 		}
 	}
-	for _, set := range [][]int{near, hallwide, far} {
-		pl.plan.sortClosest(set, slowest)
+	for _, set := range [][]int{sameDomain, sameHall, elsewhere} {
+		pl.plan.sortForRepair(set, slowest)
 	}
-	if len(near) >= n {
-		return near[:n]
+	if len(sameDomain) >= n {
+		return sameDomain[:n]
 	}
-	all := slices.Concat(near, hallwide, far)
+	all := slices.Concat(sameDomain, sameHall, elsewhere)
 	if oneDomain || len(all) < n {
 		return nil
 	}
 	return all[:n]
 }
 
-// home returns the domain where most of the kept VMs lie, its hall, and the slowest speed among them.
-func (pl *pool) home(kept []int) (domain int, hall string, slowest float64) {
-	vms := pl.plan.world.VMs
-	count := map[int]int{}
-	domain = none
+// mainDomain returns the domain where most of the kept VMs lie, its hall, and the slowest speed among them.
+func (pl *pool) mainDomain(kept []int) (domain int, hall string, slowest float64) {
+	vms := pl.plan.snapshot.VMs
+	keptByDomain := map[int]int{}
+	domain = noIndex
 	for n, i := range kept {
 		v := &vms[i]
-		count[v.domain]++
-		if domain == none || count[v.domain] > count[domain] {
+		keptByDomain[v.domain]++
+		if domain == noIndex || keptByDomain[v.domain] > keptByDomain[domain] {
 			domain, hall = v.domain, string(v.Hall)
 		}
 		if n == 0 || v.Speed < slowest {
--- a/planner/world.go
+++ b/planner/snapshot.go
@@ -56,118 +56,118 @@
 	byGroup map[ident.Group]int
 }
 
-const none = -1
+const noIndex = -1
 
 // NewSnapshot returns the dense form of s, with every VM present and every group not drained.
-func NewSnapshot(s *fleet.State) *Snapshot {
-	w := &Snapshot{byVM: make(map[ident.VM]int, len(s.VMs)), byGroup: make(map[ident.Group]int, len(s.Groups))}
-	for i, g := range s.SortedGroups() {
-		w.Groups = append(w.Groups, Group{Group: g})
-		w.byGroup[g.Spec.Name] = i
+func NewSnapshot(state *fleet.State) *Snapshot {
+	s := &Snapshot{byVM: make(map[ident.VM]int, len(state.VMs)), byGroup: make(map[ident.Group]int, len(state.Groups))}
+	for i, g := range state.SortedGroups() {
+		s.Groups = append(s.Groups, Group{Group: g})
+		s.byGroup[g.Spec.Name] = i
 	}
 	domains := map[string]int{}
-	for i, v := range s.SortedVMs() {
-		w.VMs = append(w.VMs, VM{VM: v, domain: w.domainIndex(domains, v), group: w.groupIndex(v)})
-		w.byVM[v.Name] = i
+	for i, v := range state.SortedVMs() {
+		s.VMs = append(s.VMs, VM{VM: v, domain: s.domainIndex(domains, v), group: s.groupIndex(v)})
+		s.byVM[v.Name] = i
 	}
-	for i := range w.Groups {
-		g := &w.Groups[i]
+	for i := range s.Groups {
+		g := &s.Groups[i]
 		for _, name := range g.Members {
-			g.members = append(g.members, w.byVM[name])
+			g.members = append(g.members, s.byVM[name])
 		}
 	}
-	return w
+	return s
 }
 
 // domainIndex numbers domains; a domain's name counts within its hall only.
-func (w *Snapshot) domainIndex(domains map[string]int, v *fleet.VM) int {
+func (s *Snapshot) domainIndex(domains map[string]int, v *fleet.VM) int {
 	key := string(v.Hall) + "/" + string(v.Domain)
 	i, ok := domains[key]
 	if !ok {
-		i = len(w.domains)
+		i = len(s.domains)
 		domains[key] = i
-		w.domains = append(w.domains, key)
+		s.domains = append(s.domains, key)
 	}
 	return i
 }
 
-func (w *Snapshot) groupIndex(v *fleet.VM) int {
+func (s *Snapshot) groupIndex(v *fleet.VM) int {
 	if v.Phase == fleet.VMFree {
-		return none
+		return noIndex
 	}
-	if i, ok := w.byGroup[v.Group]; ok {
+	if i, ok := s.byGroup[v.Group]; ok {
 		return i
 	}
-	return none
+	return noIndex
 }
 
 // VM returns the VM of that name, or nil.
-func (w *Snapshot) VM(name ident.VM) *VM {
-	if i, ok := w.byVM[name]; ok {
-		return &w.VMs[i]
+func (s *Snapshot) VM(name ident.VM) *VM {
+	if i, ok := s.byVM[name]; ok {
+		return &s.VMs[i]
 	}
 	return nil
 }
 
 // Group returns the group of that name, or nil.
-func (w *Snapshot) Group(name ident.Group) *Group {
-	if i, ok := w.byGroup[name]; ok {
-		return &w.Groups[i]
+func (s *Snapshot) Group(name ident.Group) *Group {
+	if i, ok := s.byGroup[name]; ok {
+		return &s.Groups[i]
 	}
 	return nil
 }
 
-// keeps reports whether member i can stay in its group g: there, wanted, admitted and not on its way out.
-func (w *Snapshot) keeps(g *Group, i int) bool {
-	v := &w.VMs[i]
-	there := v.Condition != ConditionLost
+// canKeep reports whether member i can stay in its group g: there, wanted, admitted and not on its way out.
+func (s *Snapshot) canKeep(g *Group, i int) bool {
+	v := &s.VMs[i]
+	present := v.Condition != ConditionLost
 	held := v.Epoch == g.Epoch && (v.Phase == fleet.VMJoined || v.Phase == fleet.VMJoining)
-	return there && held && v.Eligible() && g.Spec.FailedRequirement(v.VM) == nil
+	return present && held && v.Eligible() && g.Spec.FailedRequirement(v.VM) == nil
 }
 
-// kept returns the members that can stay.
-func (w *Snapshot) kept(g *Group) []int {
+// keptMembers returns the members that can stay.
+func (s *Snapshot) keptMembers(g *Group) []int {
 	var kept []int
 	for _, i := range g.members {
-		if w.keeps(g, i) {
+		if s.canKeep(g, i) {
 			kept = append(kept, i)
 		}
 	}
 	return kept
 }
 
-// sound reports whether nothing has to change about the members of g.
-func (w *Snapshot) sound(g *Group) bool {
+// intact reports whether nothing has to change about the members of g.
+func (s *Snapshot) intact(g *Group) bool {
 	for _, i := range g.members {
-		c := w.VMs[i].Condition
-		if c == ConditionLost || c == ConditionRestarted || !w.keeps(g, i) {
+		c := s.VMs[i].Condition
+		if c == ConditionLost || c == ConditionRestarted || !s.canKeep(g, i) {
 			return false
 		}
 	}
 	return len(g.members) == g.Spec.Size
 }
 
-// alive reports whether the formation can still answer requests, whether or not its members are the wanted ones.
-func (w *Snapshot) alive(g *Group) bool {
+// canServe reports whether the formation can still answer requests, whether or not its members are the wanted ones.
+func (s *Snapshot) canServe(g *Group) bool {
 	for _, i := range g.members {
-		if c := w.VMs[i].Condition; c == ConditionLost || c == ConditionRestarted {
+		if c := s.VMs[i].Condition; c == ConditionLost || c == ConditionRestarted {
 			return false
 		}
 	}
 	return len(g.members) > 0
 }
 
-// split reports whether the VMs lie in more than one fabric domain.
-func (w *Snapshot) split(members []int) bool {
+// spansDomains reports whether the VMs lie in more than one fabric domain.
+func (s *Snapshot) spansDomains(members []int) bool {
 	return slices.ContainsFunc(members, func(i int) bool {
-		return w.VMs[i].domain != w.VMs[members[0]].domain
+		return s.VMs[i].domain != s.VMs[members[0]].domain
 	})
 }
 
-func (w *Snapshot) names(members []int) []ident.VM {
+func (s *Snapshot) vmNames(members []int) []ident.VM {
 	names := make([]ident.VM, len(members))
 	for i, m := range members {
-		names[i] = w.VMs[m].Name
+		names[i] = s.VMs[m].Name
 	}
 	return names
 }
