--- a/planner/bench_test.go
+++ b/planner/bench_test.go
@@ -83,6 +83,7 @@
 	}
 }
 
+// BenchmarkStateBytes reports the size of the encoded state.
 func BenchmarkStateBytes(b *testing.B) {
 	for _, vms := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(vms, "-vms"), func(b *testing.B) {
--- a/planner/doc.go
+++ b/planner/doc.go
@@ -1,2 +1,3 @@
-// Package planner decides which VMs form which group, as a pure function of the fleet and the policy.
+// Package planner decides which VMs form which group, when a group is drained or repaired, and explains to operators why a group is not
+// complete. Its decisions are a pure function of a snapshot of the fleet and a policy.
 package planner
--- a/planner/explain.go
+++ b/planner/explain.go
@@ -7,7 +7,7 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// Candidate says of one VM whether it could join the group, or what it is as a member.
+// Candidate tells whether one VM can join or stay in the group, and why.
 type Candidate struct {
 	VM     ident.VM     `json:"vm"`
 	Hall   ident.Hall   `json:"hall"`
@@ -17,7 +17,8 @@
 	Reason string       `json:"reason"`
 }
 
-// Explanation says why a group is or is not whole, from the same tests that planning uses.
+// Explanation tells why a group is complete or not, from the same checks that Plan uses. Kept counts members that can stay, Fitting other VMs
+// that can join, and Next is the next action.
 type Explanation struct {
 	Group      ident.Group `json:"group"`
 	Phase      string      `json:"phase"`
@@ -29,7 +30,7 @@
 	Candidates []Candidate `json:"candidates"`
 }
 
-// Explain describes the group called name under policy; ok is false when there is none.
+// Explain explains the group of that name under policy; ok is false if there is none.
 func Explain(s *Snapshot, policy Policy, name ident.Group) (e Explanation, ok bool) {
 	g := s.Group(name)
 	if g == nil {
@@ -47,6 +48,7 @@
 	return e, true
 }
 
+// candidate checks VM i as a member of g or as one that could join g.
 func (s *Snapshot) candidate(g *Group, i int) Candidate {
 	v := &s.VMs[i]
 	c := Candidate{VM: v.Name, Hall: v.Hall, Domain: v.Domain}
@@ -64,6 +66,7 @@
 	return c
 }
 
+// fitReason formats why VM i fits g or not, with the values that decide it.
 func (s *Snapshot) fitReason(g *Group, i int, fit Fit) string {
 	v := &s.VMs[i]
 	switch fit {
@@ -75,11 +78,12 @@
 	case FitAbsent:
 		return fmt.Sprintf("%s: %s for %s", fit, v.Condition, v.StableFor)
 	case FitFlapping:
-		return fmt.Sprintf("%s: lost %d times, steady for %s, wanted %s", fit, v.Flaps, v.StableFor, requiredStability(v.Flaps))
+		return fmt.Sprintf("%s: lost %d times, present for %s of the required %s", fit, v.Flaps, v.StableFor, requiredStability(v.Flaps))
 	}
 	return fit.String()
 }
 
+// nextStep formats the planned action for g or, without one, what the group waits for.
 func nextStep(g *Group, intact bool, actions []Action) string {
 	for _, a := range actions {
 		if a.Group != g.Spec.Name {
@@ -92,13 +96,13 @@
 	}
 	switch {
 	case g.Phase == fleet.GroupServing && intact:
-		return "nothing: the group serves"
+		return "none: the group serves"
 	case g.Phase == fleet.GroupForming && intact:
-		return "wait until every member has loaded and confirmed"
+		return "wait until every member has loaded the weights and confirmed"
 	case g.Phase == fleet.GroupDraining:
 		return "wait until requests in progress have ended"
 	case g.Spec.OneDomain:
 		return "wait: no single domain has enough fitting VMs, and one-domain is set"
 	}
-	return "wait: too few fitting VMs, or the weight store's loads are all in use"
+	return "wait: too few fitting VMs, or the weight store has no load left"
 }
--- a/planner/fit.go
+++ b/planner/fit.go
@@ -6,10 +6,10 @@
 	"github.com/dunlinquay/dunlinquay/fleet"
 )
 
-// Fit says why a VM can or cannot join a group now; planning and explain share it.
+// Fit is the reason why a VM can or cannot join a group now; Plan and Explain share it.
 type Fit uint8
 
-// The reasons, of which only FitYes lets a VM join.
+// The reasons. Only a VM with FitYes can join.
 const (
 	FitYes Fit = iota
 	FitInGroup
@@ -21,21 +21,22 @@
 	FitSelector
 )
 
-// String returns the reason in words.
+// String returns the reason as text for operators.
 func (f Fit) String() string {
 	return [...]string{
-		"fits", "held by a group", "leaving its last group", "leaving the platform", "drained by an operator",
-		"absent", "flapping", "selector",
+		"fits", "in another group", "leaving its last group", "leaving the platform", "drained by an operator",
+		"absent", "flapping", "selector does not match",
 	}[f]
 }
 
+// The required presence of a VM after several losses starts at flapWaitBase and doubles with each recent loss, at most maxFlapDoublings times.
 const (
 	flapWaitBase     = 5 * time.Second
 	maxFlapWait      = 5 * time.Minute
 	maxFlapDoublings = 6
 )
 
-// requiredStability is how long a VM must have been there before it is used again, doubled by each recent loss.
+// requiredStability is how long a VM must have been present before it is used again. A single recent loss requires no wait.
 func requiredStability(flaps int) time.Duration {
 	if flaps < 2 {
 		return 0
@@ -43,12 +44,12 @@
 	return min(flapWaitBase<<min(flaps, maxFlapDoublings), maxFlapWait)
 }
 
-// Steady reports whether the VM has been there for long enough to be used again.
+// Steady reports whether the VM has been present for long enough to be used again.
 func (v *VM) Steady() bool {
 	return v.StableFor >= requiredStability(v.Flaps)
 }
 
-// freeFit says whether VM i could be given to any group at all.
+// freeFit returns FitYes if VM i can join a group whose selector it matches.
 func (s *Snapshot) freeFit(i int) Fit {
 	v := &s.VMs[i]
 	switch {
@@ -68,7 +69,7 @@
 	return FitYes
 }
 
-// fit says whether VM i can join a group of that spec.
+// fit returns FitYes if VM i can join a group of that spec.
 func (s *Snapshot) fit(spec *fleet.GroupSpec, i int) Fit {
 	if spec.FailedRequirement(s.VMs[i].VM) != nil {
 		return FitSelector
--- a/planner/plan.go
+++ b/planner/plan.go
@@ -1,20 +1,21 @@
 package planner
 
-// Plan compares what is declared with what is there and returns the next
-// actions. It keeps no state: what it wants next follows from the log and from
-// presence, so a new leader continues where the last one stopped.
+// Plan compares the declared groups with the VMs and returns the next actions. It
+// keeps no state: its decisions follow from the log and from presence, so a new
+// leader continues where the last one stopped.
 //
-// The order of choice is: important groups before others, groups that lost a
-// member before groups that never formed, small ones before large ones. Within
-// that order each group takes the VMs that hurt the rest least: its own
-// members, a spare of its own domain, a domain that it fills to the brim, and
-// only then several domains. In which order the chosen VMs load is not decided
-// here but by control.Orders, which knows what the weight store is doing.
+// Groups are planned in order of priority, then groups that lost a member before
+// groups that have never been formed, then small groups before large ones. Each
+// group gets the VMs that leave the best choice to the other groups: its own
+// members, a spare of its own domain, a domain of which it leaves the fewest VMs,
+// and only then VMs of several domains. The order in which the chosen VMs load
+// weights is decided by control.Orders, which knows the state of the weight store.
 //
 // Spares are never held back from a declared group: a group that waits so that
-// another may be repaired later is down for certain, the other one only
-// perhaps. The weights decide whether moving a split replica home is worth a
-// reload; see docs/design/planner.md for what else was weighed.
+// another may be repaired later is certainly down, while the other one may never
+// need the repair. The weights of the policy decide whether moving a split group
+// into one domain is worth a reload; see docs/design/planner.md for the
+// alternatives.
 
 import (
 	"slices"
@@ -25,22 +26,22 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// Policy holds the weights of a deployment and what the planner must know of its times.
+// Policy holds the weights of a deployment and the durations that decisions depend on.
 type Policy struct {
-	// DowntimeWeight weighs a second of one group's downtime, Stranded a second of one stranded accelerator.
+	// DowntimeWeight is the cost of a second of one group's downtime, StrandedWeight that of a second of one stranded accelerator.
 	DowntimeWeight float64
 	StrandedWeight float64
-	// LoadTime is how long one load takes.
+	// LoadTime is the time that one load of weights takes.
 	LoadTime time.Duration
 	// RecoveryWait is how long a broken group without a spare waits for a VM that may only have paused.
 	RecoveryWait time.Duration
-	// SplitSpeedLoss is the share of its speed that a replica across domains loses.
+	// SplitSpeedLoss is the fraction of its speed that a group across domains loses.
 	SplitSpeedLoss float64
-	// PaybackPeriod is how long a move home has to pay for itself.
+	// PaybackPeriod is the time within which moving a group into one domain must recover the cost of the reload.
 	PaybackPeriod time.Duration
 }
 
-// DefaultPolicy returns even weights and times that suit a replica of some hundred gigabytes.
+// DefaultPolicy returns equal weights, and durations for groups with some hundred gigabytes of weights.
 func DefaultPolicy() Policy {
 	return Policy{
 		DowntimeWeight: 1, StrandedWeight: 1,
@@ -48,17 +49,17 @@
 	}
 }
 
-// ActionKind says what an action does.
+// ActionKind is the kind of an action.
 type ActionKind uint8
 
-// The kinds of actions.
+// The kinds of actions. ActionBreak records that a group has lost a member and cannot be repaired yet.
 const (
 	ActionAssign ActionKind = iota + 1
 	ActionDrain
 	ActionBreak
 )
 
-// Action is one command for the log, decided on epoch Base; an assignment without members releases them.
+// Action is one command for the log, valid for a group in epoch BaseEpoch. An assignment without members releases the group's members.
 type Action struct {
 	Kind      ActionKind
 	Group     ident.Group
@@ -67,20 +68,21 @@
 	Reason    string
 }
 
+// plan is the working state of one call of Plan; VMs, groups and domains are indexes into the snapshot.
 type plan struct {
 	snapshot         *Snapshot
 	policy           Policy
-	taken            []bool
-	domainVersion    []int
+	taken            []bool // VMs that were assigned
+	domainVersion    []int  // counts the assigned VMs of each domain, for poolDomain
 	freeIndexes      []int
 	freeScanned      bool
 	pools            map[string]*pool
 	actions          []Action
-	unrepairedGroups []int // groups that lost members and found no replacement
-	unformedGroups   []int // pending groups that found no single domain
+	unrepairedGroups []int // groups that lost members without a replacement
+	unformedGroups   []int // pending groups that fit into no single domain
 }
 
-// Plan returns the next actions for w under policy; equal inputs give equal actions.
+// Plan returns the next actions for s under policy; equal inputs give equal actions.
 func Plan(s *Snapshot, policy Policy) []Action {
 	p := &plan{snapshot: s, policy: policy, taken: make([]bool, len(s.VMs)), domainVersion: make([]int, len(s.domains)), pools: map[string]*pool{}}
 	for _, g := range p.order() {
@@ -94,7 +96,7 @@
 	return p.actions
 }
 
-// anyJoining reports whether any VM is on its way into a group.
+// anyJoining reports whether any VM is joining a group.
 func (p *plan) anyJoining() bool {
 	for i := range p.snapshot.VMs {
 		if p.snapshot.VMs[i].Phase == fleet.VMJoining {
@@ -104,7 +106,7 @@
 	return false
 }
 
-// order returns the groups that need a decision, the most useful first.
+// order returns the groups that need a decision, sorted by precedence.
 func (p *plan) order() []int {
 	var order []int
 	for i := range p.snapshot.Groups {
@@ -119,7 +121,7 @@
 	return order
 }
 
-// settled is true for the many groups about which nothing has to be decided.
+// settled reports whether a group needs no decision, as is the case for most groups.
 func (p *plan) settled(g *Group) bool {
 	return !g.Deleted && !g.Reform && (g.Phase == fleet.GroupServing || g.Phase == fleet.GroupForming) && p.snapshot.intact(g)
 }
@@ -139,9 +141,9 @@
 	canServe := p.snapshot.canServe(g)
 	switch {
 	case g.Phase == fleet.GroupDraining && !g.Drained && canServe:
-		// Requests in progress end in peace, also at members that are no longer wanted.
+		// Wait until requests in progress have ended, also at members that no longer belong to the group.
 	case g.Deleted:
-		p.assign(g, nil, "dissolved")
+		p.assign(g, nil, "group deleted")
 	case g.Phase == fleet.GroupPending:
 		p.form(i, g)
 	case g.Phase == fleet.GroupServing && canServe:
@@ -167,7 +169,7 @@
 	p.addAction(Action{Kind: ActionAssign, Group: g.Spec.Name, BaseEpoch: g.Epoch, Members: p.snapshot.vmNames(members), Reason: reason})
 }
 
-// freeVMs lists the VMs that any group could take, found at the first need and not for a plan without one.
+// freeVMs returns the VMs that can join a group. They are searched on the first call, so that a plan that needs none saves the search.
 func (p *plan) freeVMs() []int {
 	if !p.freeScanned {
 		p.freeScanned = true
@@ -180,6 +182,7 @@
 	return p.freeIndexes
 }
 
+// poolFor returns the pool of the free VMs that a spec's selector matches.
 func (p *plan) poolFor(spec *fleet.GroupSpec) *pool {
 	key := selectorKey(spec)
 	pl := p.pools[key]
@@ -199,7 +202,7 @@
 	p.assign(g, members, "formed in one domain")
 }
 
-// formAcrossDomains is tried after every group that fits one domain has had its choice.
+// formAcrossDomains forms a group from several domains; it is called after all groups that fit into one domain have been formed.
 func (p *plan) formAcrossDomains(i int) {
 	g := &p.snapshot.Groups[i]
 	if g.Spec.OneDomain {
@@ -211,12 +214,12 @@
 	}
 }
 
-// repair keeps the members that are there and looks for as many more as are lost.
+// repair keeps the members that can stay and adds free VMs for the lost ones.
 func (p *plan) repair(i int, g *Group) {
 	kept := p.snapshot.keptMembers(g)
 	missing := g.Spec.Size - len(kept)
 	if missing == 0 {
-		p.assign(g, kept, "member restarted")
+		p.assign(g, kept, "a member restarted")
 		return
 	}
 	if len(kept) == 0 {
@@ -228,10 +231,10 @@
 		p.waitForVM(i, g)
 		return
 	}
-	p.assign(g, append(kept, added...), "lost member replaced")
+	p.assign(g, append(kept, added...), "lost members replaced")
 }
 
-// replaceAll forms the group elsewhere when its whole domain is dark.
+// replaceAll forms a group that has lost all members from other VMs.
 func (p *plan) replaceAll(i int, g *Group) {
 	pl := p.poolFor(&g.Spec)
 	members := pl.fromOneDomain(g.Spec.Size)
@@ -242,19 +245,19 @@
 		p.waitForVM(i, g)
 		return
 	}
-	p.assign(g, members, "all members lost, formed elsewhere")
+	p.assign(g, members, "all members lost, formed from other VMs")
 }
 
-// waitForVM leaves a broken group as it is until a VM is there for it. That it broke goes into the log,
-// so that no later leader takes a member's return for an undisturbed formation.
+// waitForVM leaves a broken group as it is until a VM is free for it. The break is recorded in the log, so that a later leader does not
+// mistake the return of the lost member for an unbroken group.
 func (p *plan) waitForVM(i int, g *Group) {
 	p.unrepairedGroups = append(p.unrepairedGroups, i)
 	if g.Phase != fleet.GroupBroken {
-		p.addAction(Action{Kind: ActionBreak, Group: g.Spec.Name, BaseEpoch: g.Epoch, Reason: "member lost and no VM to replace it"})
+		p.addAction(Action{Kind: ActionBreak, Group: g.Spec.Name, BaseEpoch: g.Epoch, Reason: "a member was lost and no free VM can replace it"})
 	}
 }
 
-// reform chooses members anew after a drain: the same ones if they still are the right ones and lie together.
+// reform chooses the members after a drain: the same ones if all can stay and are in one domain, else VMs of one domain if possible.
 func (p *plan) reform(i int, g *Group) {
 	kept := p.snapshot.keptMembers(g)
 	unchanged := len(kept) == g.Spec.Size
@@ -270,13 +273,13 @@
 	case unchanged:
 		p.assign(g, kept, "reloaded in place")
 	case len(kept) > g.Spec.Size:
-		p.assign(g, kept[:g.Spec.Size], "made smaller")
+		p.assign(g, kept[:g.Spec.Size], "reduced to the declared size")
 	default:
 		p.repair(i, g)
 	}
 }
 
-// singleDomainSet returns a full set of VMs in one domain, own members included, or nil.
+// singleDomainSet returns VMs for the whole group from the domain with the most kept members that has enough VMs, or nil.
 func (p *plan) singleDomainSet(g *Group, kept []int) []int {
 	pl := p.poolFor(&g.Spec)
 	keptByDomain := map[int][]int{}
@@ -297,7 +300,7 @@
 	return best
 }
 
-// consolidate gives up one broken group whose members would complete another one.
+// consolidate dissolves one broken group whose members can complete another one.
 func (p *plan) consolidate() {
 	if len(p.unrepairedGroups) < 2 {
 		return
@@ -306,7 +309,7 @@
 	missing := first.Spec.Size - len(p.snapshot.keptMembers(first))
 	for n := len(p.unrepairedGroups) - 1; n > 0; n-- {
 		donor := &p.snapshot.Groups[p.unrepairedGroups[n]]
-		// A VM that paused is back without a load; one that restarts has to load as well, so waiting longer gains nothing.
+		// A VM that only paused returns without a load. One that restarts has to load anyway, so waiting longer gains nothing.
 		if min(donor.DownFor, first.DownFor) < p.policy.RecoveryWait {
 			continue
 		}
@@ -317,6 +320,7 @@
 	}
 }
 
+// countUsefulVMs counts the members of donor that could join g.
 func (p *plan) countUsefulVMs(g, donor *Group) int {
 	count := 0
 	domain, _, _ := p.poolFor(&g.Spec).mainDomain(p.snapshot.keptMembers(g))
@@ -329,7 +333,7 @@
 	return count
 }
 
-// moveToOneDomain drains one split group when one domain could hold it and the speed gained pays for the reload.
+// moveToOneDomain drains one group across domains if one domain can hold the group and the gained speed is worth the reload.
 func (p *plan) moveToOneDomain() {
 	if len(p.actions) > 0 || !p.worthMoving() || p.anyJoining() {
 		return
@@ -343,18 +347,19 @@
 			continue
 		}
 		if p.singleDomainSet(g, p.snapshot.keptMembers(g)) != nil {
-			p.addAction(Action{Kind: ActionDrain, Group: g.Spec.Name, BaseEpoch: g.Epoch, Reason: "one domain can hold the replica"})
+			p.addAction(Action{Kind: ActionDrain, Group: g.Spec.Name, BaseEpoch: g.Epoch, Reason: "one domain can hold the whole group"})
 			return
 		}
 	}
 }
 
-// worthMoving weighs the speed that a split replica loses, which wastes its accelerators, against the downtime of a reload.
+// worthMoving compares the accelerator time that a group across domains wastes within PaybackPeriod with the downtime of a reload.
 func (p *plan) worthMoving() bool {
 	gain := p.policy.StrandedWeight * p.policy.SplitSpeedLoss * float64(p.policy.PaybackPeriod)
 	return gain > p.policy.DowntimeWeight*float64(p.policy.LoadTime)
 }
 
+// sortBySpeed sorts VMs by speed, fastest first, then by losses.
 func (p *plan) sortBySpeed(members []int) {
 	vms := p.snapshot.VMs
 	sort.SliceStable(members, func(a, b int) bool {
@@ -366,8 +371,8 @@
 	})
 }
 
-// sortForRepair puts VMs that were lost least often first, among them those that do not slow the group, the slowest of
-// them in front, so that fast ones stay for others.
+// sortForRepair sorts VMs by losses, fewest first. Equal VMs are sorted by speed: first those that do not slow down the group, slowest first so
+// that fast VMs stay free for other groups, then the others, fastest first.
 func (p *plan) sortForRepair(members []int, slowest float64) {
 	vms := p.snapshot.VMs
 	sort.SliceStable(members, func(a, b int) bool {
--- a/planner/plan_test.go
+++ b/planner/plan_test.go
@@ -13,7 +13,7 @@
 	"github.com/dunlinquay/dunlinquay/planner"
 )
 
-// newState writes a fleet in few words: "d1: a b c" puts VMs a, b and c into domain d1; "a*0.5" gives a half the speed.
+// newState parses a fleet: "d1: a b c" puts VMs a, b and c into domain d1; "a*0.5" halves the speed of a.
 func newState(t *testing.T, domains ...string) *fleet.State {
 	t.Helper()
 	s := fleet.NewState()
@@ -33,13 +33,14 @@
 	return s
 }
 
+// declare adds a pending group.
 func declare(s *fleet.State, name ident.Group, size int) *fleet.Group {
 	g := &fleet.Group{Spec: fleet.GroupSpec{Name: name, Model: "m", Size: size}}
 	s.Groups[name] = g
 	return g
 }
 
-// serve declares a group that is serving with members.
+// serve adds a serving group with the given members.
 func serve(s *fleet.State, name ident.Group, members string) *fleet.Group {
 	names := strings.Fields(members)
 	g := declare(s, name, len(names))
@@ -81,27 +82,27 @@
 	}{
 		{name: "nothing declared", domains: []string{"d1: a b"}, want: []string{}},
 		{
-			name: "the domain that is filled to the brim", domains: []string{"d1: a b c", "d2: e f"},
+			name: "the domain with the fewest VMs left over", domains: []string{"d1: a b c", "d2: e f"},
 			declare: func(s *fleet.State) { declare(s, "g", 2) }, want: []string{"assign g e f"},
 		},
 		{
-			name: "one domain before the lowest names", domains: []string{"d1: a", "d2: b c"},
+			name: "one domain rather than the first names", domains: []string{"d1: a", "d2: b c"},
 			declare: func(s *fleet.State) { declare(s, "g", 2) }, want: []string{"assign g b c"},
 		},
 		{
-			name: "across domains when no single one is enough", domains: []string{"d1: a", "d2: b"},
+			name: "across domains if no single domain is enough", domains: []string{"d1: a", "d2: b"},
 			declare: func(s *fleet.State) { declare(s, "g", 2) }, want: []string{"assign g a b"},
 		},
 		{
-			name: "never across domains when that is declared", domains: []string{"d1: a", "d2: b"},
+			name: "never across domains if one-domain is declared", domains: []string{"d1: a", "d2: b"},
 			declare: func(s *fleet.State) { declare(s, "g", 2).Spec.OneDomain = true }, want: []string{},
 		},
 		{
-			name: "the same age together", domains: []string{"d1: a b*0.5 c d*0.5"},
+			name: "VMs of the same speed in one group", domains: []string{"d1: a b*0.5 c d*0.5"},
 			declare: func(s *fleet.State) { declare(s, "g", 2); declare(s, "h", 2) }, want: []string{"assign g a c", "assign h b d"},
 		},
 		{
-			name: "an important group first", domains: []string{"d1: a b"},
+			name: "a group of higher priority first", domains: []string{"d1: a b"},
 			declare: func(s *fleet.State) { declare(s, "a", 2).Spec.Priority = 1; declare(s, "b", 2) }, want: []string{"assign b a b"},
 		},
 		{
@@ -110,36 +111,36 @@
 			want: []string{"assign g a c"},
 		},
 		{
-			name: "a spare of another domain when there is none", domains: []string{"d1: a b", "d2: x y"},
+			name: "a spare of another domain if the own domain has none", domains: []string{"d1: a b", "d2: x y"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b") }, see: func(w *planner.Snapshot) { lose(w, "b") },
 			want: []string{"assign g a x"},
 		},
 		{
-			name: "a spare that does not slow the group", domains: []string{"d1: a b c*0.5 d"},
+			name: "a spare that does not slow down the group", domains: []string{"d1: a b c*0.5 d"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b") }, see: func(w *planner.Snapshot) { lose(w, "b") },
 			want: []string{"assign g a d"},
 		},
 		{
-			name: "no spare: the loss is remembered", domains: []string{"d1: a b"},
+			name: "no spare: the loss is recorded", domains: []string{"d1: a b"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b") }, see: func(w *planner.Snapshot) { lose(w, "b") },
 			want: []string{"break g"},
 		},
 		{
-			name: "no spare and remembered: wait", domains: []string{"d1: a b"},
+			name: "no spare and the loss is recorded: wait", domains: []string{"d1: a b"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b").Phase = fleet.GroupBroken }, see: func(w *planner.Snapshot) { lose(w, "b") },
 			want: []string{},
 		},
 		{
-			name: "the lost member of a broken group is back: a new epoch", domains: []string{"d1: a b"},
+			name: "the lost member of a broken group has returned: a new epoch", domains: []string{"d1: a b"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b").Phase = fleet.GroupBroken }, want: []string{"assign g a b"},
 		},
 		{
-			name: "a member started anew: a new epoch with the same members", domains: []string{"d1: a b c"},
+			name: "a member restarted: a new epoch with the same members", domains: []string{"d1: a b c"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b") },
 			see:     func(w *planner.Snapshot) { w.VM("b").Condition = planner.ConditionRestarted }, want: []string{"assign g a b"},
 		},
 		{
-			name: "silence alone moves nothing", domains: []string{"d1: a b c"},
+			name: "suspect and unknown members are kept", domains: []string{"d1: a b c"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b") },
 			see: func(w *planner.Snapshot) {
 				w.VM("a").Condition, w.VM("b").Condition = planner.ConditionSuspect, planner.ConditionUnknown
@@ -147,17 +148,17 @@
 			want: []string{},
 		},
 		{
-			name: "a dark domain: only its own groups move", domains: []string{"d1: a b", "d2: c d", "d3: e f"},
+			name: "a failed domain: only its own groups move", domains: []string{"d1: a b", "d2: c d", "d3: e f"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b"); serve(s, "h", "c d") }, see: func(w *planner.Snapshot) { lose(w, "a b") },
 			want: []string{"assign g e f"},
 		},
 		{
-			name: "a dark domain without room elsewhere", domains: []string{"d1: a b", "d2: c d"},
+			name: "a failed domain without free VMs elsewhere", domains: []string{"d1: a b", "d2: c d"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b"); serve(s, "h", "c d") }, see: func(w *planner.Snapshot) { lose(w, "a b") },
 			want: []string{"break g"},
 		},
 		{
-			name: "the second loss right after a repair", domains: []string{"d1: a b c d"},
+			name: "a second loss right after a repair", domains: []string{"d1: a b c d"},
 			declare: func(s *fleet.State) {
 				g := serve(s, "g", "a c")
 				g.Phase = fleet.GroupForming
@@ -166,7 +167,7 @@
 			see: func(w *planner.Snapshot) { lose(w, "b c") }, want: []string{"assign g a d"},
 		},
 		{
-			name: "a VM that flaps is left out while it is not steady", domains: []string{"d1: a b c d"},
+			name: "a flapping VM is not used until it has been present for long enough", domains: []string{"d1: a b c d"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b") },
 			see: func(w *planner.Snapshot) {
 				lose(w, "b")
@@ -175,7 +176,7 @@
 			want: []string{"assign g a d"},
 		},
 		{
-			name: "a VM that flapped and has been steady since", domains: []string{"d1: a b c"},
+			name: "a VM that flapped and has been present for long enough since", domains: []string{"d1: a b c"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b") },
 			see: func(w *planner.Snapshot) {
 				lose(w, "b")
@@ -184,7 +185,7 @@
 			want: []string{"assign g a c"},
 		},
 		{
-			name: "a VM that was never lost before one that was", domains: []string{"d1: a b c d"},
+			name: "a VM that was never lost is preferred to one that was", domains: []string{"d1: a b c d"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b") },
 			see: func(w *planner.Snapshot) {
 				lose(w, "b")
@@ -193,7 +194,7 @@
 			want: []string{"assign g a d"},
 		},
 		{
-			name: "a VM that leaves another group is not free", domains: []string{"d1: a b c"},
+			name: "a VM that is leaving another group is not free", domains: []string{"d1: a b c"},
 			declare: func(s *fleet.State) {
 				serve(s, "g", "a b")
 				s.VMs["c"].Phase, s.VMs["c"].Group = fleet.VMLeaving, "old"
@@ -201,7 +202,7 @@
 			see: func(w *planner.Snapshot) { lose(w, "b") }, want: []string{"break g"},
 		},
 		{
-			name: "two broken groups for long: one is completed by the other", domains: []string{"d1: a b c d"},
+			name: "two groups broken for long: members of one complete the other", domains: []string{"d1: a b c d"},
 			declare: func(s *fleet.State) {
 				serve(s, "g", "a b").Phase = fleet.GroupBroken
 				serve(s, "h", "c d").Phase = fleet.GroupBroken
@@ -213,7 +214,7 @@
 			want: []string{"assign h"},
 		},
 		{
-			name: "two broken groups for a moment: both wait, it may be a pause", domains: []string{"d1: a b c d"},
+			name: "two groups broken for a moment: both wait, since the VMs may only have paused", domains: []string{"d1: a b c d"},
 			declare: func(s *fleet.State) {
 				serve(s, "g", "a b").Phase = fleet.GroupBroken
 				serve(s, "h", "c d").Phase = fleet.GroupBroken
@@ -221,19 +222,19 @@
 			see: func(w *planner.Snapshot) { lose(w, "b d") }, want: []string{},
 		},
 		{
-			name: "a split group moves home when one domain can hold it", domains: []string{"d1: a x", "d2: b c"},
+			name: "a group across domains is moved if one domain can hold it", domains: []string{"d1: a x", "d2: b c"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b") }, want: []string{"drain g"},
 		},
 		{
-			name: "not when the reload costs more than it gains", domains: []string{"d1: a x", "d2: b c"},
+			name: "it is not moved if the reload costs more than it gains", domains: []string{"d1: a x", "d2: b c"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b") }, policy: func(p *planner.Policy) { p.PaybackPeriod = time.Minute }, want: []string{},
 		},
 		{
-			name: "not when downtime weighs far more than waste", domains: []string{"d1: a x", "d2: b c"},
+			name: "it is not moved if downtime weighs far more than stranded accelerators", domains: []string{"d1: a x", "d2: b c"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b") }, policy: func(p *planner.Policy) { p.DowntimeWeight = 20 }, want: []string{},
 		},
 		{
-			name: "drained and able to move: into the domain that keeps more members", domains: []string{"d1: a", "d2: b c d"},
+			name: "a drained group is moved into the domain with more of its members", domains: []string{"d1: a", "d2: b c d"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b c").Phase = fleet.GroupDraining },
 			see:     func(w *planner.Snapshot) { w.Group("g").Drained = true }, want: []string{"assign g b c d"},
 		},
@@ -242,16 +243,16 @@
 			declare: func(s *fleet.State) { serve(s, "g", "a b").Phase = fleet.GroupDraining }, want: []string{},
 		},
 		{
-			name: "draining and a member dies: nothing is left to wait for", domains: []string{"d1: a b c"},
+			name: "draining and a member is lost: no requests to wait for", domains: []string{"d1: a b c"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b").Phase = fleet.GroupDraining }, see: func(w *planner.Snapshot) { lose(w, "b") },
 			want: []string{"assign g a c"},
 		},
 		{
-			name: "another version: drain, then load it where it is", domains: []string{"d1: a b"},
+			name: "another version of the model: drain before the reload", domains: []string{"d1: a b"},
 			declare: func(s *fleet.State) { serve(s, "g", "a b").Reform = true }, want: []string{"drain g"},
 		},
 		{
-			name: "a member is no longer wanted: drain first", domains: []string{"d1: a b c"},
+			name: "a member was drained by an operator: drain the group first", domains: []string{"d1: a b c"},
 			declare: func(s *fleet.State) {
 				serve(s, "g", "a b").Reform = true
 				s.VMs["b"].Drained = true
@@ -259,7 +260,7 @@
 			want: []string{"drain g"},
 		},
 		{
-			name: "a member that leaves has requests in progress", domains: []string{"d1: a b c"},
+			name: "a member that is leaving has requests in progress", domains: []string{"d1: a b c"},
 			declare: func(s *fleet.State) {
 				g := serve(s, "g", "a b")
 				g.Phase, g.Reform = fleet.GroupDraining, true
@@ -268,7 +269,7 @@
 			want: []string{},
 		},
 		{
-			name: "a member that leaves has none any more", domains: []string{"d1: a b c"},
+			name: "a member that is leaving has no requests left", domains: []string{"d1: a b c"},
 			declare: func(s *fleet.State) {
 				g := serve(s, "g", "a b")
 				g.Phase, g.Reform = fleet.GroupDraining, true
@@ -277,7 +278,7 @@
 			see: func(w *planner.Snapshot) { w.Group("g").Drained = true }, want: []string{"assign g a c"},
 		},
 		{
-			name: "deleted while it serves requests", domains: []string{"d1: a b"},
+			name: "deleted with requests in progress", domains: []string{"d1: a b"},
 			declare: func(s *fleet.State) {
 				g := serve(s, "g", "a b")
 				g.Phase, g.Deleted = fleet.GroupDraining, true
@@ -311,7 +312,7 @@
 				t.Errorf("actions (-want +got):\n%s", diff)
 			}
 			if diff := cmp.Diff(got, planner.Plan(w, p)); diff != "" {
-				t.Errorf("the same input gave another plan:\n%s", diff)
+				t.Errorf("the same input gave another plan (-first +second):\n%s", diff)
 			}
 		})
 	}
@@ -328,7 +329,7 @@
 	w.VM("e").Condition = planner.ConditionSuspect
 	e, ok := planner.Explain(w, planner.DefaultPolicy(), "g")
 	if !ok {
-		t.Fatal("no such group")
+		t.Fatal("group g not found")
 	}
 	got := map[ident.VM]string{}
 	for _, c := range e.Candidates {
@@ -337,7 +338,7 @@
 	want := map[ident.VM]string{
 		"a": "member, joined, present",
 		"b": "member, joined, lost",
-		"c": "held by a group: h in epoch 2",
+		"c": "in another group: h in epoch 2",
 		"d": "drained by an operator",
 		"e": "absent: suspect for 0s",
 		"f": `label d is "d2", wanted d=d1`,
@@ -346,6 +347,6 @@
 		t.Errorf("reasons (-want +got):\n%s", diff)
 	}
 	if e.Wanted != 2 || e.Kept != 1 || e.Fitting != 0 {
-		t.Errorf("wants %d, keeps %d, %d fit", e.Wanted, e.Kept, e.Fitting)
+		t.Errorf("wanted %d, kept %d, fitting %d; want 2, 1, 0", e.Wanted, e.Kept, e.Fitting)
 	}
 }
--- a/planner/policy_test.go
+++ b/planner/policy_test.go
@@ -15,20 +15,20 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// The policy table runs short sequences of events through the planner and
-// through two baselines, and adds up group downtime and stranded accelerator
-// time with plain arithmetic: a load takes loadTime of the weight store's
-// attention, a VM that has the weights already joins in rejoinTime.
+// The policy table simulates short sequences of events with the planner and with
+// two baselines, and adds up group downtime and stranded accelerator time. A load
+// takes loadTime at the full rate of the weight store; a VM that already has the
+// weights joins within one tick.
 
 const (
 	tick          = 5 * time.Second
 	loadTime      = time.Minute
 	rejoinTime    = 5 * time.Second
 	lossAfter     = 5 * time.Second
-	fullRateLoads = 8 // VMs that the weight store feeds at full rate
+	fullRateLoads = 8 // loads that the weight store serves at full rate
 )
 
-// event is something that happens to a fleet at a time.
+// event changes the fleet at a time.
 type event struct {
 	at     time.Duration
 	action string // "down NAMES", "up NAMES" or "group NAME SIZE [one]"
@@ -75,19 +75,19 @@
 		length: 5 * time.Hour,
 	},
 	{
-		name: "a spare that flaps", domains: []string{"d1: a b c d e f g"},
+		name: "a flapping spare", domains: []string{"d1: a b c d e f g"},
 		groups: []string{"g1 4"},
 		events: flaps("b", 8, event{13*time.Minute + 40*time.Second, "down c"}),
 		length: 40 * time.Minute,
 	},
 	{
-		name: "a dark domain for a short time", domains: []string{"d1: a b c d", "d2: e f g h", "d3: i j k l"},
+		name: "a failed domain for a short time", domains: []string{"d1: a b c d", "d2: e f g h", "d3: i j k l"},
 		groups: []string{"g1 4", "g2 4", "g3 4"},
 		events: []event{{5 * time.Minute, "down a b c d"}, {8 * time.Minute, "up a b c d"}},
 		length: 30 * time.Minute,
 	},
 	{
-		name: "a dark domain with room elsewhere", domains: []string{"d1: a b c d", "d2: e f g h", "d3: i j k l m"},
+		name: "a failed domain with free VMs elsewhere", domains: []string{"d1: a b c d", "d2: e f g h", "d3: i j k l m"},
 		groups: []string{"g1 4", "g2 4"},
 		events: []event{{5 * time.Minute, "down a b c d"}, {65 * time.Minute, "up a b c d"}},
 		length: 2 * time.Hour,
@@ -104,7 +104,7 @@
 		length: time.Hour,
 	},
 	{
-		name: "mixed ages", domains: []string{"d1: a*1 b*0.5 c*1 d*0.5", "d2: e*1 f*0.5 g*1 h*0.5"},
+		name: "mixed speeds", domains: []string{"d1: a*1 b*0.5 c*1 d*0.5", "d2: e*1 f*0.5 g*1 h*0.5"},
 		groups: []string{"g1 2", "g2 2", "g3 2", "g4 2"},
 		events: []event{{10 * time.Minute, "down a"}, {30 * time.Minute, "up a"}},
 		length: time.Hour,
@@ -134,7 +134,7 @@
 	},
 }
 
-// flaps makes a VM come and go, with one other event in between.
+// flaps returns repeated losses and returns of a VM, with one other event in between.
 func flaps(name string, times int, other event) []event {
 	events := []event{other}
 	at := 6 * time.Minute
@@ -146,8 +146,8 @@
 	return events
 }
 
-// strategy decides on a world; the planner is one, the baselines are the others.
-type strategy func(w *planner.Snapshot) []planner.Action
+// strategy decides on a snapshot: the planner or a baseline.
+type strategy func(s *planner.Snapshot) []planner.Action
 
 // simulation is the running state of one sequence under one strategy.
 type simulation struct {
@@ -159,15 +159,16 @@
 	downSince    map[ident.VM]time.Duration
 	changedAt    map[ident.VM]time.Duration
 	losses       map[ident.VM]int
-	lostAsMember map[ident.VM]bool // was away while it was a member
+	lostAsMember map[ident.VM]bool // lost while a member of a group
 	loaded       map[ident.VM]string
-	remaining    map[ident.VM]time.Duration // attention still needed
+	remaining    map[ident.VM]time.Duration // load time at the full rate that is still needed
 	brokenSince  map[ident.Group]time.Duration
 	downtime     time.Duration
 	stranded     time.Duration
 }
 
-// timings is how long things take; with everything at once a run shows what no strategy can avoid.
+// timings are the time of a load, the time until a loss is detected, and whether loads are ordered as by control.Orders. With zero times a run
+// shows the cost that no strategy can avoid.
 type timings struct {
 	load, loss time.Duration
 	ordered    bool
@@ -272,8 +273,8 @@
 	}
 }
 
-// loadWeights spreads the weight store's attention: in turn, as control.Orders does, or evenly over all that load. A VM that
-// has the weights needs none of it.
+// loadWeights divides the weight store's rate among the VMs that load, either all of them or those that control.Orders would have started. A VM
+// that has the weights needs no load.
 func (x *simulation) loadWeights() {
 	var loading []*fleet.VM
 	for _, v := range x.state.SortedVMs() {
@@ -304,7 +305,7 @@
 	}
 }
 
-// startedLoads keeps the VMs whose group control would have started to load.
+// startedLoads returns the VMs whose loads control would have started.
 func startedLoads(loading []*fleet.VM) []*fleet.VM {
 	missing := map[ident.Group]int{}
 	for _, v := range loading {
@@ -358,8 +359,8 @@
 	}
 }
 
-// firstFit gives each group that lacks members the first free VMs by name, in any domain unless one is declared, at
-// once and without regard for the weight store.
+// firstFit is a baseline: each group that lacks members gets the first free VMs by name, in any domain unless one-domain is declared, without
+// regard to the weight store.
 func firstFit(s *planner.Snapshot) []planner.Action {
 	var actions []planner.Action
 	taken := map[ident.VM]bool{}
@@ -385,6 +386,7 @@
 	return actions
 }
 
+// fillGroup adds the first free VMs to the kept ones until the group has its size; nil if there are too few.
 func fillGroup(s *planner.Snapshot, g *planner.Group, kept []ident.VM, taken map[ident.VM]bool) []ident.VM {
 	var domains []ident.Domain
 	for i := range s.VMs {
@@ -416,7 +418,8 @@
 	return nil
 }
 
-// reformAll packs every group anew whenever anything is amiss: the largest first, each into the domain that it fills best.
+// reformAll is a baseline: whenever a group is pending or broken, or a member is lost or restarted, all groups are formed again, the largest
+// first, each in the domain with the fewest free VMs that suffices.
 func reformAll(s *planner.Snapshot) []planner.Action {
 	disturbed := false
 	for i := range s.Groups {
@@ -472,6 +475,7 @@
 	return slices.Equal(x, y)
 }
 
+// packGroup takes the VMs of a group out of free: from the smallest sufficient domain or, unless one-domain is declared, from several.
 func packGroup(free map[ident.Domain][]ident.VM, g *planner.Group) []ident.VM {
 	best := ident.Domain("")
 	var names []ident.Domain
@@ -505,7 +509,7 @@
 	return members
 }
 
-// deployment is one of the two deployments with its weights.
+// deployment is a deployment with its policy weights.
 type deployment struct {
 	name               string
 	downtime, stranded float64
@@ -513,7 +517,7 @@
 
 var deployments = []deployment{{"wetterhaus", 4, 1}, {"dakar", 1, 4}}
 
-// strandedVMWeight makes a second of a stranded VM weigh like a second of downtime of a group of one VM.
+// strandedVMWeight makes a second of a stranded VM with 8 accelerators weigh as much as a second of one group's downtime.
 const strandedVMWeight = 1.0 / 8
 
 func (d *deployment) cost(downtime, stranded time.Duration) float64 {
@@ -544,21 +548,21 @@
 			}
 			baseline := min(costs[1], costs[2])
 			instant += d.cost(run(t, seq, d.plan, timings{}))
-			// The order of loads is control.Orders' doing; with it the baselines show what the choice of VMs alone is worth.
+			// With the load order of control.Orders, the baselines show the effect of the choice of VMs alone.
 			orderedLoads := timings{loadTime, lossAfter, true}
 			orderedBaseline += min(d.cost(run(t, seq, firstFit, orderedLoads)), d.cost(run(t, seq, reformAll, orderedLoads)))
 			t.Logf("%-10s %-38s%s", d.name, seq.name, columns)
 			if costs[0] > baseline {
-				t.Errorf("%s, %s: cost %.0f, the better baseline has %.0f", d.name, seq.name, costs[0], baseline)
+				t.Errorf("%s, %s: cost %.0f, want at most %.0f, that of the better baseline", d.name, seq.name, costs[0], baseline)
 			}
 			sum += costs[0]
 			baselineSum += baseline
 			downtimeSum += downtimes[0]
 			baselineDowntime += min(downtimes[1], downtimes[2])
 		}
-		t.Logf("%-10s sum %.0f of %.0f: ratio %.2f; downtime alone %s of %s: ratio %.2f; beyond what instant loads cost: %.0f of %.0f: ratio %.2f",
+		t.Logf("%-10s sum %.0f of %.0f: ratio %.2f; downtime alone %s of %s: ratio %.2f; beyond the cost with instant loads: %.0f of %.0f: ratio %.2f",
 			d.name, sum, baselineSum, sum/baselineSum, downtimeSum, baselineDowntime, downtimeSum.Seconds()/baselineDowntime.Seconds(), sum-instant, baselineSum-instant, (sum-instant)/(baselineSum-instant))
-		t.Logf("%-10s with the same order of loads for all: sum %.0f of %.0f: ratio %.2f; beyond what instant loads cost: ratio %.2f",
+		t.Logf("%-10s with the same order of loads for all: sum %.0f of %.0f: ratio %.2f; beyond the cost with instant loads: ratio %.2f",
 			d.name, sum, orderedBaseline, sum/orderedBaseline, (sum-instant)/(orderedBaseline-instant))
 	}
 }
--- a/planner/pool.go
+++ b/planner/pool.go
@@ -1,9 +1,9 @@
 package planner
 
-// A pool holds the free VMs that one selector admits, by fabric domain. Groups
-// that share a selector share its pool, and each domain caches its best choice
-// of k VMs until one of its VMs is taken, so that planning a fleet from
-// scratch looks at each VM a few times rather than once for each group.
+// A pool holds the free VMs that match one selector, by fabric domain. Groups with
+// the same selector share a pool, and each domain caches its best set of k VMs
+// until one of its VMs is assigned. Planning a fleet from scratch therefore visits
+// each VM a few times instead of once for each group.
 
 import (
 	"slices"
@@ -22,13 +22,13 @@
 
 type poolDomain struct {
 	index   int
-	members []int // free VMs, the fastest first
-	// version is the domain's version for which members and best hold.
+	members []int // free VMs, fastest first
+	// version is the plan's domainVersion for which members and best are valid.
 	version int
 	best    map[int]selection
 }
 
-// selection is the best set of a given size in one domain.
+// selection is the best set of a given size in one domain; leftOver counts the VMs that stay free.
 type selection struct {
 	members     []int
 	speedSpread float64
@@ -67,7 +67,7 @@
 	d.members = append(d.members, i)
 }
 
-// refresh drops VMs that were taken since the last look.
+// refresh drops VMs that were assigned since the last refresh.
 func (pl *pool) refresh(d *poolDomain) {
 	if current := pl.plan.domainVersion[d.index]; d.version != current {
 		d.members = slices.DeleteFunc(d.members, func(i int) bool { return pl.plan.taken[i] })
@@ -76,7 +76,7 @@
 	}
 }
 
-// bestOf returns the set of k VMs in d whose speeds differ least, because the slowest sets the pace.
+// bestOf returns the set of k VMs in d whose speeds differ least, because the slowest VM determines the speed of a group.
 func (pl *pool) bestOf(d *poolDomain, k int) (selection, bool) {
 	pl.refresh(d)
 	if len(d.members) < k {
@@ -97,7 +97,7 @@
 	return best, true
 }
 
-// fromOneDomain returns the best k VMs of a single domain: even speeds first, then the domain that is left with the fewest.
+// fromOneDomain returns the best k VMs of a single domain: with the most even speeds, then from the domain with the fewest VMs left over.
 func (pl *pool) fromOneDomain(k int) []int {
 	var best selection
 	found := false
@@ -117,7 +117,7 @@
 	return c.leftOver < other.leftOver
 }
 
-// fromSeveralDomains returns k VMs from as few domains as possible, all of one hall when a hall has enough.
+// fromSeveralDomains returns k VMs from as few domains as possible, all of one hall if a hall has enough.
 func (pl *pool) fromSeveralDomains(k int) []int {
 	for _, d := range pl.domains {
 		pl.refresh(d)
@@ -130,6 +130,7 @@
 	return nil
 }
 
+// fullestHall returns the domains of the hall with the most free VMs, or nil if that hall has fewer than k.
 func (pl *pool) fullestHall(k int) []*poolDomain {
 	domainsByHall := map[string][]*poolDomain{}
 	freeByHall := map[string]int{}
@@ -141,7 +142,7 @@
 		hall := string(pl.plan.snapshot.VMs[d.members[0]].Hall)
 		domainsByHall[hall] = append(domainsByHall[hall], d)
 		freeByHall[hall] += len(d.members)
-		// The fullest hall wins; equal ones are told apart by name, so that the result does not vary.
+		// Of equal halls the first by name is chosen, so that the result is deterministic.
 		if best == "" || freeByHall[hall] > freeByHall[best] || freeByHall[hall] == freeByHall[best] && hall < best {
 			best = hall
 		}
@@ -152,6 +153,7 @@
 	return domainsByHall[best]
 }
 
+// collect returns k VMs of the domains, from those with the most VMs first, or nil if there are too few.
 func (pl *pool) collect(domains []*poolDomain, k int) []int {
 	domains = slices.Clone(domains)
 	sort.SliceStable(domains, func(i, j int) bool { return len(domains[i].members) > len(domains[j].members) })
@@ -166,7 +168,8 @@
 	return members
 }
 
-// additions returns n VMs to join those that are kept: of their domain if it has enough, then of their hall, then any.
+// additions returns n VMs to add to the kept ones, or nil: from their main domain if it has enough, else with VMs of their hall and then of other
+// halls.
 func (pl *pool) additions(kept []int, n int, oneDomain bool) []int {
 	mainDomain, hall, slowest := pl.mainDomain(kept)
 	vms := pl.plan.snapshot.VMs
@@ -197,7 +200,7 @@
 	return all[:n]
 }
 
-// mainDomain returns the domain where most of the kept VMs lie, its hall, and the slowest speed among them.
+// mainDomain returns the domain with the most kept VMs, its hall, and the lowest speed of the kept VMs.
 func (pl *pool) mainDomain(kept []int) (domain int, hall string, slowest float64) {
 	vms := pl.plan.snapshot.VMs
 	keptByDomain := map[int]int{}
--- a/planner/snapshot.go
+++ b/planner/snapshot.go
@@ -8,10 +8,10 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// Condition is what presence says of a VM, judged against the bounds of the settings.
+// Condition is the state of a VM by presence, with the bounds of the settings.
 type Condition uint8
 
-// The conditions of a VM; a suspect one is absent, but not yet for long enough to act on.
+// The conditions of a VM. A suspect VM is absent, but not yet for long enough to act on.
 const (
 	ConditionPresent Condition = iota
 	ConditionSuspect
@@ -20,12 +20,12 @@
 	ConditionUnknown
 )
 
-// String returns the condition in kebab case.
+// String returns the condition as operators see it.
 func (c Condition) String() string {
 	return [...]string{"present", "suspect", "lost", "restarted", "unknown"}[c]
 }
 
-// VM is one machine as the planner sees it.
+// VM is a VM with its condition.
 type VM struct {
 	*fleet.VM
 	Condition Condition
@@ -37,17 +37,17 @@
 	group  int
 }
 
-// Group is one declared group as the planner sees it.
+// Group is a declared group with the state that planning needs.
 type Group struct {
 	*fleet.Group
-	// Drained is set when no daemon has a request in progress at this group.
+	// Drained is set when no daemon has a request in progress at the group.
 	Drained bool
-	// DownFor is how long the group has not been able to serve.
+	// DownFor is how long the group has been unable to serve.
 	DownFor time.Duration
 	members []int
 }
 
-// Snapshot is the whole input of a plan in dense form; VMs and groups are in order of their names.
+// Snapshot is the input of Plan in indexed form; VMs and groups are sorted by name.
 type Snapshot struct {
 	VMs     []VM
 	Groups  []Group
@@ -56,9 +56,10 @@
 	byGroup map[ident.Group]int
 }
 
+// noIndex is the index of no group and no domain.
 const noIndex = -1
 
-// NewSnapshot returns the dense form of s, with every VM present and every group not drained.
+// NewSnapshot returns the indexed form of state, with every VM present and no group drained.
 func NewSnapshot(state *fleet.State) *Snapshot {
 	s := &Snapshot{byVM: make(map[ident.VM]int, len(state.VMs)), byGroup: make(map[ident.Group]int, len(state.Groups))}
 	for i, g := range state.SortedGroups() {
@@ -79,7 +80,7 @@
 	return s
 }
 
-// domainIndex numbers domains; a domain's name counts within its hall only.
+// domainIndex returns the index of a VM's domain; domain names are unique only within a hall.
 func (s *Snapshot) domainIndex(domains map[string]int, v *fleet.VM) int {
 	key := string(v.Hall) + "/" + string(v.Domain)
 	i, ok := domains[key]
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// canKeep reports whether member i can stay in its group g: there, wanted, admitted and not on its way out.
+// canKeep reports whether member i can stay in its group g: not lost, in the group's current epoch, eligible, and matching its selector.
 func (s *Snapshot) canKeep(g *Group, i int) bool {
 	v := &s.VMs[i]
 	present := v.Condition != ConditionLost
@@ -136,7 +137,7 @@
 	return kept
 }
 
-// intact reports whether nothing has to change about the members of g.
+// intact reports whether all members of g can stay and none has restarted.
 func (s *Snapshot) intact(g *Group) bool {
 	for _, i := range g.members {
 		c := s.VMs[i].Condition
@@ -147,7 +148,7 @@
 	return len(g.members) == g.Spec.Size
 }
 
-// canServe reports whether the formation can still answer requests, whether or not its members are the wanted ones.
+// canServe reports whether no member is lost or has restarted, so that g can answer requests even if its members should change.
 func (s *Snapshot) canServe(g *Group) bool {
 	for _, i := range g.members {
 		if c := s.VMs[i].Condition; c == ConditionLost || c == ConditionRestarted {
@@ -157,7 +158,7 @@
 	return len(g.members) > 0
 }
 
-// spansDomains reports whether the VMs lie in more than one fabric domain.
+// spansDomains reports whether the VMs are in more than one fabric domain.
 func (s *Snapshot) spansDomains(members []int) bool {
 	return slices.ContainsFunc(members, func(i int) bool {
 		return s.VMs[i].domain != s.VMs[members[0]].domain
