--- a/presence/presence_test.go
+++ b/presence/presence_test.go
@@ -16,48 +16,48 @@
 const bound = time.Second
 
 func TestPresent(t *testing.T) {
-	answer := presence.Observation{Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 7}
+	answered := presence.Observation{Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 7}
 	with := func(change func(o *presence.Observation)) presence.Observation {
-		o := answer
+		o := answered
 		change(&o)
 		return o
 	}
-	type seen struct {
+	type observation struct {
 		at time.Duration
 		presence.Observation
 	}
 	for _, c := range []struct {
-		name   string
-		seen   []seen
-		failed time.Duration
-		at     time.Duration
-		want   bool
+		name         string
+		observations []observation
+		failed       time.Duration
+		at           time.Duration
+		want         bool
 	}{
 		{"never seen", nil, 0, 0, false},
-		{"just seen", []seen{{0, answer}}, 0, 0, true},
-		{"seen within the bound", []seen{{0, answer}}, 0, bound, true},
-		{"seen too long ago", []seen{{0, answer}}, 0, bound + 1, false},
-		{"an old observation that arrived now", []seen{{bound, with(func(o *presence.Observation) { o.Age = 1500 })}}, 0, bound, false},
-		{"another incarnation", []seen{{0, with(func(o *presence.Observation) { o.Incarnation = "j" })}}, 0, 0, false},
-		{"another epoch", []seen{{0, with(func(o *presence.Observation) { o.Epoch = 6 })}}, 0, 0, false},
-		{"leaving by its own word", []seen{{0, with(func(o *presence.Observation) { o.Leaving = true })}}, 0, 0, false},
-		{"refused after it was seen", []seen{{0, answer}, {100 * time.Millisecond, presence.Observation{Sight: presence.ProbeRefused}}}, 0, 200 * time.Millisecond, false},
-		{"seen again after a refusal", []seen{{0, presence.Observation{Sight: presence.ProbeRefused}}, {100 * time.Millisecond, answer}}, 0, 200 * time.Millisecond, true},
-		{"one watcher's silence does not outweigh the other's answer", []seen{{0, answer}, {100 * time.Millisecond, presence.Observation{Sight: presence.ProbeTimedOut}}}, 0, 200 * time.Millisecond, true},
-		{"an older refusal that arrives later", []seen{{100 * time.Millisecond, answer}, {200 * time.Millisecond, presence.Observation{Sight: presence.ProbeRefused, Age: 150}}}, 0, 200 * time.Millisecond, true},
-		{"a passive failure after it was seen", []seen{{0, answer}}, 100 * time.Millisecond, 200 * time.Millisecond, false},
-		{"seen again after the passive failure", []seen{{0, answer}, {300 * time.Millisecond, answer}}, 100 * time.Millisecond, 300 * time.Millisecond, true},
-		{"an answer from before the failure that arrives after it", []seen{{0, answer}, {300 * time.Millisecond, with(func(o *presence.Observation) { o.Age = 250 })}}, 100 * time.Millisecond, 300 * time.Millisecond, false},
+		{"just seen", []observation{{0, answered}}, 0, 0, true},
+		{"seen within the bound", []observation{{0, answered}}, 0, bound, true},
+		{"seen too long ago", []observation{{0, answered}}, 0, bound + 1, false},
+		{"an old observation that arrived now", []observation{{bound, with(func(o *presence.Observation) { o.Age = 1500 })}}, 0, bound, false},
+		{"another incarnation", []observation{{0, with(func(o *presence.Observation) { o.Incarnation = "j" })}}, 0, 0, false},
+		{"another epoch", []observation{{0, with(func(o *presence.Observation) { o.Epoch = 6 })}}, 0, 0, false},
+		{"leaving by its own word", []observation{{0, with(func(o *presence.Observation) { o.Leaving = true })}}, 0, 0, false},
+		{"refused after it was seen", []observation{{0, answered}, {100 * time.Millisecond, presence.Observation{Sight: presence.ProbeRefused}}}, 0, 200 * time.Millisecond, false},
+		{"seen again after a refusal", []observation{{0, presence.Observation{Sight: presence.ProbeRefused}}, {100 * time.Millisecond, answered}}, 0, 200 * time.Millisecond, true},
+		{"one watcher's silence does not outweigh the other's answer", []observation{{0, answered}, {100 * time.Millisecond, presence.Observation{Sight: presence.ProbeTimedOut}}}, 0, 200 * time.Millisecond, true},
+		{"an older refusal that arrives later", []observation{{100 * time.Millisecond, answered}, {200 * time.Millisecond, presence.Observation{Sight: presence.ProbeRefused, Age: 150}}}, 0, 200 * time.Millisecond, true},
+		{"a passive failure after it was seen", []observation{{0, answered}}, 100 * time.Millisecond, 200 * time.Millisecond, false},
+		{"seen again after the passive failure", []observation{{0, answered}, {300 * time.Millisecond, answered}}, 100 * time.Millisecond, 300 * time.Millisecond, true},
+		{"an answer from before the failure that arrives after it", []observation{{0, answered}, {300 * time.Millisecond, with(func(o *presence.Observation) { o.Age = 250 })}}, 100 * time.Millisecond, 300 * time.Millisecond, false},
 	} {
 		table := presence.NewTable()
-		cell := table.Cell("w")
-		for _, s := range c.seen {
-			cell.Observe(start.Add(s.at), &s.Observation)
+		record := table.Cell("w")
+		for _, s := range c.observations {
+			record.Observe(start.Add(s.at), &s.Observation)
 		}
 		if c.failed != 0 {
-			cell.Fail(start.Add(c.failed))
+			record.Fail(start.Add(c.failed))
 		}
-		m := presence.Member{Cell: cell, Incarnation: "i", Epoch: 7}
+		m := presence.Member{Cell: record, Incarnation: "i", Epoch: 7}
 		if got := m.Present(start.Add(c.at), bound); got != c.want {
 			t.Errorf("%s: present %t, want %t", c.name, got, c.want)
 		}
@@ -73,16 +73,16 @@
 }
 
 func TestWatchers(t *testing.T) {
-	near, far := daemons(4, "near"), daemons(4, "far")
-	all := append(append([]presence.Watcher{}, near...), far...)
+	sameHall, otherHall := daemons(4, "near"), daemons(4, "far")
+	all := append(append([]presence.Watcher{}, sameHall...), otherHall...)
 	const vms = 1000
-	load := map[ident.Daemon]int{}
+	watched := map[ident.Daemon]int{}
 	moved := 0
-	gone := near[2].Name
-	var left []presence.Watcher
+	removed := sameHall[2].Name
+	var remaining []presence.Watcher
 	for _, w := range all {
-		if w.Name != gone {
-			left = append(left, w)
+		if w.Name != removed {
+			remaining = append(remaining, w)
 		}
 	}
 	for i := range vms {
@@ -91,23 +91,23 @@
 		if len(got) != 2 || got[0] == got[1] || got[0][:4] != "near" || got[1][:4] != "near" {
 			t.Fatalf("%s is watched by %v", vm, got)
 		}
-		after := presence.Watchers(vm, "near", left)
+		after := presence.Watchers(vm, "near", remaining)
 		for _, w := range got {
-			load[w]++
-			if w != gone && w != after[0] && w != after[1] {
+			watched[w]++
+			if w != removed && w != after[0] && w != after[1] {
 				moved++
 			}
 		}
 	}
-	for _, w := range near {
-		if n := load[w.Name]; n < vms/2*8/10 || n > vms/2*12/10 {
+	for _, w := range sameHall {
+		if n := watched[w.Name]; n < vms/2*8/10 || n > vms/2*12/10 {
 			t.Errorf("%s watches %d of %d", w.Name, n, vms)
 		}
 	}
 	if moved != 0 {
 		t.Errorf("%d shares of daemons that stayed have moved", moved)
 	}
-	if diff := cmp.Diff([]ident.Daemon{"far0"}, presence.Watchers("w", "near", far[:1])); diff != "" {
+	if diff := cmp.Diff([]ident.Daemon{"far0"}, presence.Watchers("w", "near", otherHall[:1])); diff != "" {
 		t.Errorf("only one daemon, of another hall (-want +got):\n%s", diff)
 	}
 	if got := presence.Watchers("w", "near", nil); len(got) != 0 {
--- a/presence/table.go
+++ b/presence/table.go
@@ -58,19 +58,19 @@
 
 // VMRecord holds what is known of one VM; its methods may be called concurrently.
 type VMRecord struct {
-	seen     atomic.Pointer[DatedObservation]
-	positive stamp // the newest answer
-	reported stamp // the newest report of any kind
-	failed   stamp // the newest passive failure
+	latest     atomic.Pointer[DatedObservation]
+	answeredAt latestTime // the newest answer
+	reportedAt latestTime // the newest report of any kind
+	failedAt   latestTime // the newest passive failure
 }
 
-// stamp is a point in time that only moves forward. It keeps the monotonic clock's reading, which a plain number of
+// latestTime is a point in time that only moves forward. It keeps the monotonic clock's reading, which a plain number of
 // nanoseconds would lose: a wall clock that is set back must not make an old answer young again.
-type stamp struct {
+type latestTime struct {
 	at atomic.Pointer[time.Time]
 }
 
-func (s *stamp) raise(to time.Time) {
+func (s *latestTime) advance(to time.Time) {
 	for {
 		old := s.at.Load()
 		if old != nil && !to.After(*old) || s.at.CompareAndSwap(old, &to) {
@@ -80,7 +80,7 @@
 }
 
 // age returns how long ago the point was; ok is false when there was none.
-func (s *stamp) age(now time.Time) (age time.Duration, ok bool) {
+func (s *latestTime) age(now time.Time) (age time.Duration, ok bool) {
 	at := s.at.Load()
 	if at == nil {
 		return 0, false
@@ -89,90 +89,90 @@
 }
 
 // before reports whether the point lies before t; one that never was does.
-func (s *stamp) before(t time.Time) bool {
+func (s *latestTime) before(t time.Time) bool {
 	at := s.at.Load()
 	return at == nil || at.Before(t)
 }
 
 // Observe takes an observation that arrived at now.
-func (c *VMRecord) Observe(now time.Time, o *Observation) {
+func (r *VMRecord) Observe(now time.Time, o *Observation) {
 	at := now.Add(-time.Duration(o.Age) * time.Millisecond)
-	c.reported.raise(at)
+	r.reportedAt.advance(at)
 	if o.Sight == ProbeTimedOut {
 		return
 	}
 	if o.Sight == ProbeAnswered {
-		c.positive.raise(at)
+		r.answeredAt.advance(at)
 	}
 	for {
-		old := c.seen.Load()
+		old := r.latest.Load()
 		if old != nil && !at.After(old.At) {
 			return
 		}
-		if c.seen.CompareAndSwap(old, &DatedObservation{At: at, Observation: *o}) {
+		if r.latest.CompareAndSwap(old, &DatedObservation{At: at, Observation: *o}) {
 			return
 		}
 	}
 }
 
 // Fail notes a failure met while using the VM; only an observation made after it counts again.
-func (c *VMRecord) Fail(now time.Time) {
-	c.failed.raise(now)
+func (r *VMRecord) Fail(now time.Time) {
+	r.failedAt.advance(now)
 }
 
 // Latest returns the newest definite observation, or nil.
-func (c *VMRecord) Latest() *DatedObservation {
-	return c.seen.Load()
+func (r *VMRecord) Latest() *DatedObservation {
+	return r.latest.Load()
 }
 
 // PositiveAge returns how long ago the VM answered a probe; ok is false when it never did.
-func (c *VMRecord) PositiveAge(now time.Time) (age time.Duration, ok bool) {
-	return c.positive.age(now)
+func (r *VMRecord) PositiveAge(now time.Time) (age time.Duration, ok bool) {
+	return r.answeredAt.age(now)
 }
 
 // ReportAge returns how long ago any watcher reported on the VM; ok is false when none ever did.
-func (c *VMRecord) ReportAge(now time.Time) (age time.Duration, ok bool) {
-	return c.reported.age(now)
+func (r *VMRecord) ReportAge(now time.Time) (age time.Duration, ok bool) {
+	return r.reportedAt.age(now)
 }
 
 // Present reports whether the VM is there, in the wanted incarnation and epoch, as of at most bound ago.
 func (m *Member) Present(now time.Time, bound time.Duration) bool {
-	s := m.Cell.seen.Load()
-	if s == nil || s.Sight != ProbeAnswered || s.Leaving {
+	latest := m.Cell.latest.Load()
+	if latest == nil || latest.Sight != ProbeAnswered || latest.Leaving {
 		return false
 	}
-	if now.Sub(s.At) > bound || !m.Cell.failed.before(s.At) {
+	if now.Sub(latest.At) > bound || !m.Cell.failedAt.before(latest.At) {
 		return false
 	}
-	return s.Incarnation == m.Incarnation && s.Epoch == m.Epoch
+	return latest.Incarnation == m.Incarnation && latest.Epoch == m.Epoch
 }
 
 // Table holds the cells of all VMs by name.
 type Table struct {
-	mu    sync.RWMutex
-	cells map[ident.VM]*VMRecord
+	mu      sync.RWMutex
+	records map[ident.VM]*VMRecord
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{cells: map[ident.VM]*VMRecord{}}
+	return &Table{records: map[ident.VM]*VMRecord{}}
 }
 
 // Cell returns the cell of that VM, making it when it is new.
 func (t *Table) Cell(name ident.VM) *VMRecord {
 	t.mu.RLock()
-	c := t.cells[name]
+	r := t.records[name]
 	t.mu.RUnlock()
-	if c != nil {
-		return c
+	if r != nil {
+		return r
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if c = t.cells[name]; c == nil {
-		c = &VMRecord{}
-		t.cells[name] = c
+	if r = t.records[name]; r == nil {
+		r = &VMRecord{}
+		t.records[name] = r
 	}
-	return c
+	return r
 }
 
 // Observe takes observations that arrived at now.
--- a/presence/watch.go
+++ b/presence/watch.go
@@ -15,20 +15,20 @@
 	Hall ident.Hall
 }
 
-// rated is a daemon with its claim to watch one VM.
-type rated struct {
-	name   ident.Daemon
-	near   bool
-	weight uint64
+// rankedDaemon is a daemon with its claim to watch one VM.
+type rankedDaemon struct {
+	name     ident.Daemon
+	sameHall bool
+	hash     uint64
 }
 
 // before puts daemons of the VM's hall first, then those with the higher hash of both names.
-func (a rated) before(b rated) bool {
-	if a.near != b.near {
-		return a.near
+func (a rankedDaemon) before(b rankedDaemon) bool {
+	if a.sameHall != b.sameHall {
+		return a.sameHall
 	}
-	if a.weight != b.weight {
-		return a.weight > b.weight
+	if a.hash != b.hash {
+		return a.hash > b.hash
 	}
 	return a.name < b.name
 }
@@ -36,14 +36,14 @@
 // Watchers returns the daemons that probe vm: those of its hall first, among them the ones with the highest hash of both
 // names, so that a daemon that comes or goes moves only its own share.
 func Watchers(vm ident.VM, hall ident.Hall, live []Watcher) []ident.Daemon {
-	var first, second rated
+	var first, second rankedDaemon
 	var digest xxhash.Digest
 	for _, w := range live {
 		digest.Reset()
 		_, _ = digest.WriteString(string(w.Name))
 		_, _ = digest.WriteString("\x00")
 		_, _ = digest.WriteString(string(vm))
-		r := rated{w.Name, w.Hall == hall, digest.Sum64()}
+		r := rankedDaemon{w.Name, w.Hall == hall, digest.Sum64()}
 		switch {
 		case first.name == "" || r.before(first):
 			first, second = r, first
@@ -52,7 +52,7 @@
 		}
 	}
 	names := make([]ident.Daemon, 0, WatchersPerVM)
-	for _, r := range []rated{first, second} {
+	for _, r := range []rankedDaemon{first, second} {
 		if r.name != "" {
 			names = append(names, r.name)
 		}
--- a/routing/prefill_test.go
+++ b/routing/prefill_test.go
@@ -48,29 +48,29 @@
 	target            *routing.Target
 }
 
-// wasted returns the share of prompts that were read again although they had been read before.
-func wasted(seed uint64, lost int, choose func(table *routing.Table, places []*place, n int, ask *routing.Request) *place) float64 {
+// repeatedPrefill returns the share of prompts that were read again although they had been read before.
+func repeatedPrefill(seed uint64, lostPercent int, choose func(table *routing.Table, testTargets []*testTarget, n int, ask *routing.Request) *testTarget) float64 {
 	random := rand.New(rand.NewPCG(seed, 5))
-	var places []*place
+	var testTargets []*testTarget
 	byTarget := map[*routing.Target]*engineCache{}
 	for i := range prefillGroups {
-		p := newPlace(ident.Group(fmt.Sprint("g", i)), 1)
-		places = append(places, p)
+		p := newTestTarget(ident.Group(fmt.Sprint("g", i)), 1)
+		testTargets = append(testTargets, p)
 		byTarget[p.Target] = &engineCache{}
 	}
-	table := newTable(seed, places...)
+	table := newTable(seed, testTargets...)
 	prompts := make([][]uint64, prefillConversations)
 	for i := range prompts {
 		prompts[i] = routing.Prefixes([]byte(fmt.Sprintf("conversation %d ", i) + strings.Repeat("x", 3000)))
 	}
 	var events []eviction
-	known := map[int]bool{}
-	again, misses := 0, 0
+	seen := map[int]bool{}
+	repeats, misses := 0, 0
 	for n := range prefillRequests {
 		for len(events) > 0 && events[0].due <= n {
 			e := events[0]
 			events = events[1:]
-			if random.IntN(100) < lost {
+			if random.IntN(100) < lostPercent {
 				table.Record.Invalidate(e.target)
 				continue
 			}
@@ -79,26 +79,26 @@
 			}
 		}
 		c := random.IntN(prefillConversations)
-		p := choose(table, places, n, &routing.Request{Model: "m", Prefixes: prompts[c], PromptTokens: 10_000})
+		p := choose(table, testTargets, n, &routing.Request{Model: "m", Prefixes: prompts[c], PromptTokens: 10_000})
 		hit, evicted := byTarget[p.Target].use(c)
 		if evicted >= 0 {
 			events = append(events, eviction{n + prefillEventLag, evicted, p.Target})
 		}
-		if known[c] {
-			again++
+		if seen[c] {
+			repeats++
 			if !hit {
 				misses++
 			}
 		}
-		known[c] = true
+		seen[c] = true
 	}
-	return float64(misses) / float64(again)
+	return float64(misses) / float64(repeats)
 }
 
-func byTable(table *routing.Table, places []*place, _ int, ask *routing.Request) *place {
-	target, _ := table.Reserve(now.Add(time.Millisecond), ask)
+func chooseByTable(table *routing.Table, testTargets []*testTarget, _ int, request *routing.Request) *testTarget {
+	target, _ := table.Reserve(now.Add(time.Millisecond), request)
 	table.Release(target)
-	for _, p := range places {
+	for _, p := range testTargets {
 		if p.Target == target {
 			return p
 		}
@@ -106,29 +106,29 @@
 	return nil
 }
 
-func roundRobin(_ *routing.Table, places []*place, n int, _ *routing.Request) *place {
-	return places[n%len(places)]
+func roundRobin(_ *routing.Table, testTargets []*testTarget, n int, _ *routing.Request) *testTarget {
+	return testTargets[n%len(testTargets)]
 }
 
 // leastLoaded sees equal loads here and so takes any.
-func leastLoaded(table *routing.Table, places []*place, _ int, _ *routing.Request) *place {
-	return places[table.Random(len(places))]
+func leastLoaded(table *routing.Table, testTargets []*testTarget, _ int, _ *routing.Request) *testTarget {
+	return testTargets[table.Random(len(testTargets))]
 }
 
-func TestWastedPrefill(t *testing.T) {
+func TestRepeatedPrefill(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		lost   int
-		choose func(table *routing.Table, places []*place, n int, ask *routing.Request) *place
+		choose func(table *routing.Table, places []*testTarget, n int, ask *routing.Request) *testTarget
 		low    float64
 		high   float64
 	}{
-		{"own record and late events", 0, byTable, 0, 0.05},
-		{"one event in a hundred missing", 1, byTable, 0, 0.15},
+		{"own record and late events", 0, chooseByTable, 0, 0.05},
+		{"one event in a hundred missing", 1, chooseByTable, 0, 0.15},
 		{"round robin", 0, roundRobin, 0.8, 1},
 		{"least loaded", 0, leastLoaded, 0.8, 1},
 	} {
-		got := wasted(1, c.lost, c.choose)
+		got := repeatedPrefill(1, c.lost, c.choose)
 		t.Logf("%s: %.3f of the prompts that had been read were read again", c.name, got)
 		if got < c.low || got > c.high {
 			t.Errorf("%s: %.3f, want %.2f to %.2f", c.name, got, c.low, c.high)
--- a/routing/record.go
+++ b/routing/record.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	firstPrefix       = 256
+	minPrefixBytes    = 256
 	maxPrefixes       = 16
 	defaultRecordSize = 1 << 16
 )
@@ -26,7 +26,7 @@
 	var hashes []uint64
 	h := xxhash.New()
 	done := 0
-	for size := firstPrefix; size <= len(prompt) && len(hashes) < maxPrefixes; size *= 2 {
+	for size := minPrefixBytes; size <= len(prompt) && len(hashes) < maxPrefixes; size *= 2 {
 		_, _ = h.Write(prompt[done:size])
 		done = size
 		hashes = append(hashes, h.Sum64())
@@ -34,20 +34,20 @@
 	return hashes
 }
 
-type belief struct {
-	target uint64
-	known  uint64
+type prefixHolder struct {
+	target       uint64
+	cacheVersion uint64
 }
 
 // PrefixRecord remembers which target has seen which prefix, within a bound.
 type PrefixRecord struct {
-	mu    sync.Mutex
-	cache *generations[uint64, belief]
+	mu      sync.Mutex
+	holders *boundedMap[uint64, prefixHolder]
 }
 
 // NewRecord returns a record of at most 2*size prefixes.
 func NewRecord(size int) *PrefixRecord {
-	return &PrefixRecord{cache: newGenerations[uint64, belief](size)}
+	return &PrefixRecord{holders: newBoundedMap[uint64, prefixHolder](size)}
 }
 
 // find returns the target that has the longest known prefix, and how many of the prefixes it has.
@@ -58,26 +58,26 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for depth := len(prefixes); depth > 0; depth-- {
-		b, ok := r.cache.get(prefixes[depth-1])
+		b, ok := r.holders.get(prefixes[depth-1])
 		if !ok {
 			continue
 		}
-		if target := ix.byID[b.target]; target != nil && target.known.Load() == b.known {
+		if target := ix.byID[b.target]; target != nil && target.cacheVersion.Load() == b.cacheVersion {
 			return target, depth
 		}
 	}
 	return nil, 0
 }
 
-func (r *PrefixRecord) note(target *Target, prefixes []uint64) {
+func (r *PrefixRecord) add(target *Target, prefixes []uint64) {
 	if len(prefixes) == 0 {
 		return
 	}
-	b := belief{target.id, target.known.Load()}
+	b := prefixHolder{target.id, target.cacheVersion.Load()}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range prefixes {
-		r.cache.put(p, b)
+		r.holders.put(p, b)
 	}
 }
 
@@ -85,8 +85,8 @@
 func (r *PrefixRecord) Removed(target *Target, prefix uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if b, ok := r.cache.get(prefix); ok && b.target == target.id {
-		r.cache.remove(prefix)
+	if b, ok := r.holders.get(prefix); ok && b.target == target.id {
+		r.holders.remove(prefix)
 	}
 }
 
@@ -94,47 +94,47 @@
 func (r *PrefixRecord) Stored(target *Target, prefix uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, ok := r.cache.get(prefix); !ok {
-		r.cache.put(prefix, belief{target.id, target.known.Load()})
+	if _, ok := r.holders.get(prefix); !ok {
+		r.holders.put(prefix, prefixHolder{target.id, target.cacheVersion.Load()})
 	}
 }
 
 // Invalidate voids everything believed of target, because events were missed.
 func (r *PrefixRecord) Invalidate(target *Target) {
-	target.known.Add(1)
+	target.cacheVersion.Add(1)
 }
 
-// generations is a map bounded by forgetting its older half at once: it needs no list of uses, and a get of
+// boundedMap is a map bounded by forgetting its older half at once: it needs no list of uses, and a get of
 // an old item makes it young again.
-type generations[K comparable, V any] struct {
-	size     int
-	now, old map[K]V
+type boundedMap[K comparable, V any] struct {
+	size          int
+	recent, older map[K]V
 }
 
-func newGenerations[K comparable, V any](size int) *generations[K, V] {
-	return &generations[K, V]{size: size, now: map[K]V{}, old: map[K]V{}}
+func newBoundedMap[K comparable, V any](size int) *boundedMap[K, V] {
+	return &boundedMap[K, V]{size: size, recent: map[K]V{}, older: map[K]V{}}
 }
 
-func (g *generations[K, V]) get(key K) (V, bool) {
-	if v, ok := g.now[key]; ok {
+func (g *boundedMap[K, V]) get(key K) (V, bool) {
+	if v, ok := g.recent[key]; ok {
 		return v, true
 	}
-	v, ok := g.old[key]
+	v, ok := g.older[key]
 	if ok {
 		g.put(key, v)
 	}
 	return v, ok
 }
 
-func (g *generations[K, V]) put(key K, v V) {
-	if len(g.now) >= g.size {
-		g.old = g.now
-		g.now = make(map[K]V, g.size)
+func (g *boundedMap[K, V]) put(key K, v V) {
+	if len(g.recent) >= g.size {
+		g.older = g.recent
+		g.recent = make(map[K]V, g.size)
 	}
-	g.now[key] = v
+	g.recent[key] = v
 }
 
-func (g *generations[K, V]) remove(key K) {
-	delete(g.now, key)
-	delete(g.old, key)
+func (g *boundedMap[K, V]) remove(key K) {
+	delete(g.recent, key)
+	delete(g.older, key)
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -18,65 +18,65 @@
 
 const bound = time.Second
 
-// place is one target with what its first member reports.
-type place struct {
+// testTarget is one target with what its first member reports.
+type testTarget struct {
 	*routing.Target
-	cells []*presence.VMRecord
+	records []*presence.VMRecord
 }
 
-func (p *place) report(at time.Time, running int) {
-	for _, c := range p.cells {
+func (p *testTarget) report(at time.Time, running int) {
+	for _, c := range p.records {
 		c.Observe(at, &presence.Observation{Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 7, Slots: 4, Running: running})
 	}
 }
 
-func newPlace(name ident.Group, members int) *place {
-	p := &place{Target: routing.NewTarget()}
+func newTestTarget(name ident.Group, members int) *testTarget {
+	p := &testTarget{Target: routing.NewTarget()}
 	p.Group, p.Epoch, p.Model, p.Hall, p.Head = name, 7, "m", "h", string(name)
 	for range members {
 		c := &presence.VMRecord{}
-		p.cells = append(p.cells, c)
+		p.records = append(p.records, c)
 		p.Members = append(p.Members, presence.Member{Cell: c, Incarnation: "i", Epoch: 7})
 	}
 	p.report(now, 0)
 	return p
 }
 
-func newTable(seed uint64, places ...*place) *routing.Table {
+func newTable(seed uint64, testTargets ...*testTarget) *routing.Table {
 	t := routing.NewTable("h", bound)
 	t.Random = rand.New(rand.NewPCG(seed, 1)).IntN
 	var targets []*routing.Target
-	for _, p := range places {
+	for _, p := range testTargets {
 		targets = append(targets, p.Target)
 	}
 	t.Replace(targets, []ident.Model{"m", "declared"})
 	return t
 }
 
-func TestOnlyWholeGroupsWithRoomAreTaken(t *testing.T) {
+func TestOnlyCompleteGroupsWithCapacityAreChosen(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		model  ident.Model
-		change func(p *place)
+		change func(p *testTarget)
 		want   routing.Outcome
 	}{
-		{"whole and idle", "m", func(*place) {}, routing.Chosen},
-		{"no such model", "x", func(*place) {}, routing.UnknownModel},
-		{"declared and without a group", "declared", func(*place) {}, routing.NotWhole},
-		{"one member refused", "m", func(p *place) {
-			p.cells[1].Observe(now.Add(1), &presence.Observation{Sight: presence.ProbeRefused})
+		{"whole and idle", "m", func(*testTarget) {}, routing.Chosen},
+		{"no such model", "x", func(*testTarget) {}, routing.UnknownModel},
+		{"declared and without a group", "declared", func(*testTarget) {}, routing.NotWhole},
+		{"one member refused", "m", func(p *testTarget) {
+			p.records[1].Observe(now.Add(1), &presence.Observation{Sight: presence.ProbeRefused})
 		}, routing.NotWhole},
-		{"one member silent for too long", "m", func(p *place) {
-			*p.cells[1] = presence.VMRecord{}
-			p.cells[1].Observe(now, &presence.Observation{Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 7, Age: 1001})
+		{"one member silent for too long", "m", func(p *testTarget) {
+			*p.records[1] = presence.VMRecord{}
+			p.records[1].Observe(now, &presence.Observation{Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 7, Age: 1001})
 		}, routing.NotWhole},
-		{"one member started anew", "m", func(p *place) {
-			p.cells[1].Observe(now.Add(1), &presence.Observation{Sight: presence.ProbeAnswered, Incarnation: "j", Epoch: 7})
+		{"one member started anew", "m", func(p *testTarget) {
+			p.records[1].Observe(now.Add(1), &presence.Observation{Sight: presence.ProbeAnswered, Incarnation: "j", Epoch: 7})
 		}, routing.NotWhole},
-		{"full by report", "m", func(p *place) { p.report(now.Add(1), 4) }, routing.Full},
-		{"the head has just failed", "m", func(p *place) { p.FailHead(now.Add(1)) }, routing.NotWhole},
+		{"full by report", "m", func(p *testTarget) { p.report(now.Add(1), 4) }, routing.Full},
+		{"the head has just failed", "m", func(p *testTarget) { p.FailHead(now.Add(1)) }, routing.NotWhole},
 	} {
-		p := newPlace("g", 2)
+		p := newTestTarget("g", 2)
 		table := newTable(1, p)
 		c.change(p)
 		target, got := table.Reserve(now.Add(2), &routing.Request{Model: c.model})
@@ -87,36 +87,36 @@
 }
 
 func TestOwnRequestsCountExactly(t *testing.T) {
-	p := newPlace("g", 1)
+	p := newTestTarget("g", 1)
 	table := newTable(1, p)
-	var taken []*routing.Target
+	var reserved []*routing.Target
 	for {
-		target, verdict := table.Reserve(now, &routing.Request{Model: "m"})
-		if verdict != routing.Chosen {
+		target, outcome := table.Reserve(now, &routing.Request{Model: "m"})
+		if outcome != routing.Chosen {
 			break
 		}
-		taken = append(taken, target)
+		reserved = append(reserved, target)
 	}
-	if len(taken) != 4 {
-		t.Errorf("%d requests taken, the target has 4 slots and reports none in use", len(taken))
+	if len(reserved) != 4 {
+		t.Errorf("%d requests taken, the target has 4 slots and reports none in use", len(reserved))
 	}
-	table.Release(taken[0])
-	if _, verdict := table.Reserve(now, &routing.Request{Model: "m"}); verdict != routing.Chosen {
-		t.Errorf("after one ended: verdict %d", verdict)
+	table.Release(reserved[0])
+	if _, outcome := table.Reserve(now, &routing.Request{Model: "m"}); outcome != routing.Chosen {
+		t.Errorf("after one ended: verdict %d", outcome)
 	}
 }
 
-func TestTheFailedTargetIsAvoidedIfThereIsAnother(t *testing.T) {
-	one, two := newPlace("one", 1), newPlace("two", 1)
+func TestFailedTargetIsAvoidedIfThereIsAnother(t *testing.T) {
+	one, two := newTestTarget("one", 1), newTestTarget("two", 1)
 	for _, c := range []struct {
-		places []*place
+		places []*testTarget
 		want   ident.Group
-	}{{[]*place{one, two}, "two"}, {[]*place{one}, "one"}} {
+	}{{[]*testTarget{one, two}, "two"}, {[]*testTarget{one}, "one"}} {
 		table := newTable(3, c.places...)
 		for range 4 {
-			target, verdict := table.Reserve(now, &routing.Request{Model: "m", Avoid: one.Target})
-			if verdict != routing.Chosen || target.Group != c.want {
-				t.Fatalf("%d targets: verdict %d", len(c.places), verdict)
+			target, outcome := table.Reserve(now, &routing.Request{Model: "m", Avoid: one.Target})
+			if outcome != routing.Chosen || target.Group != c.want {
+				t.Fatalf("%d targets: verdict %d", len(c.places), outcome)
 			}
 			table.Release(target)
 		}
@@ -124,18 +124,18 @@
 }
 
 // Twenty entry VMs see the same lagged report that calls one group idle; they must not all send there.
-func TestEntriesDoNotHerd(t *testing.T) {
+func TestEntriesDoNotAllChooseTheSameGroup(t *testing.T) {
 	counts := map[ident.Group]int{}
 	const entries, groups = 200, 10
 	for seed := range uint64(entries) {
-		var places []*place
+		var testTargets []*testTarget
 		for i := range groups {
-			p := newPlace(ident.Group(fmt.Sprint("g", i)), 1)
+			p := newTestTarget(ident.Group(fmt.Sprint("g", i)), 1)
 			p.report(now.Add(1), 2)
-			places = append(places, p)
+			testTargets = append(testTargets, p)
 		}
-		places[0].report(now.Add(2), 0)
-		target, _ := newTable(seed, places...).Reserve(now.Add(3), &routing.Request{Model: "m"})
+		testTargets[0].report(now.Add(2), 0)
+		target, _ := newTable(seed, testTargets...).Reserve(now.Add(3), &routing.Request{Model: "m"})
 		counts[target.Group]++
 	}
 	if n := counts["g0"]; n > entries/3 || n < entries/groups {
@@ -157,32 +157,32 @@
 	}
 }
 
-func TestPromptsReturnToWhereTheirPrefixIs(t *testing.T) {
+func TestPromptsReturnToTheTargetWithTheirPrefix(t *testing.T) {
 	prompt := []byte(strings.Repeat("forecast ", 1000))
-	ask := func() *routing.Request {
+	newRequest := func() *routing.Request {
 		return &routing.Request{Model: "m", Prefixes: routing.Prefixes(prompt), PromptTokens: 100_000}
 	}
 	for _, c := range []struct {
 		name   string
-		change func(table *routing.Table, first *routing.Target, places []*place)
+		change func(table *routing.Table, first *routing.Target, testTargets []*testTarget)
 		same   bool
 	}{
-		{"nothing happened", func(*routing.Table, *routing.Target, []*place) {}, true},
-		{"the engine dropped the blocks", func(table *routing.Table, first *routing.Target, _ []*place) {
+		{"nothing happened", func(*routing.Table, *routing.Target, []*testTarget) {}, true},
+		{"the engine dropped the blocks", func(table *routing.Table, first *routing.Target, _ []*testTarget) {
 			for _, p := range routing.Prefixes(prompt) {
 				table.Record.Removed(first, p)
 			}
 		}, false},
-		{"another engine dropped the blocks", func(table *routing.Table, first *routing.Target, places []*place) {
-			for _, p := range places {
+		{"another engine dropped the blocks", func(table *routing.Table, first *routing.Target, testTargets []*testTarget) {
+			for _, p := range testTargets {
 				if p.Target != first {
 					table.Record.Removed(p.Target, routing.Prefixes(prompt)[3])
 				}
 			}
 		}, true},
-		{"events were missed", func(table *routing.Table, first *routing.Target, _ []*place) { table.Record.Invalidate(first) }, false},
-		{"it is full", func(_ *routing.Table, first *routing.Target, places []*place) {
-			for _, p := range places {
+		{"events were missed", func(table *routing.Table, first *routing.Target, _ []*testTarget) { table.Record.Invalidate(first) }, false},
+		{"it is full", func(_ *routing.Table, first *routing.Target, testTargets []*testTarget) {
+			for _, p := range testTargets {
 				if p.Target == first {
 					p.report(now.Add(1), 4)
 				}
@@ -190,35 +190,35 @@
 		}, false},
 	} {
 		same := 0
-		const tries = 40
-		for seed := range uint64(tries) {
-			var places []*place
+		const attempts = 40
+		for seed := range uint64(attempts) {
+			var testTargets []*testTarget
 			for i := range 20 {
-				places = append(places, newPlace(ident.Group(fmt.Sprint("g", i)), 1))
+				testTargets = append(testTargets, newTestTarget(ident.Group(fmt.Sprint("g", i)), 1))
 			}
-			table := newTable(seed, places...)
-			first, _ := table.Reserve(now, ask())
+			table := newTable(seed, testTargets...)
+			first, _ := table.Reserve(now, newRequest())
 			table.Release(first)
-			c.change(table, first, places)
-			again, _ := table.Reserve(now.Add(2), ask())
+			c.change(table, first, testTargets)
+			again, _ := table.Reserve(now.Add(2), newRequest())
 			if again == first {
 				same++
 			}
 		}
-		if c.same && same != tries || !c.same && same > tries/3 {
-			t.Errorf("%s: %d of %d prompts went to the same group", c.name, same, tries)
+		if c.same && same != attempts || !c.same && same > attempts/3 {
+			t.Errorf("%s: %d of %d prompts went to the same group", c.name, same, attempts)
 		}
 	}
 }
 
 // A slow group gets fewer requests, but not none, so that its recovery shows.
-func TestASlowGroupIsTriedAgain(t *testing.T) {
-	slow, fast := newPlace("slow", 1), newPlace("fast", 1)
+func TestSlowGroupIsTriedAgain(t *testing.T) {
+	slow, fast := newTestTarget("slow", 1), newTestTarget("fast", 1)
 	table := newTable(5, slow, fast)
 	for range 20 {
 		slow.RecordPace(now, 6)
 	}
-	share := func(at time.Time) int {
+	countSlow := func(at time.Time) int {
 		slow.report(at, 0)
 		fast.report(at, 0)
 		n := 0
@@ -231,23 +231,23 @@
 		}
 		return n
 	}
-	if n := share(now.Add(time.Second)); n < 20 || n > 80 {
+	if n := countSlow(now.Add(time.Second)); n < 20 || n > 80 {
 		t.Errorf("the slow group got %d of 200", n)
 	}
-	if n := share(now.Add(5 * time.Minute)); n < 60 {
+	if n := countSlow(now.Add(5 * time.Minute)); n < 60 {
 		t.Errorf("after five minutes without a measurement it got %d of 200", n)
 	}
 }
 
 func TestAdaptersAndHalls(t *testing.T) {
-	with, without, far := newPlace("with", 1), newPlace("without", 1), newPlace("far", 1)
+	with, without, far := newTestTarget("with", 1), newTestTarget("without", 1), newTestTarget("far", 1)
 	with.Adapters = []string{"alps"}
 	far.Hall = "elsewhere"
-	count := func(ask *routing.Request, places ...*place) map[ident.Group]int {
+	count := func(request *routing.Request, places ...*testTarget) map[ident.Group]int {
 		table := newTable(7, places...)
 		got := map[ident.Group]int{}
 		for range 100 {
-			target, _ := table.Reserve(now, ask)
+			target, _ := table.Reserve(now, request)
 			got[target.Group]++
 			table.Release(target)
 		}
--- a/routing/table.go
+++ b/routing/table.go
@@ -49,13 +49,13 @@
 	return Costs{Service: 2, PrefillPerToken: 0.0002, AdapterLoad: 1, OtherHall: 0.002}
 }
 
-// nearlyEqual is the number of seconds by which a cost has to be lower to count.
-const nearlyEqual = 0.0005
+// minCostDifference is the number of seconds by which a cost has to be lower to count.
+const minCostDifference = 0.0005
 
-type models map[ident.Model][]*Target
+type targetsByModel map[ident.Model][]*Target
 
 type index struct {
-	byModel models
+	byModel targetsByModel
 	byID    map[uint64]*Target
 }
 
@@ -86,7 +86,7 @@
 
 // Replace makes targets the whole content of the table; a model that is declared and has none is not whole, others are unknown.
 func (t *Table) Replace(targets []*Target, declared []ident.Model) {
-	ix := &index{byModel: models{}, byID: make(map[uint64]*Target, len(targets))}
+	ix := &index{byModel: targetsByModel{}, byID: make(map[uint64]*Target, len(targets))}
 	for _, model := range declared {
 		ix.byModel[model] = nil
 	}
@@ -116,32 +116,32 @@
 )
 
 // Reserve chooses a target and counts one request in flight there, which Done gives back.
-func (t *Table) Reserve(now time.Time, ask *Request) (*Target, Outcome) {
+func (t *Table) Reserve(now time.Time, request *Request) (*Target, Outcome) {
 	ix := t.current.Load()
-	targets, declared := ix.byModel[ask.Model]
+	targets, declared := ix.byModel[request.Model]
 	if !declared {
 		return nil, UnknownModel
 	}
 	if len(targets) == 0 {
 		return nil, NotWhole
 	}
-	ask.WaitsForPermit = false
-	warm, depth := t.Record.find(ix, ask.Prefixes)
-	best := t.best(now, ask, targets, warm, depth)
+	request.WaitsForPermit = false
+	prefixTarget, depth := t.Record.find(ix, request.Prefixes)
+	best := t.best(now, request, targets, prefixTarget, depth)
 	if best == nil {
-		var verdict Outcome
-		if best, verdict = t.search(now, ask, targets); best == nil {
-			return nil, verdict
+		var outcome Outcome
+		if best, outcome = t.search(now, request, targets); best == nil {
+			return nil, outcome
 		}
 	}
 	best.inFlight.Add(1)
 	if latest := t.current.Load(); latest != ix && latest.byID[best.id] == nil {
 		// The group left the table in this moment; a drain may already have counted nobody here.
 		best.inFlight.Add(-1)
-		return t.Reserve(now, ask)
+		return t.Reserve(now, request)
 	}
-	ask.Trial = t.Backoff.BeginProbe(now, best.HeadIncarnation())
-	t.Record.note(best, ask.Prefixes)
+	request.Trial = t.Backoff.BeginProbe(now, best.HeadIncarnation())
+	t.Record.add(best, request.Prefixes)
 	return best, Chosen
 }
 
@@ -150,119 +150,119 @@
 	target.inFlight.Add(-1)
 }
 
-func (t *Table) best(now time.Time, ask *Request, targets []*Target, warm *Target, depth int) *Target {
-	candidates := [...]*Target{warm, targets[t.Random(len(targets))], targets[t.Random(len(targets))]}
+func (t *Table) best(now time.Time, request *Request, targets []*Target, prefixTarget *Target, depth int) *Target {
+	candidates := [...]*Target{prefixTarget, targets[t.Random(len(targets))], targets[t.Random(len(targets))]}
 	var best *Target
 	var lowest float64
-	for i, c := range candidates {
-		if c == nil || c == ask.Avoid || c.Model != ask.Model || i > 0 && c == candidates[i-1] {
+	for i, target := range candidates {
+		if target == nil || target == request.Avoid || target.Model != request.Model || i > 0 && target == candidates[i-1] {
 			continue
 		}
-		cost, ok := t.cost(now, ask, c, cachedShare(c == warm, depth, len(ask.Prefixes)))
+		cost, ok := t.cost(now, request, target, cachedFraction(target == prefixTarget, depth, len(request.Prefixes)))
 		// Of nearly equal ones the first stays, which is random, so that a trace of a difference does not draw everybody.
-		if ok && (best == nil || cost < lowest-nearlyEqual) {
-			best, lowest = c, cost
+		if ok && (best == nil || cost < lowest-minCostDifference) {
+			best, lowest = target, cost
 		}
 	}
 	return best
 }
 
-// cachedShare estimates how much of the prompt is cached; each prefix is twice as long as the one before.
-func cachedShare(warm bool, depth, prefixes int) float64 {
-	if !warm || depth == 0 {
+// cachedFraction estimates how much of the prompt is cached; each prefix is twice as long as the one before.
+func cachedFraction(holdsPrefix bool, depth, prefixes int) float64 {
+	if !holdsPrefix || depth == 0 {
 		return 0
 	}
 	return 1 / float64(uint64(1)<<(prefixes-depth))
 }
 
 // cost returns the expected seconds until the first token beyond the unavoidable; ok is false when the target cannot take the request now.
-func (t *Table) cost(now time.Time, ask *Request, c *Target, cached float64) (seconds float64, ok bool) {
-	slots, busy := c.load()
-	if busy >= slots || !c.Whole(now, t.Bound) || !t.Backoff.StateOf(now, c.HeadIncarnation()).Admits() || t.PermitIn(now, c.Head) > 0 {
+func (t *Table) cost(now time.Time, request *Request, target *Target, cached float64) (seconds float64, ok bool) {
+	slots, busy := target.load()
+	if busy >= slots || !target.Whole(now, t.Bound) || !t.Backoff.StateOf(now, target.HeadIncarnation()).Admits() || t.PermitIn(now, target.Head) > 0 {
 		return 0, false
 	}
 	seconds = t.Costs.Service * float64(busy) / float64(slots)
-	seconds += t.Costs.PrefillPerToken * float64(ask.PromptTokens) * (1 - cached)
-	if !c.HasAdapter(ask.Adapter) {
+	seconds += t.Costs.PrefillPerToken * float64(request.PromptTokens) * (1 - cached)
+	if !target.HasAdapter(request.Adapter) {
 		seconds += t.Costs.AdapterLoad
 	}
 	// A slow target answers slowly whatever its load is.
-	seconds = (seconds + t.Costs.Service) * c.paceNow(now)
-	if c.Hall != t.Hall {
+	seconds = (seconds + t.Costs.Service) * target.currentSlowdown(now)
+	if target.Hall != t.Hall {
 		seconds += t.Costs.OtherHall
 	}
 	return seconds, true
 }
 
 // search looks through all targets; the one to avoid is taken only if there is no other.
-func (t *Table) search(now time.Time, ask *Request, targets []*Target) (*Target, Outcome) {
+func (t *Table) search(now time.Time, request *Request, targets []*Target) (*Target, Outcome) {
 	start := t.Random(len(targets))
-	verdict := NotWhole
-	ask.RetryIn = 0
+	outcome := NotWhole
+	request.RetryIn = 0
 	for i := range targets {
-		c := targets[(start+i)%len(targets)]
-		if left := t.askedFor(now, c); left > 0 {
-			if ask.RetryIn == 0 || left < ask.RetryIn {
-				ask.RetryIn = left
+		target := targets[(start+i)%len(targets)]
+		if remaining := t.backoffRemaining(now, target); remaining > 0 {
+			if request.RetryIn == 0 || remaining < request.RetryIn {
+				request.RetryIn = remaining
 			}
 			continue
 		}
-		if c == ask.Avoid || t.PermitIn(now, c.Head) > 0 {
+		if target == request.Avoid || t.PermitIn(now, target.Head) > 0 {
 			continue
 		}
-		if _, ok := t.cost(now, ask, c, 0); ok {
-			return c, Chosen
+		if _, ok := t.cost(now, request, target, 0); ok {
+			return target, Chosen
 		}
-		if c.Whole(now, t.Bound) {
-			verdict = Full
+		if target.Whole(now, t.Bound) {
+			outcome = Full
 		}
 	}
-	if ask.Avoid != nil {
-		if _, ok := t.cost(now, ask, ask.Avoid, 0); ok {
-			return ask.Avoid, Chosen
+	if request.Avoid != nil {
+		if _, ok := t.cost(now, request, request.Avoid, 0); ok {
+			return request.Avoid, Chosen
 		}
 	}
-	if verdict != NotWhole {
-		return nil, verdict
+	if outcome != NotWhole {
+		return nil, outcome
 	}
-	if next := t.nextTurn(now, targets); next != nil {
-		ask.WaitsForPermit = true
+	if next := t.soonestPermit(now, targets); next != nil {
+		request.WaitsForPermit = true
 		return next, Chosen
 	}
-	if ask.RetryIn > 0 {
-		verdict = BackedOff
+	if request.RetryIn > 0 {
+		outcome = BackedOff
 	}
-	return nil, verdict
+	return nil, outcome
 }
 
-// nextTurn returns the whole target that has a turn within its limit soonest, of those that have one later.
-func (t *Table) nextTurn(now time.Time, targets []*Target) *Target {
+// soonestPermit returns the whole target that has a turn within its limit soonest, of those that have one later.
+func (t *Table) soonestPermit(now time.Time, targets []*Target) *Target {
 	var next *Target
 	var soonest time.Duration
-	for _, c := range targets {
-		wait := t.PermitIn(now, c.Head)
-		if wait > 0 && c.Whole(now, t.Bound) && t.askedFor(now, c) == 0 && (next == nil || wait < soonest) {
-			next, soonest = c, wait
+	for _, target := range targets {
+		wait := t.PermitIn(now, target.Head)
+		if wait > 0 && target.Whole(now, t.Bound) && t.backoffRemaining(now, target) == 0 && (next == nil || wait < soonest) {
+			next, soonest = target, wait
 		}
 	}
 	return next
 }
 
-// askedFor returns how long a whole target wants nothing yet because it asked for time.
-func (t *Table) askedFor(now time.Time, c *Target) time.Duration {
-	asked := t.Backoff.StateOf(now, c.HeadIncarnation())
-	if !asked.Requested || !c.Whole(now, t.Bound) {
+// backoffRemaining returns how long a whole target wants nothing yet because it asked for time.
+func (t *Table) backoffRemaining(now time.Time, target *Target) time.Duration {
+	state := t.Backoff.StateOf(now, target.HeadIncarnation())
+	if !state.Requested || !target.Whole(now, t.Bound) {
 		return 0
 	}
-	return asked.Remaining
+	return state.Remaining
 }
 
 // Capacity returns the slots of the whole groups of a model.
 func (t *Table) Capacity(now time.Time, model ident.Model) int {
 	total := 0
-	for _, c := range t.Targets(model) {
-		if c.Whole(now, t.Bound) {
-			slots, _ := c.load()
+	for _, target := range t.Targets(model) {
+		if target.Whole(now, t.Bound) {
+			slots, _ := target.load()
 			total += slots
 		}
 	}
--- a/routing/target.go
+++ b/routing/target.go
@@ -23,11 +23,11 @@
 
 	id       uint64
 	inFlight atomic.Int64
-	// pace is the recent time per token relative to the others, as float bits; paceAt is when it was last measured.
-	pace   atomic.Uint64
-	paceAt atomic.Int64
-	// known is bumped when cache events were missed, which voids what is believed of the cache.
-	known atomic.Uint64
+	// slowdown is the recent time per token relative to the others, as float bits; slowdownAt is when it was last measured.
+	slowdown   atomic.Uint64
+	slowdownAt atomic.Int64
+	// cacheVersion is bumped when cache events were missed, which voids what is believed of the cache.
+	cacheVersion atomic.Uint64
 }
 
 var lastID atomic.Uint64
@@ -35,7 +35,7 @@
 // NewTarget returns a target with a number of its own.
 func NewTarget() *Target {
 	t := &Target{id: lastID.Add(1)}
-	t.pace.Store(math.Float64bits(1))
+	t.slowdown.Store(math.Float64bits(1))
 	return t
 }
 
@@ -76,27 +76,27 @@
 }
 
 const (
-	paceWeight   = 0.2
-	paceHalfLife = 10 * time.Second
-	paceLimit    = 8
+	slowdownWeight   = 0.2
+	slowdownHalfLife = 10 * time.Second
+	maxSlowdown      = 8
 )
 
 // RecordPace takes one answer's time per token relative to what is usual for its model.
 func (t *Target) RecordPace(now time.Time, relative float64) {
-	relative = min(relative, paceLimit)
-	old := t.paceNow(now)
-	t.pace.Store(math.Float64bits(old + paceWeight*(relative-old)))
-	t.paceAt.Store(now.UnixNano())
+	relative = min(relative, maxSlowdown)
+	previous := t.currentSlowdown(now)
+	t.slowdown.Store(math.Float64bits(previous + slowdownWeight*(relative-previous)))
+	t.slowdownAt.Store(now.UnixNano())
 }
 
-// paceNow returns the pace, which drifts back to 1 while nothing is measured, so that a slow target is tried again.
-func (t *Target) paceNow(now time.Time) float64 {
-	pace := math.Float64frombits(t.pace.Load())
-	idle := time.Duration(now.UnixNano() - t.paceAt.Load())
-	if pace <= 1 || idle <= 0 {
-		return pace
+// currentSlowdown returns the pace, which drifts back to 1 while nothing is measured, so that a slow target is tried again.
+func (t *Target) currentSlowdown(now time.Time) float64 {
+	slowdown := math.Float64frombits(t.slowdown.Load())
+	idle := time.Duration(now.UnixNano() - t.slowdownAt.Load())
+	if slowdown <= 1 || idle <= 0 {
+		return slowdown
 	}
-	return 1 + (pace-1)*math.Exp2(-float64(idle)/float64(paceHalfLife))
+	return 1 + (slowdown-1)*math.Exp2(-float64(idle)/float64(slowdownHalfLife))
 }
 
 // HasAdapter reports whether the adapter is loaded; no adapter always is.
--- a/sharing/sharing.go
+++ b/sharing/sharing.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	// together is up to how many entries all use all groups: each prompt of 3 a second then costs an entry 290 datagrams a
+	// maxAllUseAll is up to how many entries all use all groups: each prompt of 3 a second then costs an entry 290 datagrams a
 	// second.
-	together = 97
-	// groupsLeast is how many groups of a model an entry uses at least: with four to choose from, groups are filled evenly.
-	groupsLeast = 4
-	// usersLeast is how many entries use a group on average at least, so that none is without users by chance.
-	usersLeast = 12
+	maxAllUseAll = 97
+	// minGroupsPerEntry is how many groups of a model an entry uses at least: with four to choose from, groups are filled evenly.
+	minGroupsPerEntry = 4
+	// minUsersPerGroup is how many entries use a group on average at least, so that none is without users by chance.
+	minUsersPerGroup = 12
 )
 
 // entry is one entry and the digest of its name.
@@ -43,9 +43,9 @@
 	self  string
 	halls map[ident.Hall][]entry
 	total int
-	// place is how many entries come before this one in order of names, listed is set when this one is among them.
-	place  int
-	listed bool
+	// position is how many entries come before this one in order of names, listed is set when this one is among them.
+	position int
+	listed   bool
 }
 
 // New returns the entries of a site by their halls, as the one called self sees them.
@@ -55,7 +55,7 @@
 		for _, name := range names {
 			e.halls[hall] = append(e.halls[hall], entry{name, xxhash.Sum64String(name)})
 			if name < self {
-				e.place++
+				e.position++
 			}
 			e.listed = e.listed || name == self
 		}
@@ -75,39 +75,39 @@
 	if !e.listed || n <= 0 {
 		return 0
 	}
-	part := n / e.total
-	turn := (e.place + int(xxhash.Sum64String(name)%uint64(e.total))) % e.total
-	if turn < n%e.total {
-		part++
+	share := n / e.total
+	rotated := (e.position + int(xxhash.Sum64String(name)%uint64(e.total))) % e.total
+	if rotated < n%e.total {
+		share++
 	}
-	return part
+	return share
 }
 
 // AllUseAll reports whether all entries use all groups.
 func (e *Entries) AllUseAll() bool {
-	return e.total <= together
+	return e.total <= maxAllUseAll
 }
 
 // AddsTo reports whether there is an entry that old has not.
 func (e *Entries) AddsTo(old *Entries) bool {
-	known := map[string]bool{}
+	oldNames := map[string]bool{}
 	for _, name := range old.Others() {
-		known[name] = true
+		oldNames[name] = true
 	}
-	return slices.ContainsFunc(e.Others(), func(name string) bool { return !known[name] })
+	return slices.ContainsFunc(e.Others(), func(name string) bool { return !oldNames[name] })
 }
 
 // Others returns all entries but this one, in order.
 func (e *Entries) Others() []string {
-	var list []string
+	var names []string
 	for _, hall := range slices.Sorted(maps.Keys(e.halls)) {
 		for _, o := range e.halls[hall] {
 			if o.name != e.self {
-				list = append(list, o.name)
+				names = append(names, o.name)
 			}
 		}
 	}
-	return list
+	return names
 }
 
 // Self returns the name of this entry.
@@ -119,17 +119,17 @@
 // there is none.
 func (e *Entries) Owner(name string) string {
 	digest := xxhash.Sum64String(name)
-	var first string
+	var owner string
 	var highest uint64
 	for _, entries := range e.halls {
 		for i := range entries {
-			rank := mix(entries[i].digest ^ digest)
-			if first == "" || rank > highest || rank == highest && entries[i].name < first {
-				first, highest = entries[i].name, rank
+			rank := mixBits(entries[i].digest ^ digest)
+			if owner == "" || rank > highest || rank == highest && entries[i].name < owner {
+				owner, highest = entries[i].name, rank
 			}
 		}
 	}
-	return first
+	return owner
 }
 
 // Group is one group and the entries that use it.
@@ -143,14 +143,14 @@
 // AssignUsers fills in who uses each of the groups of one model in one hall.
 func (e *Entries) AssignUsers(hall ident.Hall, groups []Group) {
 	entries := e.halls[hall]
-	uses := usesOf(len(groups), len(entries))
+	uses := groupsPerEntry(len(groups), len(entries))
 	digests := make([]uint64, len(groups))
 	for i := range groups {
 		digests[i] = xxhash.Sum64String(string(groups[i].Name))
 	}
 	best := make([]ranked, 0, uses+1)
 	for i := range entries {
-		best = firstFor(entries[i].digest, digests, uses, best[:0])
+		best = topRanked(entries[i].digest, digests, uses, best[:0])
 		for _, r := range best {
 			g := &groups[r.group]
 			if entries[i].name == e.self {
@@ -162,12 +162,12 @@
 	}
 }
 
-// usesOf is how many of so many groups each of so many entries uses.
-func usesOf(groups, entries int) int {
+// groupsPerEntry is how many of so many groups each of so many entries uses.
+func groupsPerEntry(groups, entries int) int {
 	if entries == 0 {
 		return 0
 	}
-	return min(groups, max(groupsLeast, (usersLeast*groups+entries-1)/entries))
+	return min(groups, max(minGroupsPerEntry, (minUsersPerGroup*groups+entries-1)/entries))
 }
 
 // ranked is a group and its rank for an entry, higher is better.
@@ -176,10 +176,10 @@
 	rank  uint64
 }
 
-// firstFor appends the groups that an entry ranks first to best.
-func firstFor(entry uint64, groups []uint64, uses int, best []ranked) []ranked {
+// topRanked appends the groups that an entry ranks first to best.
+func topRanked(entry uint64, groups []uint64, uses int, best []ranked) []ranked {
 	for i, g := range groups {
-		r := ranked{i, mix(entry ^ g)}
+		r := ranked{i, mixBits(entry ^ g)}
 		at := len(best)
 		for at > 0 && best[at-1].rank < r.rank {
 			at--
@@ -195,8 +195,8 @@
 	return best
 }
 
-// mix spreads the bits of x (the finalizer of SplitMix64).
-func mix(x uint64) uint64 {
+// mixBits spreads the bits of x (the finalizer of SplitMix64).
+func mixBits(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
--- a/sharing/sharing_test.go
+++ b/sharing/sharing_test.go
@@ -11,24 +11,24 @@
 	"github.com/dunlinquay/dunlinquay/sharing"
 )
 
-func names(n int) []string {
-	var list []string
+func entryNames(n int) []string {
+	var names []string
 	for i := range n {
-		list = append(list, fmt.Sprintf("10.1.%d.%d:7400", i/200, i%200))
+		names = append(names, fmt.Sprintf("10.1.%d.%d:7400", i/200, i%200))
 	}
-	return list
+	return names
 }
 
-func groups(n int) []sharing.Group {
-	var list []sharing.Group
+func testGroups(n int) []sharing.Group {
+	var groups []sharing.Group
 	for i := range n {
-		list = append(list, sharing.Group{Name: ident.Group(fmt.Sprintf("g%d", i*7919))})
+		groups = append(groups, sharing.Group{Name: ident.Group(fmt.Sprintf("g%d", i*7919))})
 	}
-	return list
+	return groups
 }
 
-// usersOf returns the users of each group as an entry of another hall sees them.
-func usersOf(entries []string, groups []sharing.Group) []sharing.Group {
+// usersByGroup returns the users of each group as an entry of another hall sees them.
+func usersByGroup(entries []string, groups []sharing.Group) []sharing.Group {
 	sharing.New("elsewhere", map[ident.Hall][]string{"hall": entries}).AssignUsers("hall", groups)
 	return groups
 }
@@ -41,31 +41,31 @@
 	} {
 		t.Run(fmt.Sprintf("%d entries, %d groups", c.entries, c.groups), func(t *testing.T) {
 			uses := map[string]int{}
-			least, most := c.entries, 0
-			for _, g := range usersOf(names(c.entries), groups(c.groups)) {
+			minUsers, maxUsers := c.entries, 0
+			for _, g := range usersByGroup(entryNames(c.entries), testGroups(c.groups)) {
 				for _, user := range g.Users {
 					uses[user]++
 				}
-				least, most = min(least, len(g.Users)), max(most, len(g.Users))
+				minUsers, maxUsers = min(minUsers, len(g.Users)), max(maxUsers, len(g.Users))
 			}
 			for name, n := range uses {
 				if n != c.uses {
 					t.Fatalf("%s uses %d groups, want %d", name, n, c.uses)
 				}
 			}
-			if least == 0 || most > 4*least {
-				t.Errorf("groups have %d to %d users", least, most)
+			if minUsers == 0 || maxUsers > 4*minUsers {
+				t.Errorf("groups have %d to %d users", minUsers, maxUsers)
 			}
 		})
 	}
 }
 
 // What all entries work out is the same, and each knows which groups it uses itself.
-func TestAllAgree(t *testing.T) {
-	all := names(40)
-	want := usersOf(all, groups(9))
+func TestAllEntriesAgree(t *testing.T) {
+	all := entryNames(40)
+	want := usersByGroup(all, testGroups(9))
 	for _, self := range all[:5] {
-		got := groups(9)
+		got := testGroups(9)
 		sharing.New(self, map[ident.Hall][]string{"hall": all}).AssignUsers("hall", got)
 		for i := range got {
 			users := got[i].Users
@@ -82,10 +82,10 @@
 }
 
 // When a group ends, nothing changes for the others but that those who used it use one more of them.
-func TestAGroupEnds(t *testing.T) {
-	all := names(59)
-	before := usersOf(all, groups(11))
-	after := usersOf(all, append(groups(5), groups(11)[6:]...))
+func TestGroupEnds(t *testing.T) {
+	all := entryNames(59)
+	before := usersByGroup(all, testGroups(11))
+	after := usersByGroup(all, append(testGroups(5), testGroups(11)[6:]...))
 	changes := 0
 	for _, g := range after {
 		i := slices.IndexFunc(before, func(b sharing.Group) bool { return b.Name == g.Name })
@@ -101,9 +101,9 @@
 	}
 }
 
-func TestFewEntriesUseAll(t *testing.T) {
+func TestFewEntriesUseAllGroups(t *testing.T) {
 	for n, want := range map[int]bool{2: true, 97: true, 98: false} {
-		e := sharing.New("10.1.0.0:7400", map[ident.Hall][]string{"one": names(n - 1), "two": {"x"}})
+		e := sharing.New("10.1.0.0:7400", map[ident.Hall][]string{"one": entryNames(n - 1), "two": {"x"}})
 		if e.AllUseAll() != want || e.Total() != n || len(e.Others()) != n-1 {
 			t.Errorf("%d entries: together %v, %d entries, %d others", n, e.AllUseAll(), e.Total(), len(e.Others()))
 		}
@@ -115,44 +115,44 @@
 func BenchmarkUsers(b *testing.B) {
 	lists := map[ident.Hall][]string{}
 	for i := range 5 {
-		lists[ident.Hall(fmt.Sprint(i))] = names(59)
+		lists[ident.Hall(fmt.Sprint(i))] = entryNames(59)
 	}
 	e := sharing.New("10.1.0.0:7400", lists)
 	b.ReportAllocs()
 	for b.Loop() {
 		for hall := range lists {
-			e.AssignUsers(hall, groups(5))
-			e.AssignUsers(hall, groups(11))
+			e.AssignUsers(hall, testGroups(5))
+			e.AssignUsers(hall, testGroups(11))
 		}
 	}
 }
 
 // The parts of all entries add up to what there is, differ by one at most, and the odd ones are not always the same entries'.
-func TestPartsAddUp(t *testing.T) {
+func TestSharesAddUp(t *testing.T) {
 	for _, entries := range []int{1, 2, 8, 100, 300} {
 		for _, n := range []int{-1, 0, 1, 7, 30, 299, 301, 1000} {
-			names := names(entries)
+			names := entryNames(entries)
 			lists := map[ident.Hall][]string{"one": names[:entries/2], "two": names[entries/2:]}
-			odd := map[string]int{}
+			extra := map[string]int{}
 			for _, upstream := range []string{"p0", "p1", "p2"} {
 				sum := 0
 				for _, self := range names {
-					part := sharing.New(self, lists).Share(n, upstream)
-					if part != max(0, n)/entries {
-						odd[self]++
+					share := sharing.New(self, lists).Share(n, upstream)
+					if share != max(0, n)/entries {
+						extra[self]++
 					}
-					sum += part
+					sum += share
 				}
 				if sum != max(0, n) {
 					t.Errorf("%d entries: parts of %d add up to %d", entries, n, sum)
 				}
 			}
-			if n%max(2, entries) == 1 && entries > 2 && len(odd) < 2 {
-				t.Errorf("%d entries: %v have one more of %d at all upstreams", entries, odd, n)
+			if n%max(2, entries) == 1 && entries > 2 && len(extra) < 2 {
+				t.Errorf("%d entries: %v have one more of %d at all upstreams", entries, extra, n)
 			}
 		}
 	}
-	if got := sharing.New("unknown", map[ident.Hall][]string{"one": names(3)}).Share(30, "p0"); got != 0 {
+	if got := sharing.New("unknown", map[ident.Hall][]string{"one": entryNames(3)}).Share(30, "p0"); got != 0 {
 		t.Errorf("an entry that others do not know has a part of %d", got)
 	}
 }
