--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -102,7 +102,7 @@
 	}
 	table.Release(reserved[0])
 	if _, outcome := table.Reserve(now, &routing.Request{Model: "m"}); outcome != routing.Chosen {
-		t.Errorf("after one request ended: outcome %d, want %d", outcome, routing.Chosen)
+		t.Errorf("after one request ended: outcome %d, want Chosen", outcome)
 	}
 }
 
