--- a/replicaset/explain.go
+++ b/replicaset/explain.go
@@ -92,7 +92,7 @@
 	ready, loading, other, slow := 0, 0, 0, 0
 	for _, capacity := range capacities {
 		if capacity.Ready >= m.Size && p.deficit(m.Name) > 0 {
-			return fmt.Sprintf("domain %s has enough members for a group, which is formed unless another model needs one more", capacity.Domain)
+			return fmt.Sprintf("domain %s has enough members for a group, which is formed unless another model has a greater need", capacity.Domain)
 		}
 		ready += capacity.Ready
 		loading += capacity.Loading
--- a/replicaset/explain_test.go
+++ b/replicaset/explain_test.go
@@ -21,7 +21,7 @@
 		want string
 	}{
 		{"enough groups", candidates("a:W"), existingGroups("large b:WWWW", "small b:ww"), demandFor(1, 1), "1.0 of 1, load 0.94, [{a 1 0 0 0}]: has the groups it needs"},
-		{"about to form a group", candidates("a:WWWW"), existingGroups("small b:ww"), demandFor(1, 1), "0.0 of 1, load 0.00, [{a 4 0 0 0}]: domain a has enough members for a group, which is formed unless another model needs one more"},
+		{"about to form a group", candidates("a:WWWW"), existingGroups("small b:ww"), demandFor(1, 1), "0.0 of 1, load 0.00, [{a 4 0 0 0}]: domain a has enough members for a group, which is formed unless another model has a greater need"},
 		{
 			"free members in several domains", candidates("a:WWW", "b:W"), existingGroups("large c:WWWW", "large d:WWWW", "small d:ww"), demandFor(3, 0.1),
 			"2.0 of 3, load 1.41, [{a 3 0 0 0} {b 1 0 0 0}]: no domain has 4 free upstreams with the weights; a group across domains is formed when 40% of the groups are missing",
