--- a/replicaset/plan.go
+++ b/replicaset/plan.go
@@ -1,13 +1,12 @@
 package replicaset
 
-// Plan is a pure function: from the free upstreams and the groups that exist
-// it chooses the groups to begin, the groups to close for better ones, and the
+// Plan is a pure function: from the free upstreams and the existing groups it
+// chooses the groups to form, the groups to close for better ones, and the
 // weights to load.
 //
-// A load takes longer than many a group lives, so after the start groups are
-// formed only of upstreams that have the weights in use or on their host. What
-// decides how long a lost member is missed is therefore prepared before the
-// loss:
+// Loading weights takes longer than many groups exist. After the start, groups
+// are therefore formed only from upstreams that have the weights in use or on
+// their host, and replacements for lost members are prepared in advance:
 //
 //   - the groups of one model are spread over the domains, and each domain
 //     keeps a spare;
@@ -15,8 +14,9 @@
 //   - every upstream has the weights of a further model on its host, so that
 //     a model can get members from the groups of another one.
 //
-// While demand is not known, models get groups by their declared shares. Then
-// each gets as many as its work needs, and what is left stays spare.
+// While the demand is unknown, models get groups by their declared shares. After
+// that, each model gets the groups that its demand requires, and the remaining
+// upstreams stay free as spares.
 
 import (
 	"cmp"
@@ -33,36 +33,38 @@
 )
 
 const (
-	// rejoinTime is how long an engine takes to join when its last group had the same model.
+	// rejoinTime is the time to join a group of the same model as the engine's last group.
 	rejoinTime = 200 * time.Millisecond
-	// sparesKept is how many upstreams of a domain stay free while no model lacks groups: losses come one by one.
-	sparesKept = 1
-	// farNeed is the part of a model's groups that must be missing until one across domains is formed: it takes the spares
-	// of several domains and carries a third of a whole one.
-	farNeed = 0.4
-	// groupLoad is the load of a group, in parts of a full one (see Work), that is planned for.
-	groupLoad = 0.95
-	// moveGain is how much lower the highest load has to become for a group to end for one of another model, movePart the
-	// same in parts of what one group more brings, where that is less.
-	moveGain = 0.08
-	movePart = 0.5
+	// sparesPerDomain upstreams of a domain stay free while no model lacks groups; one is enough since members are mostly lost one at
+	// a time.
+	sparesPerDomain = 1
+	// crossDomainDeficit is the fraction of a model's groups that must be missing before a group across domains is formed: such a
+	// group uses the spares of several domains and has a third of the capacity of a group within one domain.
+	crossDomainDeficit = 0.4
+	// plannedGroupLoad is the load that is planned for a group, as a fraction of its capacity.
+	plannedGroupLoad = 0.95
+	// minLoadGain is the reduction of the highest load that justifies closing a group for one of another model. The reduction may be
+	// smaller if it is at least minGainFraction of what one more group brings.
+	minLoadGain     = 0.08
+	minGainFraction = 0.5
 )
 
-// Candidate is an upstream as a possible member of a group.
+// Candidate is an upstream that can be a member of a group.
 type Candidate struct {
-	ID        ident.Incarnation
-	Hall      ident.Hall
-	Domain    ident.Domain
+	ID     ident.Incarnation
+	Hall   ident.Hall
+	Domain ident.Domain
+	// LastModel is the model of its last group; Staged models are on its host, and Staging is being loaded to its host.
 	LastModel ident.Model
 	Staged    []ident.Model
 	Staging   ident.Model
-	// StalledAsHead is set when the upstream was the head of a group that stood still although all its members reported.
+	// StalledAsHead is set when the upstream was the head of a group that stalled although all its members reported.
 	StalledAsHead bool
-	// Cold is set while the upstream takes few requests yet.
+	// Cold is set while the upstream, just started, accepts few requests.
 	Cold bool
-	// LastHeadedModel is the model of the group that it was last the head of.
+	// LastHeadedModel is the model of the last group that the upstream was the head of.
 	LastHeadedModel ident.Model
-	// Slowdown is how many times longer all takes than it should; 0 and 1 are as usual.
+	// Slowdown is how many times longer than usual the upstream's work takes; 0 and 1 mean that it is not slow.
 	Slowdown float64
 }
 
@@ -72,12 +74,12 @@
 	Model       ident.Model
 	CrossDomain bool
 	Members     []Candidate
-	// Open is set when the group serves, Settled when it has done so for long enough to be closed for a better one.
+	// Open is set when the group serves, Settled when it has served for long enough to be closed for a better one.
 	Open    bool
 	Settled bool
 }
 
-// GroupPlan is a group to begin; Loads is how many members fetch weights from the store.
+// GroupPlan is a group to form; Loads members have to load the weights from the store first.
 type GroupPlan struct {
 	Model       ident.Model
 	Members     []ident.Incarnation
@@ -86,312 +88,312 @@
 	ReadyIn     time.Duration
 }
 
-// WeightLoad is an upstream that shall get the weights of a model.
+// WeightLoad is a decision that an upstream loads the weights of a model.
 type WeightLoad struct {
 	ID    ident.Incarnation
 	Model ident.Model
 }
 
-// Closing is a group that shall end so that Domain gets better ones: so many of Model.
+// Closing is a group to close so that Domain gets the Expected groups instead.
 type Closing struct {
 	Group    ident.Group
 	Domain   ident.Domain
 	Expected ExpectedGroups
 }
 
-// ExpectedGroups are groups that a domain gets once others of it have ended.
+// ExpectedGroups counts the groups of Model that a domain gets once other groups of the domain have closed.
 type ExpectedGroups struct {
 	Model ident.Model
 	Count int
 }
 
-// Decision is what Plan wants begun, the most wanted first.
+// Decision is the result of Plan, each list with the most useful item first.
 type Decision struct {
 	Groups []GroupPlan
-	// Stage are loads to the host, WarmUp joins of a single upstream that make its later ones short.
+	// Stage lists loads to hosts. WarmUp lists upstreams that join a group of their own, so that they later join without a load.
 	Stage  []WeightLoad
 	WarmUp []WeightLoad
 	Close  []Closing
-	// Reason tells what every model needs and has.
+	// Reason lists the groups that every model has and should have.
 	Reason string
 }
 
-// PlanInput is what Plan decides on.
+// PlanInput is the input of Plan.
 type PlanInput struct {
 	Engine *httproute.Engine
-	// Free are the upstreams without a group, in the order of their ids.
+	// Free lists the upstreams that can join a group, sorted by id.
 	Free []Candidate
-	// Groups are the groups that serve or will serve, in the order of their names.
+	// Groups is sorted by name.
 	Groups []ExistingGroup
-	// Expected is what the domains get in which groups end now.
+	// Expected holds the new groups of domains in which groups are closing.
 	Expected map[ident.Domain]ExpectedGroups
 	// Usable is the number of usable upstreams, free or not.
 	Usable int
-	// Demand is as in World.
+	// Demand is the same as in Snapshot.
 	Demand map[ident.Model]float64
-	// LoadBudget is how many loads may begin now.
+	// LoadBudget is the number of loads that may start now.
 	LoadBudget int
-	// BeforeFirstRequest is set before the first request, while loads are cheap.
+	// BeforeFirstRequest is set until the first request arrives; until then loads are cheap.
 	BeforeFirstRequest bool
 }
 
-// plan is the work on one decision.
+// plan is the working state of one call of Plan.
 type plan struct {
 	*PlanInput
-	targets map[ident.Model]int
-	needs   map[ident.Model]int
-	// served counts the groups of each model; one across domains counts for as much as it carries.
-	served map[ident.Model]float64
-	// open is the part of served that serves already.
-	open map[ident.Model]float64
-	// homes counts the groups of each model within a domain.
-	homes map[ident.Domain]map[ident.Model]int
-	free  []Candidate
-	loads int
+	targetGroups   map[ident.Model]int
+	requiredGroups map[ident.Model]int
+	// capacity is the number of groups of each model; degraded groups count by the fraction of the throughput that they reach.
+	capacity map[ident.Model]float64
+	// openCapacity is the capacity of the groups that already serve.
+	openCapacity map[ident.Model]float64
+	// localGroups counts the groups of each model within a domain.
+	localGroups map[ident.Domain]map[ident.Model]int
+	free        []Candidate
+	loadsLeft   int
 }
 
-func newPlan(s *PlanInput) *plan {
+func newPlan(input *PlanInput) *plan {
 	p := &plan{
-		PlanInput: s, targets: TargetGroups(s), needs: RequiredGroups(s), loads: s.LoadBudget,
-		served: map[ident.Model]float64{}, open: map[ident.Model]float64{}, homes: map[ident.Domain]map[ident.Model]int{},
+		PlanInput: input, targetGroups: TargetGroups(input), requiredGroups: RequiredGroups(input), loadsLeft: input.LoadBudget,
+		capacity: map[ident.Model]float64{}, openCapacity: map[ident.Model]float64{}, localGroups: map[ident.Domain]map[ident.Model]int{},
 	}
-	p.free = append(p.free, s.Free...)
-	for i := range s.Groups {
-		g := &s.Groups[i]
-		p.settle(g.Model, p.part(g), g.CrossDomain, g.Members[0].Domain)
+	p.free = append(p.free, input.Free...)
+	for i := range input.Groups {
+		g := &input.Groups[i]
+		p.addGroup(g.Model, p.groupCapacity(g), g.CrossDomain, g.Members[0].Domain)
 		if g.Open {
-			p.open[g.Model] += p.part(g)
+			p.openCapacity[g.Model] += p.groupCapacity(g)
 		}
 	}
-	for domain, c := range s.Expected {
+	for domain, c := range input.Expected {
 		for range c.Count {
-			p.settle(c.Model, 1, false, domain)
+			p.addGroup(c.Model, 1, false, domain)
 		}
 	}
 	return p
 }
 
-// Plan returns what to begin now.
-func Plan(s *PlanInput) Decision {
-	p := newPlan(s)
+// Plan decides which groups to form or close and which weights to load now.
+func Plan(input *PlanInput) Decision {
+	p := newPlan(input)
 	var d Decision
-	d.Groups = p.begin((*plan).near)
-	if !s.BeforeFirstRequest {
-		d.Close = p.makeRoom()
+	d.Groups = p.formGroups((*plan).planLocal)
+	if !input.BeforeFirstRequest {
+		d.Close = p.chooseClosings()
 	}
-	if len(d.Close) == 0 && !s.BeforeFirstRequest {
-		d.Groups = append(d.Groups, p.begin((*plan).far)...)
+	if len(d.Close) == 0 && !input.BeforeFirstRequest {
+		d.Groups = append(d.Groups, p.formGroups((*plan).planCrossDomain)...)
 	}
-	d.Stage = p.stage()
-	d.WarmUp = p.warmUp(d.Stage)
-	d.Reason = p.why()
+	d.Stage = p.chooseStaging()
+	d.WarmUp = p.chooseWarmUps(d.Stage)
+	d.Reason = p.summary()
 	return d
 }
 
-// why tells, for each model, the groups that it has of those that it needs, or would get by its share.
-func (p *plan) why() string {
-	var list []string
+// summary lists the capacity and the wanted groups of each model.
+func (p *plan) summary() string {
+	var parts []string
 	for i := range p.Engine.Models {
 		m := p.Engine.Models[i].Name
-		list = append(list, fmt.Sprintf("%s %.1f of %.0f", m, p.served[m], p.wanted(m)))
+		parts = append(parts, fmt.Sprintf("%s %.1f of %.0f", m, p.capacity[m], p.wantedGroups(m)))
 	}
-	return strings.Join(list, ", ")
+	return strings.Join(parts, ", ")
 }
 
-// begin chooses groups one by one as long as choose finds one for a model, the neediest first.
-func (p *plan) begin(choose func(p *plan, m *httproute.Model) (GroupPlan, bool)) []GroupPlan {
-	var list []GroupPlan
+// formGroups plans groups, for the model with the largest deficit first, until choose finds none for any model.
+func (p *plan) formGroups(choose func(p *plan, m *httproute.Model) (GroupPlan, bool)) []GroupPlan {
+	var groups []GroupPlan
 	for {
-		choice, ok := p.next(choose)
+		group, ok := p.nextGroup(choose)
 		if !ok {
-			return list
+			return groups
 		}
-		list = append(list, choice)
-		p.loads -= choice.Loads
-		part := 1.0
-		if choice.CrossDomain {
-			part = p.farPart()
+		groups = append(groups, group)
+		p.loadsLeft -= group.Loads
+		capacity := 1.0
+		if group.CrossDomain {
+			capacity = p.crossDomainCapacity()
 		}
-		p.settle(choice.Model, part, choice.CrossDomain, p.take(choice.Members))
+		p.addGroup(group.Model, capacity, group.CrossDomain, p.claimMembers(group.Members))
 	}
 }
 
-func (p *plan) next(choose func(p *plan, m *httproute.Model) (GroupPlan, bool)) (GroupPlan, bool) {
-	for _, m := range p.byNeed() {
-		if choice, ok := choose(p, m); ok {
-			return choice, true
+func (p *plan) nextGroup(choose func(p *plan, m *httproute.Model) (GroupPlan, bool)) (GroupPlan, bool) {
+	for _, m := range p.byDeficit() {
+		if group, ok := choose(p, m); ok {
+			return group, true
 		}
 	}
 	return GroupPlan{}, false
 }
 
-// settle counts a group of a model in a domain, which carries part of what a whole one does.
-func (p *plan) settle(model ident.Model, part float64, far bool, domain ident.Domain) {
-	p.served[model] += part
-	if far {
+// addGroup counts a group of a model with a fraction of the capacity of a complete group.
+func (p *plan) addGroup(model ident.Model, capacity float64, crossDomain bool, domain ident.Domain) {
+	p.capacity[model] += capacity
+	if crossDomain {
 		return
 	}
-	if p.homes[domain] == nil {
-		p.homes[domain] = map[ident.Model]int{}
+	if p.localGroups[domain] == nil {
+		p.localGroups[domain] = map[ident.Model]int{}
 	}
-	p.homes[domain][model]++
+	p.localGroups[domain][model]++
 }
 
-// take removes members from the free upstreams and returns the domain of the last one.
-func (p *plan) take(members []ident.Incarnation) ident.Domain {
-	var rest []Candidate
+// claimMembers removes members from the free upstreams and returns the domain of the last one.
+func (p *plan) claimMembers(members []ident.Incarnation) ident.Domain {
+	var remaining []Candidate
 	var domain ident.Domain
 	for i := range p.free {
 		if slices.Contains(members, p.free[i].ID) {
 			domain = p.free[i].Domain
 			continue
 		}
-		rest = append(rest, p.free[i])
+		remaining = append(remaining, p.free[i])
 	}
-	p.free = rest
+	p.free = remaining
 	return domain
 }
 
-// near returns the best group of m within one domain: the soonest ready, in a domain with the fewest groups of m, with the
-// fewest upstreams left over.
-func (p *plan) near(m *httproute.Model) (GroupPlan, bool) {
-	short := p.short(m.Name)
-	if !short && p.othersFirst(m) {
+// planLocal plans the best group of m within one domain: the one that is ready first, then in the domain with the fewest groups of m,
+// then with the fewest upstreams left over.
+func (p *plan) planLocal(m *httproute.Model) (GroupPlan, bool) {
+	lacking := p.hasDeficit(m.Name)
+	if !lacking && p.yieldsToOthers(m) {
 		return GroupPlan{}, false
 	}
-	if choice, ok := p.nearOf(m, short, quick); ok || p.served[m.Name] > 0 {
-		return choice, ok
+	if group, ok := p.planLocalFrom(m, lacking, fastEnough); ok || p.capacity[m.Name] > 0 {
+		return group, ok
 	}
 	// A slow group is better than none.
-	return p.nearOf(m, short, func(*Candidate) bool { return true })
+	return p.planLocalFrom(m, lacking, func(*Candidate) bool { return true })
 }
 
-// nearOf is near among the upstreams that fit.
-func (p *plan) nearOf(m *httproute.Model, short bool, fits func(c *Candidate) bool) (GroupPlan, bool) {
+// planLocalFrom is planLocal for the upstreams that accept selects.
+func (p *plan) planLocalFrom(m *httproute.Model, lacking bool, accept func(c *Candidate) bool) (GroupPlan, bool) {
 	var best GroupPlan
-	var bestRank rank
+	var bestRank groupRank
 	found := false
-	all := byDomain(p.free, fits)
-	usable := byDomain(p.free, func(c *Candidate) bool { return fits(c) && (p.BeforeFirstRequest || hasWeights(m, c)) })
-	for _, name := range sortedKeys(usable) {
-		list := usable[name]
-		if len(list) < m.Size || !short && !p.sparesStay(name, len(all[name])-m.Size) {
+	allFree := byDomain(p.free, accept)
+	usable := byDomain(p.free, func(c *Candidate) bool { return accept(c) && (p.BeforeFirstRequest || hasWeights(m, c)) })
+	for _, domain := range sortedKeys(usable) {
+		candidates := usable[domain]
+		if len(candidates) < m.Size || !lacking && !p.leavesEnoughSpares(domain, len(allFree[domain])-m.Size) {
 			continue
 		}
-		choice := soonest(m, list)
-		if choice.Loads > p.loads {
+		group := fastestMembers(m, candidates)
+		if group.Loads > p.loadsLeft {
 			continue
 		}
-		left := len(all[name]) - m.Size
-		r := rank{choice.ReadyIn, p.homes[name][m.Name], left < sparesKept, left}
+		leftOver := len(allFree[domain]) - m.Size
+		r := groupRank{group.ReadyIn, p.localGroups[domain][m.Name], leftOver < sparesPerDomain, leftOver}
 		if !found || r.less(bestRank) {
-			best, bestRank, found = choice, r, true
+			best, bestRank, found = group, r, true
 		}
 	}
 	return best, found
 }
 
-// othersFirst reports whether free upstreams are kept for what completes a group of a model that needs one more than m.
-func (p *plan) othersFirst(m *httproute.Model) bool {
-	if len(p.needs) == 0 && !p.BeforeFirstRequest {
-		return p.need(m.Name) < p.need(p.byNeed()[0].Name)
+// yieldsToOthers reports whether free upstreams are kept for a model with a larger deficit than m.
+func (p *plan) yieldsToOthers(m *httproute.Model) bool {
+	if len(p.requiredGroups) == 0 && !p.BeforeFirstRequest {
+		return p.deficit(m.Name) < p.deficit(p.byDeficit()[0].Name)
 	}
-	return p.anyShort()
+	return p.anyDeficit()
 }
 
-// sparesStay reports whether a domain may be left with so many free upstreams; the first group of a domain may use all.
-func (p *plan) sparesStay(name ident.Domain, left int) bool {
-	return left >= sparesKept || len(p.homes[name]) == 0
+// leavesEnoughSpares reports whether a domain may be left with leftOver free upstreams; its first group may use all of them.
+func (p *plan) leavesEnoughSpares(domain ident.Domain, leftOver int) bool {
+	return leftOver >= sparesPerDomain || len(p.localGroups[domain]) == 0
 }
 
-// rank orders choices; lower is better.
-type rank struct {
-	ready time.Duration
-	// same is how many groups of the model the domain has, bare whether it would have no spare, left how many would be free.
-	same int
-	bare bool
-	left int
+// groupRank orders possible groups; a lower rank is better.
+type groupRank struct {
+	readyIn time.Duration
+	// sameModel counts the domain's groups of the model, leftOver the upstreams that would stay free.
+	sameModel int
+	noSpare   bool
+	leftOver  int
 }
 
-func (r rank) less(o rank) bool {
-	if r.ready != o.ready {
-		return r.ready < o.ready
+func (r groupRank) less(other groupRank) bool {
+	if r.readyIn != other.readyIn {
+		return r.readyIn < other.readyIn
 	}
-	if r.same != o.same {
-		return r.same < o.same
+	if r.sameModel != other.sameModel {
+		return r.sameModel < other.sameModel
 	}
-	if r.bare != o.bare {
-		return o.bare
+	if r.noSpare != other.noSpare {
+		return other.noSpare
 	}
-	return r.left < o.left
+	return r.leftOver < other.leftOver
 }
 
-func byDomain(list []Candidate, fits func(c *Candidate) bool) map[ident.Domain][]Candidate {
+func byDomain(candidates []Candidate, accept func(c *Candidate) bool) map[ident.Domain][]Candidate {
 	domains := map[ident.Domain][]Candidate{}
-	for i := range list {
-		if c := &list[i]; fits(c) {
+	for i := range candidates {
+		if c := &candidates[i]; accept(c) {
 			domains[c.Domain] = append(domains[c.Domain], *c)
 		}
 	}
 	return domains
 }
 
-// sortedKeys makes the order in which a map is gone through the same in each run.
+// sortedKeys gives iteration over a map the same order in each run.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	return slices.Sorted(maps.Keys(m))
 }
 
-// far puts together what is left over in several domains, those of one hall first, for a model that lacks groups.
-func (p *plan) far(m *httproute.Model) (GroupPlan, bool) {
-	if p.load(m, 0) <= groupLoad || p.need(m.Name) < farNeed {
+// planCrossDomain plans a group from free upstreams of several domains, preferably of one hall, for a model that lacks groups.
+func (p *plan) planCrossDomain(m *httproute.Model) (GroupPlan, bool) {
+	if p.load(m, 0) <= plannedGroupLoad || p.deficit(m.Name) < crossDomainDeficit {
 		return GroupPlan{}, false
 	}
-	halls := map[ident.Hall]int{}
+	readyByHall := map[ident.Hall]int{}
 	var ready []Candidate
 	for i := range p.free {
-		if c := &p.free[i]; quick(c) && hasWeights(m, c) {
+		if c := &p.free[i]; fastEnough(c) && hasWeights(m, c) {
 			ready = append(ready, *c)
-			halls[c.Hall]++
+			readyByHall[c.Hall]++
 		}
 	}
 	if len(ready) < m.Size {
 		return GroupPlan{}, false
 	}
 	sort.SliceStable(ready, func(i, j int) bool {
-		if a, b := halls[ready[i].Hall], halls[ready[j].Hall]; a != b {
+		if a, b := readyByHall[ready[i].Hall], readyByHall[ready[j].Hall]; a != b {
 			return a > b
 		}
 		return ready[i].Hall < ready[j].Hall
 	})
-	choice := soonest(m, ready[:m.Size])
-	choice.CrossDomain = true
-	return choice, true
+	group := fastestMembers(m, ready[:m.Size])
+	group.CrossDomain = true
+	return group, true
 }
 
-// soonest takes the members that are ready first.
-func soonest(m *httproute.Model, list []Candidate) GroupPlan {
-	sorted := slices.Clone(list)
+// fastestMembers plans a group of the candidates that are ready first, with the best head at the front.
+func fastestMembers(m *httproute.Model, candidates []Candidate) GroupPlan {
+	sorted := slices.Clone(candidates)
 	slices.SortStableFunc(sorted, func(a, b Candidate) int {
-		return cmp.Or(cmp.Compare(readyIn(m, &a), readyIn(m, &b)), cmp.Compare(unlikelyHead(m, &a), unlikelyHead(m, &b)))
+		return cmp.Or(cmp.Compare(joinTime(m, &a), joinTime(m, &b)), cmp.Compare(headPenalty(m, &a), headPenalty(m, &b)))
 	})
-	choice := GroupPlan{Model: m.Name}
+	group := GroupPlan{Model: m.Name}
 	slices.SortStableFunc(sorted[:m.Size], func(a, b Candidate) int {
-		return cmp.Compare(unlikelyHead(m, &a), unlikelyHead(m, &b))
+		return cmp.Compare(headPenalty(m, &a), headPenalty(m, &b))
 	})
 	for i := range sorted[:m.Size] {
 		c := &sorted[i]
-		choice.Members = append(choice.Members, c.ID)
-		choice.ReadyIn = max(choice.ReadyIn, readyIn(m, c))
+		group.Members = append(group.Members, c.ID)
+		group.ReadyIn = max(group.ReadyIn, joinTime(m, c))
 		if !hasWeights(m, c) {
-			choice.Loads++
+			group.Loads++
 		}
 	}
-	return choice
+	return group
 }
 
-// unlikelyHead is higher for a worse head of a group of m: one that took requests and sent nothing, one that takes few requests yet, and
-// one to which entries that have not heard of the change yet still send requests for another model.
-func unlikelyHead(m *httproute.Model, c *Candidate) int {
+// headPenalty is higher for a worse head of a group of m: one that accepted requests and sent nothing, one that accepts few requests
+// yet, and one to which entries still send requests for another model because they have not received the change.
+func headPenalty(m *httproute.Model, c *Candidate) int {
 	switch {
 	case c.StalledAsHead:
 		return 3
@@ -403,20 +405,20 @@
 	return 0
 }
 
-// SlowdownLimit is the pace from which on an upstream is left out of groups: at less a group still answers in time.
+// SlowdownLimit is the slowdown from which an upstream is left out of groups; below it, a group still answers in time.
 const SlowdownLimit = 1.5
 
-func quick(c *Candidate) bool {
+func fastEnough(c *Candidate) bool {
 	return c.Slowdown < SlowdownLimit
 }
 
-// hasWeights reports whether c joins a group of m without a load from the store.
+// hasWeights reports whether c can join a group of m without a load from the store.
 func hasWeights(m *httproute.Model, c *Candidate) bool {
 	return c.LastModel == m.Name || roster.HasModel(c.Staged, m.Name)
 }
 
-// readyIn returns how long c takes to join a group of m.
-func readyIn(m *httproute.Model, c *Candidate) time.Duration {
+// joinTime estimates how long c takes to join a group of m.
+func joinTime(m *httproute.Model, c *Candidate) time.Duration {
 	switch {
 	case c.LastModel == m.Name:
 		return rejoinTime
