--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -56,20 +56,20 @@
 	return s.free
 }
 
-func newRequest(s *slotPool, customer ident.Customer) *admission.Ask {
-	return &admission.Ask{
+func newRequest(s *slotPool, customer ident.Customer) *admission.Request {
+	return &admission.Request{
 		Customer: customer, Class: "interactive", Model: "m", Tokens: 10, Deadline: time.Now().Add(time.Minute), Reserve: s.reserve,
 	}
 }
 
 // runRequest admits one request, holds its slot for duration, and ends it.
-func runRequest(c *admission.Controller, s *slotPool, a *admission.Ask, duration time.Duration) error {
+func runRequest(c *admission.Controller, s *slotPool, a *admission.Request, duration time.Duration) error {
 	if err := c.Admit(context.Background(), a); err != nil {
 		return err
 	}
 	time.Sleep(duration)
 	s.release()
-	c.Done(a, duration, 0)
+	c.Finish(a, duration, 0)
 	return nil
 }
 
@@ -149,7 +149,7 @@
 	for _, name := range []ident.Customer{"small", "large"} {
 		synctest.Test(t, func(t *testing.T) {
 			controller, pool := newController(4)
-			controller.QueueLength = func(ident.Class) int { return 1000 }
+			controller.MaxQueueLength = func(ident.Class) int { return 1000 }
 			var wg sync.WaitGroup
 			for range 200 {
 				wg.Go(func() { _ = runRequest(controller, pool, newRequest(pool, "large"), time.Second) })
@@ -176,7 +176,7 @@
 func TestWeightsDivideTheCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		controller, pool := newController(2)
-		controller.QueueLength = func(ident.Class) int { return 1000 }
+		controller.MaxQueueLength = func(ident.Class) int { return 1000 }
 		controller.SetShares(map[ident.Customer]admission.Share{"double": {Weight: 2}, "single": {Weight: 1}})
 		var mu sync.Mutex
 		answered := map[ident.Customer]int{}
@@ -207,7 +207,7 @@
 func TestPriorityOrderAndShedding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		controller, pool := newController(1)
-		controller.QueueLength = func(ident.Class) int { return 2 }
+		controller.MaxQueueLength = func(ident.Class) int { return 2 }
 		var mu sync.Mutex
 		var answers []string
 		var wg sync.WaitGroup
@@ -276,7 +276,7 @@
 		if code := result.CodeOf(controller.Admit(ctx, newRequest(pool, "c"))); code != result.Cancelled {
 			t.Errorf("code %d, want that of a cancelled request", code)
 		}
-		if n := controller.Waiting("m"); n != 0 {
+		if n := controller.QueueLen("m"); n != 0 {
 			t.Errorf("%d requests still wait, want 0", n)
 		}
 		time.Sleep(10 * time.Second)
@@ -294,7 +294,7 @@
 		inTime := 0
 		synctest.Test(t, func(*testing.T) {
 			controller, pool := newController(4)
-			controller.QueueLength = func(ident.Class) int { return 10_000 }
+			controller.MaxQueueLength = func(ident.Class) int { return 10_000 }
 			var mu sync.Mutex
 			var wg sync.WaitGroup
 			interval := time.Duration(float64(250*time.Millisecond) / load)
@@ -333,19 +333,19 @@
 		limit := admission.Limit{Concurrent: rapid.IntRange(1, 20).Draw(t, "limit"), RequestsPerSecond: 100}
 		names := []ident.Daemon{"a", "b", "c", "d"}
 		now := time.Unix(1000, 0)
-		allocator := admission.NewAllotment(leaseDuration)
-		allocator.Begin(now)
+		allocator := admission.NewShareAllocator(leaseDuration)
+		allocator.StartTerm(now)
 		granted := map[ident.Daemon]admission.Share{}
 		grantedUntil := map[ident.Daemon]time.Time{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 600).Draw(t, "ms")) * time.Millisecond)
 			if rapid.IntRange(0, 9).Draw(t, "new leader") == 0 {
-				allocator = admission.NewAllotment(leaseDuration)
-				allocator.Begin(now)
+				allocator = admission.NewShareAllocator(leaseDuration)
+				allocator.StartTerm(now)
 			}
 			d := rapid.SampledFrom(names).Draw(t, "daemon")
 			live := names[:rapid.IntRange(1, len(names)).Draw(t, "live")]
-			allocator.Report(d, []admission.Demand{{Customer: "c", Concurrent: rapid.IntRange(0, 30).Draw(t, "want"), Requests: rapid.IntRange(0, 50).Draw(t, "requests")}})
+			allocator.SetDemands(d, []admission.Demand{{Customer: "c", Concurrent: rapid.IntRange(0, 30).Draw(t, "want"), Requests: rapid.IntRange(0, 50).Draw(t, "requests")}})
 			if allocator.MayGrant(now) {
 				granted[d], grantedUntil[d] = allocator.Grant(now, d, live, "c", limit), now.Add(leaseDuration)
 			}
@@ -364,12 +364,12 @@
 }
 
 func TestSharesFollowDemand(t *testing.T) {
-	allocator := admission.NewAllotment(time.Second)
+	allocator := admission.NewShareAllocator(time.Second)
 	now := time.Unix(1000, 0)
 	live := []ident.Daemon{"a", "b", "c"}
 	limit := admission.Limit{Concurrent: 12, RequestsPerSecond: 100}
-	allocator.Report("a", []admission.Demand{{Customer: "c", Concurrent: 30, Requests: 90}})
-	allocator.Report("b", []admission.Demand{{Customer: "c", Concurrent: 1, Requests: 10}})
+	allocator.SetDemands("a", []admission.Demand{{Customer: "c", Concurrent: 30, Requests: 90}})
+	allocator.SetDemands("b", []admission.Demand{{Customer: "c", Concurrent: 1, Requests: 10}})
 	got := map[ident.Daemon]int{}
 	for _, d := range live {
 		got[d] = allocator.Grant(now, d, live, "c", limit).Concurrent
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -12,7 +12,7 @@
 func BenchmarkAdmit(b *testing.B) {
 	controller := admission.NewController()
 	controller.SetShares(map[ident.Customer]admission.Share{"c": {Concurrent: 100, RequestsPerSecond: 1e9, TokensPerSecond: 1e12}})
-	a := &admission.Ask{
+	a := &admission.Request{
 		Customer: "c", Class: "interactive", Model: "m", Tokens: 100, Deadline: time.Now().Add(time.Hour),
 		Reserve: func(time.Time) routing.Outcome { return routing.Chosen },
 	}
@@ -21,6 +21,6 @@
 		if err := controller.Admit(b.Context(), a); err != nil {
 			b.Fatal(err)
 		}
-		controller.Done(a, time.Millisecond, 10)
+		controller.Finish(a, time.Millisecond, 10)
 	}
 }
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -13,8 +13,8 @@
 	"github.com/dunlinquay/dunlinquay/routing"
 )
 
-// Ask is one request for admission. Reserve is called, possibly often, until it chooses a target.
-type Ask struct {
+// Request is one request for admission. Reserve is called, possibly often, until it chooses a target.
+type Request struct {
 	Customer ident.Customer
 	Class    ident.Class
 	Priority int
@@ -32,10 +32,10 @@
 	Now func() time.Time
 	// Capacity returns how many requests of a model all groups together run at once.
 	Capacity func(model ident.Model) int
-	// QueueLength returns how many requests of a class may wait for one model.
-	QueueLength func(class ident.Class) int
-	// ShareWait is how long a request of a customer at its limit waits for a larger share before it is refused.
-	ShareWait time.Duration
+	// MaxQueueLength returns how many requests of a class may wait for one model.
+	MaxQueueLength func(class ident.Class) int
+	// MaxShareWait is how long a request of a customer at its limit waits for a larger share before it is refused.
+	MaxShareWait time.Duration
 
 	mu           sync.Mutex
 	customers    map[ident.Customer]*customer
@@ -57,14 +57,14 @@
 // NewController returns a controller without customer limits.
 func NewController() *Controller {
 	return &Controller{
-		Now:           clock.Now,
-		Capacity:      func(ident.Model) int { return 1 },
-		QueueLength:   func(ident.Class) int { return defaultQueueLength },
-		ShareWait:     defaultShareWait,
-		customers:     map[ident.Customer]*customer{},
-		queues:        map[ident.Model]*queue{},
-		serviceTimes:  serviceEstimates{},
-		sharesChanged: make(chan struct{}),
+		Now:            clock.Now,
+		Capacity:       func(ident.Model) int { return 1 },
+		MaxQueueLength: func(ident.Class) int { return defaultQueueLength },
+		MaxShareWait:   defaultShareWait,
+		customers:      map[ident.Customer]*customer{},
+		queues:         map[ident.Model]*queue{},
+		serviceTimes:   serviceEstimates{},
+		sharesChanged:  make(chan struct{}),
 	}
 }
 
@@ -79,8 +79,8 @@
 	c.admitFromAll()
 }
 
-// Demands returns the customers' demands since the last call, sorted by customer, and resets them.
-func (c *Controller) Demands() []Demand {
+// TakeDemands returns the customers' demands since the last call, sorted by customer, and resets them.
+func (c *Controller) TakeDemands() []Demand {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var demands []Demand
@@ -117,7 +117,7 @@
 
 // Admit returns nil once a has a target; the caller must report the end of the request. Otherwise it returns an error, and the request
 // has not run.
-func (c *Controller) Admit(ctx context.Context, a *Ask) error {
+func (c *Controller) Admit(ctx context.Context, a *Request) error {
 	now := c.Now()
 	if err := c.acquireLimits(ctx, now, a); err != nil {
 		return err
@@ -129,9 +129,9 @@
 	return c.await(ctx, w)
 }
 
-// acquireLimits counts the request against its customer's limits. At the concurrency limit it first waits for up to ShareWait.
-func (c *Controller) acquireLimits(ctx context.Context, now time.Time, a *Ask) error {
-	waitUntil := now.Add(c.ShareWait)
+// acquireLimits counts the request against its customer's limits. At the concurrency limit it first waits for up to MaxShareWait.
+func (c *Controller) acquireLimits(ctx context.Context, now time.Time, a *Request) error {
+	waitUntil := now.Add(c.MaxShareWait)
 	for {
 		c.mu.Lock()
 		cust := c.customer(a.Customer)
@@ -158,7 +158,7 @@
 }
 
 // awaitShare waits until shares may have changed. After waitUntil it returns the refusal of a.
-func (c *Controller) awaitShare(ctx context.Context, changed <-chan struct{}, waitUntil time.Time, a *Ask) error {
+func (c *Controller) awaitShare(ctx context.Context, changed <-chan struct{}, waitUntil time.Time, a *Request) error {
 	remaining := waitUntil.Sub(c.Now())
 	if remaining <= 0 {
 		return Refuse(result.LimitExceeded, minRetryAfter, "customer %s is at its limit of concurrent requests", a.Customer)
@@ -176,7 +176,7 @@
 }
 
 // acquireRates counts the request as running, or refuses it if the customer is over a rate limit.
-func (c *Controller) acquireRates(now time.Time, cust *customer, a *Ask) error {
+func (c *Controller) acquireRates(now time.Time, cust *customer, a *Request) error {
 	if wait := cust.consumeRates(now, a.Tokens); wait > 0 {
 		cust.unreportedDemand.Requests++
 		return Refuse(result.LimitExceeded, wait, "customer %s is over its rate limit", a.Customer)
@@ -189,7 +189,7 @@
 }
 
 // enqueue admits a at once and returns nil, or returns its waiter in the queue, or refuses it.
-func (c *Controller) enqueue(now time.Time, a *Ask) (*waiter, error) {
+func (c *Controller) enqueue(now time.Time, a *Request) (*waiter, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cust := c.customer(a.Customer)
@@ -232,7 +232,7 @@
 }
 
 // tryReserve reports whether a has reserved a target, and returns a refusal if waiting would not help.
-func (c *Controller) tryReserve(now time.Time, a *Ask) (bool, error) {
+func (c *Controller) tryReserve(now time.Time, a *Request) (bool, error) {
 	switch a.Reserve(now) {
 	case routing.Chosen:
 		return true, nil
@@ -241,26 +241,26 @@
 	case routing.NotWhole:
 		return false, Refuse(result.NoWholeGroup, minRetryAfter, "no group of model %q has all its members", a.Model)
 	case routing.BackedOff:
-		return false, RefuseAway(a.Free(), a.Model)
+		return false, RefuseBackedOff(a.Free(), a.Model)
 	}
 	return false, nil
 }
 
 // checkWait refuses a if it cannot finish before its deadline, and sheds a request if the queue is full.
-func (c *Controller) checkWait(now time.Time, a *Ask, q *queue, serviceSeconds float64) error {
+func (c *Controller) checkWait(now time.Time, a *Request, q *queue, serviceSeconds float64) error {
 	waitSeconds := q.secondsAhead(a) / float64(max(c.Capacity(a.Model), 1))
 	finish := now.Add(time.Duration((waitSeconds + serviceSeconds) * float64(time.Second)))
 	if finish.After(a.Deadline) {
 		return Refuse(result.DeadlineUnreachable, retryDelay(waitSeconds), "the request needs about %.1f s, its deadline is in %.1f s", waitSeconds+serviceSeconds, a.Deadline.Sub(now).Seconds())
 	}
-	if q.classLength(a) < c.QueueLength(a.Class) {
+	if q.classLength(a) < c.MaxQueueLength(a.Class) {
 		return nil
 	}
 	return c.shed(a, q, waitSeconds)
 }
 
 // shed refuses the least important waiter, or a itself if no waiter is less important.
-func (c *Controller) shed(a *Ask, q *queue, waitSeconds float64) error {
+func (c *Controller) shed(a *Request, q *queue, waitSeconds float64) error {
 	leastImportant := q.leastImportant()
 	candidate := &waiter{request: a, virtualStart: max(q.virtualTime, c.customer(a.Customer).virtualFinish), sequence: math.MaxUint64}
 	if leastImportant == nil || leastImportant.before(candidate) {
@@ -310,9 +310,9 @@
 	return err
 }
 
-// Done ends an admitted request. duration is its time since admission if it was answered, otherwise zero; unused tokens are returned
+// Finish ends an admitted request. duration is its time since admission if it was answered, otherwise zero; unused tokens are returned
 // to the customer's rate limit.
-func (c *Controller) Done(a *Ask, duration time.Duration, unused ident.Tokens) {
+func (c *Controller) Finish(a *Request, duration time.Duration, unused ident.Tokens) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cust := c.customer(a.Customer)
@@ -325,8 +325,8 @@
 	c.admitFrom(c.queue(a.Model))
 }
 
-// Pump admits waiting requests after capacity has changed for another reason than the end of a request.
-func (c *Controller) Pump() {
+// AdmitWaiting admits waiting requests after capacity has changed for another reason than the end of a request.
+func (c *Controller) AdmitWaiting() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.admitFromAll()
@@ -361,8 +361,8 @@
 	}
 }
 
-// Waiting returns how many requests wait for model.
-func (c *Controller) Waiting(model ident.Model) int {
+// QueueLen returns how many requests wait for model.
+func (c *Controller) QueueLen(model ident.Model) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.queue(model).items)
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -27,7 +27,7 @@
 	maxSizeDistance = 3
 )
 
-func (e serviceEstimates) record(a *Ask, duration time.Duration) {
+func (e serviceEstimates) record(a *Request, duration time.Duration) {
 	key := estimateKey{a.Model, a.Class, sizeClass(a.Tokens)}
 	old, ok := e[key]
 	if !ok {
@@ -38,7 +38,7 @@
 }
 
 // expectedSeconds returns the expected service time of a request, zero if there is no similar one.
-func (e serviceEstimates) expectedSeconds(a *Ask) float64 {
+func (e serviceEstimates) expectedSeconds(a *Request) float64 {
 	key := estimateKey{a.Model, a.Class, sizeClass(a.Tokens)}
 	if s, ok := e[key]; ok {
 		return s
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -26,7 +26,7 @@
 
 // waiter is one queued request.
 type waiter struct {
-	request        *Ask
+	request        *Request
 	customer       *customer
 	virtualStart   float64
 	serviceSeconds float64
@@ -82,7 +82,7 @@
 }
 
 // cost is the estimated engine use of a request, in tokens.
-func cost(a *Ask) float64 {
+func cost(a *Request) float64 {
 	return 1 + float64(a.Tokens)
 }
 
@@ -118,7 +118,7 @@
 }
 
 // classLength returns how many requests of a's class wait.
-func (q *queue) classLength(a *Ask) int {
+func (q *queue) classLength(a *Request) int {
 	n := 0
 	for _, w := range q.items {
 		if w.request.Class == a.Class {
@@ -129,7 +129,7 @@
 }
 
 // secondsAhead returns the expected service time of the waiting requests that are at least as important as a.
-func (q *queue) secondsAhead(a *Ask) float64 {
+func (q *queue) secondsAhead(a *Request) float64 {
 	if a.Priority > 0 || len(q.items) == 0 {
 		return q.expectedSeconds
 	}
--- a/admission/refusal.go
+++ b/admission/refusal.go
@@ -11,9 +11,9 @@
 
 // Refusal is the error of a request that was not sent.
 type Refusal struct {
-	// After is how long the caller should wait before it retries.
-	After time.Duration
-	cause error
+	// RetryAfter is how long the caller should wait before it retries.
+	RetryAfter time.Duration
+	cause      error
 }
 
 // Error returns the message of the cause.
@@ -24,15 +24,15 @@
 
 // Refuse returns a Refusal with a result code and the time to wait before a retry.
 func Refuse(code result.Code, after time.Duration, format string, args ...any) error {
-	return &Refusal{After: after, cause: result.New(code, format, args...)}
+	return &Refusal{RetryAfter: after, cause: result.New(code, format, args...)}
 }
 
-// AwaySpread is the fraction of the wait that is added as random jitter, so that callers do not all retry at the same moment.
-const AwaySpread = 0.5
+// RetryJitter is the fraction of the wait that is added as random jitter, so that callers do not all retry at the same moment.
+const RetryJitter = 0.5
 
-// RefuseAway returns the refusal of a request for a model whose targets are all backed off; the first is available in availableIn.
-func RefuseAway(availableIn time.Duration, model ident.Model) error {
-	retryAfter := availableIn + time.Duration(AwaySpread*rand.Float64()*float64(availableIn))
+// RefuseBackedOff returns the refusal of a request for a model whose targets are all backed off; the first is available in availableIn.
+func RefuseBackedOff(availableIn time.Duration, model ident.Model) error {
+	retryAfter := availableIn + time.Duration(RetryJitter*rand.Float64()*float64(availableIn))
 	return Refuse(result.BackedOff, retryAfter, "all upstreams of model %q are backed off; the first is available in %v", model, availableIn)
 }
 
@@ -40,7 +40,7 @@
 func RetryAfter(err error) time.Duration {
 	var r *Refusal
 	if errors.As(err, &r) {
-		return r.After
+		return r.RetryAfter
 	}
 	return 0
 }
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -45,12 +45,12 @@
 	expires time.Time
 }
 
-// Allotment divides customers' limits among daemons. It is used by the control leader and is not safe for concurrent use.
-type Allotment struct {
-	// Lease is how long a daemon may use a share after a grant.
-	Lease time.Duration
-	// Period is how long a division of a limit is used before it is computed again.
-	Period time.Duration
+// ShareAllocator divides customers' limits among daemons. It is used by the control leader and is not safe for concurrent use.
+type ShareAllocator struct {
+	// LeaseDuration is how long a daemon may use a share after a grant.
+	LeaseDuration time.Duration
+	// DivisionPeriod is how long a division of a limit is used before it is computed again.
+	DivisionPeriod time.Duration
 
 	// noGrantsBefore is the time until which leases of an earlier leader may still be in use.
 	noGrantsBefore   time.Time
@@ -72,32 +72,32 @@
 // divisionsPerLease is how many times a division is computed during a lease.
 const divisionsPerLease = 4
 
-// NewAllotment returns an allotment whose leases last for duration.
-func NewAllotment(duration time.Duration) *Allotment {
-	return &Allotment{
-		Lease:            duration,
-		Period:           duration / divisionsPerLease,
+// NewShareAllocator returns an allotment whose leases last for duration.
+func NewShareAllocator(duration time.Duration) *ShareAllocator {
+	return &ShareAllocator{
+		LeaseDuration:    duration,
+		DivisionPeriod:   duration / divisionsPerLease,
 		divisions:        map[ident.Customer]*division{},
 		leasesByCustomer: map[ident.Customer]*customerLeases{},
 		demands:          map[ident.Customer]map[ident.Daemon]Demand{},
 	}
 }
 
-// Begin starts a leader's term at now. The leases of its predecessor are not known here, so nothing is granted until they have expired;
+// StartTerm starts a leader's term at now. The leases of its predecessor are not known here, so nothing is granted until they have expired;
 // daemons use those leases meanwhile, and then fall back.
-func (a *Allotment) Begin(now time.Time) {
-	a.noGrantsBefore = now.Add(a.Lease)
+func (a *ShareAllocator) StartTerm(now time.Time) {
+	a.noGrantsBefore = now.Add(a.LeaseDuration)
 	a.divisions = map[ident.Customer]*division{}
 	a.leasesByCustomer = map[ident.Customer]*customerLeases{}
 }
 
 // MayGrant reports whether all leases of earlier leaders have expired.
-func (a *Allotment) MayGrant(now time.Time) bool {
+func (a *ShareAllocator) MayGrant(now time.Time) bool {
 	return now.After(a.noGrantsBefore)
 }
 
-// Report replaces the demands of daemon d; customers that are not in demands have none.
-func (a *Allotment) Report(d ident.Daemon, demands []Demand) {
+// SetDemands replaces the demands of daemon d; customers that are not in demands have none.
+func (a *ShareAllocator) SetDemands(d ident.Daemon, demands []Demand) {
 	for _, byDaemon := range a.demands {
 		delete(byDaemon, d)
 	}
@@ -112,7 +112,7 @@
 }
 
 // Grant leases daemon d its share of a customer's limit, starting at now, and returns the share. live lists the live daemons.
-func (a *Allotment) Grant(now time.Time, d ident.Daemon, live []ident.Daemon, name ident.Customer, l Limit) Share {
+func (a *ShareAllocator) Grant(now time.Time, d ident.Daemon, live []ident.Daemon, name ident.Customer, l Limit) Share {
 	div := a.currentDivision(now, live, name, l)
 	leases := a.customerLeases(name)
 	others := leases.sumWithout(d)
@@ -124,11 +124,11 @@
 		RequestsPerSecond: leasableRate(fraction, l.RequestsPerSecond, others.RequestsPerSecond),
 		TokensPerSecond:   leasableRate(fraction, l.TokensPerSecond, others.TokensPerSecond),
 	}
-	leases.set(d, lease{share, now.Add(a.Lease)})
+	leases.set(d, lease{share, now.Add(a.LeaseDuration)})
 	return share
 }
 
-func (a *Allotment) customerLeases(name ident.Customer) *customerLeases {
+func (a *ShareAllocator) customerLeases(name ident.Customer) *customerLeases {
 	h := a.leasesByCustomer[name]
 	if h == nil {
 		h = &customerLeases{leases: map[ident.Daemon]lease{}}
@@ -190,9 +190,9 @@
 
 // currentDivision returns the division of a customer's limit. It computes a new one if the last is too old, or if the limit or the
 // number of live daemons has changed.
-func (a *Allotment) currentDivision(now time.Time, live []ident.Daemon, name ident.Customer, l Limit) *division {
+func (a *ShareAllocator) currentDivision(now time.Time, live []ident.Daemon, name ident.Customer, l Limit) *division {
 	current := a.divisions[name]
-	if current == nil || now.Sub(current.computedAt) >= a.Period || current.limit != l || current.liveDaemons != len(live) {
+	if current == nil || now.Sub(current.computedAt) >= a.DivisionPeriod || current.limit != l || current.liveDaemons != len(live) {
 		current = &division{computedAt: now, limit: l, liveDaemons: len(live), slots: a.divideSlots(live, name, l.Concurrent), rateFractions: a.rateFractions(live, name)}
 		a.divisions[name] = current
 		a.customerLeases(name).dropExpired(now)
@@ -201,7 +201,7 @@
 }
 
 // rateFractions returns each live daemon's fraction of a rate: evenFraction is divided evenly, the rest in proportion to demand.
-func (a *Allotment) rateFractions(live []ident.Daemon, name ident.Customer) map[ident.Daemon]float64 {
+func (a *ShareAllocator) rateFractions(live []ident.Daemon, name ident.Customer) map[ident.Daemon]float64 {
 	total := 0.0
 	for _, d := range live {
 		total += float64(a.demands[name][d].Requests)
@@ -218,7 +218,7 @@
 }
 
 // divideSlots divides limit concurrent requests among the live daemons, starting with those of the highest demand.
-func (a *Allotment) divideSlots(live []ident.Daemon, name ident.Customer, limit int) map[ident.Daemon]int {
+func (a *ShareAllocator) divideSlots(live []ident.Daemon, name ident.Customer, limit int) map[ident.Daemon]int {
 	slots := map[ident.Daemon]int{}
 	if limit == 0 {
 		return slots
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -311,13 +311,13 @@
 		t.Errorf("status %d, body %q, header %v", w.StatusCode, body, w.Header)
 	}
 	c := f.call
-	if c.Path != "/charges" || c.Query != "x=1" || c.Method != http.MethodPost || string(c.Body) != "body" || !c.Once || c.Repeatable || c.Header["X-Asked"][0] != "1" {
+	if c.Path != "/charges" || c.Query != "x=1" || c.Method != http.MethodPost || string(c.Body) != "body" || !c.AtMostOnce || c.Repeatable || c.Header["X-Asked"][0] != "1" {
 		t.Errorf("call %+v", c)
 	}
 	w = f.post(t, "/services/pay/other", "", nil)
 	w.Body.Close()
-	if f.call.Once || f.call.Repeatable {
-		t.Errorf("a POST that nothing is said of: once %t, repeatable %t", f.call.Once, f.call.Repeatable)
+	if f.call.AtMostOnce || f.call.Repeatable {
+		t.Errorf("a POST that nothing is said of: once %t, repeatable %t", f.call.AtMostOnce, f.call.Repeatable)
 	}
 }
 
--- a/caller/services.go
+++ b/caller/services.go
@@ -56,12 +56,12 @@
 		Query: r.URL.RawQuery, Header: r.Header, Body: body, Key: e.key,
 	}
 	c.Content = quarantine.ContentOf(r.URL.RequestURI(), body)
-	c.Once = e.notRepeatable || notRepeatable(&service, r.Method, "/"+r.PathValue("path"))
-	c.Repeatable = !c.Once && safe(r.Method)
-	if c.Once && c.Key == "" {
+	c.AtMostOnce = e.notRepeatable || notRepeatable(&service, r.Method, "/"+r.PathValue("path"))
+	c.Repeatable = !c.AtMostOnce && safe(r.Method)
+	if c.AtMostOnce && c.Key == "" {
 		return nil, result.New(result.KeyRequired, "%s %s must not be repeated and needs the header %s", c.Method, c.Path, HeaderKey)
 	}
-	if c.Once {
+	if c.AtMostOnce {
 		c.Digest = sha256.Sum256([]byte(c.Method + "\n" + r.URL.RequestURI() + "\n" + string(body)))
 	}
 	return c, nil
--- a/cmd/dunlinquay/run.go
+++ b/cmd/dunlinquay/run.go
@@ -52,7 +52,7 @@
 }
 
 func runDaemon(ctx context.Context, cfg *settings.Settings, log logr.Logger) error {
-	d, err := daemon.New(cfg, daemon.TCP())
+	d, err := daemon.New(cfg, daemon.TCPNetwork())
 	if err != nil {
 		return err
 	}
--- a/cmd/dunlinquay/site.go
+++ b/cmd/dunlinquay/site.go
@@ -57,7 +57,7 @@
 	log := eventlog.New(os.Stdout)
 	logCtx, endLog := context.WithCancel(context.Background())
 	go log.Run(logCtx)
-	logSuspensions(log.Events())
+	logSuspensions(log.EventLogger())
 	defer log.Flush()
 	defer endLog()
 	reread := func() (*settings.Site, error) { return settings.LoadSite(file) }
@@ -74,7 +74,7 @@
 
 // namesOf returns the headers of the platform, and those that the settings declare.
 func namesOf(cfg *settings.Site) relay.HeaderNames {
-	names := platform.Names()
+	names := platform.HeaderNames()
 	names.Application = append(names.Application, cfg.ApplicationHeaders...)
 	return names
 }
@@ -84,17 +84,17 @@
 	if err != nil {
 		return err
 	}
-	c.Log = log.Events()
+	c.Log = log.EventLogger()
 	names := namesOf(cfg)
 	c.Unrecognized = unread.New[ident.Incarnation](names.Recognized()...)
 	c.Dial = transport.Guarded()
-	c.DecodeConfig = platform.ReadConfig
-	orders, paces := platform.NewOrders(transport.Guarded()), platform.NewPaces(transport.Guarded())
-	orders.Heard, paces.Heard = c.ApplyNotice, c.ApplyNotice
-	c.SendOrder, c.QuerySlowdown = orders.Give, paces.Ask
+	c.DecodeConfig = platform.DecodeAcceptedConfig
+	orders, paces := platform.NewOrderClient(transport.Guarded()), platform.NewSlowdownClient(transport.Guarded())
+	orders.OnNotice, paces.OnNotice = c.ApplyNotice, c.ApplyNotice
+	c.SendOrder, c.QuerySlowdown = orders.Send, paces.Query
 	calls := &platform.Control{
-		Report: c.Report, Leave: c.Leave, Replace: c.Replace, Read: c.Read, Drain: c.Drain, Refuse: c.LogRefusedConfig,
-		Unusable: c.LogUnusableReport, Unread: c.NoteUnrecognizedReportFields, UnreadInConfig: c.LogUnrecognizedConfigFields,
+		ApplyReport: c.Report, SignOff: c.Leave, ReplaceConfig: c.Replace, ReadConfig: c.Read, ApplyDrainOrder: c.Drain, LogRefusedConfig: c.LogRefusedConfig,
+		LogUnusableReport: c.LogUnusableReport, NoteUnrecognizedReportFields: c.NoteUnrecognizedReportFields, LogUnrecognizedConfigFields: c.LogUnrecognizedConfigFields,
 	}
 	c.Handler = calls.Handler()
 	c.LoadSettings = reread
@@ -106,10 +106,10 @@
 
 func runEntry(ctx context.Context, cfg *settings.Site, log *eventlog.Log, reread func() (*settings.Site, error)) error {
 	e := site.NewEntry(cfg, namesOf(cfg), transport.Guarded())
-	e.Log = log.Events()
-	e.RequestLog = log.Requests()
-	e.DecodeConfig = platform.ReadConfig
-	e.ReadyHandler = platform.Ready
+	e.Log = log.EventLogger()
+	e.RequestLog = log.RequestLogger()
+	e.DecodeConfig = platform.DecodeAcceptedConfig
+	e.ReadyHandler = platform.ReadyHandler
 	e.LoadSettings = reread
 	onSignals(e.Stop, e.Reload)
 	return e.Run(ctx)
--- a/daemon/applied.go
+++ b/daemon/applied.go
@@ -150,7 +150,7 @@
 		changed := d.fleet.Changed()
 		d.fleet.Read(d.applied.apply)
 		d.shares.refresh()
-		d.admission.Pump()
+		d.admission.AdmitWaiting()
 		select {
 		case <-changed:
 		case <-ctx.Done():
--- a/daemon/beat.go
+++ b/daemon/beat.go
@@ -85,7 +85,7 @@
 	return &peer.Beat{
 		From: d.cfg.Name, Hall: d.cfg.Hall, Incarnation: d.incarnation, Revision: d.applied.revision(),
 		Stopping: d.stopping.Load(), Observations: d.prober.recent(d.now()), InFlight: d.applied.inFlight(),
-		Demands: d.admission.Demands(), Held: d.dispatch.Quarantine.ToSend(d.now(), maxQuarantineReportsPerBeat),
+		Demands: d.admission.TakeDemands(), Held: d.dispatch.Quarantine.ToSend(d.now(), maxQuarantineReportsPerBeat),
 		Limits: d.limitsForBeat(d.now()),
 	}
 }
--- a/daemon/bench_test.go
+++ b/daemon/bench_test.go
@@ -75,7 +75,7 @@
 		cfg.Customers = []settings.Customer{{Name: "cust", KeyHashes: []string{keys.Hash(l.customerKey)}}}
 		cfg.Operators = []settings.Operator{{Name: "op", KeyHash: keys.Hash(l.operatorKey)}}
 		cfg.Upstreams = upstreams
-		d, err := daemon.New(&cfg, daemon.TCP())
+		d, err := daemon.New(&cfg, daemon.TCPNetwork())
 		l.noError(err)
 		l.daemons = append(l.daemons, d)
 		wg.Go(func() { _ = d.Run(ctx) })
@@ -115,7 +115,7 @@
 }
 
 func (l *benchCluster) client(d *daemon.Daemon) *operator.Client {
-	return operator.NewClient("http://"+d.Operators(), l.operatorKey)
+	return operator.NewClient("http://"+d.OperatorAddress(), l.operatorKey)
 }
 
 func (l *benchCluster) createGroup(group ident.Group) {
@@ -237,7 +237,7 @@
 		}{
 			{"engine", target.String() + engine.PathGenerate, direct},
 			{"proxy", "http://" + ln.Addr().String() + engine.PathGenerate, direct},
-			{"daemon", "http://" + l.daemons[0].Callers() + "/v1/completions", request},
+			{"daemon", "http://" + l.daemons[0].CallerAddress() + "/v1/completions", request},
 		} {
 			b.Run(name+"/"+path.name, func(b *testing.B) { benchmarkRequests(b, path.url, l.customerKey, path.body) })
 		}
@@ -260,7 +260,7 @@
 			for range callers {
 				wg.Go(func() {
 					for n := range indexes {
-						r, _ := http.NewRequest(http.MethodPost, "http://"+l.daemons[n%3].Callers()+"/v1/completions", bytes.NewReader(body))
+						r, _ := http.NewRequest(http.MethodPost, "http://"+l.daemons[n%3].CallerAddress()+"/v1/completions", bytes.NewReader(body))
 						r.Header.Set("Authorization", "Bearer "+l.customerKey)
 						r.Header.Set("Idempotency-Key", fmt.Sprint("k", n))
 						w, err := client.Do(r)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -94,8 +94,8 @@
 	Dial   transport.Dial
 }
 
-// TCP returns the network of the operating system.
-func TCP() Network {
+// TCPNetwork returns the network of the operating system.
+func TCPNetwork() Network {
 	return Network{
 		Listen: func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
 		Dial:   transport.TCP(),
@@ -137,7 +137,7 @@
 
 // acquireResources opens files and listeners, the steps of New that can fail.
 func (d *Daemon) acquireResources() error {
-	tlsConfig, err := peer.TLS(d.cfg.TLS)
+	tlsConfig, err := peer.TLSConfig(d.cfg.TLS)
 	if err != nil {
 		return err
 	}
@@ -204,7 +204,7 @@
 		}
 		return d.routes.Capacity(d.now(), model)
 	}
-	d.admission.QueueLength = func(name ident.Class) int {
+	d.admission.MaxQueueLength = func(name ident.Class) int {
 		class, _ := d.cfg.Class(name)
 		return class.Queue
 	}
@@ -218,25 +218,25 @@
 func (d *Daemon) servicePools() map[ident.Service]*dispatch.ServicePool {
 	pools := map[ident.Service]*dispatch.ServicePool{}
 	for _, s := range d.cfg.Services {
-		pools[s.Name] = dispatch.NewPool(s.Name, s.Addresses, s.Slots)
+		pools[s.Name] = dispatch.NewServicePool(s.Name, s.Addresses, s.Slots)
 	}
 	return pools
 }
 
 func (d *Daemon) buildDispatch() {
 	dispatcher := d.dispatch
-	dispatcher.Gate, dispatcher.Table = d.admission, d.routes
-	dispatcher.Budget = dispatch.NewBudget(d.cfg.Limits.RetryShare)
+	dispatcher.Admission, dispatcher.Table = d.admission, d.routes
+	dispatcher.RetryBudget = dispatch.NewRetryBudget(d.cfg.Limits.RetryShare)
 	dispatcher.Generate, dispatcher.Cancel = d.engineClient.Generate, d.engineClient.Cancel
-	dispatcher.InForce = func() error { return d.freshness.check(d.now(), d.applied.revision()) }
-	dispatcher.Observe, dispatcher.Dropped = d.observeRequest, d.metrics.countDroppedAnswer
-	dispatcher.Refuses = func(ctx context.Context, address string) bool { return transport.Refuses(ctx, d.network.Dial, address) }
-	dispatcher.Holds = func(r *quarantine.Report, remaining time.Duration) { d.logQuarantined(r, remaining, d.cfg.Name) }
-	dispatcher.Asked = func(head ident.Incarnation, requested time.Duration) { d.logBackoff(string(head), requested, nil) }
-	dispatcher.Services.Asked = d.logBackoff
-	dispatcher.Book = &ledger.Book{
+	dispatcher.CheckConfig = func() error { return d.freshness.check(d.now(), d.applied.revision()) }
+	dispatcher.Observe, dispatcher.AnswerDropped = d.observeRequest, d.metrics.countDroppedAnswer
+	dispatcher.ConnectionRefused = func(ctx context.Context, address string) bool { return transport.Refuses(ctx, d.network.Dial, address) }
+	dispatcher.Quarantined = func(r *quarantine.Report, remaining time.Duration) { d.logQuarantined(r, remaining, d.cfg.Name) }
+	dispatcher.BackoffRequested = func(head ident.Incarnation, requested time.Duration) { d.logBackoff(string(head), requested, nil) }
+	dispatcher.Services.BackoffRequested = d.logBackoff
+	dispatcher.Ledger = &ledger.Client{
 		Daemon: d.cfg.Name, Incarnation: d.incarnation,
-		Retention: d.cfg.Times.LedgerRetention.Std(), KeptBytes: d.cfg.Limits.AnswerKeptBytes, Now: time.Now,
+		Retention: d.cfg.Times.LedgerRetention.Std(), MaxAnswerBytes: d.cfg.Limits.AnswerKeptBytes, Now: time.Now,
 		Propose: d.proposeLedger,
 	}
 }
@@ -259,8 +259,8 @@
 	}
 	code := result.CodeOf(t.Err)
 	log.Info("request ended", "request", t.Request, "customer", t.Customer, "class", t.Class, "group", t.Group, "epoch", t.Epoch,
-		"revision", d.applied.revision(), "code", int(code), "result", result.Lookup(code).Name, "tries", t.Tries,
-		"wait-ms", t.Wait.Milliseconds(), "first-ms", t.First.Milliseconds(), "total-ms", t.Total.Milliseconds(), "tokens", t.Tokens)
+		"revision", d.applied.revision(), "code", int(code), "result", result.Lookup(code).Name, "tries", t.Attempts,
+		"wait-ms", t.AdmissionWait.Milliseconds(), "first-ms", t.FirstToken.Milliseconds(), "total-ms", t.Total.Milliseconds(), "tokens", t.Tokens)
 }
 
 func (d *Daemon) buildCallers() {
@@ -319,7 +319,7 @@
 	}
 	d.serveHTTP("callers", d.callerServer.HTTP())
 	d.serveHTTP("operators", d.operatorServer.HTTP())
-	d.serveHTTP("metrics", d.metrics.meter.HTTP())
+	d.serveHTTP("metrics", d.metrics.meter.NewServer())
 }
 
 func (d *Daemon) serveHTTP(name string, server *http.Server) {
@@ -338,7 +338,7 @@
 func (d *Daemon) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	d.Log.Info("daemon starting", "daemon", d.cfg.Name, "incarnation", d.incarnation, "callers", d.Callers(), "operators", d.Operators())
+	d.Log.Info("daemon starting", "daemon", d.cfg.Name, "incarnation", d.incarnation, "callers", d.CallerAddress(), "operators", d.OperatorAddress())
 	done := make(chan struct{})
 	go func() {
 		d.tasks.Run(ctx)
@@ -384,13 +384,13 @@
 	d.Log.Info("planned stop completed", "daemon", d.cfg.Name)
 }
 
-// Callers returns host:port of the callers' listener.
-func (d *Daemon) Callers() string {
+// CallerAddress returns host:port of the callers' listener.
+func (d *Daemon) CallerAddress() string {
 	return d.listeners["callers"].Addr().String()
 }
 
-// Operators returns host:port of the operators' listener.
-func (d *Daemon) Operators() string {
+// OperatorAddress returns host:port of the operators' listener.
+func (d *Daemon) OperatorAddress() string {
 	return d.listeners["operators"].Addr().String()
 }
 
@@ -419,7 +419,7 @@
 // checkLoop cancels attempts at groups that lost a member, and admits waiting requests where capacity has returned.
 func (d *Daemon) checkLoop(ctx context.Context) {
 	runEvery(ctx, tickInterval, func() {
-		d.dispatch.Look(d.now())
-		d.admission.Pump()
+		d.dispatch.CheckAttempts(d.now())
+		d.admission.AdmitWaiting()
 	})
 }
--- a/daemon/limits.go
+++ b/daemon/limits.go
@@ -30,7 +30,7 @@
 	totalDaemons := len(d.cfg.Peers) + 1
 	d.coordinators = &ratelimit.Coordinators{Now: d.now, TotalEntries: totalDaemons, MayCoordinate: func() bool { return 2*len(d.daemons.Live(d.now())) > totalDaemons }}
 	dispatcher.Limits.Now, dispatcher.Limits.Coordinator, dispatcher.Limits.Send = d.now, d.coordinators.Of, d.requestPermit
-	dispatcher.Services.TurnIn, d.routes.PermitIn = dispatcher.TurnIn, dispatcher.TurnIn
+	dispatcher.Services.PermitIn, d.routes.PermitIn = dispatcher.PermitIn, dispatcher.PermitIn
 	dispatcher.LimitChanged = func(upstream string, current, previous ratelimit.Limit) {
 		if !current.Limited() {
 			d.Log.Info("upstream removed its limit", "upstream", upstream, "was", previous.Rate, "was-since", previous.Since)
@@ -38,10 +38,10 @@
 		}
 		d.Log.Info("upstream advertises a limit", "upstream", upstream, "limit", current.Rate, "was", previous.Rate)
 	}
-	dispatcher.LimitUnclear = func(upstream string, err error) {
+	dispatcher.LimitUnreadable = func(upstream string, err error) {
 		d.Log.Info("upstream sent a limit that cannot be parsed", "upstream", upstream, "code", result.CodeOf(err), "error", result.Message(err))
 	}
-	d.engineClient.Heard, d.engineClient.Now = dispatcher.HeardLimit, d.now
+	d.engineClient.Heard, d.engineClient.Now = dispatcher.ApplyLimit, d.now
 }
 
 // updateCoordinators assigns coordinators among the live daemons; only beatLoop calls it.
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -52,7 +52,7 @@
 	s := m.histograms[key]
 	if s == nil {
 		scope := m.scope.Tagged(map[string]string{"customer": string(customer), "class": string(class)})
-		buckets := meter.Durations()
+		buckets := meter.DurationBuckets()
 		s = &requestHistograms{
 			admissionWait: scope.Histogram("admission_wait", buckets),
 			firstToken:    scope.Histogram("first_token", buckets),
@@ -66,15 +66,15 @@
 
 func (m *metrics) observeRequest(t *dispatch.Timing) {
 	histograms := m.histogramsFor(t.Customer, t.Class)
-	histograms.admissionWait.RecordDuration(t.Wait)
+	histograms.admissionWait.RecordDuration(t.AdmissionWait)
 	if t.Err != nil {
 		m.countRequest(t.Customer, result.CodeOf(t.Err))
 		return
 	}
-	histograms.firstToken.RecordDuration(t.First)
+	histograms.firstToken.RecordDuration(t.FirstToken)
 	histograms.request.RecordDuration(t.Total)
 	if t.Tokens > 1 {
-		histograms.betweenTokens.RecordDuration((t.Total - t.First) / time.Duration(t.Tokens-1))
+		histograms.betweenTokens.RecordDuration((t.Total - t.FirstToken) / time.Duration(t.Tokens-1))
 	}
 	m.countRequest(t.Customer, result.OK)
 }
--- a/daemon/shares.go
+++ b/daemon/shares.go
@@ -15,7 +15,7 @@
 	d *Daemon
 
 	mu        sync.Mutex
-	allocator *admission.Allotment
+	allocator *admission.ShareAllocator
 	// term is the term in which the allocator was started.
 	term        quorum.Term
 	leased      map[ident.Customer]admission.Share
@@ -25,13 +25,13 @@
 const shareLeaseBeats = 6
 
 func newCustomerShares(d *Daemon) *customerShares {
-	return &customerShares{d: d, allocator: admission.NewAllotment(d.cfg.Times.Beat.Std() * shareLeaseBeats)}
+	return &customerShares{d: d, allocator: admission.NewShareAllocator(d.cfg.Times.Beat.Std() * shareLeaseBeats)}
 }
 
 func (s *customerShares) reportDemands(from ident.Daemon, demands []admission.Demand) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.allocator.Report(from, demands)
+	s.allocator.SetDemands(from, demands)
 }
 
 // limits returns the limits of each customer in the settings, as changed by operators.
@@ -63,7 +63,7 @@
 	defer s.mu.Unlock()
 	if term := s.d.control.nodes[instanceFleet].Status().Term; term != s.term {
 		s.term = term
-		s.allocator.Begin(now)
+		s.allocator.StartTerm(now)
 	}
 	if !s.allocator.MayGrant(now) {
 		return nil
@@ -78,7 +78,7 @@
 func (s *customerShares) apply(now time.Time, leased map[ident.Customer]admission.Share) {
 	s.mu.Lock()
 	s.leased = leased
-	s.leasedUntil = now.Add(s.allocator.Lease)
+	s.leasedUntil = now.Add(s.allocator.LeaseDuration)
 	s.mu.Unlock()
 	s.d.admission.SetShares(leased)
 }
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -406,7 +406,7 @@
 		if h.away {
 			continue
 		}
-		fmt.Fprintf(d.Out, "daemon %s: callers http://%s, operators http://%s\n", h.cfg.Name, h.daemon.Callers(), h.daemon.Operators())
+		fmt.Fprintf(d.Out, "daemon %s: callers http://%s, operators http://%s\n", h.cfg.Name, h.daemon.CallerAddress(), h.daemon.OperatorAddress())
 	}
 	for customer, key := range d.site.keys {
 		fmt.Fprintf(d.Out, "customer %s: key %s\n", customer, key)
--- a/demo/site.go
+++ b/demo/site.go
@@ -45,7 +45,7 @@
 }
 
 func (h *host) callers() string {
-	return "http://" + h.daemon.Callers()
+	return "http://" + h.daemon.CallerAddress()
 }
 
 // site is everything the demo starts.
@@ -230,14 +230,14 @@
 }
 
 func (s *site) startDaemon(cfg *settings.Settings) error {
-	way := daemon.TCP()
+	way := daemon.TCPNetwork()
 	way.Dial = s.network.dialer(cfg.Name)
 	d, err := daemon.New(cfg, way)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	h := &host{cfg: cfg, daemon: d, cancel: cancel, done: make(chan struct{}), client: operator.NewClient("http://"+d.Operators(), s.operator)}
+	h := &host{cfg: cfg, daemon: d, cancel: cancel, done: make(chan struct{}), client: operator.NewClient("http://"+d.OperatorAddress(), s.operator)}
 	go func() {
 		defer close(h.done)
 		_ = d.Run(ctx)
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Look cancels the attempts whose group has lost a member. A group that is leaving may finish its requests.
-func (d *Dispatcher) Look(now time.Time) {
+// CheckAttempts cancels the attempts whose group has lost a member. A group that is leaving may finish its requests.
+func (d *Dispatcher) CheckAttempts(now time.Time) {
 	d.attempts.mu.Lock()
 	defer d.attempts.mu.Unlock()
 	for a := range d.attempts.active {
--- a/dispatch/backoff_test.go
+++ b/dispatch/backoff_test.go
@@ -24,7 +24,7 @@
 func newServiceFixture(busy map[string]bool, arrivals map[string][]time.Duration) *fixture {
 	f := newFixture()
 	start := time.Now()
-	f.Services = dispatch.NewServices(map[ident.Service]*dispatch.ServicePool{"s": dispatch.NewPool("s", []string{"w0", "w1"}, 4)})
+	f.Services = dispatch.NewServices(map[ident.Service]*dispatch.ServicePool{"s": dispatch.NewServicePool("s", []string{"w0", "w1"}, 4)})
 	f.Services.Random = func(int) int { return 0 }
 	f.Services.Send = func(_ context.Context, address string, _ *dispatch.Call) (*dispatch.Reply, error) {
 		arrivals[address] = append(arrivals[address], time.Since(start))
@@ -33,7 +33,7 @@
 		}
 		return &dispatch.Reply{Status: http.StatusOK}, nil
 	}
-	f.Gate.Capacity = func(ident.Model) int { return 8 }
+	f.Admission.Capacity = func(ident.Model) int { return 8 }
 	return f
 }
 
@@ -123,7 +123,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newServiceFixture(map[string]bool{}, map[string][]time.Duration{})
 		sendRetryAfter := true
-		f.Services.Pools["s"] = dispatch.NewPool("s", []string{"w0"}, 4)
+		f.Services.Pools["s"] = dispatch.NewServicePool("s", []string{"w0"}, 4)
 		f.Services.Send = func(context.Context, string, *dispatch.Call) (*dispatch.Reply, error) {
 			reply := &dispatch.Reply{Status: http.StatusServiceUnavailable}
 			if sendRetryAfter {
--- a/dispatch/budget.go
+++ b/dispatch/budget.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// Budget bounds retries to a fraction of the answered requests, so that retries do not multiply an overload.
-type Budget struct {
-	// Share is the number of retries that each answered request allows.
-	Share float64
+// RetryBudget bounds retries to a fraction of the answered requests, so that retries do not multiply an overload.
+type RetryBudget struct {
+	// RetriesPerRequest is the number of retries that each answered request allows.
+	RetriesPerRequest float64
 
 	mu sync.Mutex
 	// available is the number of retries that are allowed now.
@@ -17,20 +17,20 @@
 	maxRetries     = 100
 )
 
-// NewBudget returns a budget that allows initialRetries before the first request is answered.
-func NewBudget(share float64) *Budget {
-	return &Budget{Share: share, available: initialRetries}
+// NewRetryBudget returns a budget that allows initialRetries before the first request is answered.
+func NewRetryBudget(share float64) *RetryBudget {
+	return &RetryBudget{RetriesPerRequest: share, available: initialRetries}
 }
 
-// Earn adds the retries that one answered request allows.
-func (b *Budget) Earn() {
+// AddAnswered adds the retries that one answered request allows.
+func (b *RetryBudget) AddAnswered() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.available = min(maxRetries, b.available+b.Share)
+	b.available = min(maxRetries, b.available+b.RetriesPerRequest)
 }
 
-// Spend reports whether a retry is allowed, and counts it.
-func (b *Budget) Spend() bool {
+// AllowRetry reports whether a retry is allowed, and counts it.
+func (b *RetryBudget) AllowRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.available < 1 {
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -76,7 +76,7 @@
 	f.table.Random = func(int) int { return 0 }
 	f.table.Replace(f.targets, []ident.Model{"m"})
 	f.Table = f.table
-	f.Gate = admission.NewController()
+	f.Admission = admission.NewController()
 	f.Generate = f.generate
 	return f
 }
@@ -167,7 +167,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFixture(c.behaviors...)
-				f.Book = newLedgerClient(ledger.NewMachine(), "a", "1")
+				f.Ledger = newLedgerClient(ledger.NewMachine(), "a", "1")
 				r := f.request()
 				r.Repeatable, r.Key = !c.atMostOnce, "k"
 				stop := f.observeUntilStopped()
@@ -205,9 +205,9 @@
 }
 
 // newLedgerClient returns a daemon's access to a shared ledger.
-func newLedgerClient(m *ledger.Machine, name ident.Daemon, incarnation ident.Incarnation) *ledger.Book {
-	return &ledger.Book{
-		Daemon: name, Incarnation: incarnation, Retention: time.Hour, KeptBytes: 1 << 10, Now: time.Now,
+func newLedgerClient(m *ledger.Machine, name ident.Daemon, incarnation ident.Incarnation) *ledger.Client {
+	return &ledger.Client{
+		Daemon: name, Incarnation: incarnation, Retention: time.Hour, MaxAnswerBytes: 1 << 10, Now: time.Now,
 		Propose: func(_ context.Context, _ ledger.Key, data []byte) (ledger.Answer, error) { return m.Apply(data), nil },
 	}
 }
@@ -285,7 +285,7 @@
 		for range 40 {
 			time.Sleep(100 * time.Millisecond)
 			f.records[1].Observe(time.Now(), &presence.Observation{Sight: presence.ProbeAnswered, Incarnation: "i", Epoch: 7, Slots: 8})
-			f.Look(time.Now())
+			f.CheckAttempts(time.Now())
 		}
 		if err := <-done; err != nil {
 			t.Errorf("the request failed: %v", err)
@@ -303,7 +303,7 @@
 func TestRetriesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture()
-		f.Budget = dispatch.NewBudget(0)
+		f.RetryBudget = dispatch.NewRetryBudget(0)
 		for range 100 {
 			f.behaviors = append(f.behaviors, cutAt0)
 		}
@@ -331,10 +331,10 @@
 		afterOutcome
 	)
 	stopPoints := map[stop]string{beforeClaim: "before the claim", afterClaim: "after the claim", afterRun: "after the run", afterOutcome: "after the outcome"}
-	retriers := map[string]func(m *ledger.Machine) *ledger.Book{
-		"the same daemon":            func(m *ledger.Machine) *ledger.Book { return newLedgerClient(m, "a", "1") },
-		"the same daemon, restarted": func(m *ledger.Machine) *ledger.Book { return newLedgerClient(m, "a", "2") },
-		"another daemon":             func(m *ledger.Machine) *ledger.Book { return newLedgerClient(m, "b", "1") },
+	retriers := map[string]func(m *ledger.Machine) *ledger.Client{
+		"the same daemon":            func(m *ledger.Machine) *ledger.Client { return newLedgerClient(m, "a", "1") },
+		"the same daemon, restarted": func(m *ledger.Machine) *ledger.Client { return newLedgerClient(m, "a", "2") },
+		"another daemon":             func(m *ledger.Machine) *ledger.Client { return newLedgerClient(m, "b", "1") },
 	}
 	firstBehaviors := map[string]behavior{"answered": whole, "answer lost": cutAt0, "answer late": {cutAfter: -1, delay: 3 * time.Second}, "foreign answer": foreign}
 	for stopPoint, stopName := range stopPoints {
@@ -363,13 +363,13 @@
 							}
 							return answer, err
 						}
-						f.Book = firstClient
+						f.Ledger = firstClient
 						r := f.request()
 						r.Repeatable, r.Key = false, "k"
 						_, _ = f.Serve(ctx, r, nil)
 						crash()
 						for range 3 {
-							f.Book = newClient(m)
+							f.Ledger = newClient(m)
 							retry := f.request()
 							retry.Repeatable, retry.Key = false, "k"
 							answer, err := f.Serve(t.Context(), retry, nil)
@@ -437,10 +437,10 @@
 	for range 100 {
 		f.behaviors = append(f.behaviors, cutAt0)
 	}
-	f.Book = newLedgerClient(ledger.NewMachine(), "a", "1")
+	f.Ledger = newLedgerClient(ledger.NewMachine(), "a", "1")
 	f.restartUpstreams(name)
 	restarts := 0
-	f.Refuses = func(context.Context, string) bool {
+	f.ConnectionRefused = func(context.Context, string) bool {
 		restarts++
 		f.restartUpstreams(fmt.Sprint(name, restarts))
 		return true
@@ -473,7 +473,7 @@
 func TestCutConnectionsDoNotQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newCrashingFixture("a")
-		f.Refuses = func(context.Context, string) bool { return false }
+		f.ConnectionRefused = func(context.Context, string) bool { return false }
 		for range 5 {
 			f.observeMembers()
 			r := f.request()
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -48,33 +48,33 @@
 
 // Dispatcher serves requests. Its exported fields are set before use and not changed afterwards.
 type Dispatcher struct {
-	Now      func() time.Time
-	Gate     *admission.Controller
-	Table    *routing.Table
-	Book     *ledger.Book
-	Budget   *Budget
-	Generate func(ctx context.Context, address string, g *engine.Generate) (*engine.Stream, error)
-	Cancel   func(ctx context.Context, address string, id ident.Request) error
-	// InForce returns an error while this daemon's configuration may be out of date.
-	InForce func() error
+	Now         func() time.Time
+	Admission   *admission.Controller
+	Table       *routing.Table
+	Ledger      *ledger.Client
+	RetryBudget *RetryBudget
+	Generate    func(ctx context.Context, address string, g *engine.Generate) (*engine.Stream, error)
+	Cancel      func(ctx context.Context, address string, id ident.Request) error
+	// CheckConfig returns an error while this daemon's configuration may be out of date.
+	CheckConfig func() error
 	// Observe receives the timing of each finished request.
 	Observe func(timing *Timing)
-	// Dropped is called for each answer that was discarded as foreign, incomplete or malformed.
-	Dropped func(group ident.Group, code result.Code)
+	// AnswerDropped is called for each answer that was discarded as foreign, incomplete or malformed.
+	AnswerDropped func(group ident.Group, code result.Code)
 	// Quarantine lists the requests under which upstreams crashed.
 	Quarantine *quarantine.List
-	// Refuses reports whether an upstream's address refuses connections.
-	Refuses func(ctx context.Context, address string) bool
-	// Holds is called when a request fingerprint is quarantined for the remaining time.
-	Holds func(r *quarantine.Report, remaining time.Duration)
-	// Asked is called when the head of a group requests backoff.
-	Asked func(head ident.Incarnation, requested time.Duration)
+	// ConnectionRefused reports whether an upstream's address refuses connections.
+	ConnectionRefused func(ctx context.Context, address string) bool
+	// Quarantined is called when a request fingerprint is quarantined for the remaining time.
+	Quarantined func(r *quarantine.Report, remaining time.Duration)
+	// BackoffRequested is called when the head of a group requests backoff.
+	BackoffRequested func(head ident.Incarnation, requested time.Duration)
 	// Limits keeps all daemons together within the rate limits that upstreams advertise, by address.
 	Limits *ratelimit.Limiter[string]
 	// LimitChanged is called when an upstream's limit appears, changes or disappears.
 	LimitChanged func(address string, now, previous ratelimit.Limit)
-	// LimitUnclear is called when a limit header cannot be parsed.
-	LimitUnclear func(address string, err error)
+	// LimitUnreadable is called when a limit header cannot be parsed.
+	LimitUnreadable func(address string, err error)
 	// Services holds the workers of plain services.
 	Services *Services
 
@@ -107,7 +107,7 @@
 
 // serveClaimed serves r, if it is not repeatable under a claim of its key.
 func (d *Dispatcher) serveClaimed(ctx context.Context, r *Request, sink Sink, t *Timing) (*Answer, error) {
-	if err := d.InForce(); err != nil {
+	if err := d.CheckConfig(); err != nil {
 		return nil, err
 	}
 	if r.Repeatable {
@@ -143,7 +143,7 @@
 	// Until claimDeadline other claims of the key are answered as in progress, so this run must have ended by then.
 	// The ledger uses the wall clock, to which d.Now is not related.
 	claimDeadline := time.Now().Add(deadline.Sub(d.Now()) + claimGrace)
-	claim, stored, err := d.Book.Claim(ctx, key, digest, claimDeadline)
+	claim, stored, err := d.Ledger.Claim(ctx, key, digest, claimDeadline)
 	if err != nil || claim == nil {
 		return stored, err
 	}
@@ -151,13 +151,13 @@
 	switch {
 	case err == nil:
 		// The answer is valid even if it could not be stored.
-		_ = claim.Done(answer)
+		_ = claim.StoreAnswer(answer)
 		return answer, nil
-	case NotRun(err) || t.Tries == 0:
+	case NotRun(err) || t.Attempts == 0:
 		_ = claim.Release()
 		return nil, err
 	}
-	_ = claim.Unknown()
+	_ = claim.MarkUnknown()
 	return nil, result.Wrap(err, result.OutcomeUnknown, "the request may have run")
 }
 
@@ -174,24 +174,24 @@
 	started := d.Now()
 	job := &job{dispatcher: d, request: r, sink: sink, timing: t, started: started}
 	job.targetRequest = routing.Request{Model: r.Model, Adapter: r.Adapter, Prefixes: routing.Prefixes(r.Prompt), PromptTokens: r.PromptTokens}
-	admissionRequest := &admission.Ask{
+	admissionRequest := &admission.Request{
 		Customer: r.Customer, Class: r.Class, Priority: r.Priority, Model: r.Model,
 		Tokens: r.PromptTokens + r.MaxTokens, Deadline: r.Deadline, Reserve: job.reserve,
 		Free: func() time.Duration { return job.targetRequest.RetryIn },
 	}
-	if err := d.Gate.Admit(ctx, admissionRequest); err != nil {
+	if err := d.Admission.Admit(ctx, admissionRequest); err != nil {
 		return nil, d.notSentError(ctx, err)
 	}
-	t.Wait = d.Now().Sub(started)
+	t.AdmissionWait = d.Now().Sub(started)
 	answer, err := job.run(ctx)
 	var duration time.Duration
 	unusedTokens := admissionRequest.Tokens
 	if err == nil {
-		duration = d.Now().Sub(started) - t.Wait
+		duration = d.Now().Sub(started) - t.AdmissionWait
 		unusedTokens = admissionRequest.Tokens - ident.Tokens(answer.Tokens) - r.PromptTokens
-		d.Budget.Earn()
+		d.RetryBudget.AddAnswered()
 	}
-	d.Gate.Done(admissionRequest, duration, unusedTokens)
+	d.Admission.Finish(admissionRequest, duration, unusedTokens)
 	return answer, err
 }
 
@@ -222,18 +222,18 @@
 // NewDispatcher returns a dispatcher whose callbacks do nothing and whose configuration is always in force.
 func NewDispatcher() *Dispatcher {
 	return &Dispatcher{
-		Now:     clock.Now,
-		Budget:  NewBudget(1),
-		InForce: func() error { return nil },
-		Observe: func(*Timing) {},
-		Dropped: func(ident.Group, result.Code) {},
-		Cancel:  func(context.Context, string, ident.Request) error { return nil },
-		Refuses: func(context.Context, string) bool { return false },
-		Holds:   func(*quarantine.Report, time.Duration) {},
-		Asked:   func(ident.Incarnation, time.Duration) {},
-
-		LimitChanged: func(string, ratelimit.Limit, ratelimit.Limit) {},
-		LimitUnclear: func(string, error) {},
+		Now:               clock.Now,
+		RetryBudget:       NewRetryBudget(1),
+		CheckConfig:       func() error { return nil },
+		Observe:           func(*Timing) {},
+		AnswerDropped:     func(ident.Group, result.Code) {},
+		Cancel:            func(context.Context, string, ident.Request) error { return nil },
+		ConnectionRefused: func(context.Context, string) bool { return false },
+		Quarantined:       func(*quarantine.Report, time.Duration) {},
+		BackoffRequested:  func(ident.Incarnation, time.Duration) {},
+
+		LimitChanged:    func(string, ratelimit.Limit, ratelimit.Limit) {},
+		LimitUnreadable: func(string, error) {},
 
 		Quarantine: &quarantine.List{Rule: quarantine.DefaultRule()},
 		Limits:     ratelimit.NewLimiter[string](),
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -51,7 +51,7 @@
 			}
 			continue
 		}
-		j.timing.Tries++
+		j.timing.Attempts++
 		target := j.target
 		answer, err := j.send(ctx)
 		j.dispatcher.noteEvidence(j.request.fingerprint(), target.Head, target.Members[0].Incarnation, err)
@@ -93,9 +93,9 @@
 func (j *job) finalError(err error) error {
 	switch result.CodeOf(err) {
 	case result.AnswerFragment, result.AnswerForeign, result.UpstreamMalformed, result.Unnamed:
-		return result.Wrap(err, result.UpstreamFailed, "no complete answer after %d attempts", j.timing.Tries)
+		return result.Wrap(err, result.UpstreamFailed, "no complete answer after %d attempts", j.timing.Attempts)
 	case result.NeverSent, result.EpochMismatch, result.UpstreamNotRun:
-		err = result.Wrap(err, result.NoWholeGroup, "no group accepted the request after %d attempts", j.timing.Tries)
+		err = result.Wrap(err, result.NoWholeGroup, "no group accepted the request after %d attempts", j.timing.Attempts)
 	}
 	return failedIfMayHaveRun(err, j.mayHaveRun)
 }
@@ -110,7 +110,7 @@
 
 // mayRetry reports whether the request may be sent again after err.
 func (j *job) mayRetry(ctx context.Context, err error) bool {
-	if ctx.Err() != nil || j.timing.Tries >= maxAttempts {
+	if ctx.Err() != nil || j.timing.Attempts >= maxAttempts {
 		return false
 	}
 	if NotRun(err) && j.tokens == 0 {
@@ -127,7 +127,7 @@
 	if j.forwarded && !j.request.Deterministic {
 		return false
 	}
-	return j.dispatcher.Budget.Spend()
+	return j.dispatcher.RetryBudget.AllowRetry()
 }
 
 // reserveAgain reserves another target, and waits while all are full.
@@ -146,7 +146,7 @@
 		case routing.NotWhole:
 			return result.New(result.NoWholeGroup, "no group of model %q has all its members", j.request.Model)
 		case routing.BackedOff:
-			return admission.RefuseAway(j.targetRequest.RetryIn, j.request.Model)
+			return admission.RefuseBackedOff(j.targetRequest.RetryIn, j.request.Model)
 		}
 		select {
 		case <-ctx.Done():
@@ -190,13 +190,13 @@
 		return result.Wrap(err, result.UpstreamFailed, "a member of group %s was lost", target.Group)
 	}
 	if requested := backoff.RequestedBy(err); requested > 0 && j.dispatcher.Table.Backoff.NoteRefusal(j.dispatcher.Now(), target.HeadIncarnation(), requested) {
-		j.dispatcher.Asked(target.HeadIncarnation(), requested)
+		j.dispatcher.BackoffRequested(target.HeadIncarnation(), requested)
 	}
 	switch code := result.CodeOf(err); code {
 	case result.NeverSent, result.EpochMismatch:
 		target.FailHead(j.dispatcher.Now())
 	case result.AnswerForeign, result.AnswerFragment, result.UpstreamMalformed:
-		j.dispatcher.Dropped(target.Group, code)
+		j.dispatcher.AnswerDropped(target.Group, code)
 	}
 	return err
 }
@@ -224,8 +224,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if j.timing.First == 0 {
-			j.timing.First = j.dispatcher.Now().Sub(j.started)
+		if j.timing.FirstToken == 0 {
+			j.timing.FirstToken = j.dispatcher.Now().Sub(j.started)
 		}
 		if token.Done {
 			j.timing.Tokens = j.tokens
--- a/dispatch/limit_test.go
+++ b/dispatch/limit_test.go
@@ -78,7 +78,7 @@
 	}
 	for i, name := range names {
 		f := newFixture()
-		f.Services = dispatch.NewServices(map[ident.Service]*dispatch.ServicePool{"s": dispatch.NewPool("s", []string{"head-0", "w1"}, 8)})
+		f.Services = dispatch.NewServices(map[ident.Service]*dispatch.ServicePool{"s": dispatch.NewServicePool("s", []string{"head-0", "w1"}, 8)})
 		f.Services.Send = func(_ context.Context, address string, _ *dispatch.Call) (*dispatch.Reply, error) {
 			if address == "head-0" {
 				return &dispatch.Reply{Status: http.StatusOK, Header: u.serve()}, nil
@@ -89,18 +89,18 @@
 		f.Generate = func(ctx context.Context, address string, g *engine.Generate) (*engine.Stream, error) {
 			if address == "head-0" {
 				sentAt := time.Now()
-				f.HeardLimit(address, sentAt, http.StatusOK, u.serve())
+				f.ApplyLimit(address, sentAt, http.StatusOK, u.serve())
 			}
 			return generate(ctx, address, g)
 		}
 		for range 2000 {
 			f.behaviors = append(f.behaviors, behavior{cutAfter: -1})
 		}
-		f.Gate.Capacity = func(ident.Model) int { return 64 }
+		f.Admission.Capacity = func(ident.Model) int { return 64 }
 		coordinators := &ratelimit.Coordinators{Now: time.Now, MayCoordinate: func() bool { return true }}
 		coordinators.SetEntries(sharing.New(name, map[ident.Hall][]string{"": names}))
 		f.Limits.Coordinator = coordinators.Of
-		f.Services.TurnIn, f.Table.PermitIn = f.TurnIn, f.TurnIn
+		f.Services.PermitIn, f.Table.PermitIn = f.PermitIn, f.PermitIn
 		f.Limits.Send = func(to string, request *ratelimit.PermitRequest[string]) {
 			for j, other := range names {
 				if other == to {
@@ -186,7 +186,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		u := &limitedUpstream{header: "2"}
 		f := newLimitedDaemons(1, u)[0]
-		f.Services.Pools["s"] = dispatch.NewPool("s", []string{"head-0"}, 64)
+		f.Services.Pools["s"] = dispatch.NewServicePool("s", []string{"head-0"}, 64)
 		if _, err := f.call(0); err != nil {
 			t.Fatal(err)
 		}
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -24,8 +24,8 @@
 // pendingPermitWait is the expected wait while earlier permit requests for the upstream are unanswered.
 const pendingPermitWait = 5 * time.Millisecond
 
-// TurnIn returns how long until a permit for the upstream at address can be expected, 0 if one may be available now.
-func (d *Dispatcher) TurnIn(now time.Time, address string) time.Duration {
+// PermitIn returns how long until a permit for the upstream at address can be expected, 0 if one may be available now.
+func (d *Dispatcher) PermitIn(now time.Time, address string) time.Duration {
 	availability := d.Limits.Availability(now, address)
 	if availability.Busy {
 		return max(availability.Remaining, pendingPermitWait)
@@ -33,16 +33,16 @@
 	return availability.Remaining
 }
 
-// HeardLimit applies the limit header in the response to a request that was sent at sentAt. Only a successful response without the
+// ApplyLimit applies the limit header in the response to a request that was sent at sentAt. Only a successful response without the
 // header removes the limit: a failure may be from a proxy before the upstream, which does not know the limit.
-func (d *Dispatcher) HeardLimit(address string, sentAt time.Time, status int, h http.Header) {
+func (d *Dispatcher) ApplyLimit(address string, sentAt time.Time, status int, h http.Header) {
 	now, limits := d.Now(), d.Limits.Table
 	rate, hasLimit, err := ratelimit.ParseHeader(h, ratelimit.Header)
 	var previous ratelimit.Limit
 	changed := false
 	switch {
 	case err != nil:
-		d.LimitUnclear(address, err)
+		d.LimitUnreadable(address, err)
 	case hasLimit:
 		previous, changed = limits.Record(address, rate, now)
 	case status < http.StatusMultipleChoices:
@@ -75,6 +75,6 @@
 
 // refuseNoPermit returns the refusal of a request that gets no permit in time.
 func refuseNoPermit(permit *ratelimit.Permit, model ident.Model) error {
-	retryAfter := permit.After + time.Duration(admission.AwaySpread*rand.Float64()*float64(permit.After))
+	retryAfter := permit.After + time.Duration(admission.RetryJitter*rand.Float64()*float64(permit.After))
 	return admission.Refuse(result.Limited, retryAfter, "no upstream of %q has a permit in time, the first one is due in %v", model, permit.After)
 }
--- a/dispatch/quarantine.go
+++ b/dispatch/quarantine.go
@@ -47,7 +47,7 @@
 		}
 		report := d.Quarantine.Crashed(d.Now(), fingerprint, quarantine.CrashIDOf(incarnation))
 		if remaining := d.Quarantine.Remaining(d.Now(), fingerprint); remaining > 0 {
-			d.Holds(&report, remaining)
+			d.Quarantined(&report, remaining)
 		}
 	}
 }
@@ -58,5 +58,5 @@
 	// The evidence counts even if the caller has cancelled the request, hence not its context.
 	ctx, cancel := context.WithTimeout(context.Background(), crashProbeTimeout)
 	defer cancel()
-	return d.Refuses(ctx, address)
+	return d.ConnectionRefused(ctx, address)
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -33,7 +33,7 @@
 	Key        string
 	Digest     ledger.Digest
 	// Content is the digest of the request's path and body.
-	Content ident.Content
+	Content ident.ContentHash
 }
 
 func (r *Request) fingerprint() quarantine.Fingerprint {
@@ -63,13 +63,13 @@
 	Body     []byte
 	// Repeatable allows a retry after the call may have run.
 	Repeatable bool
-	// Once makes the call run at most once, under a claim in the ledger; it needs Key and Digest. A call that is not repeatable and has
+	// AtMostOnce makes the call run at most once, under a claim in the ledger; it needs Key and Digest. A call that is not repeatable and has
 	// no claim is not retried once it may have run, and may run again if the caller repeats it.
-	Once   bool
-	Key    string
-	Digest ledger.Digest
+	AtMostOnce bool
+	Key        string
+	Digest     ledger.Digest
 	// Content is the digest of the call's path and body.
-	Content ident.Content
+	Content ident.ContentHash
 }
 
 func (c *Call) fingerprint() quarantine.Fingerprint {
@@ -91,14 +91,14 @@
 	// Group and Epoch are those of the last attempt.
 	Group ident.Group
 	Epoch ident.Epoch
-	// Wait is the time until admission, excluding the claim.
-	Wait time.Duration
-	// First is the time until the first token, excluding the claim; for calls it is the total time.
-	First time.Duration
+	// AdmissionWait is the time until admission, excluding the claim.
+	AdmissionWait time.Duration
+	// FirstToken is the time until the first token, excluding the claim; for calls it is the total time.
+	FirstToken time.Duration
 	// Total is the time until the end of the request.
 	Total time.Duration
 	// Tokens is the number of tokens generated.
-	Tokens int
-	Tries  int
-	Err    error
+	Tokens   int
+	Attempts int
+	Err      error
 }
--- a/dispatch/services.go
+++ b/dispatch/services.go
@@ -47,10 +47,10 @@
 	Send func(ctx context.Context, address string, c *Call) (*Reply, error)
 	// Backoff holds the backoffs that workers requested, by address; a worker that cannot be reached is backed off too.
 	Backoff *backoff.List[string]
-	// TurnIn returns how long until a permit for the worker at an address can be expected, 0 if one may be available now.
-	TurnIn func(now time.Time, address string) time.Duration
-	// Asked is called when a worker requests backoff, or with an error when its Retry-After header cannot be parsed.
-	Asked func(address string, requested time.Duration, err error)
+	// PermitIn returns how long until a permit for the worker at an address can be expected, 0 if one may be available now.
+	PermitIn func(now time.Time, address string) time.Duration
+	// BackoffRequested is called when a worker requests backoff, or with an error when its Retry-After header cannot be parsed.
+	BackoffRequested func(address string, requested time.Duration, err error)
 	// Random returns a number in [0, n).
 	Random func(n int) int
 }
@@ -67,12 +67,12 @@
 func NewServices(pools map[ident.Service]*ServicePool) *Services {
 	rule := backoff.DefaultRule()
 	rule.Default = unreachableBackoff
-	return &Services{Pools: pools, Random: rand.IntN, Backoff: backoff.New[string](rule), Asked: func(string, time.Duration, error) {},
-		TurnIn: func(time.Time, string) time.Duration { return 0 }}
+	return &Services{Pools: pools, Random: rand.IntN, Backoff: backoff.New[string](rule), BackoffRequested: func(string, time.Duration, error) {},
+		PermitIn: func(time.Time, string) time.Duration { return 0 }}
 }
 
-// NewPool returns a pool with a worker at each address; without slots each worker has defaultSlots.
-func NewPool(name ident.Service, addresses []string, slots int) *ServicePool {
+// NewServicePool returns a pool with a worker at each address; without slots each worker has defaultSlots.
+func NewServicePool(name ident.Service, addresses []string, slots int) *ServicePool {
 	if slots <= 0 {
 		slots = defaultSlots
 	}
@@ -108,7 +108,7 @@
 		case state.Remaining > 0:
 			anyRequested = anyRequested || state.Requested
 			retryIn = minNonZero(retryIn, state.Remaining)
-		case w == avoid && len(p.Workers) > 1, s.TurnIn(now, w.Address) > 0:
+		case w == avoid && len(p.Workers) > 1, s.PermitIn(now, w.Address) > 0:
 		case state.Probing || int(w.inFlight.Load()) >= p.Slots:
 			outcome = routing.Full
 		case best == nil || w.inFlight.Load() < best.inFlight.Load():
@@ -144,7 +144,7 @@
 	var next *Worker
 	var shortest time.Duration
 	for _, w := range p.Workers {
-		wait := s.TurnIn(now, w.Address)
+		wait := s.PermitIn(now, w.Address)
 		if wait > 0 && s.Backoff.StateOf(now, w.Address).Remaining <= 0 && (next == nil || wait < shortest) {
 			next, shortest = w, wait
 		}
@@ -171,7 +171,7 @@
 func (s *Services) noteBackoff(now time.Time, address string, reply *Reply) {
 	requested, err := backoff.ParseRetryAfter(reply.Header, time.Now())
 	if err != nil || requested > 0 && s.Backoff.NoteRefusal(now, address, requested) {
-		s.Asked(address, requested, err)
+		s.BackoffRequested(address, requested, err)
 	}
 }
 
@@ -183,21 +183,21 @@
 	t := &Timing{Request: c.ID, Customer: c.Customer, Class: c.Class, Group: ident.Group(ServiceModel(c.Service))}
 	reply, err := d.serveClaimedCall(ctx, c, t)
 	t.Total = d.Now().Sub(started)
-	t.First = t.Total
+	t.FirstToken = t.Total
 	t.Err = err
 	d.Observe(t)
 	return reply, err
 }
 
 func (d *Dispatcher) serveClaimedCall(ctx context.Context, c *Call, t *Timing) (*Reply, error) {
-	if err := d.InForce(); err != nil {
+	if err := d.CheckConfig(); err != nil {
 		return nil, err
 	}
 	pool := d.Services.Pools[c.Service]
 	if pool == nil {
 		return nil, result.New(result.ServiceUnknown, "there is no service %q", c.Service)
 	}
-	if !c.Once {
+	if !c.AtMostOnce {
 		return d.serveAdmittedCall(ctx, c, pool, t)
 	}
 	var reply *Reply
@@ -227,7 +227,7 @@
 	started := d.Now()
 	var worker reservedWorker
 	var retryIn time.Duration
-	admissionRequest := &admission.Ask{
+	admissionRequest := &admission.Request{
 		Customer: c.Customer, Class: c.Class, Priority: c.Priority, Model: ServiceModel(c.Service), Deadline: c.Deadline,
 		Reserve: func(now time.Time) (outcome routing.Outcome) {
 			worker, outcome, retryIn = d.Services.reserve(now, pool, nil)
@@ -235,17 +235,17 @@
 		},
 		Free: func() time.Duration { return retryIn },
 	}
-	if err := d.Gate.Admit(ctx, admissionRequest); err != nil {
+	if err := d.Admission.Admit(ctx, admissionRequest); err != nil {
 		return nil, d.notSentError(ctx, err)
 	}
-	t.Wait = d.Now().Sub(started)
+	t.AdmissionWait = d.Now().Sub(started)
 	reply, err := d.sendCall(ctx, c, pool, worker, t)
 	var duration time.Duration
 	if err == nil {
-		duration = d.Now().Sub(started) - t.Wait
-		d.Budget.Earn()
+		duration = d.Now().Sub(started) - t.AdmissionWait
+		d.RetryBudget.AddAnswered()
 	}
-	d.Gate.Done(admissionRequest, duration, 0)
+	d.Admission.Finish(admissionRequest, duration, 0)
 	return reply, err
 }
 
@@ -272,25 +272,25 @@
 			worker = next
 			continue
 		}
-		t.Tries++
+		t.Attempts++
 		sentAt := d.Now()
 		reply, err := d.Services.Send(ctx, worker.Address, c)
 		d.Services.release(d.Now(), worker, reply, err)
 		if reply != nil {
-			d.HeardLimit(worker.Address, sentAt, reply.Status, reply.Header)
+			d.ApplyLimit(worker.Address, sentAt, reply.Status, reply.Header)
 		}
-		d.noteEvidence(c.fingerprint(), worker.Address, c.workerIncarnation(worker.Worker, t.Tries), err)
+		d.noteEvidence(c.fingerprint(), worker.Address, c.workerIncarnation(worker.Worker, t.Attempts), err)
 		if err == nil {
 			return reply, nil
 		}
 		err = d.contextError(ctx, err)
 		mayHaveRun = mayHaveRun || !NotRun(err)
-		if !d.mayRetryCall(ctx, c, err, t.Tries) {
+		if !d.mayRetryCall(ctx, c, err, t.Attempts) {
 			return nil, finalCallError(err, mayHaveRun)
 		}
 		next, outcome, retryIn := d.Services.reserve(d.Now(), pool, worker.Worker)
 		if outcome == routing.BackedOff && NotRun(err) {
-			err = admission.RefuseAway(retryIn, ServiceModel(c.Service))
+			err = admission.RefuseBackedOff(retryIn, ServiceModel(c.Service))
 		}
 		if outcome != routing.Chosen {
 			return nil, finalCallError(err, mayHaveRun)
@@ -309,7 +309,7 @@
 	case routing.Chosen:
 		return next, nil
 	case routing.BackedOff:
-		return reservedWorker{}, admission.RefuseAway(retryIn, ServiceModel(pool.Name))
+		return reservedWorker{}, admission.RefuseBackedOff(retryIn, ServiceModel(pool.Name))
 	}
 	return reservedWorker{}, admission.Refuse(result.Overloaded, max(permit.After, minRetryAfter), "all workers of %q are full or have no permit", pool.Name)
 }
@@ -321,7 +321,7 @@
 	if NotRun(err) {
 		return true
 	}
-	return c.Repeatable && d.Budget.Spend()
+	return c.Repeatable && d.RetryBudget.AllowRetry()
 }
 
 func finalCallError(err error, mayHaveRun bool) error {
--- a/estimate/estimate.go
+++ b/estimate/estimate.go
@@ -41,17 +41,17 @@
 
 // NewGroup returns the figures of groups of the model; slowdown multiplies all times and is 1 for a group at full speed.
 func NewGroup(engine *httproute.Engine, model *httproute.Model, slowdown float64) Group {
-	slowFactor := model.Pace * slowdown
-	stepsPerIteration := float64(max(1, engine.Stride))
+	slowFactor := model.TimeFactor * slowdown
+	stepsPerIteration := float64(max(1, engine.StepsPerIteration))
 	g := Group{
-		iterationBase: stepsPerIteration * float64(engine.Step) * slowFactor,
-		perSequence:   stepsPerIteration * float64(engine.PerSequence) * slowFactor,
+		iterationBase: stepsPerIteration * float64(engine.StepTime) * slowFactor,
+		perSequence:   stepsPerIteration * float64(engine.StepTimePerSequence) * slowFactor,
 		slots:         max(1, engine.Slots),
 	}
-	if engine.ReadRate > 0 {
-		g.perPromptToken = float64(time.Second) / engine.ReadRate * slowFactor
+	if engine.PrefillRate > 0 {
+		g.perPromptToken = float64(time.Second) / engine.PrefillRate * slowFactor
 	}
-	g.answerTime = float64(engine.Usual.Answer) / stepsPerIteration * g.iterationNanos(0, g.slots)
+	g.answerTime = float64(engine.TypicalSize.Answer) / stepsPerIteration * g.iterationNanos(0, g.slots)
 	return g
 }
 
--- a/estimate/estimate_test.go
+++ b/estimate/estimate_test.go
@@ -14,9 +14,9 @@
 // engine prefills 50 tokens per ms and runs 5 steps of 6 ms per iteration; each of at most 20 sequences adds 0.2 ms to a step.
 func engine() *httproute.Engine {
 	return &httproute.Engine{
-		Slots: 20, Step: 6 * time.Millisecond, PerSequence: 200 * time.Microsecond, ReadRate: 50_000, Stride: 5,
-		Models: []httproute.Model{{Name: "large", Size: 4, Pace: 1}, {Name: "small", Size: 2, Pace: 0.5}},
-		Usual:  httproute.Usual{Prompt: 1000, Answer: 100},
+		Slots: 20, StepTime: 6 * time.Millisecond, StepTimePerSequence: 200 * time.Microsecond, PrefillRate: 50_000, StepsPerIteration: 5,
+		Models:      []httproute.Model{{Name: "large", Size: 4, TimeFactor: 1}, {Name: "small", Size: 2, TimeFactor: 0.5}},
+		TypicalSize: httproute.RequestSize{Prompt: 1000, Answer: 100},
 	}
 }
 
@@ -75,7 +75,7 @@
 
 // An engine that publishes no times has no estimate.
 func TestEngineWithoutFigures(t *testing.T) {
-	testEngine := &httproute.Engine{Models: []httproute.Model{{Name: "m", Size: 1, Pace: 1}}}
+	testEngine := &httproute.Engine{Models: []httproute.Model{{Name: "m", Size: 1, TimeFactor: 1}}}
 	group := estimate.NewGroup(testEngine, &testEngine.Models[0], 1)
 	if diff := cmp.Diff(time.Duration(0), group.FirstEvent(estimate.Load{Requests: 3}, 100)); diff != "" {
 		t.Errorf("time to first event (-want +got):\n%s", diff)
--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -61,13 +61,13 @@
 	}
 }
 
-// Events returns the logger for changes of state and for errors.
-func (l *Log) Events() logr.Logger {
+// EventLogger returns the logger for changes of state and for errors.
+func (l *Log) EventLogger() logr.Logger {
 	return l.newLogger(queueLength)
 }
 
-// Requests returns the logger for lines on single requests.
-func (l *Log) Requests() logr.Logger {
+// RequestLogger returns the logger for lines on single requests.
+func (l *Log) RequestLogger() logr.Logger {
 	return l.newLogger(int(requestFraction * queueLength))
 }
 
--- a/eventlog/eventlog_test.go
+++ b/eventlog/eventlog_test.go
@@ -53,7 +53,7 @@
 		defer close(done)
 		log.Run(ctx)
 	}()
-	requests, events := log.Requests(), log.Events()
+	requests, events := log.RequestLogger(), log.EventLogger()
 	for i := range lineCount {
 		requests.Info("request", "id", i)
 	}
--- a/httproute/config.go
+++ b/httproute/config.go
@@ -48,11 +48,11 @@
 	// Aim is the target time to the complete answer; for streams, to the first event.
 	Aim time.Duration
 	// GapAim is the target time between two events of a stream.
-	GapAim   time.Duration
-	Priority int
-	Attempts int
-	// Homes are the regions whose upstreams may serve the requests; if empty, all regions.
-	Homes []ident.Region
+	GapAim      time.Duration
+	Priority    int
+	MaxAttempts int
+	// HomeRegions are the regions whose upstreams may serve the requests; if empty, all regions.
+	HomeRegions []ident.Region
 }
 
 // Share is one service of a route, with its weight in the choice of a service.
@@ -71,8 +71,8 @@
 	Name           ident.Service
 	HealthPath     string
 	MaxConnections int
-	// ColdRate is the maximum number of requests per second sent to a cold upstream, 0 for no limit.
-	ColdRate float64
+	// MaxColdRate is the maximum number of requests per second sent to a cold upstream, 0 for no limit.
+	MaxColdRate float64
 	// Engine is nil if the service has no model engines.
 	Engine *Engine
 }
@@ -83,30 +83,30 @@
 	Slots int
 	// Models are the models that replicas are formed for.
 	Models []Model
-	// Step is the time of one token step, without the time that each sequence adds.
-	Step time.Duration
-	// PerSequence is the time that each decoding sequence adds to a token step.
-	PerSequence time.Duration
-	// ReadRate is the number of prompt tokens prefilled per second.
-	ReadRate float64
-	// Stride is the number of token steps in one iteration of continuous batching.
-	Stride int
+	// StepTime is the time of one token step, without the time that each sequence adds.
+	StepTime time.Duration
+	// StepTimePerSequence is the time that each decoding sequence adds to a token step.
+	StepTimePerSequence time.Duration
+	// PrefillRate is the number of prompt tokens prefilled per second.
+	PrefillRate float64
+	// StepsPerIteration is the number of token steps in one iteration of continuous batching.
+	StepsPerIteration int
 	// LoadsPerSecond bounds how many loads of weights may start per second.
 	LoadsPerSecond float64
 	// ConcurrentLoads is how many loads of weights can run at full speed at the same time.
 	ConcurrentLoads int
 	// OpenTime is the time from the order to open a group to the group's first request.
 	OpenTime time.Duration
-	// FarFactor is how many times slower a group is if its members are in different domains.
-	FarFactor float64
-	// Usual is the mean size of requests.
-	Usual Usual
-	// Memory is how many tokens all requests of one replica may have together, 0 if unknown.
-	Memory ident.Tokens
+	// CrossDomainSlowdown is how many times slower a group is if its members are in different domains.
+	CrossDomainSlowdown float64
+	// TypicalSize is the mean size of requests.
+	TypicalSize RequestSize
+	// KVCapacity is how many tokens all requests of one replica may have together, 0 if unknown.
+	KVCapacity ident.Tokens
 }
 
-// Usual is the size of a request's prompt and answer in tokens.
-type Usual struct {
+// RequestSize is the size of a request's prompt and answer in tokens.
+type RequestSize struct {
 	Prompt ident.Tokens
 	Answer ident.Tokens
 }
@@ -116,14 +116,14 @@
 	Name ident.Model
 	// Size is the number of upstreams in one replica.
 	Size int
-	// Share is the fraction of the upstreams that the model gets until demand is known.
-	Share float64
-	// Pace multiplies all times of the engine.
-	Pace float64
-	// Load is the time to load the weights from the weight store.
-	Load time.Duration
-	// Warm is the time to load the weights from the host.
-	Warm time.Duration
+	// InitialShare is the fraction of the upstreams that the model gets until demand is known.
+	InitialShare float64
+	// TimeFactor multiplies all times of the engine.
+	TimeFactor float64
+	// LoadTime is the time to load the weights from the weight store.
+	LoadTime time.Duration
+	// WarmLoadTime is the time to load the weights from the host.
+	WarmLoadTime time.Duration
 }
 
 // Model returns the model of that name and whether it exists.
@@ -144,8 +144,8 @@
 	// Priority has a meaning only if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Homes restricts regions in the same way as that of a route, and in addition to it.
-	Homes []ident.Region
+	// HomeRegions restricts regions in the same way as that of a route, and in addition to it.
+	HomeRegions []ident.Region
 }
 
 // Limits bounds the size and time of requests and the idle time of connections; 0 means the default.
--- a/httproute/engine_load.go
+++ b/httproute/engine_load.go
@@ -25,23 +25,23 @@
 	slotFraction = 0.65
 )
 
-// Work returns the upstream time, in seconds, that requests with these total token counts need from groups of m under full load.
-func (e *Engine) Work(m *Model, prompt, answer ident.Tokens) float64 {
-	perRequest := float64(answer) * e.PerSequence.Seconds()
-	if e.ReadRate > 0 {
-		perRequest += float64(prompt) / e.ReadRate
+// UpstreamSeconds returns the upstream time, in seconds, that requests with these total token counts need from groups of m under full load.
+func (e *Engine) UpstreamSeconds(m *Model, prompt, answer ident.Tokens) float64 {
+	perRequest := float64(answer) * e.StepTimePerSequence.Seconds()
+	if e.PrefillRate > 0 {
+		perRequest += float64(prompt) / e.PrefillRate
 	}
-	sharedSteps := float64(answer) * e.Step.Seconds() / (slotFraction * float64(max(1, e.Slots)))
-	return float64(m.Size) * m.Pace * max(perRequest/perRequestFraction, perRequest+sharedSteps)
+	sharedSteps := float64(answer) * e.StepTime.Seconds() / (slotFraction * float64(max(1, e.Slots)))
+	return float64(m.Size) * m.TimeFactor * max(perRequest/perRequestFraction, perRequest+sharedSteps)
 }
 
-// FullPause returns the time between events of a stream at a group of m under full load. Longer gaps mean that the group is slow or
+// FullLoadEventGap returns the time between events of a stream at a group of m under full load. Longer gaps mean that the group is slow or
 // overloaded.
-func (e *Engine) FullPause(m *Model, crossDomain bool) time.Duration {
-	step := e.Step.Seconds() + e.PerSequence.Seconds()*slotFraction*float64(e.Slots)
-	gap := float64(max(1, e.Stride)) * step / (1 - perRequestFraction) * m.Pace
+func (e *Engine) FullLoadEventGap(m *Model, crossDomain bool) time.Duration {
+	step := e.StepTime.Seconds() + e.StepTimePerSequence.Seconds()*slotFraction*float64(e.Slots)
+	gap := float64(max(1, e.StepsPerIteration)) * step / (1 - perRequestFraction) * m.TimeFactor
 	if crossDomain {
-		gap *= max(1, e.FarFactor)
+		gap *= max(1, e.CrossDomainSlowdown)
 	}
 	return time.Duration(gap * float64(time.Second))
 }
--- a/ident/ident.go
+++ b/ident/ident.go
@@ -55,11 +55,11 @@
 // Tokens counts language model tokens.
 type Tokens int
 
-// Content is the hash of a request's path and body, which stays the same when a caller sends the request again.
-type Content uint64
+// ContentHash is the hash of a request's path and body, which stays the same when a caller sends the request again.
+type ContentHash uint64
 
 // String returns c as 16 hex digits.
-func (c Content) String() string {
+func (c ContentHash) String() string {
 	return fmt.Sprintf("%016x", uint64(c))
 }
 
--- a/inbound/server.go
+++ b/inbound/server.go
@@ -29,9 +29,9 @@
 
 // Bounds limits the size of a request's header, the time to receive the header, and the idle time of a connection; 0 means the default.
 type Bounds struct {
-	HeaderBytes int
-	HeaderTime  time.Duration
-	IdleTime    time.Duration
+	MaxHeaderBytes int
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
 // Server serves callers within bounds that can change. Exported fields may be set before use.
@@ -84,9 +84,9 @@
 			}
 			s.Handler.ServeHTTP(w, r)
 		}),
-		ReadHeaderTimeout:            orDefault(bounds.HeaderTime, defaultHeaderTimeout),
-		IdleTimeout:                  orDefault(bounds.IdleTime, defaultIdleTimeout),
-		MaxHeaderBytes:               orDefault(bounds.HeaderBytes, defaultMaxHeaderBytes),
+		ReadHeaderTimeout:            orDefault(bounds.HeaderTimeout, defaultHeaderTimeout),
+		IdleTimeout:                  orDefault(bounds.IdleTimeout, defaultIdleTimeout),
+		MaxHeaderBytes:               orDefault(bounds.MaxHeaderBytes, defaultMaxHeaderBytes),
 		DisableGeneralOptionsHandler: true,
 		ConnState: func(_ net.Conn, state http.ConnState) {
 			if state == http.StateClosed || state == http.StateHijacked {
--- a/inbound/server_test.go
+++ b/inbound/server_test.go
@@ -114,12 +114,12 @@
 		{"default", inbound.Bounds{}, 60 << 10, 4 * time.Second, true, 60 * time.Second},
 		{"default, too many bytes", inbound.Bounds{}, 80 << 10, 0, false, 0},
 		{"default, too slow", inbound.Bounds{}, 10, 6 * time.Second, false, 0},
-		{"more bytes", inbound.Bounds{HeaderBytes: 256 << 10}, 200 << 10, 0, true, 60 * time.Second},
-		{"fewer bytes", inbound.Bounds{HeaderBytes: 16 << 10}, 30 << 10, 0, false, 0},
-		{"more time", inbound.Bounds{HeaderTime: 20 * time.Second}, 10, 15 * time.Second, true, 60 * time.Second},
-		{"less time", inbound.Bounds{HeaderTime: 2 * time.Second}, 10, 3 * time.Second, false, 0},
-		{"longer idle time", inbound.Bounds{IdleTime: 5 * time.Minute}, 10, 0, true, 5 * time.Minute},
-		{"shorter idle time", inbound.Bounds{IdleTime: 3 * time.Second}, 10, 0, true, 3 * time.Second},
+		{"more bytes", inbound.Bounds{MaxHeaderBytes: 256 << 10}, 200 << 10, 0, true, 60 * time.Second},
+		{"fewer bytes", inbound.Bounds{MaxHeaderBytes: 16 << 10}, 30 << 10, 0, false, 0},
+		{"more time", inbound.Bounds{HeaderTimeout: 20 * time.Second}, 10, 15 * time.Second, true, 60 * time.Second},
+		{"less time", inbound.Bounds{HeaderTimeout: 2 * time.Second}, 10, 3 * time.Second, false, 0},
+		{"longer idle time", inbound.Bounds{IdleTimeout: 5 * time.Minute}, 10, 0, true, 5 * time.Minute},
+		{"shorter idle time", inbound.Bounds{IdleTimeout: 3 * time.Second}, 10, 0, true, 3 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -146,16 +146,16 @@
 // its next answer.
 func TestBoundsChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, ln := startServer(t, inbound.Bounds{IdleTime: 10 * time.Second})
+		s, ln := startServer(t, inbound.Bounds{IdleTimeout: 10 * time.Second})
 		oldConn := ln.dial(t)
 		if got := oldConn.request(10, 0); got != (reply{answered: true}) {
 			t.Fatalf("first answer: %+v, want one that keeps the connection open", got)
 		}
-		s.SetBounds(inbound.Bounds{IdleTime: 10 * time.Second})
+		s.SetBounds(inbound.Bounds{IdleTimeout: 10 * time.Second})
 		if got := oldConn.request(10, 0); got != (reply{answered: true}) {
 			t.Fatalf("answer after setting the same bounds again: %+v, want one that keeps the connection open", got)
 		}
-		s.SetBounds(inbound.Bounds{IdleTime: 100 * time.Second})
+		s.SetBounds(inbound.Bounds{IdleTimeout: 100 * time.Second})
 		if oldConn.closedWithin(5 * time.Second) {
 			t.Error("the change closed an idle connection")
 		}
@@ -194,7 +194,7 @@
 				answers <- caller.request(10, 0).answered
 			}()
 			synctest.Wait()
-			s.SetBounds(inbound.Bounds{IdleTime: time.Duration(n+1) * time.Second})
+			s.SetBounds(inbound.Bounds{IdleTimeout: time.Duration(n+1) * time.Second})
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
--- a/ledger/book.go
+++ b/ledger/book.go
@@ -10,14 +10,14 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// Book is one daemon's access to the ledger. Its exported fields are set before use.
-type Book struct {
+// Client is one daemon's access to the ledger. Its exported fields are set before use.
+type Client struct {
 	Daemon      ident.Daemon
 	Incarnation ident.Incarnation
 	// Retention is how long the ledger keeps a claim.
 	Retention time.Duration
-	// KeptBytes is the maximum size of an answer that is stored.
-	KeptBytes int
+	// MaxAnswerBytes is the maximum size of an answer that is stored.
+	MaxAnswerBytes int
 	// Now returns the wall-clock time, with which claims are dated.
 	Now func() time.Time
 	// Propose sends a command to the ledger's leader, and returns once it is committed and applied.
@@ -26,7 +26,7 @@
 
 // Claim is the exclusive right of this daemon to run the request with a key.
 type Claim struct {
-	book    *Book
+	book    *Client
 	key     Key
 	attempt string
 }
@@ -38,7 +38,7 @@
 )
 
 // Claim returns a claim if the request may run; otherwise it returns the stored answer, or an error with the reason.
-func (b *Book) Claim(ctx context.Context, key Key, digest Digest, deadline time.Time) (*Claim, []byte, error) {
+func (b *Client) Claim(ctx context.Context, key Key, digest Digest, deadline time.Time) (*Claim, []byte, error) {
 	c := &Claim{book: b, key: key, attempt: uuid.NewString()}
 	answer, err := b.propose(ctx, &Command{
 		Kind: KindClaim, Key: key, Digest: digest, At: b.Now().UnixMilli(), Deadline: deadline.UnixMilli(),
@@ -65,7 +65,7 @@
 }
 
 // propose repeats the command until it reaches a leader. Repeats are harmless, since Command.Attempt identifies them.
-func (b *Book) propose(ctx context.Context, c *Command) (Answer, error) {
+func (b *Client) propose(ctx context.Context, c *Command) (Answer, error) {
 	data, err := Encode(c)
 	if err != nil {
 		return Answer{}, result.Wrap(err, result.BadRequest, "claim cannot be encoded")
@@ -94,16 +94,16 @@
 	return err
 }
 
-// Done stores the answer; of an answer larger than KeptBytes only the fact that there was one.
-func (c *Claim) Done(answer []byte) error {
-	if len(answer) > c.book.KeptBytes {
+// StoreAnswer stores the answer; of an answer larger than MaxAnswerBytes only the fact that there was one.
+func (c *Claim) StoreAnswer(answer []byte) error {
+	if len(answer) > c.book.MaxAnswerBytes {
 		return c.proposeOutcome(KindOutcome, nil, true)
 	}
 	return c.proposeOutcome(KindOutcome, answer, false)
 }
 
-// Unknown records that the request may have run.
-func (c *Claim) Unknown() error {
+// MarkUnknown records that the request may have run.
+func (c *Claim) MarkUnknown() error {
 	return c.proposeOutcome(KindUnknown, nil, false)
 }
 
--- a/link/client.go
+++ b/link/client.go
@@ -28,8 +28,8 @@
 	Service string
 	// Dial opens a connection.
 	Dial transport.Dial
-	// Prepare is applied to each new connection, for example to run TLS over it; nil leaves the connection as it is.
-	Prepare func(ctx context.Context, conn net.Conn) (net.Conn, error)
+	// WrapConn is applied to each new connection, for example to run TLS over it; nil leaves the connection as it is.
+	WrapConn func(ctx context.Context, conn net.Conn) (net.Conn, error)
 
 	dialLock chan struct{}
 	mu       sync.Mutex
@@ -71,9 +71,9 @@
 	}
 }
 
-// DropUnheard closes the connection unless it was opened or received a reply at or after the given time. Calls in
+// CloseIfSilent closes the connection unless it was opened or received a reply at or after the given time. Calls in
 // progress on the connection fail.
-func (c *Client) DropUnheard(since time.Time) {
+func (c *Client) CloseIfSilent(since time.Time) {
 	c.mu.Lock()
 	conn, lastContact := c.conn, c.lastContact
 	c.mu.Unlock()
@@ -117,8 +117,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.Prepare != nil {
-		if conn, err = c.Prepare(ctx, conn); err != nil {
+	if c.WrapConn != nil {
+		if conn, err = c.WrapConn(ctx, conn); err != nil {
 			return nil, err
 		}
 	}
--- a/link/silent_conn_test.go
+++ b/link/silent_conn_test.go
@@ -49,12 +49,12 @@
 			t.Errorf("error %v, %d connections opened, want %d", err, opened, want)
 		}
 	}
-	c.DropUnheard(time.Now())
+	c.CloseIfSilent(time.Now())
 	callAndCount(1)
 	longAgo := time.Now().Add(-time.Hour)
-	c.DropUnheard(longAgo)
+	c.CloseIfSilent(longAgo)
 	callAndCount(1)
-	c.DropUnheard(time.Now().Add(time.Hour))
+	c.CloseIfSilent(time.Now().Add(time.Hour))
 	callAndCount(2)
 	callAndCount(2)
 }
--- a/measure/idle/site.go
+++ b/measure/idle/site.go
@@ -146,7 +146,7 @@
 	s.own = n - 1
 	for i := range s.own {
 		cfg := s.settings("entry-"+strconv.Itoa(i), controlCount+1+i)
-		e := site.NewEntry(&cfg, platform.Names(), s.dial)
+		e := site.NewEntry(&cfg, platform.HeaderNames(), s.dial)
 		e.DecodeConfig = s.decode
 		e.ReadyHandler = func(func() bool) http.Handler { return http.NotFoundHandler() }
 		e.LoadSettings = func() (*settings.Site, error) { return &cfg, nil }
@@ -188,7 +188,7 @@
 	for i := range routeCount {
 		cfg.Routes = append(cfg.Routes, httproute.Route{
 			Name: ident.Class("r" + strconv.Itoa(i)), Host: "h", Prefix: fmt.Sprintf("/%d/", i), Kind: httproute.KindSafe, Timeout: time.Second,
-			Attempts: 1, Split: []httproute.Share{{Service: "s", Weight: 1}},
+			MaxAttempts: 1, Split: []httproute.Share{{Service: "s", Weight: 1}},
 		})
 	}
 	body := platform.EncodeConfig(cfg, map[ident.Customer][]string{"customer": {"key"}})
@@ -205,7 +205,7 @@
 func (s *idleSite) offer(body []byte) error {
 	ctx, cancel := context.WithTimeout(s.ctx, 3*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.calls[0]+platform.PutPath, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.calls[0]+platform.ReplaceConfigPath, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
--- a/measure/slopes/series.go
+++ b/measure/slopes/series.go
@@ -451,13 +451,13 @@
 }
 
 func shareTime(n float64, period time.Duration) float64 {
-	a := admission.NewAllotment(time.Second)
-	a.Period = period
+	a := admission.NewShareAllocator(time.Second)
+	a.DivisionPeriod = period
 	var live []ident.Daemon
 	for i := range int(n) {
 		name := ident.Daemon(fmt.Sprint("entry-", i))
 		live = append(live, name)
-		a.Report(name, []admission.Demand{{Customer: "c", Concurrent: i % 20, Requests: i % 50}})
+		a.SetDemands(name, []admission.Demand{{Customer: "c", Concurrent: i % 20, Requests: i % 50}})
 	}
 	limit := admission.Limit{Concurrent: 2000, RequestsPerSecond: 1000}
 	next := 0
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -42,8 +42,8 @@
 	return &opts
 }
 
-// HTTP returns an HTTP server that serves the metrics on every path.
-func (m *Meter) HTTP() *http.Server {
+// NewServer returns an HTTP server that serves the metrics on every path.
+func (m *Meter) NewServer() *http.Server {
 	return &http.Server{Handler: m.reporter.HTTPHandler(), ReadHeaderTimeout: readHeaderTimeout}
 }
 
@@ -52,7 +52,7 @@
 	return m.closer.Close()
 }
 
-// Durations returns histogram buckets for durations from 1 ms to about 9 minutes.
-func Durations() tally.Buckets {
+// DurationBuckets returns histogram buckets for durations from 1 ms to about 9 minutes.
+func DurationBuckets() tally.Buckets {
 	return tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, bucketCount)
 }
--- a/peer/client.go
+++ b/peer/client.go
@@ -80,7 +80,7 @@
 			return
 		case m := <-c.deliverQueue:
 			call := &DeliverCall{Messages: c.collectBatch(m)}
-			_ = c.call(ctx, deliverTimeout, "Deliver", call, &Nothing{})
+			_ = c.call(ctx, deliverTimeout, "Deliver", call, &Empty{})
 		}
 	}
 }
@@ -118,7 +118,7 @@
 
 // Hello requests a control member's description.
 func (c *Client) Hello(ctx context.Context, timeout time.Duration) (reply HelloReply, err error) {
-	err = c.call(ctx, timeout, "Hello", &Nothing{}, &reply)
+	err = c.call(ctx, timeout, "Hello", &Empty{}, &reply)
 	return reply, err
 }
 
@@ -138,7 +138,7 @@
 func (c *Client) call(ctx context.Context, timeout time.Duration, method string, args, reply any) error {
 	c.setup.Do(func() {
 		c.link.Dial = c.Dial
-		c.link.Prepare = c.wrapConn
+		c.link.WrapConn = c.wrapConn
 	})
 	return c.link.Call(ctx, timeout, method, args, reply)
 }
@@ -186,8 +186,8 @@
 	return n, err
 }
 
-// TLS returns the configuration for mutual TLS from PEM files, or nil if cfg is nil.
-func TLS(cfg *settings.TLS) (*tls.Config, error) {
+// TLSConfig returns the configuration for mutual TLS from PEM files, or nil if cfg is nil.
+func TLSConfig(cfg *settings.TLS) (*tls.Config, error) {
 	if cfg == nil {
 		return nil, nil
 	}
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -115,8 +115,8 @@
 	Text string
 }
 
-// Nothing is the argument or reply of a call without one.
-type Nothing struct{}
+// Empty is the argument or reply of a call without one.
+type Empty struct{}
 
 // DeliverCall carries messages of the replicated logs, of any instance.
 type DeliverCall struct {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tlsConfig, err := peer.TLS(cfg)
+	tlsConfig, err := peer.TLSConfig(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 func newTestClient(t *testing.T, address string, cfg *settings.TLS) *peer.Client {
 	t.Helper()
 	c := peer.NewClient(address)
-	tlsConfig, err := peer.TLS(cfg)
+	tlsConfig, err := peer.TLSConfig(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -217,7 +217,7 @@
 			t.Errorf("%s: %v, want code %d", c.name, err, c.code)
 		}
 	}
-	if _, err := peer.TLS(&settings.TLS{Certificate: "none", Key: "none", Authority: "none"}); result.CodeOf(err) != result.SettingsValue {
+	if _, err := peer.TLSConfig(&settings.TLS{Certificate: "none", Key: "none", Authority: "none"}); result.CodeOf(err) != result.SettingsValue {
 		t.Errorf("missing files: error %v, want code settings-value", err)
 	}
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -29,7 +29,7 @@
 }
 
 // Deliver receives messages of the replicated logs.
-func (s *Service) Deliver(call *DeliverCall, _ *Nothing) error {
+func (s *Service) Deliver(call *DeliverCall, _ *Empty) error {
 	s.handlers.Deliver(call)
 	return nil
 }
@@ -53,7 +53,7 @@
 }
 
 // Hello describes this control member.
-func (s *Service) Hello(_ *Nothing, reply *HelloReply) (err error) {
+func (s *Service) Hello(_ *Empty, reply *HelloReply) (err error) {
 	*reply, err = s.handlers.Hello()
 	return err
 }
--- a/quarantine/list_test.go
+++ b/quarantine/list_test.go
@@ -149,7 +149,7 @@
 		list.Crashed(startTime, testFingerprint, crashID(n))
 	}
 	for n := range 50_000 {
-		list.Crashed(startTime.Add(time.Duration(n)*time.Millisecond), quarantine.Fingerprint{Content: ident.Content(1000 + n)}, crashID(n))
+		list.Crashed(startTime.Add(time.Duration(n)*time.Millisecond), quarantine.Fingerprint{Content: ident.ContentHash(1000 + n)}, crashID(n))
 	}
 	if list.Len() > list.Rule.MaxRecords {
 		t.Errorf("%d records, want %d at most", list.Len(), list.Rule.MaxRecords)
@@ -186,7 +186,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var reports []quarantine.Report
 		for range rapid.IntRange(1, 12).Draw(t, "reports") {
-			r := quarantine.Report{Customer: "office", Content: ident.Content(rapid.IntRange(0, 1).Draw(t, "content"))}
+			r := quarantine.Report{Customer: "office", Content: ident.ContentHash(rapid.IntRange(0, 1).Draw(t, "content"))}
 			r.Cleared = uint32(rapid.IntRange(0, 2).Draw(t, "cleared"))
 			for range rapid.IntRange(1, 4).Draw(t, "ends") {
 				r.Ends = append(r.Ends, crashID(rapid.IntRange(0, 20).Draw(t, "end")))
@@ -223,11 +223,11 @@
 func BenchmarkRemaining(b *testing.B) {
 	list := newList()
 	for n := range list.Rule.MaxRecords {
-		list.Crashed(startTime, quarantine.Fingerprint{Customer: "office", Content: ident.Content(n)}, crashID(n))
+		list.Crashed(startTime, quarantine.Fingerprint{Customer: "office", Content: ident.ContentHash(n)}, crashID(n))
 	}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		list.Remaining(startTime, quarantine.Fingerprint{Customer: "office", Content: ident.Content(n % 10_000)})
+		list.Remaining(startTime, quarantine.Fingerprint{Customer: "office", Content: ident.ContentHash(n % 10_000)})
 	}
 }
 
@@ -235,7 +235,7 @@
 func BenchmarkDigest(b *testing.B) {
 	list := newList()
 	for n := range list.Rule.MaxRecords {
-		list.Crashed(startTime, quarantine.Fingerprint{Customer: "office", Content: ident.Content(n)}, crashID(n))
+		list.Crashed(startTime, quarantine.Fingerprint{Customer: "office", Content: ident.ContentHash(n)}, crashID(n))
 	}
 	for n := 0; b.Loop(); n++ {
 		list.Crashed(startTime, testFingerprint, crashID(n))
--- a/quarantine/work.go
+++ b/quarantine/work.go
@@ -12,17 +12,17 @@
 // Fingerprint identifies a request that is sent again under another id, by customer and content.
 type Fingerprint struct {
 	Customer ident.Customer
-	Content  ident.Content
+	Content  ident.ContentHash
 }
 
 // ContentOf returns the digest of a path with query and a body.
-func ContentOf(path string, body []byte) ident.Content {
+func ContentOf(path string, body []byte) ident.ContentHash {
 	var digest xxhash.Digest
 	digest.Reset()
 	_, _ = digest.WriteString(path) // a hash accepts everything
 	_, _ = digest.Write([]byte{0})
 	_, _ = digest.Write(body)
-	return ident.Content(digest.Sum64())
+	return ident.ContentHash(digest.Sum64())
 }
 
 // CrashID identifies a crash by a digest of the incarnation that crashed.
@@ -36,8 +36,8 @@
 // Report is what is known of one fingerprint, as sent to other processes. Of two reports the one with the higher Cleared counts; with
 // equal ones the crashes are united, so the order and repetition of reports do not matter.
 type Report struct {
-	Customer ident.Customer `cbor:"1,keyasint,omitempty"`
-	Content  ident.Content  `cbor:"2,keyasint"`
+	Customer ident.Customer    `cbor:"1,keyasint,omitempty"`
+	Content  ident.ContentHash `cbor:"2,keyasint"`
 	// Cleared is how often a complete answer has cleared crashes; earlier crashes do not count.
 	Cleared uint32 `cbor:"3,keyasint,omitempty"`
 	// Ends are the crashes, in ascending order.
--- a/relay/capacity_test.go
+++ b/relay/capacity_test.go
@@ -36,7 +36,7 @@
 	}))
 	s = newTestEntry(t, nil, []*upstream{u})
 	cfg := timedConfig()
-	cfg.Routes[2].Attempts = 1
+	cfg.Routes[2].MaxAttempts = 1
 	s.relay.SetConfig(cfg)
 	var skipped atomic.Int64
 	s.relay.Now = func() time.Time { return time.Now().Add(time.Duration(skipped.Load())) }
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -252,7 +252,7 @@
 
 // regionAllowed reports whether the homes of the route and of the customer include the region of a target.
 func (x *exchange) regionAllowed(t *target) bool {
-	return homesInclude(x.route.Homes, x.s.Regions[t.hall]) && (x.customer == nil || homesInclude(x.customer.Homes, x.s.Regions[t.hall]))
+	return homesInclude(x.route.HomeRegions, x.s.Regions[t.hall]) && (x.customer == nil || homesInclude(x.customer.HomeRegions, x.s.Regions[t.hall]))
 }
 
 // homesInclude reports whether a region is among the homes; without homes every region is.
@@ -334,8 +334,8 @@
 
 // groupSlowdown is how many times slower a group is that spans domains or has a slow member.
 func groupSlowdown(s *httproute.Service) float64 {
-	if s.Engine != nil && s.Engine.FarFactor > 0 {
-		return s.Engine.FarFactor
+	if s.Engine != nil && s.Engine.CrossDomainSlowdown > 0 {
+		return s.Engine.CrossDomainSlowdown
 	}
 	return crossDomainSlowdown
 }
--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -106,7 +106,7 @@
 func crashConfig() *httproute.Config {
 	cfg := timedConfig()
 	e := cfg.Services[1].Engine
-	e.Slots, e.Usual = excessSlots, httproute.Usual{Prompt: 800, Answer: floodEvents * 5}
+	e.Slots, e.TypicalSize = excessSlots, httproute.RequestSize{Prompt: 800, Answer: floodEvents * 5}
 	cfg.Routes = []httproute.Route{newRoute("stream", httproute.KindStream, "model", 2), newRoute("once", httproute.KindStream, "model", 1)}
 	cfg.Routes[1].Resumable = false
 	for i := range cfg.Routes {
--- a/relay/demand_test.go
+++ b/relay/demand_test.go
@@ -28,7 +28,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s := newTestEntry(t, nil, nil)
 			cfg := config()
-			cfg.Services[1].Engine.Usual.Answer = 116
+			cfg.Services[1].Engine.TypicalSize.Answer = 116
 			s.relay.SetConfig(cfg)
 			r := s.request("POST", "/stream/x", "1", "")
 			r.Header.Set("Tokens", tt.tokens)
--- a/relay/drain_test.go
+++ b/relay/drain_test.go
@@ -119,7 +119,7 @@
 					cluster := newCluster(entries, limitHeads)
 					cfg := config()
 					for i := range cfg.Services {
-						cfg.Services[i].ColdRate = coldRate
+						cfg.Services[i].MaxColdRate = coldRate
 					}
 					for _, s := range cluster.entries {
 						s.relay.SetConfig(cfg)
@@ -162,7 +162,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSignalEntry(2)
 		cfg := config()
-		cfg.Services[0].ColdRate = 5
+		cfg.Services[0].MaxColdRate = 5
 		s.relay.SetConfig(cfg)
 		s.placeUpstreams()
 		s.relay.SetDrained([]ident.Hall{"a"})
@@ -201,9 +201,9 @@
 					s := newSignalEntry(2)
 					cfg := config()
 					for i := range cfg.Routes {
-						cfg.Routes[i].Homes = tt.route
+						cfg.Routes[i].HomeRegions = tt.route
 					}
-					cfg.Customers[0].Homes = tt.customer
+					cfg.Customers[0].HomeRegions = tt.customer
 					s.relay.Regions = map[ident.Hall]ident.Region{"a": "east", "b": "west"}
 					s.relay.SetConfig(cfg)
 					s.placeUpstreams()
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -32,7 +32,7 @@
 	// when the caller disconnects.
 	bodyTimedOut bool
 	// content is the digest of path and body.
-	content   ident.Content
+	content   ident.ContentHash
 	requestID string
 	// promptTokens is the size of the prompt, answerTokens the expected size of the answer.
 	promptTokens ident.Tokens
@@ -237,14 +237,14 @@
 func (x *exchange) tokenCounts() (prompt, answer ident.Tokens) {
 	promptText, maxAnswerText, _ := strings.Cut(x.r.Header.Get(x.s.Headers.Tokens), ",")
 	capacity := ident.Tokens(maxClaimedTokens)
-	if x.service.Engine.Memory > 0 {
-		capacity = x.service.Engine.Memory
+	if x.service.Engine.KVCapacity > 0 {
+		capacity = x.service.Engine.KVCapacity
 	}
 	prompt, _ = parseTokenCount(promptText, capacity)
 	maxAnswer, hasMax := parseTokenCount(maxAnswerText, capacity)
 	answer, hasEstimate := parseTokenCount(x.r.Header.Get(x.s.Headers.AnswerEstimate), capacity)
 	if !hasEstimate {
-		answer = x.service.Engine.Usual.Answer
+		answer = x.service.Engine.TypicalSize.Answer
 	}
 	if hasMax {
 		answer = min(answer, maxAnswer)
@@ -272,7 +272,7 @@
 	if !numbered || x.service.Engine == nil {
 		return x.promptTokens
 	}
-	return x.promptTokens + ident.Tokens(min(receivedEvents, maxClaimedEvents)*int64(max(1, x.service.Engine.Stride)))
+	return x.promptTokens + ident.Tokens(min(receivedEvents, maxClaimedEvents)*int64(max(1, x.service.Engine.StepsPerIteration)))
 }
 
 // maxClaimedEvents bounds the events that a caller can claim to have received, since the sum is sent to other entries. Engines refuse
--- a/relay/flood_test.go
+++ b/relay/flood_test.go
@@ -269,7 +269,7 @@
 		engines := map[string]*iterationEngine{}
 		cfg := timedConfig()
 		cfg.Services[1].Engine.Slots = 26
-		cfg.Services[1].Engine.PerSequence = 200 * time.Microsecond
+		cfg.Services[1].Engine.StepTimePerSequence = 200 * time.Microsecond
 		cfg.Routes = []httproute.Route{newRoute("stream", httproute.KindStream, "model", 1)}
 		cfg.Routes[0].Aim = 400 * time.Millisecond
 		for i := range floodGroups {
--- a/relay/overload_test.go
+++ b/relay/overload_test.go
@@ -121,8 +121,8 @@
 		engines := map[string]*iterationEngine{}
 		cfg := timedConfig()
 		cfg.Services[1].Engine.Slots = excessSlots
-		cfg.Services[1].Engine.PerSequence = 200 * time.Microsecond
-		cfg.Services[1].Engine.Usual = httproute.Usual{Prompt: 1400, Answer: floodEvents * 5}
+		cfg.Services[1].Engine.StepTimePerSequence = 200 * time.Microsecond
+		cfg.Services[1].Engine.TypicalSize = httproute.RequestSize{Prompt: 1400, Answer: floodEvents * 5}
 		cfg.Routes = []httproute.Route{newRoute("stream", httproute.KindStream, "model", 1)}
 		cfg.Routes[0].Aim = excessAim
 		cfg.Routes[0].Timeout = excessCallerTimeout
--- a/relay/pending_test.go
+++ b/relay/pending_test.go
@@ -19,7 +19,7 @@
 func timedConfig() *httproute.Config {
 	cfg := config()
 	e := cfg.Services[1].Engine
-	e.Step, e.PerSequence, e.Stride, e.ReadRate = 6*time.Millisecond, 200*time.Microsecond, 5, 50_000
+	e.StepTime, e.StepTimePerSequence, e.StepsPerIteration, e.PrefillRate = 6*time.Millisecond, 200*time.Microsecond, 5, 50_000
 	return cfg
 }
 
@@ -44,7 +44,7 @@
 	s := newTestEntry(t, nil, heads)
 	// A single attempt, so that held requests are not moved.
 	cfg := timedConfig()
-	cfg.Routes[2].Attempts = 1
+	cfg.Routes[2].MaxAttempts = 1
 	s.relay.SetConfig(cfg)
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -70,7 +70,7 @@
 	heads, arrived, release := holdingHeads(t, 2)
 	s := newTestEntry(t, nil, heads)
 	cfg := timedConfig()
-	cfg.Routes[2].Attempts = 1
+	cfg.Routes[2].MaxAttempts = 1
 	s.relay.SetConfig(cfg)
 	var sentUpdates []relay.EntryUpdate
 	s.relay.SendUpdate = func(n relay.EntryUpdate, _ []string) { sentUpdates = append(sentUpdates, n) }
@@ -105,7 +105,7 @@
 	heads, arrived, release := holdingHeads(t, 1)
 	s := newTestEntry(t, nil, heads)
 	cfg := timedConfig()
-	cfg.Services[1].Engine.Usual = httproute.Usual{Prompt: 100, Answer: 100}
+	cfg.Services[1].Engine.TypicalSize = httproute.RequestSize{Prompt: 100, Answer: 100}
 	cfg.Services[1].Engine.Slots = 40
 	s.relay.SetConfig(cfg)
 	now := time.Now()
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -387,7 +387,7 @@
 	Customer ident.Customer
 	Model    ident.Model
 	// Content is the digest of the request's path and body.
-	Content   ident.Content
+	Content   ident.ContentHash
 	Code      result.Code
 	Status    int
 	ErrorText string
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -36,7 +36,7 @@
 	return httproute.Route{
 		Name: name, Host: "h", Prefix: "/" + string(name) + "/", Kind: kind, Resumable: kind == httproute.KindStream,
 		Split:   []httproute.Share{{Service: service, Weight: 1}},
-		Timeout: 5 * time.Second, Aim: 2 * time.Second, GapAim: 200 * time.Millisecond, Attempts: attempts,
+		Timeout: 5 * time.Second, Aim: 2 * time.Second, GapAim: 200 * time.Millisecond, MaxAttempts: attempts,
 	}
 }
 
@@ -50,7 +50,7 @@
 		},
 		Services: []httproute.Service{
 			{Name: "plain"},
-			{Name: "model", Engine: &httproute.Engine{Slots: 4, Models: []httproute.Model{{Name: "m", Size: 1, Pace: 1}}}},
+			{Name: "model", Engine: &httproute.Engine{Slots: 4, Models: []httproute.Model{{Name: "m", Size: 1, TimeFactor: 1}}}},
 		},
 		Customers: []httproute.Customer{{Name: "office", KeyHashes: []string{keys.Hash("secret")}}},
 	}
--- a/relay/run.go
+++ b/relay/run.go
@@ -86,7 +86,7 @@
 	case outcomeNotRun:
 		return x.sendCount < maxSends
 	}
-	return x.route.Repeatable() && x.runCount < x.route.Attempts && x.sendCount < maxSends
+	return x.route.Repeatable() && x.runCount < x.route.MaxAttempts && x.sendCount < maxSends
 }
 
 // expiredError returns the error of a request whose deadline has passed.
--- a/relay/start.go
+++ b/relay/start.go
@@ -96,7 +96,7 @@
 	if groups == 0 {
 		return 0
 	}
-	seconds := x.service.Engine.Work(m, x.promptTokens, x.answerTokens) / float64(m.Size) / float64(groups) / heldThroughputShare
+	seconds := x.service.Engine.UpstreamSeconds(m, x.promptTokens, x.answerTokens) / float64(m.Size) / float64(groups) / heldThroughputShare
 	return time.Duration(seconds * float64(x.s.Budget.Entries()) * float64(time.Second))
 }
 
--- a/relay/start_test.go
+++ b/relay/start_test.go
@@ -93,7 +93,7 @@
 		cfg := config()
 		// A prompt of 1000 tokens is prefilled in 15 ms, which counts as 25 ms of engine time; with eight entries and two groups a slot
 		// is held for 100 ms.
-		cfg.Services[1].Engine.ReadRate = 1000 / 0.015
+		cfg.Services[1].Engine.PrefillRate = 1000 / 0.015
 		s.SetConfig(cfg)
 		d := roster.Delta{Full: true, Revision: 1}
 		for _, id := range []ident.Incarnation{"a", "b"} {
--- a/relay/subset_test.go
+++ b/relay/subset_test.go
@@ -19,7 +19,7 @@
 	heads, arrived, release := holdingHeads(t, 8)
 	s = newTestEntry(t, nil, heads)
 	cfg := timedConfig()
-	cfg.Routes[2].Attempts = 1
+	cfg.Routes[2].MaxAttempts = 1
 	s.relay.SetConfig(cfg)
 	entries := []string{"self"}
 	for i := range 99 {
--- a/relay/suspect_test.go
+++ b/relay/suspect_test.go
@@ -136,8 +136,8 @@
 		}
 		cfg := timedConfig()
 		cfg.Services[1].Engine.Slots = excessSlots
-		cfg.Services[1].Engine.PerSequence = 200 * time.Microsecond
-		cfg.Services[1].Engine.Usual = httproute.Usual{Prompt: 800, Answer: floodEvents * 5}
+		cfg.Services[1].Engine.StepTimePerSequence = 200 * time.Microsecond
+		cfg.Services[1].Engine.TypicalSize = httproute.RequestSize{Prompt: 800, Answer: floodEvents * 5}
 		cfg.Routes = []httproute.Route{newRoute("stream", httproute.KindStream, "model", 2)}
 		cfg.Routes[0].Aim = stallFirstEventAim
 		cfg.Routes[0].GapAim = stallGapAim
--- a/relay/target_index.go
+++ b/relay/target_index.go
@@ -138,7 +138,7 @@
 	if service == nil {
 		return 0
 	}
-	return ratelimit.Rate(coldRateFraction * service.ColdRate)
+	return ratelimit.Rate(coldRateFraction * service.MaxColdRate)
 }
 
 func hasEngine(table *httproute.Table, name ident.Service) bool {
@@ -199,7 +199,7 @@
 // typicalPromptOf returns the mean prompt size of the group's service.
 func typicalPromptOf(table *httproute.Table, group *roster.Group) ident.Tokens {
 	if service := table.Service(group.Service); service != nil && service.Engine != nil {
-		return service.Engine.Usual.Prompt
+		return service.Engine.TypicalSize.Prompt
 	}
 	return 0
 }
@@ -213,10 +213,10 @@
 		return crossDomainSlots
 	}
 	model, ok := service.Engine.Model(group.Model)
-	if !ok || model.Pace <= 0 {
+	if !ok || model.TimeFactor <= 0 {
 		return crossDomainSlots
 	}
-	return int(crossDomainSlots / model.Pace)
+	return int(crossDomainSlots / model.TimeFactor)
 }
 
 func sortTargets(targets []target) {
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -53,7 +53,7 @@
 	if err := f.conn.SetDeadline(time.Now().Add(f.x.timeLeft())); err != nil {
 		f.interrupt()
 	}
-	if f.x.route.Repeatable() && f.x.runCount+1 < f.x.route.Attempts {
+	if f.x.route.Repeatable() && f.x.runCount+1 < f.x.route.MaxAttempts {
 		// The timer may fire before it is stored.
 		f.x.s.mu.Lock()
 		defer f.x.s.mu.Unlock()
--- a/replicaset/begin.go
+++ b/replicaset/begin.go
@@ -225,7 +225,7 @@
 // loadTimeout is how long a load may take before it is treated as failed.
 func (f *Formation) loadTimeout(model ident.Model) time.Duration {
 	if m, ok := f.engine.Model(model); ok {
-		return loadTimeoutFactor*m.Load + loadTimeoutSlack
+		return loadTimeoutFactor*m.LoadTime + loadTimeoutSlack
 	}
 	return loadTimeoutSlack
 }
--- a/replicaset/demand.go
+++ b/replicaset/demand.go
@@ -40,13 +40,13 @@
 	shares := map[ident.Model]float64{}
 	sum := 0.0
 	for i := range input.Engine.Models {
-		sum += input.Engine.Models[i].Share
+		sum += input.Engine.Models[i].InitialShare
 	}
 	for i := range input.Engine.Models {
 		m := &input.Engine.Models[i]
 		shares[m.Name] = 1 / float64(len(input.Engine.Models))
 		if sum > 0 {
-			shares[m.Name] = m.Share / sum
+			shares[m.Name] = m.InitialShare / sum
 		}
 	}
 	return shares
@@ -140,7 +140,7 @@
 
 // crossDomainCapacity is the capacity of a group across domains without slow members.
 func (p *plan) crossDomainCapacity() float64 {
-	return 1 / max(1, p.Engine.FarFactor)
+	return 1 / max(1, p.Engine.CrossDomainSlowdown)
 }
 
 // degraded reports whether a group spans domains or has a slow member, and should be replaced by a group of the same model that does
--- a/replicaset/formation_test.go
+++ b/replicaset/formation_test.go
@@ -419,7 +419,7 @@
 		f.lateFraction = 0.15
 		f.lostFraction = 0.05
 		for i := range f.config.Models {
-			f.config.Models[i].Warm = time.Duration(f.random.Int64N(int64(2 * time.Second)))
+			f.config.Models[i].WarmLoadTime = time.Duration(f.random.Int64N(int64(2 * time.Second)))
 		}
 		f.run(12*time.Second, nil)
 		// The demand leaves spares, uses all upstreams, or requires more than there are.
--- a/replicaset/fuzz_test.go
+++ b/replicaset/fuzz_test.go
@@ -20,11 +20,11 @@
 	f.Add(1<<62, 1<<62, 2, 1, 1e-300, 1e300, 1e300, int64(1), int64(-1), 1e-300, 1<<62, 1e300, 1e300, -1e300)
 	f.Fuzz(func(_ *testing.T, slots, stride, size, otherSize int, share, otherShare, pace float64, load, warm int64, readRate float64, concurrentLoads int, loadsPerSecond, crossDomainSlowdown, demand float64) {
 		engine := &httproute.Engine{
-			Slots: slots, Stride: max(1, stride), Step: 6 * time.Millisecond, PerSequence: time.Millisecond, ReadRate: readRate, LoadsPerSecond: loadsPerSecond,
-			ConcurrentLoads: concurrentLoads, OpenTime: time.Duration(warm), FarFactor: crossDomainSlowdown,
+			Slots: slots, StepsPerIteration: max(1, stride), StepTime: 6 * time.Millisecond, StepTimePerSequence: time.Millisecond, PrefillRate: readRate, LoadsPerSecond: loadsPerSecond,
+			ConcurrentLoads: concurrentLoads, OpenTime: time.Duration(warm), CrossDomainSlowdown: crossDomainSlowdown,
 			Models: []httproute.Model{
-				{Name: "a", Size: max(1, size), Share: share, Pace: pace, Load: time.Duration(load), Warm: time.Duration(warm)},
-				{Name: "b", Size: max(1, otherSize), Share: otherShare, Pace: pace, Load: time.Duration(load), Warm: time.Duration(warm)},
+				{Name: "a", Size: max(1, size), InitialShare: share, TimeFactor: pace, LoadTime: time.Duration(load), WarmLoadTime: time.Duration(warm)},
+				{Name: "b", Size: max(1, otherSize), InitialShare: otherShare, TimeFactor: pace, LoadTime: time.Duration(load), WarmLoadTime: time.Duration(warm)},
 			},
 		}
 		formation := replicaset.NewFormation()
--- a/replicaset/plan.go
+++ b/replicaset/plan.go
@@ -423,7 +423,7 @@
 	case c.LastModel == m.Name:
 		return rejoinTime
 	case roster.HasModel(c.Staged, m.Name):
-		return m.Warm
+		return m.WarmLoadTime
 	}
-	return m.Load
+	return m.LoadTime
 }
--- a/replicaset/plan_test.go
+++ b/replicaset/plan_test.go
@@ -227,7 +227,7 @@
 		for _, warm := range []time.Duration{0, 100 * time.Millisecond, time.Minute} {
 			engine := engineConfig()
 			for i := range engine.Models {
-				engine.Models[i].Warm = warm
+				engine.Models[i].WarmLoadTime = warm
 			}
 			d := replicaset.Plan(&replicaset.PlanInput{Engine: engine, Free: c.free, Groups: c.groups, Demand: demandFor(1, 1), Usable: 48})
 			if diff := cmp.Diff(c.want, decisionText(&d)); diff != "" {
--- a/replicaset/simulation_test.go
+++ b/replicaset/simulation_test.go
@@ -137,10 +137,10 @@
 
 func engineConfig() *httproute.Engine {
 	return &httproute.Engine{
-		Slots: 26, Stride: 5, LoadsPerSecond: 4, ConcurrentLoads: 6, OpenTime: 300 * time.Millisecond, FarFactor: 3,
+		Slots: 26, StepsPerIteration: 5, LoadsPerSecond: 4, ConcurrentLoads: 6, OpenTime: 300 * time.Millisecond, CrossDomainSlowdown: 3,
 		Models: []httproute.Model{
-			{Name: "large", Size: 4, Share: 0.67, Pace: 1, Load: 16 * time.Second, Warm: 1600 * time.Millisecond},
-			{Name: "small", Size: 2, Share: 0.33, Pace: 0.6, Load: 12 * time.Second, Warm: 1100 * time.Millisecond},
+			{Name: "large", Size: 4, InitialShare: 0.67, TimeFactor: 1, LoadTime: 16 * time.Second, WarmLoadTime: 1600 * time.Millisecond},
+			{Name: "small", Size: 2, InitialShare: 0.33, TimeFactor: 0.6, LoadTime: 12 * time.Second, WarmLoadTime: 1100 * time.Millisecond},
 		},
 	}
 }
@@ -355,7 +355,7 @@
 	case e.lastModel == o.Model:
 		joinTime = 200 * time.Millisecond
 	case e.stagedModel == o.Model:
-		joinTime = m.Warm
+		joinTime = m.WarmLoadTime
 	}
 	e.readyAt = f.now.Add(joinTime)
 	e.reportDue = true
@@ -388,9 +388,9 @@
 // loadTime is how long a load from the store takes: a tenth before the first request.
 func (f *fleet) loadTime(m *httproute.Model) time.Duration {
 	if f.now.Sub(f.startedAt) < 10*time.Second {
-		return m.Load / 10
+		return m.LoadTime / 10
 	}
-	return m.Load
+	return m.LoadTime
 }
 
 func (f *fleet) open(e *engine) replicaset.Outcome {
--- a/service/client_test.go
+++ b/service/client_test.go
@@ -53,7 +53,7 @@
 		t.Run(fmt.Sprintf("%s %q key %q", c.method, c.body, c.key), func(t *testing.T) {
 			address, requests := breaker(t)
 			client := service.NewClient(transport.TCP(), 1<<20)
-			call := &dispatch.Call{Method: c.method, Path: "/x", Body: []byte(c.body), Header: http.Header{}, Once: true}
+			call := &dispatch.Call{Method: c.method, Path: "/x", Body: []byte(c.body), Header: http.Header{}, AtMostOnce: true}
 			if c.key != "" {
 				call.Header["Idempotency-Key"] = []string{c.key}
 			}
--- a/site/control.go
+++ b/site/control.go
@@ -218,7 +218,7 @@
 func (c *Control) listenCalls() ([]server, error) {
 	return serveAll(c.Log, []listener{
 		{c.Settings.Listen.Control, &http.Server{Handler: c.Handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}},
-		{c.Settings.Listen.Metrics, c.meter.HTTP()},
+		{c.Settings.Listen.Metrics, c.meter.NewServer()},
 	})
 }
 
--- a/site/entries.go
+++ b/site/entries.go
@@ -151,7 +151,7 @@
 			continue
 		}
 		if m, ok := e.Model(model); ok {
-			return e.Work(m, d.Prompt, d.Answer)
+			return e.UpstreamSeconds(m, d.Prompt, d.Answer)
 		}
 	}
 	return 0
--- a/site/entry.go
+++ b/site/entry.go
@@ -147,7 +147,7 @@
 	return serveAll(e.Log, []listener{
 		{e.Settings.Listen.Callers, e.callerServer},
 		{e.Settings.Listen.Ready, &http.Server{Handler: e.ReadyHandler(e.ready), ReadHeaderTimeout: readyHeaderTimeout}},
-		{e.Settings.Listen.Metrics, e.meter.HTTP()},
+		{e.Settings.Listen.Metrics, e.meter.NewServer()},
 	})
 }
 
@@ -249,7 +249,7 @@
 	e.configBody, e.needFullConfig = body, false
 	e.relay.SetConfig(cfg)
 	e.callerServer.SetBounds(inbound.Bounds{
-		HeaderBytes: cfg.Limits.HeaderBytes, HeaderTime: cfg.Limits.HeaderTimeout, IdleTime: cfg.Limits.IdleTimeout,
+		MaxHeaderBytes: cfg.Limits.HeaderBytes, HeaderTimeout: cfg.Limits.HeaderTimeout, IdleTimeout: cfg.Limits.IdleTimeout,
 	})
 	e.Log.Info("configuration in force", "version", cfg.Version, "before", versionBefore, "routes", len(cfg.Routes),
 		"packed-bytes", len(reply.Config)+len(reply.Patch), "patch", reply.Config == nil, "leader", reply.Leader, "asked-ms", clock.Since(sentAt).Milliseconds(),
--- a/site/entry_metrics.go
+++ b/site/entry_metrics.go
@@ -128,9 +128,9 @@
 	if event == nil {
 		scope := n.scope.Tagged(map[string]string{"model": string(model)})
 		event = &firstEventMetrics{
-			expected:  scope.Histogram("first_word_expected", meter.Durations()),
-			actual:    scope.Histogram("first_word_seen", meter.Durations()),
-			deviation: scope.Histogram("first_word_off", meter.Durations()),
+			expected:  scope.Histogram("first_word_expected", meter.DurationBuckets()),
+			actual:    scope.Histogram("first_word_seen", meter.DurationBuckets()),
+			deviation: scope.Histogram("first_word_off", meter.DurationBuckets()),
 		}
 		n.firstEvents[model] = event
 	}
@@ -150,8 +150,8 @@
 	scope := n.scope.Tagged(map[string]string{"customer": string(key.customer), "class": string(key.class)})
 	s := &series{
 		scope: scope,
-		first: scope.Histogram("first_byte", meter.Durations()),
-		total: scope.Histogram("request", meter.Durations()),
+		first: scope.Histogram("first_byte", meter.DurationBuckets()),
+		total: scope.Histogram("request", meter.DurationBuckets()),
 		codes: map[result.Code]tally.Counter{},
 	}
 	n.series[key] = s
--- a/site/quarantine_test.go
+++ b/site/quarantine_test.go
@@ -141,10 +141,10 @@
 	e := site.NewEntry(&cfg, relay.HeaderNames{}, transport.TCP())
 	list, now := e.Quarantine(), clock.Now()
 	for n := range 36 {
-		list.Crashed(now, quarantine.Fingerprint{Content: ident.Content(n)}, 1)
+		list.Crashed(now, quarantine.Fingerprint{Content: ident.ContentHash(n)}, 1)
 	}
 	e.ApplyReply(now, &site.SyncReply{HeldSum: list.Digest(now)})
-	sent := map[ident.Content]bool{}
+	sent := map[ident.ContentHash]bool{}
 	for range 9 {
 		if call := e.NextCall(); len(call.Held) > 0 {
 			t.Errorf("%d reports in a call although the leader has all of them", len(call.Held))
--- a/site/rpc.go
+++ b/site/rpc.go
@@ -191,6 +191,6 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.links {
-		l.DropUnheard(since)
+		l.CloseIfSilent(since)
 	}
 }
--- a/site/site_test.go
+++ b/site/site_test.go
@@ -205,11 +205,11 @@
 	return &httproute.Config{
 		Version: httproute.Version(version),
 		Services: []httproute.Service{{Name: "s"}, {Name: ident.Service(fmt.Sprintf("only-%d", version))}, {Name: "m", Engine: &httproute.Engine{
-			LoadsPerSecond: 9, ConcurrentLoads: 9, Models: []httproute.Model{{Name: "one", Size: 1, Share: 1, Pace: 1, Load: time.Hour}},
+			LoadsPerSecond: 9, ConcurrentLoads: 9, Models: []httproute.Model{{Name: "one", Size: 1, InitialShare: 1, TimeFactor: 1, LoadTime: time.Hour}},
 		}}},
 		Routes: []httproute.Route{{
 			Name: "r", Host: "h", Prefix: fmt.Sprintf("/v%d/", version), Kind: httproute.KindSafe, Timeout: time.Second, Public: true,
-			Attempts: 1, Split: []httproute.Share{{Service: "s", Weight: 1}},
+			MaxAttempts: 1, Split: []httproute.Share{{Service: "s", Weight: 1}},
 		}},
 	}, nil
 }
--- a/site/slowdowns.go
+++ b/site/slowdowns.go
@@ -137,7 +137,7 @@
 		return false
 	}
 	m, ok := s.Engine.Model(g.Model)
-	return ok && gap > s.Engine.FullPause(m, g.Far)
+	return ok && gap > s.Engine.FullLoadEventGap(m, g.Far)
 }
 
 func (p *slowdownTracker) meanGap(now time.Time, name ident.Group) time.Duration {
--- a/site/slowdowns_test.go
+++ b/site/slowdowns_test.go
@@ -51,8 +51,8 @@
 		e := &engines{slowdowns: map[ident.Incarnation]float64{"a": 1, "b": 6, "c": 1, "d": 1, "e": 1, "f": 1}}
 		tracker := site.NewSlowdownTracker(e.query)
 		table := httproute.NewTable(&httproute.Config{Services: []httproute.Service{{Name: "s", Engine: &httproute.Engine{
-			Slots: 25, Stride: 5, Step: 6 * time.Millisecond, PerSequence: 240 * time.Microsecond, FarFactor: 3,
-			Models: []httproute.Model{{Name: "m", Size: 2, Pace: 1}},
+			Slots: 25, StepsPerIteration: 5, StepTime: 6 * time.Millisecond, StepTimePerSequence: 240 * time.Microsecond, CrossDomainSlowdown: 3,
+			Models: []httproute.Model{{Name: "m", Size: 2, TimeFactor: 1}},
 		}}}})
 		group := func(name ident.Group, far bool, members ...ident.Incarnation) roster.Group {
 			return roster.Group{Name: name, Service: "s", Model: "m", Members: members, Phase: roster.PhaseOpen, Far: far}
--- a/site/versions_test.go
+++ b/site/versions_test.go
@@ -145,7 +145,7 @@
 		t.Errorf("before any configuration (-want +got):\n%s", diff)
 	}
 	e.ApplyReply(time.Now(), &site.SyncReply{Version: 2, Config: documentOf(t, 2).Packed})
-	want := inbound.Bounds{HeaderBytes: limits.HeaderBytes, HeaderTime: limits.HeaderTimeout, IdleTime: limits.IdleTimeout}
+	want := inbound.Bounds{MaxHeaderBytes: limits.HeaderBytes, HeaderTimeout: limits.HeaderTimeout, IdleTimeout: limits.IdleTimeout}
 	if diff := cmp.Diff(want, e.CallerBounds()); diff != "" {
 		t.Errorf("with a configuration (-want +got):\n%s", diff)
 	}
--- a/soak/asks.go
+++ b/soak/asks.go
@@ -98,7 +98,7 @@
 		e.truth.breaksf("%s gets request %s from %v: %s", e.id, id, from, what)
 	}
 	if leaving {
-		w.Header().Set(platform.Names().Backpressure.Leaving, "1")
+		w.Header().Set(platform.HeaderNames().Backpressure.Leaving, "1")
 	}
 	if turnedAway {
 		w.Header().Set("Retry-After", wait)
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -137,7 +137,7 @@
 	req.ContentLength = int64(len(body))
 	r.from = senderOf(c.entry)
 	req.Host = siteHost
-	names := platform.Names()
+	names := platform.HeaderNames()
 	req.Header.Set(names.RequestID, r.id)
 	req.Header.Set(names.Key, r.key)
 	req.Header.Set(names.Deadline, strconv.FormatInt(callerWait.Milliseconds(), 10))
@@ -170,10 +170,10 @@
 }
 
 func (c *caller) success(ctx context.Context, k kind, r *request, at *daemon, resp *http.Response) {
-	if got := resp.Header.Get(platform.Names().RequestID); got != r.id {
+	if got := resp.Header.Get(platform.HeaderNames().RequestID); got != r.id {
 		c.s.truth.breaksf("%s answers request %s with the answer to %q", at.name, r.id, got)
 	}
-	if resp.Header.Get(platform.Names().Signature) == "" {
+	if resp.Header.Get(platform.HeaderNames().Signature) == "" {
 		c.s.truth.breaksf("the answer to %s has no signature", r.id)
 	}
 	err := c.whole(k, r, resp.Body)
--- a/soak/configs.go
+++ b/soak/configs.go
@@ -52,7 +52,7 @@
 	route := func(name ident.Class, k httproute.Kind, service ident.Service, resumable bool) httproute.Route {
 		return httproute.Route{
 			Name: name, Host: siteHost, Prefix: "/" + string(name) + "/", Kind: k, Resumable: resumable, Timeout: callerWait, Aim: time.Second,
-			GapAim: 300 * time.Millisecond, Attempts: 2, Split: []httproute.Share{{Service: service, Weight: 1}},
+			GapAim: 300 * time.Millisecond, MaxAttempts: 2, Split: []httproute.Share{{Service: service, Weight: 1}},
 		}
 	}
 	cfg := &httproute.Config{
@@ -63,9 +63,9 @@
 			route(ident.Class(fmt.Sprintf("v%d", n)), httproute.KindSafe, plainService, false), route("hang", httproute.KindUnsafe, plainService, false),
 		},
 		Services: []httproute.Service{
-			{Name: plainService, HealthPath: "/healthz", MaxConnections: 100, ColdRate: coldRate},
-			{Name: modelService, HealthPath: "/healthz", MaxConnections: 100, ColdRate: coldRate, Engine: &httproute.Engine{
-				Slots: slots, Stride: 1, Step: time.Millisecond, ReadRate: 10000, LoadsPerSecond: 50, ConcurrentLoads: 50, FarFactor: 3, Models: models,
+			{Name: plainService, HealthPath: "/healthz", MaxConnections: 100, MaxColdRate: coldRate},
+			{Name: modelService, HealthPath: "/healthz", MaxConnections: 100, MaxColdRate: coldRate, Engine: &httproute.Engine{
+				Slots: slots, StepsPerIteration: 1, StepTime: time.Millisecond, PrefillRate: 10000, LoadsPerSecond: 50, ConcurrentLoads: 50, CrossDomainSlowdown: 3, Models: models,
 			}},
 		},
 		Customers: []httproute.Customer{{Name: customer}},
--- a/soak/halls.go
+++ b/soak/halls.go
@@ -48,7 +48,7 @@
 		// The hall is taken back also when the faults have ended meanwhile: what serves then is checked.
 		back, cancel := context.WithTimeout(context.WithoutCancel(ctx), backLimit)
 		defer cancel()
-		if s.orderHall(back, random, platform.TakeBackPath(hall)) {
+		if s.orderHall(back, random, platform.UndrainPath(hall)) {
 			s.notef("%s taken back", hall)
 		}
 		s.truth.forgetDrain(hall)
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -153,7 +153,7 @@
 	if e.random.Float64() < oddPart {
 		text = "few"
 	}
-	h.Set(platform.Names().Backpressure.Limit, text)
+	h.Set(platform.HeaderNames().Backpressure.Limit, text)
 	if _, ok := e.naming.told[from]; !ok {
 		e.naming.told[from] = now.Add(workTime)
 	}
--- a/soak/operator.go
+++ b/soak/operator.go
@@ -66,7 +66,7 @@
 // order sends a valid configuration to a daemon and reports whether that acknowledges it.
 func (s *soak) order(ctx context.Context, i int, body []byte) bool {
 	d := s.controls[i]
-	status, text, err := call(ctx, http.MethodPost, "http://"+d.calls.address()+platform.PutPath, body)
+	status, text, err := call(ctx, http.MethodPost, "http://"+d.calls.address()+platform.ReplaceConfigPath, body)
 	if err == nil && status >= 400 && status < 500 {
 		s.truth.breaksf("%s refuses a valid configuration with %d %s", d.name, status, text)
 	}
@@ -105,7 +105,7 @@
 func (s *soak) offerWrong(ctx context.Context, random *rand.Rand, n uint64) {
 	body, name := wrongConfig(random, n, s.Routes)
 	d := s.controls[random.IntN(len(s.controls))]
-	status, _, err := call(ctx, http.MethodPost, "http://"+d.calls.address()+platform.PutPath, body)
+	status, _, err := call(ctx, http.MethodPost, "http://"+d.calls.address()+platform.ReplaceConfigPath, body)
 	if err == nil && status == http.StatusOK {
 		s.truth.breaksf("%s acknowledges a configuration with %s", d.name, name)
 	}
@@ -118,7 +118,7 @@
 	pause(ctx, readSlack)
 	ctx, cancel := context.WithTimeout(ctx, changeLimit)
 	defer cancel()
-	status, body, err := call(ctx, http.MethodGet, "http://"+d.calls.address()+platform.GetPath, nil)
+	status, body, err := call(ctx, http.MethodGet, "http://"+d.calls.address()+platform.ReadConfigPath, nil)
 	if err != nil || status != http.StatusOK {
 		return 0, false
 	}
--- a/soak/orders.go
+++ b/soak/orders.go
@@ -24,7 +24,7 @@
 		return
 	}
 	outcome := replicaset.OutcomeWrongIncarnation
-	if r.Header.Get(platform.Names().Incarnation) == string(e.id) {
+	if r.Header.Get(platform.HeaderNames().Incarnation) == string(e.id) {
 		outcome = e.carryOut(o)
 	}
 	w.WriteHeader(platform.OrderStatus(outcome))
--- a/soak/probe.go
+++ b/soak/probe.go
@@ -204,7 +204,7 @@
 	p.n++
 	r := &request{id: fmt.Sprintf("probe-%s-%d", p.d.name, p.n), repeatable: path != "/hang/x", key: key, from: senderOf(p.d)}
 	req.Host = siteHost
-	names := platform.Names()
+	names := platform.HeaderNames()
 	req.Header.Set(names.RequestID, r.id)
 	if key != "" {
 		req.Header.Set(names.Key, key)
--- a/soak/serve.go
+++ b/soak/serve.go
@@ -29,7 +29,7 @@
 }
 
 func (e *engine) serve(w http.ResponseWriter, r *http.Request) {
-	names := platform.Names()
+	names := platform.HeaderNames()
 	id := r.Header.Get(names.RequestID)
 	w.Header().Set(names.RequestID, id)
 	epoch, admitted := e.admits(ident.Model(r.Header.Get(names.Model)))
@@ -122,7 +122,7 @@
 	if e.loss() {
 		panic(http.ErrAbortHandler)
 	}
-	w.Header().Set(platform.Names().Signature, "s-"+string(e.id))
+	w.Header().Set(platform.HeaderNames().Signature, "s-"+string(e.id))
 	_, _ = io.WriteString(w, plainBody(id))
 }
 
@@ -142,12 +142,12 @@
 }
 
 func (e *engine) serveStream(w http.ResponseWriter, r *http.Request, id string, epoch ident.Epoch) {
-	model, _ := (&httproute.Engine{Models: models}).Model(ident.Model(r.Header.Get(platform.Names().Model)))
+	model, _ := (&httproute.Engine{Models: models}).Model(ident.Model(r.Header.Get(platform.HeaderNames().Model)))
 	e.truth.serves(e, model.Size)
 	e.truth.runs(id, e.id)
 	// A stream that starts anew has no last event.
-	last, _ := strconv.Atoi(r.Header.Get(platform.Names().EventID))
-	w.Header().Set(platform.Names().Signature, "s-"+string(e.id))
+	last, _ := strconv.Atoi(r.Header.Get(platform.HeaderNames().EventID))
+	w.Header().Set(platform.HeaderNames().Signature, "s-"+string(e.id))
 	w.Header().Set("Content-Type", "text/event-stream")
 	for n := last + 1; n <= eventsOf(id); n++ {
 		pause(r.Context(), time.Duration(e.groupPace()*float64(eventTime)))
@@ -185,5 +185,5 @@
 // tell answers who asks how fast the engine is.
 func (e *engine) tell(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(platform.EncodeState(e.ownPace()))
+	_, _ = w.Write(platform.EncodeSlowdown(e.ownPace()))
 }
--- a/soak/upstream.go
+++ b/soak/upstream.go
@@ -45,8 +45,8 @@
 )
 
 var models = []httproute.Model{
-	{Name: "large", Size: 4, Share: 0.6, Pace: 1, Load: loadTime, Warm: warmTime},
-	{Name: "small", Size: 2, Share: 0.4, Pace: 1, Load: loadTime, Warm: warmTime},
+	{Name: "large", Size: 4, InitialShare: 0.6, TimeFactor: 1, LoadTime: loadTime, WarmLoadTime: warmTime},
+	{Name: "small", Size: 2, InitialShare: 0.4, TimeFactor: 1, LoadTime: loadTime, WarmLoadTime: warmTime},
 }
 
 // engine is one life of an upstream; a plain one has no models.
@@ -117,7 +117,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+platform.OrderPath, e.order)
-	mux.HandleFunc("GET "+platform.StatePath, e.tell)
+	mux.HandleFunc("GET "+platform.SlowdownPath, e.tell)
 	mux.HandleFunc("/", e.serve)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Minute}
 	context.AfterFunc(e.ctx, func() { _ = server.Close() })
@@ -167,7 +167,7 @@
 	e.change()
 	go func() {
 		pause(e.ctx, drainTime)
-		e.post(platform.LeavePath(e.id), nil)
+		e.post(platform.SignOffPath(e.id), nil)
 		e.crash()
 	}()
 }
