--- a/catalog/drain_test.go
+++ b/catalog/drain_test.go
@@ -19,10 +19,10 @@
 	return data
 }
 
-func TestTheNewestOrderOnAHallCounts(t *testing.T) {
+func TestNewestDrainOrderWins(t *testing.T) {
 	m := catalog.NewMachine()
-	var told []catalog.DrainRevision
-	m.DrainChanged = func(d catalog.Drained) { told = append(told, d.Revision) }
+	var revisions []catalog.DrainRevision
+	m.DrainChanged = func(d catalog.Drained) { revisions = append(revisions, d.Revision) }
 	m.Apply(encode(t, 7, "a"))
 	for _, c := range []struct {
 		name  string
@@ -43,7 +43,7 @@
 			t.Errorf("%s (-want +got):\n%s", c.name, diff)
 		}
 	}
-	if diff := cmp.Diff([]catalog.DrainRevision{1, 2, 3, 4}, told); diff != "" {
+	if diff := cmp.Diff([]catalog.DrainRevision{1, 2, 3, 4}, revisions); diff != "" {
 		t.Errorf("changes told (-want +got):\n%s", diff)
 	}
 }
@@ -71,7 +71,7 @@
 // counts, and no configuration takes one back.
 func TestMembersAgreeOnDrainedHalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole := catalog.NewMachine()
+		reference := catalog.NewMachine()
 		member := catalog.NewMachine()
 		want := map[ident.Hall]bool{}
 		halls := []ident.Hall{"a", "b", "c"}
@@ -86,10 +86,10 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				whole.Apply(data)
+				reference.Apply(data)
 				member.Apply(data)
 			case 1:
-				data, err := whole.Snapshot()
+				data, err := reference.Snapshot()
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -101,16 +101,16 @@
 				hall, drain := rapid.SampledFrom(halls).Draw(t, "hall"), rapid.Bool().Draw(t, "drain")
 				want[hall] = drain
 				data := encodeDrain(t, hall, drain)
-				whole.Apply(data)
+				reference.Apply(data)
 				member.Apply(data)
 			}
-			if diff := cmp.Diff(whole.Drained(), member.Drained()); diff != "" {
+			if diff := cmp.Diff(reference.Drained(), member.Drained()); diff != "" {
 				t.Fatalf("members differ:\n%s", diff)
 			}
-			if whole.Held().Version != member.Held().Version {
-				t.Fatalf("versions %d and %d", whole.Held().Version, member.Held().Version)
+			if reference.Held().Version != member.Held().Version {
+				t.Fatalf("versions %d and %d", reference.Held().Version, member.Held().Version)
 			}
-			drained := whole.Drained()
+			drained := reference.Drained()
 			for _, hall := range halls {
 				if drained.Has(hall) != want[hall] {
 					t.Fatalf("hall %s is drained: %v, want %v", hall, drained.Has(hall), want[hall])
--- a/catalog/machine.go
+++ b/catalog/machine.go
@@ -30,8 +30,8 @@
 	Packed  []byte            `cbor:"2,keyasint"`
 }
 
-// maxBody bounds a configuration after it is unpacked, in bytes.
-const maxBody = 64 << 20
+// maxDocumentBytes bounds a configuration after it is unpacked, in bytes.
+const maxDocumentBytes = 64 << 20
 
 // NewDocument packs body, which is opaque to this package.
 func NewDocument(version httproute.Version, body []byte) (Document, error) {
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, result.Wrap(err, result.StorageDamaged, "a configuration cannot be unpacked")
 	}
-	body, err := io.ReadAll(io.LimitReader(r, maxBody))
+	body, err := io.ReadAll(io.LimitReader(r, maxDocumentBytes))
 	if err != nil {
 		return nil, result.Wrap(err, result.StorageDamaged, "a configuration cannot be unpacked")
 	}
@@ -76,8 +76,8 @@
 	return slices.Contains(d.Halls, hall)
 }
 
-// with returns the halls after one is drained or taken back.
-func (d Drained) with(o *DrainOrder) Drained {
+// withOrder returns the halls after one is drained or taken back.
+func (d Drained) withOrder(o *DrainOrder) Drained {
 	halls := slices.DeleteFunc(slices.Clone(d.Halls), func(h ident.Hall) bool { return h == o.Hall })
 	if o.Drain {
 		halls = append(halls, o.Hall)
@@ -92,8 +92,8 @@
 	Drain bool       `cbor:"2,keyasint"`
 }
 
-// entry is one log entry: a document, or an order on a hall.
-type entry struct {
+// logEntry is one log entry: a document, or an order on a hall.
+type logEntry struct {
 	Document
 	Drain *DrainOrder `cbor:"3,keyasint,omitempty"`
 }
@@ -121,7 +121,7 @@
 	DrainChanged func(d Drained)
 
 	mu      sync.RWMutex
-	held    Document
+	current Document
 	drained Drained
 }
 
@@ -137,30 +137,30 @@
 
 // EncodeDrain returns the log entry of o.
 func EncodeDrain(o DrainOrder) ([]byte, error) {
-	return cbor.Marshal(entry{Drain: &o})
+	return cbor.Marshal(logEntry{Drain: &o})
 }
 
 // Apply executes one log entry; the same entries give the same state on each member.
 func (m *Machine) Apply(data []byte) Answer {
-	var e entry
+	var e logEntry
 	if err := cbor.Unmarshal(data, &e); err != nil {
 		// The leader encoded it, so every member sees the same undecodable entry and skips it.
 		return Answer{Held: m.Held().Version, Drained: m.Drained()}
 	}
 	if e.Drain != nil {
-		return m.drain(e.Drain)
+		return m.applyDrainOrder(e.Drain)
 	}
-	return m.take(e.Document, false)
+	return m.setDocument(e.Document, false)
 }
 
-// drain carries an order out; one that changes nothing has no revision of its own.
-func (m *Machine) drain(o *DrainOrder) Answer {
+// applyDrainOrder carries an order out; one that changes nothing has no revision of its own.
+func (m *Machine) applyDrainOrder(o *DrainOrder) Answer {
 	m.mu.Lock()
 	changed := m.drained.Has(o.Hall) != o.Drain
 	if changed {
-		m.drained = m.drained.with(o)
+		m.drained = m.drained.withOrder(o)
 	}
-	answer := Answer{Held: m.held.Version, Drained: m.drained}
+	answer := Answer{Held: m.current.Version, Drained: m.drained}
 	m.mu.Unlock()
 	if changed {
 		m.DrainChanged(answer.Drained)
@@ -168,25 +168,25 @@
 	return answer
 }
 
-func (m *Machine) take(d Document, replace bool) Answer {
+func (m *Machine) setDocument(d Document, replace bool) Answer {
 	m.mu.Lock()
-	changed := replace || d.Version > m.held.Version
+	changed := replace || d.Version > m.current.Version
 	if changed {
-		m.held = d
+		m.current = d
 	}
-	held, drained := m.held, m.drained
+	current, drained := m.current, m.drained
 	m.mu.Unlock()
 	if changed {
-		m.Changed(held)
+		m.Changed(current)
 	}
-	return Answer{Held: held.Version, Changed: changed, Drained: drained}
+	return Answer{Held: current.Version, Changed: changed, Drained: drained}
 }
 
 // Held returns the newest document; its version is 0 before the first one.
 func (m *Machine) Held() Document {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return m.held
+	return m.current
 }
 
 // Drained returns the drained halls.
@@ -200,7 +200,7 @@
 func (m *Machine) Snapshot() ([]byte, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return cbor.Marshal(snapshot{m.held, m.drained})
+	return cbor.Marshal(snapshot{m.current, m.drained})
 }
 
 // Restore replaces the whole state; empty data is the state before the first document.
@@ -216,6 +216,6 @@
 	m.drained = s.Drained
 	m.mu.Unlock()
 	m.DrainChanged(s.Drained)
-	m.take(s.Document, true)
+	m.setDocument(s.Document, true)
 	return nil
 }
--- a/catalog/machine_test.go
+++ b/catalog/machine_test.go
@@ -22,16 +22,16 @@
 	return data
 }
 
-func TestTheHighestVersionIsHeld(t *testing.T) {
+func TestHighestVersionWins(t *testing.T) {
 	m := catalog.NewMachine()
 	var changes []httproute.Version
 	m.Changed = func(d catalog.Document) { changes = append(changes, d.Version) }
 	for _, c := range []struct {
-		name    string
-		version httproute.Version
-		body    string
-		want    catalog.Answer
-		held    string
+		name     string
+		version  httproute.Version
+		body     string
+		want     catalog.Answer
+		wantBody string
 	}{
 		{"the first", 7, "a", catalog.Answer{Held: 7, Changed: true}, "a"},
 		{"again", 7, "a", catalog.Answer{Held: 7}, "a"},
@@ -45,8 +45,8 @@
 			t.Errorf("%s: answer (-want +got):\n%s", c.name, diff)
 		}
 		got, err := catalog.Unpack(m.Held().Packed)
-		if err != nil || string(got) != c.held {
-			t.Errorf("%s: holds %q (%v), want %q", c.name, got, err, c.held)
+		if err != nil || string(got) != c.wantBody {
+			t.Errorf("%s: holds %q (%v), want %q", c.name, got, err, c.wantBody)
 		}
 	}
 	if diff := cmp.Diff([]httproute.Version{7, 19}, changes); diff != "" {
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestAnEntryThatCannotBeDecodedChangesNothing(t *testing.T) {
+func TestUndecodableEntryIsSkipped(t *testing.T) {
 	m := catalog.NewMachine()
 	m.Apply(encode(t, 3, "a"))
 	if got := m.Apply([]byte{0xff, 0x00}); got.Changed || got.Held != 3 {
@@ -62,25 +62,25 @@
 	}
 }
 
-func TestSnapshots(t *testing.T) {
+func TestSnapshotRestore(t *testing.T) {
 	m := catalog.NewMachine()
 	m.Apply(encode(t, 3, "a"))
 	data, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := catalog.NewMachine()
-	other.Apply(encode(t, 9, "stale and never committed"))
-	if err := other.Restore(data); err != nil {
+	restored := catalog.NewMachine()
+	restored.Apply(encode(t, 9, "stale and never committed"))
+	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(m.Held(), other.Held()); diff != "" {
+	if diff := cmp.Diff(m.Held(), restored.Held()); diff != "" {
 		t.Errorf("after restoring (-want +got):\n%s", diff)
 	}
-	if err := other.Restore(nil); err != nil {
+	if err := restored.Restore(nil); err != nil {
 		t.Errorf("the state before the first document: %v", err)
 	}
-	if err := other.Restore([]byte{0xff}); err == nil {
+	if err := restored.Restore([]byte{0xff}); err == nil {
 		t.Error("a damaged snapshot is taken")
 	}
 }
--- a/catalog/patch.go
+++ b/catalog/patch.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// patchDictionary numbers the dictionary in a patch; both sides know which one is meant.
-	patchDictionary = 1
-	// patchWindow is how far back a patch may refer, in bytes: a configuration of some thousand routes.
-	patchWindow = 1 << 20
+	// patchDictionaryID numbers the dictionary in a patch; both sides know which one is meant.
+	patchDictionaryID = 1
+	// patchWindowBytes is how far back a patch may refer, in bytes: a configuration of some thousand routes.
+	patchWindowBytes = 1 << 20
 )
 
 // Patch returns what makes next of base; a checksum in it tells when it is applied to anything else.
 func Patch(base, next []byte) ([]byte, error) {
-	w, err := zstd.NewWriter(nil, zstd.WithEncoderDictRaw(patchDictionary, base), zstd.WithEncoderConcurrency(1),
-		zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(patchWindow), zstd.WithEncoderCRC(true))
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderDictRaw(patchDictionaryID, base), zstd.WithEncoderConcurrency(1),
+		zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(patchWindowBytes), zstd.WithEncoderCRC(true))
 	if err != nil {
 		return nil, err
 	}
-	patch := w.EncodeAll(next, nil)
-	return patch, w.Close()
+	patch := encoder.EncodeAll(next, nil)
+	return patch, encoder.Close()
 }
 
 // Apply returns what patch makes of base.
@@ -35,13 +35,13 @@
 	if len(patch) == 0 {
 		return nil, result.New(result.StorageDamaged, "a change of the configuration is empty")
 	}
-	r, err := zstd.NewReader(nil, zstd.WithDecoderDictRaw(patchDictionary, base), zstd.WithDecoderConcurrency(1),
-		zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxBody))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderDictRaw(patchDictionaryID, base), zstd.WithDecoderConcurrency(1),
+		zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxDocumentBytes))
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
-	next, err := r.DecodeAll(patch, nil)
+	defer decoder.Close()
+	next, err := decoder.DecodeAll(patch, nil)
 	if err != nil {
 		return nil, result.Wrap(err, result.StorageDamaged, "a change of the configuration does not fit the one that is held")
 	}
