--- a/fleet/apply.go
+++ b/fleet/apply.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	maxGroupSize = 256
-	maxLabels    = 64
-	maxSelector  = 32
+	maxGroupSize    = 256
+	maxLabels       = 64
+	maxRequirements = 32
 )
 
 // refusal is a code with its words; nil means accepted.
@@ -43,14 +43,14 @@
 		return answerOf(revision, s.execute(revision, c))
 	}
 	digest := c.digest()
-	if first, ok := s.remembered(c.Change); ok {
+	if first, ok := s.findChange(c.Change); ok {
 		if first.Digest != digest {
 			return answerOf(revision, refuse(result.ChangeIDReused, "change id %s was used at revision %d for: %s", c.Change, first.Revision, first.What))
 		}
 		return first.Answer
 	}
 	answer := answerOf(revision, s.execute(revision, c))
-	s.remember(HistoryEntry{
+	s.addHistory(HistoryEntry{
 		Change: c.Change, Revision: revision, By: c.By, At: c.At, What: c.What(), Digest: digest, Answer: answer,
 	})
 	return answer
@@ -64,7 +64,7 @@
 }
 
 func (s *State) execute(revision ident.Revision, c *Command) *refusal {
-	if r := c.incomplete(); r != nil {
+	if r := c.checkContent(); r != nil {
 		return r
 	}
 	switch c.Kind {
@@ -79,11 +79,11 @@
 	case KindDrainVM:
 		return s.drainVM(revision, c)
 	case KindLimits:
-		return s.limits(revision, c)
+		return s.setLimits(revision, c)
 	case KindRegister:
-		return s.register(c.VMs)
+		return s.registerVMs(c.VMs)
 	case KindListing:
-		return s.list(revision, c.Listings)
+		return s.updateListings(revision, c.Listings)
 	case KindAssign:
 		return s.assign(revision, c.Assign)
 	case KindDrainGroup:
@@ -91,13 +91,13 @@
 	case KindBreakGroup:
 		return s.breakGroup(c.Assign)
 	case KindConfirm:
-		return s.confirm(c.Confirms)
+		return s.applyConfirmations(c.Confirms)
 	}
 	return refuse(result.ChangeInvalid, "unknown kind %d", c.Kind)
 }
 
-// incomplete refuses a command whose Kind lacks its content, which only a faulty sender makes.
-func (c *Command) incomplete() *refusal {
+// checkContent refuses a command whose Kind lacks its content, which only a faulty sender makes.
+func (c *Command) checkContent() *refusal {
 	missing := false
 	switch c.Kind {
 	case KindCreateGroup, KindChangeGroup:
@@ -139,18 +139,18 @@
 	if spec.Size < 1 || spec.Size > maxGroupSize {
 		return refuse(result.ChangeInvalid, "size %d is not between 1 and %d", spec.Size, maxGroupSize)
 	}
-	if len(spec.Selector) > maxSelector {
-		return refuse(result.ChangeInvalid, "more than %d selectors", maxSelector)
+	if len(spec.Selector) > maxRequirements {
+		return refuse(result.ChangeInvalid, "more than %d selectors", maxRequirements)
 	}
 	return nil
 }
 
-// beaten refuses a change that was decided on an older state of the object.
-func beaten(c *Command, what string, changed ident.Revision) *refusal {
+// revisionConflict refuses a change that was decided on an older state of the object.
+func revisionConflict(c *Command, object string, changed ident.Revision) *refusal {
 	if c.IfRevision == 0 || c.IfRevision >= changed {
 		return nil
 	}
-	return refuse(result.ChangeConflict, "%s was changed at revision %d, after revision %d", what, changed, c.IfRevision)
+	return refuse(result.ChangeConflict, "%s was changed at revision %d, after revision %d", object, changed, c.IfRevision)
 }
 
 func (s *State) liveGroup(name ident.Group) (*Group, *refusal) {
@@ -169,7 +169,7 @@
 	if r := checkSpec(c.Spec); r != nil {
 		return r
 	}
-	if r := beaten(c, "group "+string(c.Spec.Name), g.Changed); r != nil {
+	if r := revisionConflict(c, "group "+string(c.Spec.Name), g.Changed); r != nil {
 		return r
 	}
 	if g.Epoch != 0 && len(g.Members) > 0 && s.needsReform(g, c.Spec) {
@@ -196,19 +196,19 @@
 	if r != nil {
 		return r
 	}
-	if r := beaten(c, "group "+string(c.Group), g.Changed); r != nil {
+	if r := revisionConflict(c, "group "+string(c.Group), g.Changed); r != nil {
 		return r
 	}
 	g.Deleted = true
 	g.Changed = revision
-	s.drain(revision, g)
+	s.startDraining(revision, g)
 	if len(g.Members) == 0 {
 		delete(s.Groups, c.Group)
 	}
 	return nil
 }
 
-func (s *State) drain(revision ident.Revision, g *Group) {
+func (s *State) startDraining(revision ident.Revision, g *Group) {
 	if g.Phase == GroupServing {
 		g.Phase = GroupDraining
 		g.DrainedFrom = revision
@@ -220,7 +220,7 @@
 	if !ok {
 		return refuse(result.ChangeNotFound, "there is no VM %s", c.Label.VM)
 	}
-	if r := beaten(c, "VM "+string(v.Name), v.Changed); r != nil {
+	if r := revisionConflict(c, "VM "+string(v.Name), v.Changed); r != nil {
 		return r
 	}
 	labels := map[string]string{}
@@ -256,7 +256,7 @@
 	}
 	g.Reform = true
 	if !v.Eligible() {
-		s.drain(revision, g)
+		s.startDraining(revision, g)
 	}
 }
 
@@ -265,7 +265,7 @@
 	if !ok {
 		return refuse(result.ChangeNotFound, "there is no VM %s", c.Label.VM)
 	}
-	if r := beaten(c, "VM "+string(v.Name), v.Changed); r != nil {
+	if r := revisionConflict(c, "VM "+string(v.Name), v.Changed); r != nil {
 		return r
 	}
 	v.Drained = c.Label.Drain
@@ -274,12 +274,12 @@
 	return nil
 }
 
-func (s *State) limits(revision ident.Revision, c *Command) *refusal {
+func (s *State) setLimits(revision ident.Revision, c *Command) *refusal {
 	l := c.Limits.Limits
 	if l.Weight < 0 || l.Concurrent < 0 || l.RequestsPerSecond < 0 || l.TokensPerSecond < 0 {
 		return refuse(result.ChangeInvalid, "limits cannot be negative")
 	}
-	if r := beaten(c, "the limits of "+string(c.Limits.Customer), s.Limits[c.Limits.Customer].Changed); r != nil {
+	if r := revisionConflict(c, "the limits of "+string(c.Limits.Customer), s.Limits[c.Limits.Customer].Changed); r != nil {
 		return r
 	}
 	l.Changed = revision
@@ -287,28 +287,28 @@
 	return nil
 }
 
-// register takes VMs from the settings or the platform; what operators and groups did with a known VM stays.
-func (s *State) register(vms []VM) *refusal {
+// registerVMs takes VMs from the settings or the platform; what operators and groups did with a known VM stays.
+func (s *State) registerVMs(vms []VM) *refusal {
 	for i := range vms {
-		in := &vms[i]
-		if !ident.ValidName(string(in.Name)) || in.Accelerators < 1 {
-			return refuse(result.ChangeInvalid, "VM %q has no valid name or no accelerators", in.Name)
+		declared := &vms[i]
+		if !ident.ValidName(string(declared.Name)) || declared.Accelerators < 1 {
+			return refuse(result.ChangeInvalid, "VM %q has no valid name or no accelerators", declared.Name)
 		}
 	}
 	for i := range vms {
-		in := vms[i]
-		if old, ok := s.VMs[in.Name]; ok {
-			old.Address, old.Accelerators, old.Speed, old.ChecksOrders = in.Address, in.Accelerators, in.Speed, in.ChecksOrders
-			old.Hall, old.Domain = in.Hall, in.Domain
+		declared := vms[i]
+		if old, ok := s.VMs[declared.Name]; ok {
+			old.Address, old.Accelerators, old.Speed, old.ChecksOrders = declared.Address, declared.Accelerators, declared.Speed, declared.ChecksOrders
+			old.Hall, old.Domain = declared.Hall, declared.Domain
 			continue
 		}
-		in.Group, in.Epoch, in.Phase, in.Incarnation = "", 0, VMFree, ""
-		s.VMs[in.Name] = &in
+		declared.Group, declared.Epoch, declared.Phase, declared.Incarnation = "", 0, VMFree, ""
+		s.VMs[declared.Name] = &declared
 	}
 	return nil
 }
 
-func (s *State) list(revision ident.Revision, listings []VMListing) *refusal {
+func (s *State) updateListings(revision ident.Revision, listings []VMListing) *refusal {
 	for _, l := range listings {
 		v, ok := s.VMs[l.VM]
 		if !ok {
--- a/fleet/apply_test.go
+++ b/fleet/apply_test.go
@@ -11,15 +11,15 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// log applies commands one after the other, as the replicated log does.
-type log struct {
+// replicatedLog applies commands one after the other, as the replicated log does.
+type replicatedLog struct {
 	t        *testing.T
 	state    *fleet.State
 	revision ident.Revision
 }
 
-func newLog(t *testing.T, vms int) *log {
-	l := &log{t: t, state: fleet.NewState()}
+func newReplicatedLog(t *testing.T, vms int) *replicatedLog {
+	l := &replicatedLog{t: t, state: fleet.NewState()}
 	var list []fleet.VM
 	for i := range vms {
 		gpu := []string{"new", "old"}[i%2]
@@ -28,11 +28,11 @@
 			Labels: map[string]string{"gpu": gpu},
 		})
 	}
-	l.must(&fleet.Command{Kind: fleet.KindRegister, VMs: list})
+	l.mustApply(&fleet.Command{Kind: fleet.KindRegister, VMs: list})
 	return l
 }
 
-func (l *log) apply(c *fleet.Command) fleet.Answer {
+func (l *replicatedLog) apply(c *fleet.Command) fleet.Answer {
 	l.t.Helper()
 	data, err := fleet.Encode(c)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return l.state.Apply(l.revision, decoded)
 }
 
-func (l *log) must(c *fleet.Command) fleet.Answer {
+func (l *replicatedLog) mustApply(c *fleet.Command) fleet.Answer {
 	l.t.Helper()
 	a := l.apply(c)
 	if a.Code != result.OK {
@@ -63,79 +63,79 @@
 	return &fleet.Command{Kind: fleet.KindAssign, Assign: &fleet.Assign{Group: name, Base: base, Members: members}}
 }
 
-func (l *log) epoch(name ident.Group) ident.Epoch {
+func (l *replicatedLog) epoch(name ident.Group) ident.Epoch {
 	return l.state.Groups[name].Epoch
 }
 
-// serve forms a group and confirms every member.
-func (l *log) serve(name ident.Group, members ...ident.VM) {
+// formServing forms a group and confirms every member.
+func (l *replicatedLog) formServing(name ident.Group, members ...ident.VM) {
 	l.t.Helper()
-	l.must(create(name, len(members)))
-	l.must(assign(name, 0, members...))
+	l.mustApply(create(name, len(members)))
+	l.mustApply(assign(name, 0, members...))
 	l.confirm(name, members...)
 }
 
-func (l *log) confirm(name ident.Group, members ...ident.VM) {
+func (l *replicatedLog) confirm(name ident.Group, members ...ident.VM) {
 	l.t.Helper()
 	for _, m := range members {
-		l.must(&fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{{VM: m, Epoch: l.epoch(name), Incarnation: "i-" + ident.Incarnation(m)}}})
+		l.mustApply(&fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{{VM: m, Epoch: l.epoch(name), Incarnation: "i-" + ident.Incarnation(m)}}})
 	}
 }
 
 func TestAssignKeepsEachVMInOneGroup(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		prepare func(l *log)
-		command func(l *log) *fleet.Command
+		prepare func(l *replicatedLog)
+		command func(l *replicatedLog) *fleet.Command
 		code    result.Code
 	}{
-		{"free VMs", func(*log) {}, func(*log) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.OK},
-		{"a VM of another group", func(l *log) { l.serve("other", "w0") }, func(*log) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.ChangeRefused},
-		{"the same VM twice", func(*log) {}, func(*log) *fleet.Command { return assign("g", 0, "w0", "w0") }, result.ChangeRefused},
-		{"too few", func(*log) {}, func(*log) *fleet.Command { return assign("g", 0, "w0") }, result.ChangeRefused},
-		{"unknown VM", func(*log) {}, func(*log) *fleet.Command { return assign("g", 0, "w0", "x") }, result.ChangeNotFound},
-		{"a decision on a passed epoch", func(l *log) { l.must(assign("g", 0, "w0", "w1")) }, func(*log) *fleet.Command { return assign("g", 0, "w2", "w3") }, result.ChangeConflict},
-		{"a VM that leaves and has not confirmed", func(l *log) {
-			l.serve("other", "w0")
-			l.must(assign("other", l.epoch("other"), "w2"))
-		}, func(*log) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.ChangeRefused},
-		{"the own VM back before it confirmed that it left", func(l *log) {
-			l.must(assign("g", 0, "w0", "w1"))
-			l.must(assign("g", l.epoch("g"), "w2", "w3"))
-		}, func(l *log) *fleet.Command { return assign("g", l.epoch("g"), "w0", "w3") }, result.ChangeRefused},
-		{"a VM that left and confirmed", func(l *log) {
-			l.serve("other", "w0")
+		{"free VMs", func(*replicatedLog) {}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.OK},
+		{"a VM of another group", func(l *replicatedLog) { l.formServing("other", "w0") }, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.ChangeRefused},
+		{"the same VM twice", func(*replicatedLog) {}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w0") }, result.ChangeRefused},
+		{"too few", func(*replicatedLog) {}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0") }, result.ChangeRefused},
+		{"unknown VM", func(*replicatedLog) {}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "x") }, result.ChangeNotFound},
+		{"a decision on a passed epoch", func(l *replicatedLog) { l.mustApply(assign("g", 0, "w0", "w1")) }, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w2", "w3") }, result.ChangeConflict},
+		{"a VM that leaves and has not confirmed", func(l *replicatedLog) {
+			l.formServing("other", "w0")
+			l.mustApply(assign("other", l.epoch("other"), "w2"))
+		}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.ChangeRefused},
+		{"the own VM back before it confirmed that it left", func(l *replicatedLog) {
+			l.mustApply(assign("g", 0, "w0", "w1"))
+			l.mustApply(assign("g", l.epoch("g"), "w2", "w3"))
+		}, func(l *replicatedLog) *fleet.Command { return assign("g", l.epoch("g"), "w0", "w3") }, result.ChangeRefused},
+		{"a VM that left and confirmed", func(l *replicatedLog) {
+			l.formServing("other", "w0")
 			left := l.epoch("other")
-			l.must(assign("other", left, "w2"))
-			l.must(&fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{{VM: "w0", Epoch: left, Left: true}}})
-		}, func(*log) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.OK},
-		{"a late word of leaving an older epoch", func(l *log) {
-			l.serve("other", "w0")
-			l.must(assign("other", l.epoch("other"), "w2"))
-			l.must(&fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{{VM: "w0", Epoch: 1, Left: true}}})
-		}, func(*log) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.ChangeRefused},
-		{"a VM that leaves and is gone from the platform", func(l *log) {
-			l.serve("other", "w0")
-			l.must(assign("other", l.epoch("other"), "w2"))
-			l.must(&fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingGone}}})
-			l.must(&fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingLive}}})
-		}, func(*log) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.OK},
-		{"a VM that the platform says is leaving", func(l *log) {
-			l.must(&fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingLeaving}}})
-		}, func(*log) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.ChangeRefused},
-		{"a VM that the selector does not admit", func(l *log) {
-			l.must(&fleet.Command{Kind: fleet.KindChangeGroup, Spec: &fleet.GroupSpec{
+			l.mustApply(assign("other", left, "w2"))
+			l.mustApply(&fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{{VM: "w0", Epoch: left, Left: true}}})
+		}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.OK},
+		{"a late word of leaving an older epoch", func(l *replicatedLog) {
+			l.formServing("other", "w0")
+			l.mustApply(assign("other", l.epoch("other"), "w2"))
+			l.mustApply(&fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{{VM: "w0", Epoch: 1, Left: true}}})
+		}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.ChangeRefused},
+		{"a VM that leaves and is gone from the platform", func(l *replicatedLog) {
+			l.formServing("other", "w0")
+			l.mustApply(assign("other", l.epoch("other"), "w2"))
+			l.mustApply(&fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingGone}}})
+			l.mustApply(&fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingLive}}})
+		}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.OK},
+		{"a VM that the platform says is leaving", func(l *replicatedLog) {
+			l.mustApply(&fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingLeaving}}})
+		}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.ChangeRefused},
+		{"a VM that the selector does not admit", func(l *replicatedLog) {
+			l.mustApply(&fleet.Command{Kind: fleet.KindChangeGroup, Spec: &fleet.GroupSpec{
 				Name: "g", Model: "m", Size: 2, Selector: []fleet.Requirement{{Label: "gpu", Values: []string{"new"}}},
 			}})
-		}, func(*log) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.ChangeRefused},
-		{"a group that is being dissolved", func(l *log) {
-			l.must(assign("g", 0, "w0", "w1"))
-			l.must(&fleet.Command{Kind: fleet.KindDeleteGroup, Group: "g"})
-		}, func(l *log) *fleet.Command { return assign("g", l.epoch("g"), "w2", "w3") }, result.ChangeRefused},
+		}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.ChangeRefused},
+		{"a group that is being dissolved", func(l *replicatedLog) {
+			l.mustApply(assign("g", 0, "w0", "w1"))
+			l.mustApply(&fleet.Command{Kind: fleet.KindDeleteGroup, Group: "g"})
+		}, func(l *replicatedLog) *fleet.Command { return assign("g", l.epoch("g"), "w2", "w3") }, result.ChangeRefused},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := newLog(t, 6)
-			l.must(create("g", 2))
+			l := newReplicatedLog(t, 6)
+			l.mustApply(create("g", 2))
 			c.prepare(l)
 			if a := l.apply(c.command(l)); a.Code != c.code {
 				t.Errorf("code %d (%s), want %d", a.Code, a.Text, c.code)
@@ -144,10 +144,10 @@
 	}
 }
 
-func TestAGroupServesOnlyWhenAllHaveConfirmedItsEpoch(t *testing.T) {
-	l := newLog(t, 4)
-	l.must(create("g", 2))
-	l.must(assign("g", 0, "w0", "w1"))
+func TestGroupServesOnceAllMembersConfirmEpoch(t *testing.T) {
+	l := newReplicatedLog(t, 4)
+	l.mustApply(create("g", 2))
+	l.mustApply(assign("g", 0, "w0", "w1"))
 	first := l.epoch("g")
 	phase := func() string { return l.state.Groups["g"].Phase.String() }
 	for _, c := range []struct {
@@ -161,41 +161,41 @@
 		{"a stranger", fleet.Confirm{VM: "w2", Epoch: first, Incarnation: "c"}, "forming"},
 		{"the other one", fleet.Confirm{VM: "w1", Epoch: first, Incarnation: "b"}, "serving"},
 	} {
-		l.must(&fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{c.confirm}})
+		l.mustApply(&fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{c.confirm}})
 		if got := phase(); got != c.want {
 			t.Errorf("after %s: %s, want %s", c.name, got, c.want)
 		}
 	}
 	// A broken group never serves again in the same epoch, whatever its members confirm.
-	l.must(&fleet.Command{Kind: fleet.KindBreakGroup, Assign: &fleet.Assign{Group: "g", Base: first}})
+	l.mustApply(&fleet.Command{Kind: fleet.KindBreakGroup, Assign: &fleet.Assign{Group: "g", Base: first}})
 	l.confirm("g", "w0", "w1")
 	if got := phase(); got != "broken" {
 		t.Errorf("a broken group is %s again in epoch %d", got, first)
 	}
-	l.must(assign("g", first, "w0", "w1"))
+	l.mustApply(assign("g", first, "w0", "w1"))
 	l.confirm("g", "w0", "w1")
 	if got := phase(); got != "serving" {
 		t.Errorf("in a new epoch the group is %s", got)
 	}
 }
 
-func TestAGroupThatBrokeWhileItFormedDoesNotServe(t *testing.T) {
-	l := newLog(t, 2)
-	l.must(create("g", 2))
-	l.must(assign("g", 0, "w0", "w1"))
+func TestGroupBrokenWhileFormingStaysBroken(t *testing.T) {
+	l := newReplicatedLog(t, 2)
+	l.mustApply(create("g", 2))
+	l.mustApply(assign("g", 0, "w0", "w1"))
 	l.confirm("g", "w0")
-	l.must(&fleet.Command{Kind: fleet.KindBreakGroup, Assign: &fleet.Assign{Group: "g", Base: l.epoch("g")}})
+	l.mustApply(&fleet.Command{Kind: fleet.KindBreakGroup, Assign: &fleet.Assign{Group: "g", Base: l.epoch("g")}})
 	l.confirm("g", "w1")
 	if got := l.state.Groups["g"].Phase; got != fleet.GroupBroken {
 		t.Errorf("the last confirmation made a broken group %s", got)
 	}
 }
 
-func TestAResendAfterARestartGetsItsFirstAnswer(t *testing.T) {
-	l := newLog(t, 1)
+func TestResendAfterRestartGetsFirstAnswer(t *testing.T) {
+	l := newReplicatedLog(t, 1)
 	c := create("g", 1)
 	c.Change = "c1"
-	first := l.must(c)
+	first := l.mustApply(c)
 	data, err := l.state.Marshal()
 	if err != nil {
 		t.Fatal(err)
@@ -208,17 +208,17 @@
 	}
 }
 
-func TestChangesSentAgainAndRacing(t *testing.T) {
-	l := newLog(t, 4)
+func TestResentAndConcurrentChanges(t *testing.T) {
+	l := newReplicatedLog(t, 4)
 	change := func(id ident.Change, size int, ifRevision ident.Revision) *fleet.Command {
 		return &fleet.Command{
 			Kind: fleet.KindChangeGroup, Change: id, By: "op", IfRevision: ifRevision,
 			Spec: &fleet.GroupSpec{Name: "g", Model: "m", Size: size},
 		}
 	}
-	made := create("g", 1)
-	made.Change, made.By = "c1", "op"
-	first := l.must(made)
+	creation := create("g", 1)
+	creation.Change, creation.By = "c1", "op"
+	first := l.mustApply(creation)
 	for _, c := range []struct {
 		name    string
 		command *fleet.Command
@@ -227,7 +227,7 @@
 		// revision is the revision that the answer must name, zero for its own.
 		revision ident.Revision
 	}{
-		{"the first change sent again gets its first answer", made, result.OK, 1, first.Revision},
+		{"the first change sent again gets its first answer", creation, result.OK, 1, first.Revision},
 		{"a second group of that name", func() *fleet.Command { c := create("g", 1); c.Change = "c2"; return c }(), result.ChangeExists, 1, 0},
 		{"the refused one again, refused the same", func() *fleet.Command { c := create("g", 1); c.Change = "c2"; return c }(), result.ChangeExists, 1, first.Revision + 2},
 		{"one of two racing operators", change("c3", 2, first.Revision), result.OK, 2, 0},
@@ -249,16 +249,16 @@
 	}
 }
 
-func TestADeletedNameGetsANewGeneration(t *testing.T) {
-	l := newLog(t, 4)
-	l.serve("g", "w0", "w1")
+func TestRecreatedGroupGetsNewGeneration(t *testing.T) {
+	l := newReplicatedLog(t, 4)
+	l.formServing("g", "w0", "w1")
 	old := l.state.Groups["g"].Generation
-	l.must(&fleet.Command{Kind: fleet.KindDeleteGroup, Group: "g"})
+	l.mustApply(&fleet.Command{Kind: fleet.KindDeleteGroup, Group: "g"})
 	if a := l.apply(create("g", 2)); a.Code != result.ChangeExists {
 		t.Errorf("a group that is being dissolved was recreated: code %d", a.Code)
 	}
-	l.must(assign("g", l.epoch("g")))
-	l.must(create("g", 2))
+	l.mustApply(assign("g", l.epoch("g")))
+	l.mustApply(create("g", 2))
 	if g := l.state.Groups["g"]; g.Generation <= old || g.Epoch != 0 {
 		t.Errorf("generation %d after %d, epoch %d", g.Generation, old, g.Epoch)
 	}
@@ -267,7 +267,7 @@
 	}
 }
 
-func TestWhatMembersOfAServingGroupCause(t *testing.T) {
+func TestVMChangesAffectServingGroup(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		command *fleet.Command
@@ -280,13 +280,13 @@
 		{"the platform says it leaves", &fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingLeaving}}}, "draining", true},
 		{"another VM leaves", &fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w1", Listing: fleet.ListingLeaving}}}, "serving", false},
 	} {
-		l := newLog(t, 4)
-		l.must(&fleet.Command{Kind: fleet.KindCreateGroup, Spec: &fleet.GroupSpec{
+		l := newReplicatedLog(t, 4)
+		l.mustApply(&fleet.Command{Kind: fleet.KindCreateGroup, Spec: &fleet.GroupSpec{
 			Name: "g", Model: "m", Size: 2, Selector: []fleet.Requirement{{Label: "gpu", Values: []string{"new"}}},
 		}})
-		l.must(assign("g", 0, "w0", "w2"))
+		l.mustApply(assign("g", 0, "w0", "w2"))
 		l.confirm("g", "w0", "w2")
-		l.must(c.command)
+		l.mustApply(c.command)
 		g := l.state.Groups["g"]
 		if g.Phase.String() != c.phase || g.Reform != c.reform {
 			t.Errorf("%s: %s, reform %t; want %s, %t", c.name, g.Phase, g.Reform, c.phase, c.reform)
@@ -294,8 +294,8 @@
 	}
 }
 
-func TestBadCommandsAreRefused(t *testing.T) {
-	l := newLog(t, 2)
+func TestInvalidCommandsAreRefused(t *testing.T) {
+	l := newReplicatedLog(t, 2)
 	for _, c := range []struct {
 		name    string
 		command *fleet.Command
--- a/fleet/assign.go
+++ b/fleet/assign.go
@@ -104,7 +104,7 @@
 	if g.Epoch != a.Base || g.Phase != GroupServing {
 		return refuse(result.ChangeConflict, "group %s is %s in epoch %d, not serving in %d", a.Group, g.Phase, g.Epoch, a.Base)
 	}
-	s.drain(revision, g)
+	s.startDraining(revision, g)
 	return nil
 }
 
@@ -121,7 +121,7 @@
 	return nil
 }
 
-func (s *State) confirm(confirms []Confirm) *refusal {
+func (s *State) applyConfirmations(confirms []Confirm) *refusal {
 	for _, c := range confirms {
 		v, ok := s.VMs[c.VM]
 		if !ok || v.Epoch != c.Epoch {
--- a/fleet/command.go
+++ b/fleet/command.go
@@ -129,9 +129,9 @@
 // digest tells a resend from another change that reuses its id. The time of sending does not count, nor the condition: a
 // client that reads the object again before it sends again finds its own change there.
 func (c *Command) digest() uint64 {
-	same := *c
-	same.At, same.IfRevision = 0, 0
-	data, err := encoding.Marshal(&same)
+	normalized := *c
+	normalized.At, normalized.IfRevision = 0, 0
+	data, err := encoding.Marshal(&normalized)
 	if err != nil {
 		return 0
 	}
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -39,7 +39,7 @@
 	if revision <= m.state.Revision {
 		return Answer{Revision: m.state.Revision}
 	}
-	m.keep(Entry{revision, data})
+	m.addToFeed(Entry{revision, data})
 	if err != nil {
 		m.state.Revision = revision
 		return Answer{Revision: revision, Code: result.ChangeInvalid, Text: result.Message(err)}
@@ -47,7 +47,7 @@
 	return m.state.Apply(revision, c)
 }
 
-func (m *Machine) keep(e Entry) {
+func (m *Machine) addToFeed(e Entry) {
 	m.feed = append(m.feed, e)
 	if len(m.feed) >= 2*feedLength {
 		m.feedAfter = m.feed[feedLength-1].Revision
--- a/fleet/property_test.go
+++ b/fleet/property_test.go
@@ -24,27 +24,27 @@
 }
 
 const (
-	someVMs    = 6
-	someGroups = 3
+	vmCount    = 6
+	groupCount = 3
 )
 
-func anyVM(t *rapid.T) ident.VM {
-	return ident.VM(fmt.Sprint("w", rapid.IntRange(0, someVMs-1).Draw(t, "vm")))
+func randomVM(t *rapid.T) ident.VM {
+	return ident.VM(fmt.Sprint("w", rapid.IntRange(0, vmCount-1).Draw(t, "vm")))
 }
 
-func anyGroup(t *rapid.T) ident.Group {
-	return ident.Group(fmt.Sprint("g", rapid.IntRange(0, someGroups-1).Draw(t, "group")))
+func randomGroup(t *rapid.T) ident.Group {
+	return ident.Group(fmt.Sprint("g", rapid.IntRange(0, groupCount-1).Draw(t, "group")))
 }
 
-// anyCommand draws a command, sensible or not; epochs are mostly the right ones, or nothing would happen.
-func anyCommand(t *rapid.T, s *fleet.State) *fleet.Command {
-	name := anyGroup(t)
+// randomCommand draws a command, sensible or not; epochs are mostly the right ones, or nothing would happen.
+func randomCommand(t *rapid.T, s *fleet.State) *fleet.Command {
+	name := randomGroup(t)
 	epoch := ident.Epoch(rapid.Uint64Range(0, 30).Draw(t, "epoch"))
 	if g := s.Groups[name]; g != nil && rapid.IntRange(0, 4).Draw(t, "right epoch") > 0 {
 		epoch = g.Epoch
 	}
-	members := rapid.SliceOfN(rapid.Custom(anyVM), 0, 3).Draw(t, "members")
-	vm := anyVM(t)
+	members := rapid.SliceOfN(rapid.Custom(randomVM), 0, 3).Draw(t, "members")
+	vm := randomVM(t)
 	vmEpoch := epoch
 	if v := s.VMs[vm]; v != nil && rapid.IntRange(0, 4).Draw(t, "right vm epoch") > 0 {
 		vmEpoch = v.Epoch
@@ -74,8 +74,8 @@
 	return assign(name, epoch, members...)
 }
 
-// hold checks what must hold after every command.
-func hold(t *rapid.T, s *fleet.State) {
+// checkInvariants checks what must hold after every command.
+func checkInvariants(t *rapid.T, s *fleet.State) {
 	owner := map[ident.VM]ident.Group{}
 	for _, g := range s.SortedGroups() {
 		joined := 0
@@ -103,12 +103,12 @@
 	}
 }
 
-func TestRandomCommandsKeepThePromises(t *testing.T) {
+func TestRandomCommandsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := fleet.NewState()
-		copied := fleet.NewMachine()
+		replica := fleet.NewMachine()
 		var vms []fleet.VM
-		for i := range someVMs {
+		for i := range vmCount {
 			vms = append(vms, fleet.VM{Name: ident.VM(fmt.Sprint("w", i)), Accelerators: 1})
 		}
 		commands := []*fleet.Command{{Kind: fleet.KindRegister, VMs: vms}}
@@ -118,7 +118,7 @@
 		for i := range n {
 			c := commands[0]
 			if i > 0 {
-				c = anyCommand(t, s)
+				c = randomCommand(t, s)
 			}
 			data, err := fleet.Encode(c)
 			if err != nil {
@@ -126,10 +126,10 @@
 			}
 			revision := ident.Revision(i + 1)
 			answer := s.Apply(revision, c)
-			if again := copied.Apply(revision, data); again != answer {
-				t.Fatalf("two members answer differently: %v and %v", answer, again)
+			if replicaAnswer := replica.Apply(revision, data); replicaAnswer != answer {
+				t.Fatalf("two members answer differently: %v and %v", answer, replicaAnswer)
 			}
-			hold(t, s)
+			checkInvariants(t, s)
 			for name, g := range s.Groups {
 				if g.Epoch < epochs[name] && g.Generation < ident.Revision(epochs[name]) {
 					t.Fatalf("group %s went back from epoch %d to %d", name, epochs[name], g.Epoch)
@@ -138,25 +138,25 @@
 			}
 			if i == restart {
 				// The copy starts anew from a snapshot and must go on the same.
-				snapshot, err := copied.Snapshot()
+				snapshot, err := replica.Snapshot()
 				if err != nil {
 					t.Fatal(err)
 				}
-				copied = fleet.NewMachine()
-				if err := copied.Restore(revision, snapshot); err != nil {
+				replica = fleet.NewMachine()
+				if err := replica.Restore(revision, snapshot); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		one, _ := s.Marshal()
-		two, _ := copied.Snapshot()
-		if !bytes.Equal(one, two) {
+		stateBytes, _ := s.Marshal()
+		replicaBytes, _ := replica.Snapshot()
+		if !bytes.Equal(stateBytes, replicaBytes) {
 			t.Fatal("the same log gave different bytes")
 		}
 	})
 }
 
-func TestMachineOnlyMovesForward(t *testing.T) {
+func TestMachineIgnoresOlderRevisions(t *testing.T) {
 	m := fleet.NewMachine()
 	data, err := fleet.Encode(create("g", 1))
 	if err != nil {
@@ -167,11 +167,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	more, err := fleet.Encode(create("h", 1))
+	newer, err := fleet.Encode(create("h", 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.Apply(6, more)
+	m.Apply(6, newer)
 	for _, c := range []struct {
 		name string
 		do   func()
@@ -189,11 +189,11 @@
 	if !ok || len(entries) != 1 || entries[0].Revision != 6 {
 		t.Errorf("since 5: %v, %t", entries, ok)
 	}
-	fresh := fleet.NewMachine()
-	if err := fresh.Restore(5, old); err != nil {
+	restored := fleet.NewMachine()
+	if err := restored.Restore(5, old); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := fresh.Since(2, 10); ok {
+	if _, ok := restored.Since(2, 10); ok {
 		t.Error("a machine that started from a snapshot claims to have what came before")
 	}
 	if a := m.Apply(7, []byte{0xff}); a.Code != result.ChangeInvalid || m.Revision() != 7 {
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -25,7 +25,7 @@
 	Limits   map[ident.Customer]CustomerLimits `cbor:"5,keyasint"`
 	History  []HistoryEntry                    `cbor:"6,keyasint"`
 
-	byChange map[ident.Change]int
+	historyPositions map[ident.Change]int
 	// dropped counts history entries that were forgotten, so that positions stay valid.
 	dropped int
 }
@@ -33,11 +33,11 @@
 // NewState returns the state before the first command.
 func NewState() *State {
 	return &State{
-		Format:   stateFormat,
-		VMs:      map[ident.VM]*VM{},
-		Groups:   map[ident.Group]*Group{},
-		Limits:   map[ident.Customer]CustomerLimits{},
-		byChange: map[ident.Change]int{},
+		Format:           stateFormat,
+		VMs:              map[ident.VM]*VM{},
+		Groups:           map[ident.Group]*Group{},
+		Limits:           map[ident.Customer]CustomerLimits{},
+		historyPositions: map[ident.Change]int{},
 	}
 }
 
@@ -59,7 +59,7 @@
 		return nil, result.New(result.FormatTooNew, "state format %d is newer than %d", s.Format, stateFormat)
 	}
 	for i := range s.History {
-		s.byChange[s.History[i].Change] = i
+		s.historyPositions[s.History[i].Change] = i
 	}
 	return s, nil
 }
@@ -86,23 +86,23 @@
 	return values
 }
 
-func (s *State) remembered(id ident.Change) (*HistoryEntry, bool) {
-	i, ok := s.byChange[id]
+func (s *State) findChange(id ident.Change) (*HistoryEntry, bool) {
+	i, ok := s.historyPositions[id]
 	if !ok {
 		return nil, false
 	}
 	return &s.History[i-s.dropped], true
 }
 
-func (s *State) remember(h HistoryEntry) {
-	s.byChange[h.Change] = s.dropped + len(s.History)
+func (s *State) addHistory(h HistoryEntry) {
+	s.historyPositions[h.Change] = s.dropped + len(s.History)
 	s.History = append(s.History, h)
 	if len(s.History) < 2*historyLength {
 		return
 	}
 	// Forgetting half at once keeps the cost of one change constant.
 	for i := range s.History[:historyLength] {
-		delete(s.byChange, s.History[i].Change)
+		delete(s.historyPositions, s.History[i].Change)
 	}
 	s.History = append([]HistoryEntry(nil), s.History[historyLength:]...)
 	s.dropped += historyLength
