--- a/catalog/doc.go
+++ b/catalog/doc.go
@@ -1,3 +1,2 @@
-// Package catalog is the replicated state machine of a region's configuration: it decides which version is in force and which halls are
-// drained.
+// Package catalog is the replicated state machine of the configuration: it decides which version is in force and which halls are drained.
 package catalog
--- a/fleet/apply.go
+++ b/fleet/apply.go
@@ -1,16 +1,18 @@
 package fleet
 
-// Apply is the only place that changes a State. The promises that must hold
-// whatever a planner or an operator asks for are checked here, against the
-// state that the log itself has built, and nowhere else:
+// All changes of a State are made by Apply, which enforces these invariants
+// against the state built from the log, whatever a planner or an operator
+// requests:
 //
-//   - a VM is assigned only while it is free or held by the same group;
-//   - a VM that leaves stays reserved until its engine confirmed, or the
-//     platform lists it as gone;
-//   - a decision made on an epoch that has passed is refused.
+//   - a VM is assigned only while it is free or a member of the same group;
+//   - a leaving VM stays reserved until its engine confirms that it left, or
+//     the platform lists it as gone;
+//   - a decision based on an older epoch of the group is refused.
 //
-// A refusal is an answer like any other: it is part of the log's outcome, the
-// same on every member.
+// A refusal is an answer too, and is the same on every member.
+//
+// The history stores the texts of refusals and of Command.What. They are part
+// of the state, so builds with different texts would write different snapshots.
 
 import (
 	"fmt"
@@ -26,7 +28,7 @@
 	maxRequirements = 32
 )
 
-// refusal is a code with its words; nil means accepted.
+// refusal is why a command is refused; nil means accepted.
 type refusal struct {
 	code result.Code
 	text string
@@ -36,7 +38,7 @@
 	return &refusal{code, fmt.Sprintf(format, args...)}
 }
 
-// Apply executes c at revision and returns its answer; an operator's change sent twice gets its first answer.
+// Apply executes c at revision and returns its answer; a resent operator's change gets the answer of the first execution.
 func (s *State) Apply(revision ident.Revision, c *Command) Answer {
 	s.Revision = revision
 	if c.Change == "" {
@@ -96,7 +98,7 @@
 	return refuse(result.ChangeInvalid, "unknown kind %d", c.Kind)
 }
 
-// checkContent refuses a command whose Kind lacks its content, which only a faulty sender makes.
+// checkContent refuses a command without the field that its Kind requires; only a faulty sender omits it.
 func (c *Command) checkContent() *refusal {
 	missing := false
 	switch c.Kind {
@@ -145,7 +147,7 @@
 	return nil
 }
 
-// revisionConflict refuses a change that was decided on an older state of the object.
+// revisionConflict refuses a change if the object has changed since c.IfRevision.
 func revisionConflict(c *Command, object string, changed ident.Revision) *refusal {
 	if c.IfRevision == 0 || c.IfRevision >= changed {
 		return nil
@@ -180,7 +182,7 @@
 	return nil
 }
 
-// needsReform reports whether the members must load something else, or are no longer the right ones.
+// needsReform reports whether next changes the group's size or what its members load, or excludes a member.
 func (s *State) needsReform(g *Group, next *GroupSpec) bool {
 	old := &g.Spec
 	if old.Model != next.Model || old.Version != next.Version || !slices.Equal(old.Adapters, next.Adapters) || old.Size != next.Size {
@@ -208,6 +210,7 @@
 	return nil
 }
 
+// startDraining moves a serving group to draining; groups in other phases stay as they are.
 func (s *State) startDraining(revision ident.Revision, g *Group) {
 	if g.Phase == GroupServing {
 		g.Phase = GroupDraining
@@ -245,7 +248,8 @@
 	return nil
 }
 
-// recheckMembership starts the orderly end of a formation that a member no longer belongs to.
+// recheckMembership marks the group of v for reform if v can no longer be a member, and drains the group if v is not eligible for any
+// group.
 func (s *State) recheckMembership(revision ident.Revision, v *VM) {
 	g, ok := s.Groups[v.Group]
 	if !ok || !slices.Contains(g.Members, v.Name) {
@@ -287,7 +291,7 @@
 	return nil
 }
 
-// registerVMs takes VMs from the settings or the platform; what operators and groups did with a known VM stays.
+// registerVMs adds or updates VMs from the settings or the platform; labels, drain and membership of a known VM stay.
 func (s *State) registerVMs(vms []VM) *refusal {
 	for i := range vms {
 		declared := &vms[i]
@@ -323,6 +327,7 @@
 	return nil
 }
 
+// release frees the VM for assignment to any group.
 func (v *VM) release() {
 	v.Group, v.Epoch, v.Phase, v.Incarnation = "", 0, VMFree, ""
 }
--- a/fleet/apply_test.go
+++ b/fleet/apply_test.go
@@ -11,7 +11,7 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// replicatedLog applies commands one after the other, as the replicated log does.
+// replicatedLog applies commands to a state, each encoded and decoded as in the replicated log.
 type replicatedLog struct {
 	t        *testing.T
 	state    *fleet.State
@@ -67,7 +67,7 @@
 	return l.state.Groups[name].Epoch
 }
 
-// formServing forms a group and confirms every member.
+// formServing creates a group, assigns the members and confirms that each has joined.
 func (l *replicatedLog) formServing(name ident.Group, members ...ident.VM) {
 	l.t.Helper()
 	l.mustApply(create(name, len(members)))
@@ -90,45 +90,45 @@
 		code    result.Code
 	}{
 		{"free VMs", func(*replicatedLog) {}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.OK},
-		{"a VM of another group", func(l *replicatedLog) { l.formServing("other", "w0") }, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.ChangeRefused},
-		{"the same VM twice", func(*replicatedLog) {}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w0") }, result.ChangeRefused},
-		{"too few", func(*replicatedLog) {}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0") }, result.ChangeRefused},
+		{"VM of another group", func(l *replicatedLog) { l.formServing("other", "w0") }, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.ChangeRefused},
+		{"same VM twice", func(*replicatedLog) {}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w0") }, result.ChangeRefused},
+		{"too few VMs", func(*replicatedLog) {}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0") }, result.ChangeRefused},
 		{"unknown VM", func(*replicatedLog) {}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "x") }, result.ChangeNotFound},
-		{"a decision on a passed epoch", func(l *replicatedLog) { l.mustApply(assign("g", 0, "w0", "w1")) }, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w2", "w3") }, result.ChangeConflict},
-		{"a VM that leaves and has not confirmed", func(l *replicatedLog) {
+		{"decision on an older epoch", func(l *replicatedLog) { l.mustApply(assign("g", 0, "w0", "w1")) }, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w2", "w3") }, result.ChangeConflict},
+		{"leaving VM of another group, not confirmed", func(l *replicatedLog) {
 			l.formServing("other", "w0")
 			l.mustApply(assign("other", l.epoch("other"), "w2"))
 		}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.ChangeRefused},
-		{"the own VM back before it confirmed that it left", func(l *replicatedLog) {
+		{"leaving VM of the same group, not confirmed", func(l *replicatedLog) {
 			l.mustApply(assign("g", 0, "w0", "w1"))
 			l.mustApply(assign("g", l.epoch("g"), "w2", "w3"))
 		}, func(l *replicatedLog) *fleet.Command { return assign("g", l.epoch("g"), "w0", "w3") }, result.ChangeRefused},
-		{"a VM that left and confirmed", func(l *replicatedLog) {
+		{"VM that confirmed leaving", func(l *replicatedLog) {
 			l.formServing("other", "w0")
 			left := l.epoch("other")
 			l.mustApply(assign("other", left, "w2"))
 			l.mustApply(&fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{{VM: "w0", Epoch: left, Left: true}}})
 		}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.OK},
-		{"a late word of leaving an older epoch", func(l *replicatedLog) {
+		{"late confirmation of leaving an older epoch", func(l *replicatedLog) {
 			l.formServing("other", "w0")
 			l.mustApply(assign("other", l.epoch("other"), "w2"))
 			l.mustApply(&fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{{VM: "w0", Epoch: 1, Left: true}}})
 		}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.ChangeRefused},
-		{"a VM that leaves and is gone from the platform", func(l *replicatedLog) {
+		{"leaving VM that the platform listed as gone", func(l *replicatedLog) {
 			l.formServing("other", "w0")
 			l.mustApply(assign("other", l.epoch("other"), "w2"))
 			l.mustApply(&fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingGone}}})
 			l.mustApply(&fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingLive}}})
 		}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.OK},
-		{"a VM that the platform says is leaving", func(l *replicatedLog) {
+		{"VM listed as leaving the platform", func(l *replicatedLog) {
 			l.mustApply(&fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingLeaving}}})
 		}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.ChangeRefused},
-		{"a VM that the selector does not admit", func(l *replicatedLog) {
+		{"VM that the selector excludes", func(l *replicatedLog) {
 			l.mustApply(&fleet.Command{Kind: fleet.KindChangeGroup, Spec: &fleet.GroupSpec{
 				Name: "g", Model: "m", Size: 2, Selector: []fleet.Requirement{{Label: "gpu", Values: []string{"new"}}},
 			}})
 		}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.ChangeRefused},
-		{"a group that is being dissolved", func(l *replicatedLog) {
+		{"deleted group that still has members", func(l *replicatedLog) {
 			l.mustApply(assign("g", 0, "w0", "w1"))
 			l.mustApply(&fleet.Command{Kind: fleet.KindDeleteGroup, Group: "g"})
 		}, func(l *replicatedLog) *fleet.Command { return assign("g", l.epoch("g"), "w2", "w3") }, result.ChangeRefused},
@@ -156,26 +156,26 @@
 		want    string
 	}{
 		{"one member", fleet.Confirm{VM: "w0", Epoch: first, Incarnation: "a"}, "forming"},
-		{"the same member again", fleet.Confirm{VM: "w0", Epoch: first, Incarnation: "a"}, "forming"},
-		{"the other one for another epoch", fleet.Confirm{VM: "w1", Epoch: first + 7, Incarnation: "b"}, "forming"},
-		{"a stranger", fleet.Confirm{VM: "w2", Epoch: first, Incarnation: "c"}, "forming"},
-		{"the other one", fleet.Confirm{VM: "w1", Epoch: first, Incarnation: "b"}, "serving"},
+		{"same member again", fleet.Confirm{VM: "w0", Epoch: first, Incarnation: "a"}, "forming"},
+		{"other member for another epoch", fleet.Confirm{VM: "w1", Epoch: first + 7, Incarnation: "b"}, "forming"},
+		{"VM outside the group", fleet.Confirm{VM: "w2", Epoch: first, Incarnation: "c"}, "forming"},
+		{"other member", fleet.Confirm{VM: "w1", Epoch: first, Incarnation: "b"}, "serving"},
 	} {
 		l.mustApply(&fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{c.confirm}})
 		if got := phase(); got != c.want {
-			t.Errorf("after %s: %s, want %s", c.name, got, c.want)
+			t.Errorf("after confirmation of %s: %s, want %s", c.name, got, c.want)
 		}
 	}
-	// A broken group never serves again in the same epoch, whatever its members confirm.
+	// Later confirmations for the epoch must not make a broken group serve again.
 	l.mustApply(&fleet.Command{Kind: fleet.KindBreakGroup, Assign: &fleet.Assign{Group: "g", Base: first}})
 	l.confirm("g", "w0", "w1")
 	if got := phase(); got != "broken" {
-		t.Errorf("a broken group is %s again in epoch %d", got, first)
+		t.Errorf("broken group is %s after confirmations for epoch %d, want broken", got, first)
 	}
 	l.mustApply(assign("g", first, "w0", "w1"))
 	l.confirm("g", "w0", "w1")
 	if got := phase(); got != "serving" {
-		t.Errorf("in a new epoch the group is %s", got)
+		t.Errorf("group is %s in a new epoch, want serving", got)
 	}
 }
 
@@ -187,7 +187,7 @@
 	l.mustApply(&fleet.Command{Kind: fleet.KindBreakGroup, Assign: &fleet.Assign{Group: "g", Base: l.epoch("g")}})
 	l.confirm("g", "w1")
 	if got := l.state.Groups["g"].Phase; got != fleet.GroupBroken {
-		t.Errorf("the last confirmation made a broken group %s", got)
+		t.Errorf("after the last confirmation: %s, want broken", got)
 	}
 }
 
@@ -224,18 +224,18 @@
 		command *fleet.Command
 		code    result.Code
 		size    int
-		// revision is the revision that the answer must name, zero for its own.
+		// revision is the expected revision of the answer; zero means that of the command.
 		revision ident.Revision
 	}{
-		{"the first change sent again gets its first answer", creation, result.OK, 1, first.Revision},
-		{"a second group of that name", func() *fleet.Command { c := create("g", 1); c.Change = "c2"; return c }(), result.ChangeExists, 1, 0},
-		{"the refused one again, refused the same", func() *fleet.Command { c := create("g", 1); c.Change = "c2"; return c }(), result.ChangeExists, 1, first.Revision + 2},
-		{"one of two racing operators", change("c3", 2, first.Revision), result.OK, 2, 0},
-		{"the other one", change("c4", 3, first.Revision), result.ChangeConflict, 2, 0},
-		{"the first one's resend after a lost answer", change("c3", 2, first.Revision), result.OK, 2, first.Revision + 4},
-		{"the resend by a client that has read the group again in between", change("c3", 2, first.Revision+4), result.OK, 2, first.Revision + 4},
-		{"an id used for something else", change("c3", 4, 0), result.ChangeIDReused, 2, 0},
-		{"without a condition the last one counts", change("c5", 4, 0), result.OK, 4, 0},
+		{"resent creation", creation, result.OK, 1, first.Revision},
+		{"second group of the same name", func() *fleet.Command { c := create("g", 1); c.Change = "c2"; return c }(), result.ChangeExists, 1, 0},
+		{"resent refused creation", func() *fleet.Command { c := create("g", 1); c.Change = "c2"; return c }(), result.ChangeExists, 1, first.Revision + 2},
+		{"first of two concurrent changes", change("c3", 2, first.Revision), result.OK, 2, 0},
+		{"second of two concurrent changes", change("c4", 3, first.Revision), result.ChangeConflict, 2, 0},
+		{"resend of the first change", change("c3", 2, first.Revision), result.OK, 2, first.Revision + 4},
+		{"resend after the client read the group again", change("c3", 2, first.Revision+4), result.OK, 2, first.Revision + 4},
+		{"id reused for another change", change("c3", 4, 0), result.ChangeIDReused, 2, 0},
+		{"change without IfRevision", change("c5", 4, 0), result.OK, 4, 0},
 	} {
 		a := l.apply(c.command)
 		want := c.revision
@@ -255,15 +255,15 @@
 	old := l.state.Groups["g"].Generation
 	l.mustApply(&fleet.Command{Kind: fleet.KindDeleteGroup, Group: "g"})
 	if a := l.apply(create("g", 2)); a.Code != result.ChangeExists {
-		t.Errorf("a group that is being dissolved was recreated: code %d", a.Code)
+		t.Errorf("create while the deleted group still has members: code %d, want change-exists", a.Code)
 	}
 	l.mustApply(assign("g", l.epoch("g")))
 	l.mustApply(create("g", 2))
 	if g := l.state.Groups["g"]; g.Generation <= old || g.Epoch != 0 {
-		t.Errorf("generation %d after %d, epoch %d", g.Generation, old, g.Epoch)
+		t.Errorf("generation %d after %d, epoch %d; want a later generation and epoch 0", g.Generation, old, g.Epoch)
 	}
 	if v := l.state.VMs["w0"]; v.Phase != fleet.VMLeaving {
-		t.Errorf("a member of the dissolved group is %s before it confirmed", v.Phase)
+		t.Errorf("member of the deleted group is %s before it confirmed leaving, want leaving", v.Phase)
 	}
 }
 
@@ -274,11 +274,11 @@
 		phase   string
 		reform  bool
 	}{
-		{"a label that matters not", &fleet.Command{Kind: fleet.KindLabelVM, Label: &fleet.LabelChange{VM: "w0", Set: map[string]string{"x": "y"}}}, "serving", false},
-		{"a label that ends its membership", &fleet.Command{Kind: fleet.KindLabelVM, Label: &fleet.LabelChange{VM: "w0", Set: map[string]string{"gpu": "broken"}}}, "serving", true},
-		{"an operator drains it", &fleet.Command{Kind: fleet.KindDrainVM, Label: &fleet.LabelChange{VM: "w0", Drain: true}}, "draining", true},
-		{"the platform says it leaves", &fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingLeaving}}}, "draining", true},
-		{"another VM leaves", &fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w1", Listing: fleet.ListingLeaving}}}, "serving", false},
+		{"label outside the selector", &fleet.Command{Kind: fleet.KindLabelVM, Label: &fleet.LabelChange{VM: "w0", Set: map[string]string{"x": "y"}}}, "serving", false},
+		{"label that the selector excludes", &fleet.Command{Kind: fleet.KindLabelVM, Label: &fleet.LabelChange{VM: "w0", Set: map[string]string{"gpu": "broken"}}}, "serving", true},
+		{"operator drains a member", &fleet.Command{Kind: fleet.KindDrainVM, Label: &fleet.LabelChange{VM: "w0", Drain: true}}, "draining", true},
+		{"member is listed as leaving", &fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingLeaving}}}, "draining", true},
+		{"VM outside the group is listed as leaving", &fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w1", Listing: fleet.ListingLeaving}}}, "serving", false},
 	} {
 		l := newReplicatedLog(t, 4)
 		l.mustApply(&fleet.Command{Kind: fleet.KindCreateGroup, Spec: &fleet.GroupSpec{
@@ -321,7 +321,7 @@
 		l.state.Revision = l.revision - 1
 		after, _ := l.state.Marshal()
 		if diff := cmp.Diff(before, after); diff != "" {
-			t.Errorf("%s: a refused command changed the state", c.name)
+			t.Errorf("%s: refused command changed the state", c.name)
 		}
 		l.state.Revision = l.revision
 	}
--- a/fleet/assign.go
+++ b/fleet/assign.go
@@ -1,7 +1,7 @@
 package fleet
 
-// What the planner decides of groups: who belongs to which, and how far a
-// formation has come.
+// Commands of the planner and the leader on groups: membership, phases, and
+// confirmations from engines.
 
 import (
 	"slices"
@@ -16,7 +16,7 @@
 		return refuse(result.ChangeNotFound, "there is no group %s", a.Group)
 	}
 	if g.Epoch != a.Base {
-		return refuse(result.ChangeConflict, "group %s is in epoch %d, not %d", a.Group, g.Epoch, a.Base)
+		return refuse(result.ChangeConflict, "group %s is in epoch %d, decision was based on epoch %d", a.Group, g.Epoch, a.Base)
 	}
 	if len(a.Members) > 0 {
 		if r := s.checkMembers(g, a.Members); r != nil {
@@ -32,12 +32,12 @@
 		return refuse(result.ChangeRefused, "group %s is being dissolved", g.Spec.Name)
 	}
 	if len(members) != g.Spec.Size {
-		return refuse(result.ChangeRefused, "group %s wants %d VMs, not %d", g.Spec.Name, g.Spec.Size, len(members))
+		return refuse(result.ChangeRefused, "group %s needs %d VMs, got %d", g.Spec.Name, g.Spec.Size, len(members))
 	}
 	seen := map[ident.VM]bool{}
 	for _, name := range members {
 		if seen[name] {
-			return refuse(result.ChangeRefused, "VM %s stands twice", name)
+			return refuse(result.ChangeRefused, "VM %s is listed more than once", name)
 		}
 		seen[name] = true
 		if r := s.checkMember(g, name); r != nil {
@@ -56,19 +56,19 @@
 		return refuse(result.ChangeRefused, "VM %s is %s or drained", name, v.Listing)
 	}
 	if q := g.Spec.FailedRequirement(v); q != nil {
-		return refuse(result.ChangeRefused, "VM %s does not meet %s", name, q)
+		return refuse(result.ChangeRefused, "VM %s does not meet requirement %s", name, q)
 	}
 	if v.Phase == VMFree {
 		return nil
 	}
-	// A VM on its way out of a group's older epoch has not confirmed that; even its own group must wait.
+	// A leaving VM has not confirmed that it left the older epoch, so even the same group must wait.
 	if v.Group == g.Spec.Name && v.Epoch == g.Epoch && v.Phase != VMLeaving {
 		return nil
 	}
-	return refuse(result.ChangeRefused, "VM %s is held by group %s in epoch %d (%s)", name, v.Group, v.Epoch, v.Phase)
+	return refuse(result.ChangeRefused, "VM %s belongs to group %s in epoch %d (%s)", name, v.Group, v.Epoch, v.Phase)
 }
 
-// moveMembers ends the present epoch: those not kept leave, the others join the next one.
+// moveMembers starts a new epoch of g: VMs not in members leave the group, those in members join.
 func (s *State) moveMembers(revision ident.Revision, g *Group, members []ident.VM) {
 	for _, name := range g.Members {
 		if v := s.VMs[name]; !slices.Contains(members, name) {
@@ -102,25 +102,26 @@
 		return refuse(result.ChangeNotFound, "there is no group %s", a.Group)
 	}
 	if g.Epoch != a.Base || g.Phase != GroupServing {
-		return refuse(result.ChangeConflict, "group %s is %s in epoch %d, not serving in %d", a.Group, g.Phase, g.Epoch, a.Base)
+		return refuse(result.ChangeConflict, "group %s is %s in epoch %d, want serving in epoch %d", a.Group, g.Phase, g.Epoch, a.Base)
 	}
 	s.startDraining(revision, g)
 	return nil
 }
 
-// breakGroup remembers for good that the present epoch has lost a member.
+// breakGroup records that the group lost a member; the current epoch never serves again.
 func (s *State) breakGroup(a *Assign) *refusal {
 	g, ok := s.Groups[a.Group]
 	if !ok {
 		return refuse(result.ChangeNotFound, "there is no group %s", a.Group)
 	}
 	if g.Epoch != a.Base || g.Phase == GroupPending {
-		return refuse(result.ChangeConflict, "group %s is %s in epoch %d, not formed in %d", a.Group, g.Phase, g.Epoch, a.Base)
+		return refuse(result.ChangeConflict, "group %s is %s in epoch %d, want a formed group in epoch %d", a.Group, g.Phase, g.Epoch, a.Base)
 	}
 	g.Phase = GroupBroken
 	return nil
 }
 
+// applyConfirmations records joins and leaves; confirmations for another epoch or phase are ignored.
 func (s *State) applyConfirmations(confirms []Confirm) *refusal {
 	for _, c := range confirms {
 		v, ok := s.VMs[c.VM]
@@ -139,6 +140,7 @@
 	return nil
 }
 
+// completeFormation makes a forming group serve once all members have joined its epoch.
 func (s *State) completeFormation(name ident.Group) {
 	g, ok := s.Groups[name]
 	if !ok || g.Phase != GroupForming {
--- a/fleet/command.go
+++ b/fleet/command.go
@@ -11,10 +11,10 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// Kind says which field of a Command counts.
+// Kind is the type of a command; it determines which field of Command holds the content.
 type Kind uint8
 
-// The kinds of commands: operators' changes first, then control's own.
+// The kinds of commands: KindCreateGroup to KindLimits are operators' changes, the others are issued by the leader.
 const (
 	KindCreateGroup Kind = iota + 1
 	KindChangeGroup
@@ -30,14 +30,14 @@
 	KindBreakGroup
 )
 
-// Command is one entry of the replicated log; Kind says which of the pointers is set.
+// Command is one entry of the replicated log; Kind determines which of the fields from Spec on are set.
 type Command struct {
 	Kind Kind `cbor:"1,keyasint"`
-	// Change, By and At (milliseconds since 1970) come with an operator's change.
+	// Change, By and At (Unix time in milliseconds) are set for an operator's change.
 	Change ident.Change `cbor:"2,keyasint,omitempty"`
 	By     string       `cbor:"3,keyasint,omitempty"`
 	At     int64        `cbor:"4,keyasint,omitempty"`
-	// IfRevision refuses the change when the object changed after that revision; zero does not ask.
+	// IfRevision makes the change fail if the object was changed after this revision; zero disables the check.
 	IfRevision ident.Revision `cbor:"5,keyasint,omitempty"`
 
 	Spec     *GroupSpec   `cbor:"6,keyasint,omitempty"`
@@ -50,7 +50,7 @@
 	Confirms []Confirm    `cbor:"13,keyasint,omitempty"`
 }
 
-// LabelChange sets and removes labels of one VM, or with Drain set says whether it is to be left alone.
+// LabelChange sets and removes labels of one VM (KindLabelVM) or sets whether the VM is drained (KindDrainVM).
 type LabelChange struct {
 	VM     ident.VM          `cbor:"1,keyasint"`
 	Set    map[string]string `cbor:"2,keyasint,omitempty"`
@@ -64,13 +64,14 @@
 	Limits   CustomerLimits `cbor:"2,keyasint"`
 }
 
-// VMListing is what is said of one VM's stay.
+// VMListing is a new listing of one VM.
 type VMListing struct {
 	VM      ident.VM `cbor:"1,keyasint"`
 	Listing Listing  `cbor:"2,keyasint"`
 }
 
-// Assign forms Group anew with Members, rank 0 first; no members returns it to pending. Base is the epoch that the decision was made on.
+// Assign starts a new epoch of Group with Members in rank order; without members the group returns to pending. The command is refused if
+// the group's epoch is no longer Base. KindDrainGroup and KindBreakGroup use only Group and Base.
 type Assign struct {
 	Group   ident.Group `cbor:"1,keyasint"`
 	Base    ident.Epoch `cbor:"2,keyasint"`
@@ -78,7 +79,7 @@
 	Reason  string      `cbor:"4,keyasint,omitempty"`
 }
 
-// Confirm is an engine's answer to an order: it joined as Incarnation, or with Left set it left.
+// Confirm records that an engine joined Epoch as Incarnation or, if Left is set, that it left.
 type Confirm struct {
 	VM          ident.VM          `cbor:"1,keyasint"`
 	Epoch       ident.Epoch       `cbor:"2,keyasint"`
@@ -86,14 +87,14 @@
 	Left        bool              `cbor:"4,keyasint,omitempty"`
 }
 
-// Answer is the outcome of a command, the same on every member and for every resend.
+// Answer is the result of a command, the same on every member and for every resend.
 type Answer struct {
 	Revision ident.Revision `cbor:"1,keyasint" json:"revision"`
 	Code     result.Code    `cbor:"2,keyasint,omitempty" json:"code,omitempty"`
 	Text     string         `cbor:"3,keyasint,omitempty" json:"text,omitempty"`
 }
 
-// Err returns the refusal as an error, or nil when the command was accepted.
+// Err returns the refusal as an error, or nil if the command was accepted.
 func (a Answer) Err() error {
 	if a.Code == result.OK {
 		return nil
@@ -103,7 +104,7 @@
 
 var encoding = mustEncoding()
 
-// mustEncoding returns the deterministic form: sorted keys and shortest numbers.
+// mustEncoding returns the deterministic encoding mode: sorted keys and shortest numbers.
 func mustEncoding() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -112,22 +113,22 @@
 	return mode
 }
 
-// Encode returns the log form of c.
+// Encode returns c as a log entry, in deterministic encoding.
 func Encode(c *Command) ([]byte, error) {
 	return encoding.Marshal(c)
 }
 
-// Decode reads the log form of a command.
+// Decode reads a command that Encode wrote.
 func Decode(data []byte) (*Command, error) {
 	c := &Command{}
 	if err := cbor.Unmarshal(data, c); err != nil {
-		return nil, result.Wrap(err, result.ChangeInvalid, "a command cannot be decoded")
+		return nil, result.Wrap(err, result.ChangeInvalid, "fleet command cannot be decoded")
 	}
 	return c, nil
 }
 
-// digest tells a resend from another change that reuses its id. The time of sending does not count, nor the condition: a
-// client that reads the object again before it sends again finds its own change there.
+// digest distinguishes a resend from another change with the same id. Time and IfRevision are left out: a client that reads the object
+// again before a resend sees its own change, so its IfRevision differs.
 func (c *Command) digest() uint64 {
 	normalized := *c
 	normalized.At, normalized.IfRevision = 0, 0
@@ -138,7 +139,7 @@
 	return xxhash.Sum64(data)
 }
 
-// What describes the command in a few words for the history.
+// What returns a short description of an operator's change, for the history and the log.
 func (c *Command) What() string {
 	switch c.Kind {
 	case KindCreateGroup:
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -7,21 +7,21 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// Entry is one applied command as daemons pass it on.
+// Entry is one applied command as sent to other daemons.
 type Entry struct {
 	Revision ident.Revision
 	Data     []byte
 }
 
-// feedLength is how many applied commands a machine keeps for daemons that follow it.
+// feedLength is the minimum number of newest commands that a machine keeps for followers; it keeps up to twice as many.
 const feedLength = 8192
 
-// Machine guards a State and keeps the newest commands for followers; it only moves forward.
+// Machine guards a State and keeps the newest commands for followers; its revision never decreases.
 type Machine struct {
 	mu    sync.RWMutex
 	state *State
 	feed  []Entry
-	// feedAfter is the revision after which feed is complete.
+	// feedAfter is the newest revision that feed no longer contains.
 	feedAfter ident.Revision
 	changed   chan struct{}
 }
@@ -31,7 +31,7 @@
 	return &Machine{state: NewState(), changed: make(chan struct{})}
 }
 
-// Apply executes one command of the log and returns its Answer; a revision that was applied before is ignored.
+// Apply executes one command of the log and returns its answer; a command with an old or equal revision is ignored.
 func (m *Machine) Apply(revision ident.Revision, data []byte) Answer {
 	c, err := Decode(data)
 	m.mu.Lock()
@@ -55,7 +55,7 @@
 	}
 }
 
-// Notify wakes everyone who waits for changes.
+// Notify closes the channel that Changed returned, which wakes its receivers.
 func (m *Machine) Notify() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -91,7 +91,7 @@
 	return m.state.Marshal()
 }
 
-// Restore replaces the state by a snapshot taken at revision, unless the machine is further already.
+// Restore replaces the state with a snapshot taken at revision, unless the machine has a newer one.
 func (m *Machine) Restore(revision ident.Revision, data []byte) error {
 	s, err := UnmarshalState(data)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// Since returns the commands after revision, at most limit of them, or ok false when they are no longer kept and a snapshot is needed.
+// Since returns up to limit commands after revision; ok is false if some are no longer kept and the caller needs a snapshot.
 func (m *Machine) Since(revision ident.Revision, limit int) (entries []Entry, ok bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
--- a/fleet/property_test.go
+++ b/fleet/property_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// The same histories every run.
+	// A fixed seed gives the same command sequences in every run.
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
 		_ = flag.Set("rapid.seed", "20261202")
 	}
@@ -36,7 +36,7 @@
 	return ident.Group(fmt.Sprint("g", rapid.IntRange(0, groupCount-1).Draw(t, "group")))
 }
 
-// randomCommand draws a command, sensible or not; epochs are mostly the right ones, or nothing would happen.
+// randomCommand draws a valid or invalid command; most epochs are current ones, because commands on other epochs have no effect.
 func randomCommand(t *rapid.T, s *fleet.State) *fleet.Command {
 	name := randomGroup(t)
 	epoch := ident.Epoch(rapid.Uint64Range(0, 30).Draw(t, "epoch"))
@@ -74,7 +74,8 @@
 	return assign(name, epoch, members...)
 }
 
-// checkInvariants checks what must hold after every command.
+// checkInvariants checks that each VM is in at most one group, that members and their group agree on group and epoch, and that a serving
+// group has all members joined.
 func checkInvariants(t *rapid.T, s *fleet.State) {
 	owner := map[ident.VM]ident.Group{}
 	for _, g := range s.SortedGroups() {
@@ -86,19 +87,19 @@
 			owner[name] = g.Spec.Name
 			v := s.VMs[name]
 			if v.Group != g.Spec.Name || v.Epoch != g.Epoch || v.Phase == fleet.VMFree || v.Phase == fleet.VMLeaving {
-				t.Fatalf("member %s of %s in epoch %d is %s of %q in epoch %d", name, g.Spec.Name, g.Epoch, v.Phase, v.Group, v.Epoch)
+				t.Fatalf("member %s of group %s in epoch %d is %s in group %q in epoch %d", name, g.Spec.Name, g.Epoch, v.Phase, v.Group, v.Epoch)
 			}
 			if v.Phase == fleet.VMJoined {
 				joined++
 			}
 		}
 		if g.Phase == fleet.GroupServing && (joined != len(g.Members) || joined == 0) {
-			t.Fatalf("group %s serves with %d of %d members", g.Spec.Name, joined, len(g.Members))
+			t.Fatalf("group %s serves with %d of %d members joined", g.Spec.Name, joined, len(g.Members))
 		}
 	}
 	for _, v := range s.SortedVMs() {
 		if _, member := owner[v.Name]; !member && (v.Phase == fleet.VMJoined || v.Phase == fleet.VMJoining) {
-			t.Fatalf("VM %s is %s and no group has it", v.Name, v.Phase)
+			t.Fatalf("VM %s is %s but in no group's member list", v.Name, v.Phase)
 		}
 	}
 }
@@ -106,7 +107,7 @@
 func TestRandomCommandsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := fleet.NewState()
-		replica := fleet.NewMachine()
+		follower := fleet.NewMachine()
 		var vms []fleet.VM
 		for i := range vmCount {
 			vms = append(vms, fleet.VM{Name: ident.VM(fmt.Sprint("w", i)), Accelerators: 1})
@@ -126,32 +127,32 @@
 			}
 			revision := ident.Revision(i + 1)
 			answer := s.Apply(revision, c)
-			if replicaAnswer := replica.Apply(revision, data); replicaAnswer != answer {
-				t.Fatalf("two members answer differently: %v and %v", answer, replicaAnswer)
+			if followerAnswer := follower.Apply(revision, data); followerAnswer != answer {
+				t.Fatalf("answers differ: %v from the state, %v from the follower", answer, followerAnswer)
 			}
 			checkInvariants(t, s)
 			for name, g := range s.Groups {
 				if g.Epoch < epochs[name] && g.Generation < ident.Revision(epochs[name]) {
-					t.Fatalf("group %s went back from epoch %d to %d", name, epochs[name], g.Epoch)
+					t.Fatalf("group %s: epoch decreased from %d to %d", name, epochs[name], g.Epoch)
 				}
 				epochs[name] = g.Epoch
 			}
 			if i == restart {
-				// The copy starts anew from a snapshot and must go on the same.
-				snapshot, err := replica.Snapshot()
+				// A follower restored from its snapshot must behave the same.
+				snapshot, err := follower.Snapshot()
 				if err != nil {
 					t.Fatal(err)
 				}
-				replica = fleet.NewMachine()
-				if err := replica.Restore(revision, snapshot); err != nil {
+				follower = fleet.NewMachine()
+				if err := follower.Restore(revision, snapshot); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
 		stateBytes, _ := s.Marshal()
-		replicaBytes, _ := replica.Snapshot()
-		if !bytes.Equal(stateBytes, replicaBytes) {
-			t.Fatal("the same log gave different bytes")
+		followerBytes, _ := follower.Snapshot()
+		if !bytes.Equal(stateBytes, followerBytes) {
+			t.Fatal("same log gave different encoded states")
 		}
 	})
 }
@@ -176,27 +177,27 @@
 		name string
 		do   func()
 	}{
-		{"an older command", func() { m.Apply(3, data) }},
-		{"the newest command again", func() { m.Apply(6, data) }},
-		{"an older snapshot", func() { _ = m.Restore(5, old) }},
+		{"older command", func() { m.Apply(3, data) }},
+		{"newest command again", func() { m.Apply(6, data) }},
+		{"older snapshot", func() { _ = m.Restore(5, old) }},
 	} {
 		c.do()
 		if r := m.Revision(); r != 6 {
-			t.Errorf("%s: revision %d", c.name, r)
+			t.Errorf("%s: revision %d, want 6", c.name, r)
 		}
 	}
 	entries, ok := m.Since(5, 10)
 	if !ok || len(entries) != 1 || entries[0].Revision != 6 {
-		t.Errorf("since 5: %v, %t", entries, ok)
+		t.Errorf("Since(5): %v, %t; want the entry of revision 6", entries, ok)
 	}
 	restored := fleet.NewMachine()
 	if err := restored.Restore(5, old); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok := restored.Since(2, 10); ok {
-		t.Error("a machine that started from a snapshot claims to have what came before")
+		t.Error("Since returned commands from before the snapshot that the machine was restored from")
 	}
 	if a := m.Apply(7, []byte{0xff}); a.Code != result.ChangeInvalid || m.Revision() != 7 {
-		t.Errorf("an unreadable command: code %d, revision %d", a.Code, m.Revision())
+		t.Errorf("undecodable command: code %d, revision %d; want change-invalid at revision 7", a.Code, m.Revision())
 	}
 }
--- a/fleet/selector.go
+++ b/fleet/selector.go
@@ -7,21 +7,21 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// Requirement is one condition on a label: its value is among Values, or not among them when Not is set.
+// Requirement is a condition on a label: its value must be one of Values or, if Not is set, none of them.
 type Requirement struct {
 	Label  string   `cbor:"1,keyasint" json:"label"`
 	Not    bool     `cbor:"2,keyasint" json:"not,omitempty"`
 	Values []string `cbor:"3,keyasint,omitempty" json:"values"`
 }
 
-// Labels that every VM has without being given them.
+// Labels that every VM has, derived from its name and location.
 const (
 	LabelVM     = "vm"
 	LabelHall   = "hall"
 	LabelDomain = "domain"
 )
 
-// ParseRequirement reads "label=a,b" or "label!=a,b".
+// ParseRequirement parses "label=a,b" or "label!=a,b".
 func ParseRequirement(s string) (Requirement, error) {
 	label, values, ok := strings.Cut(s, "=")
 	not := strings.HasSuffix(label, "!")
@@ -32,7 +32,7 @@
 	return Requirement{Label: label, Not: not, Values: strings.Split(values, ",")}, nil
 }
 
-// String returns the form that ParseRequirement reads.
+// String formats the requirement for ParseRequirement.
 func (q Requirement) String() string {
 	operator := "="
 	if q.Not {
@@ -41,7 +41,7 @@
 	return q.Label + operator + strings.Join(q.Values, ",")
 }
 
-// Label returns the value of a given or built-in label of v.
+// Label returns the value of a built-in or operator-set label, or "".
 func (v *VM) Label(name string) string {
 	switch name {
 	case LabelVM:
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -11,12 +11,12 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// historyLength bounds the remembered changes; it covers a day at 18,000 changes.
+// historyLength is the minimum number of newest changes kept, a day at 18,000 changes; up to twice as many are kept.
 const historyLength = 20_000
 
 const stateFormat = 1
 
-// State is everything the log has decided; a copy of the log gives an equal State on every daemon.
+// State is the result of the commands in the log; it is the same on every daemon that has applied the same log.
 type State struct {
 	Format   int                               `cbor:"1,keyasint"`
 	Revision ident.Revision                    `cbor:"2,keyasint"`
@@ -25,8 +25,9 @@
 	Limits   map[ident.Customer]CustomerLimits `cbor:"5,keyasint"`
 	History  []HistoryEntry                    `cbor:"6,keyasint"`
 
+	// historyPositions holds each change's index in History plus dropped.
 	historyPositions map[ident.Change]int
-	// dropped counts history entries that were forgotten, so that positions stay valid.
+	// dropped is the number of entries removed from the front of History.
 	dropped int
 }
 
@@ -41,22 +42,22 @@
 	}
 }
 
-// Marshal returns the deterministic encoding of the state.
+// Marshal encodes the state; equal states give equal bytes.
 func (s *State) Marshal() ([]byte, error) {
 	return encoding.Marshal(s)
 }
 
-// UnmarshalState reads what Marshal wrote; no bytes give the empty state.
+// UnmarshalState decodes what Marshal wrote; empty data gives the empty state.
 func UnmarshalState(data []byte) (*State, error) {
 	s := NewState()
 	if len(data) == 0 {
 		return s, nil
 	}
 	if err := cbor.Unmarshal(data, s); err != nil {
-		return nil, result.Wrap(err, result.StorageDamaged, "the fleet's state cannot be decoded")
+		return nil, result.Wrap(err, result.StorageDamaged, "fleet state cannot be decoded")
 	}
 	if s.Format > stateFormat {
-		return nil, result.New(result.FormatTooNew, "state format %d is newer than %d", s.Format, stateFormat)
+		return nil, result.New(result.FormatTooNew, "fleet state has format %d, newest supported is %d", s.Format, stateFormat)
 	}
 	for i := range s.History {
 		s.historyPositions[s.History[i].Change] = i
@@ -100,7 +101,7 @@
 	if len(s.History) < 2*historyLength {
 		return
 	}
-	// Forgetting half at once keeps the cost of one change constant.
+	// Dropping half at once keeps the amortized cost of a change constant.
 	for i := range s.History[:historyLength] {
 		delete(s.historyPositions, s.History[i].Change)
 	}
@@ -108,7 +109,7 @@
 	s.dropped += historyLength
 }
 
-// Clone returns a copy of VMs, groups and limits that later commands do not change; history is left out.
+// Clone returns a copy of VMs, groups and limits that later commands do not change; the history is left out.
 func (s *State) Clone() *State {
 	c := &State{
 		Format: s.Format, Revision: s.Revision,
--- a/fleet/types.go
+++ b/fleet/types.go
@@ -4,10 +4,10 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// Listing is what the platform, the engine itself or an operator says of a VM's stay.
+// Listing is whether a VM stays, as reported by the platform, the engine or an operator.
 type Listing uint8
 
-// The listings.
+// A live VM stays, a leaving one will be removed, a gone one no longer exists.
 const (
 	ListingLive Listing = iota
 	ListingLeaving
@@ -19,7 +19,7 @@
 	return [...]string{"live", "leaving", "gone"}[l]
 }
 
-// VMPhase is a VM's place between groups.
+// VMPhase is the progress of a VM's move into or out of a group.
 type VMPhase uint8
 
 // The phases of a VM; only a free VM may be assigned to another group.
@@ -35,11 +35,11 @@
 	return [...]string{"free", "joining", "joined", "leaving"}[p]
 }
 
-// GroupPhase is a group's place in its life.
+// GroupPhase is the stage of a group's life cycle.
 type GroupPhase uint8
 
-// The phases of a group; requests go to serving groups only. A broken group lost a member
-// and serves again only in a new epoch, even when the member returns as if nothing had happened.
+// The phases of a group; only serving groups get requests. A broken group lost a member and
+// serves again only in a new epoch, even if the member returns.
 const (
 	GroupPending GroupPhase = iota
 	GroupForming
@@ -53,20 +53,20 @@
 	return [...]string{"pending", "forming", "serving", "draining", "broken"}[p]
 }
 
-// VM is one machine with an engine: what it is, what is said of it and which group holds it.
+// VM is a machine with an engine: its properties, listing and group membership.
 type VM struct {
 	Name         ident.VM           `cbor:"1,keyasint" json:"name"`
 	Address      string             `cbor:"2,keyasint" json:"address"`
 	Hall         ident.Hall         `cbor:"3,keyasint" json:"hall"`
 	Domain       ident.Domain       `cbor:"4,keyasint" json:"domain"`
 	Accelerators ident.Accelerators `cbor:"5,keyasint" json:"accelerators"`
-	// Speed is relative; a replica is as slow as its slowest member.
+	// Speed is relative to other VMs; a replica is as slow as its slowest member.
 	Speed        float64           `cbor:"6,keyasint" json:"speed"`
 	ChecksOrders bool              `cbor:"7,keyasint" json:"checks-orders"`
 	Labels       map[string]string `cbor:"8,keyasint,omitempty" json:"labels,omitempty"`
 
 	Listing Listing `cbor:"9,keyasint" json:"-"`
-	// Drained is an operator's word that the VM is to be left alone.
+	// Drained is set if an operator excluded the VM from groups.
 	Drained bool `cbor:"10,keyasint" json:"drained"`
 
 	Group       ident.Group       `cbor:"11,keyasint" json:"group,omitempty"`
@@ -74,16 +74,16 @@
 	Phase       VMPhase           `cbor:"13,keyasint" json:"-"`
 	Incarnation ident.Incarnation `cbor:"14,keyasint" json:"incarnation,omitempty"`
 
-	// Changed is the revision of the last operator's change.
+	// Changed is the revision of the last change by an operator.
 	Changed ident.Revision `cbor:"15,keyasint" json:"changed"`
 }
 
-// Eligible reports whether the VM may be a member of a group at all.
+// Eligible reports whether the VM can be a member of any group: live and not drained.
 func (v *VM) Eligible() bool {
 	return v.Listing == ListingLive && !v.Drained
 }
 
-// GroupSpec is what an operator declares of one group: one replica of Model on Size VMs that Selector admits.
+// GroupSpec is an operator's declaration of a group: one replica of Model on Size VMs that meet all requirements of Selector.
 type GroupSpec struct {
 	Name     ident.Group   `cbor:"1,keyasint" json:"name"`
 	Model    ident.Model   `cbor:"2,keyasint" json:"model"`
@@ -91,29 +91,29 @@
 	Adapters []string      `cbor:"4,keyasint,omitempty" json:"adapters,omitempty"`
 	Size     int           `cbor:"5,keyasint" json:"size"`
 	Selector []Requirement `cbor:"6,keyasint,omitempty" json:"selector,omitempty"`
-	// Priority orders groups that want the same VMs; 0 comes first.
+	// Priority orders groups that compete for VMs; 0 is the highest priority.
 	Priority int `cbor:"7,keyasint" json:"priority"`
-	// OneDomain forbids a replica across fabric domains even when it would otherwise not form.
+	// OneDomain forbids a replica across fabric domains, even if it cannot form in one.
 	OneDomain bool `cbor:"8,keyasint" json:"one-domain"`
 }
 
-// Group is one declared group and its present formation.
+// Group is a declared group and its current formation.
 type Group struct {
 	Spec GroupSpec `cbor:"1,keyasint" json:"spec"`
-	// Generation is the revision of creation; a deleted name recreated has another.
+	// Generation is the revision of creation; it differs for a group that was deleted and created again.
 	Generation ident.Revision `cbor:"2,keyasint" json:"generation"`
 	Changed    ident.Revision `cbor:"3,keyasint" json:"changed"`
 	Epoch      ident.Epoch    `cbor:"4,keyasint" json:"epoch"`
 	Phase      GroupPhase     `cbor:"5,keyasint" json:"-"`
 	Members    []ident.VM     `cbor:"6,keyasint,omitempty" json:"members"`
-	// Reform is set when the declared load differs from the one the members were formed with.
+	// Reform is set if the current members no longer fit the spec or must load something else, and the group needs a new epoch.
 	Reform  bool `cbor:"7,keyasint" json:"reform"`
 	Deleted bool `cbor:"8,keyasint" json:"deleted"`
-	// DrainedFrom is the revision at which draining began.
+	// DrainedFrom is the revision at which draining started.
 	DrainedFrom ident.Revision `cbor:"9,keyasint" json:"drained-from,omitempty"`
 }
 
-// CustomerLimits bounds one customer over all daemons; zero means no bound.
+// CustomerLimits bounds one customer over all daemons; zero means unlimited.
 type CustomerLimits struct {
 	Weight            float64        `cbor:"1,keyasint" json:"weight"`
 	Concurrent        int            `cbor:"2,keyasint" json:"concurrent"`
@@ -122,12 +122,12 @@
 	Changed           ident.Revision `cbor:"5,keyasint" json:"changed"`
 }
 
-// HistoryEntry is one operator's change and its answer.
+// HistoryEntry is a change by an operator and the answer to the change.
 type HistoryEntry struct {
 	Change   ident.Change   `cbor:"1,keyasint" json:"change"`
 	Revision ident.Revision `cbor:"2,keyasint" json:"revision"`
 	By       string         `cbor:"3,keyasint" json:"by"`
-	// At is the proposer's clock in milliseconds since 1970.
+	// At is the proposer's Unix time in milliseconds.
 	At     int64  `cbor:"4,keyasint" json:"at"`
 	What   string `cbor:"5,keyasint" json:"what"`
 	Digest uint64 `cbor:"6,keyasint" json:"-"`
