--- a/fleet/apply.go
+++ b/fleet/apply.go
@@ -1,16 +1,18 @@
 package fleet
 
-// Apply is the only place that changes a State. The promises that must hold
-// whatever a planner or an operator asks for are checked here, against the
-// state that the log itself has built, and nowhere else:
+// All changes of a State are made by Apply, which enforces these invariants
+// against the state built from the log, whatever a planner or an operator
+// requests:
 //
-//   - a VM is assigned only while it is free or held by the same group;
-//   - a VM that leaves stays reserved until its engine confirmed, or the
-//     platform lists it as gone;
-//   - a decision made on an epoch that has passed is refused.
+//   - a VM is assigned only while it is free or a member of the same group;
+//   - a leaving VM stays reserved until its engine confirms that it left, or
+//     the platform lists it as gone;
+//   - a decision based on an older epoch of the group is refused.
 //
-// A refusal is an answer like any other: it is part of the log's outcome, the
-// same on every member.
+// A refusal is an answer too, and is the same on every member.
+//
+// The history stores the texts of refusals and of Command.What. They are part
+// of the state, so builds with different texts would write different snapshots.
 
 import (
 	"fmt"
@@ -21,12 +23,12 @@
 )
 
 const (
-	maxGroupSize = 256
-	maxLabels    = 64
-	maxSelector  = 32
+	maxGroupSize    = 256
+	maxLabels       = 64
+	maxRequirements = 32
 )
 
-// refusal is a code with its words; nil means accepted.
+// refusal is why a command is refused; nil means accepted.
 type refusal struct {
 	code result.Code
 	text string
@@ -36,21 +38,21 @@
 	return &refusal{code, fmt.Sprintf(format, args...)}
 }
 
-// Apply executes c at revision and returns its answer; an operator's change sent twice gets its first answer.
+// Apply executes c at revision and returns its answer; a resent operator's change gets the answer of the first execution.
 func (s *State) Apply(revision ident.Revision, c *Command) Answer {
 	s.Revision = revision
 	if c.Change == "" {
 		return answerOf(revision, s.execute(revision, c))
 	}
 	digest := c.digest()
-	if first, ok := s.remembered(c.Change); ok {
+	if first, ok := s.findChange(c.Change); ok {
 		if first.Digest != digest {
 			return answerOf(revision, refuse(result.ChangeIDReused, "change id %s was used at revision %d for: %s", c.Change, first.Revision, first.What))
 		}
 		return first.Answer
 	}
 	answer := answerOf(revision, s.execute(revision, c))
-	s.remember(HistoryEntry{
+	s.addHistory(HistoryEntry{
 		Change: c.Change, Revision: revision, By: c.By, At: c.At, What: c.What(), Digest: digest, Answer: answer,
 	})
 	return answer
@@ -64,7 +66,7 @@
 }
 
 func (s *State) execute(revision ident.Revision, c *Command) *refusal {
-	if r := c.incomplete(); r != nil {
+	if r := c.checkContent(); r != nil {
 		return r
 	}
 	switch c.Kind {
@@ -79,11 +81,11 @@
 	case KindDrainVM:
 		return s.drainVM(revision, c)
 	case KindLimits:
-		return s.limits(revision, c)
+		return s.setLimits(revision, c)
 	case KindRegister:
-		return s.register(c.VMs)
+		return s.registerVMs(c.VMs)
 	case KindListing:
-		return s.list(revision, c.Listings)
+		return s.updateListings(revision, c.Listings)
 	case KindAssign:
 		return s.assign(revision, c.Assign)
 	case KindDrainGroup:
@@ -91,13 +93,13 @@
 	case KindBreakGroup:
 		return s.breakGroup(c.Assign)
 	case KindConfirm:
-		return s.confirm(c.Confirms)
+		return s.applyConfirmations(c.Confirms)
 	}
 	return refuse(result.ChangeInvalid, "unknown kind %d", c.Kind)
 }
 
-// incomplete refuses a command whose Kind lacks its content, which only a faulty sender makes.
-func (c *Command) incomplete() *refusal {
+// checkContent refuses a command without the field that its Kind requires; only a faulty sender omits it.
+func (c *Command) checkContent() *refusal {
 	missing := false
 	switch c.Kind {
 	case KindCreateGroup, KindChangeGroup:
@@ -139,18 +141,18 @@
 	if spec.Size < 1 || spec.Size > maxGroupSize {
 		return refuse(result.ChangeInvalid, "size %d is not between 1 and %d", spec.Size, maxGroupSize)
 	}
-	if len(spec.Selector) > maxSelector {
-		return refuse(result.ChangeInvalid, "more than %d selectors", maxSelector)
+	if len(spec.Selector) > maxRequirements {
+		return refuse(result.ChangeInvalid, "more than %d selectors", maxRequirements)
 	}
 	return nil
 }
 
-// beaten refuses a change that was decided on an older state of the object.
-func beaten(c *Command, what string, changed ident.Revision) *refusal {
+// revisionConflict refuses a change if the object has changed since c.IfRevision.
+func revisionConflict(c *Command, object string, changed ident.Revision) *refusal {
 	if c.IfRevision == 0 || c.IfRevision >= changed {
 		return nil
 	}
-	return refuse(result.ChangeConflict, "%s was changed at revision %d, after revision %d", what, changed, c.IfRevision)
+	return refuse(result.ChangeConflict, "%s was changed at revision %d, after revision %d", object, changed, c.IfRevision)
 }
 
 func (s *State) liveGroup(name ident.Group) (*Group, *refusal) {
@@ -169,7 +171,7 @@
 	if r := checkSpec(c.Spec); r != nil {
 		return r
 	}
-	if r := beaten(c, "group "+string(c.Spec.Name), g.Changed); r != nil {
+	if r := revisionConflict(c, "group "+string(c.Spec.Name), g.Changed); r != nil {
 		return r
 	}
 	if g.Epoch != 0 && len(g.Members) > 0 && s.needsReform(g, c.Spec) {
@@ -180,7 +182,7 @@
 	return nil
 }
 
-// needsReform reports whether the members must load something else, or are no longer the right ones.
+// needsReform reports whether next changes the group's size or what its members load, or excludes a member.
 func (s *State) needsReform(g *Group, next *GroupSpec) bool {
 	old := &g.Spec
 	if old.Model != next.Model || old.Version != next.Version || !slices.Equal(old.Adapters, next.Adapters) || old.Size != next.Size {
@@ -196,19 +198,20 @@
 	if r != nil {
 		return r
 	}
-	if r := beaten(c, "group "+string(c.Group), g.Changed); r != nil {
+	if r := revisionConflict(c, "group "+string(c.Group), g.Changed); r != nil {
 		return r
 	}
 	g.Deleted = true
 	g.Changed = revision
-	s.drain(revision, g)
+	s.startDraining(revision, g)
 	if len(g.Members) == 0 {
 		delete(s.Groups, c.Group)
 	}
 	return nil
 }
 
-func (s *State) drain(revision ident.Revision, g *Group) {
+// startDraining moves a serving group to draining; groups in other phases stay as they are.
+func (s *State) startDraining(revision ident.Revision, g *Group) {
 	if g.Phase == GroupServing {
 		g.Phase = GroupDraining
 		g.DrainedFrom = revision
@@ -220,7 +223,7 @@
 	if !ok {
 		return refuse(result.ChangeNotFound, "there is no VM %s", c.Label.VM)
 	}
-	if r := beaten(c, "VM "+string(v.Name), v.Changed); r != nil {
+	if r := revisionConflict(c, "VM "+string(v.Name), v.Changed); r != nil {
 		return r
 	}
 	labels := map[string]string{}
@@ -245,7 +248,8 @@
 	return nil
 }
 
-// recheckMembership starts the orderly end of a formation that a member no longer belongs to.
+// recheckMembership marks the group of v for reform if v can no longer be a member, and drains the group if v is not eligible for any
+// group.
 func (s *State) recheckMembership(revision ident.Revision, v *VM) {
 	g, ok := s.Groups[v.Group]
 	if !ok || !slices.Contains(g.Members, v.Name) {
@@ -256,7 +260,7 @@
 	}
 	g.Reform = true
 	if !v.Eligible() {
-		s.drain(revision, g)
+		s.startDraining(revision, g)
 	}
 }
 
@@ -265,7 +269,7 @@
 	if !ok {
 		return refuse(result.ChangeNotFound, "there is no VM %s", c.Label.VM)
 	}
-	if r := beaten(c, "VM "+string(v.Name), v.Changed); r != nil {
+	if r := revisionConflict(c, "VM "+string(v.Name), v.Changed); r != nil {
 		return r
 	}
 	v.Drained = c.Label.Drain
@@ -274,12 +278,12 @@
 	return nil
 }
 
-func (s *State) limits(revision ident.Revision, c *Command) *refusal {
+func (s *State) setLimits(revision ident.Revision, c *Command) *refusal {
 	l := c.Limits.Limits
 	if l.Weight < 0 || l.Concurrent < 0 || l.RequestsPerSecond < 0 || l.TokensPerSecond < 0 {
 		return refuse(result.ChangeInvalid, "limits cannot be negative")
 	}
-	if r := beaten(c, "the limits of "+string(c.Limits.Customer), s.Limits[c.Limits.Customer].Changed); r != nil {
+	if r := revisionConflict(c, "the limits of "+string(c.Limits.Customer), s.Limits[c.Limits.Customer].Changed); r != nil {
 		return r
 	}
 	l.Changed = revision
@@ -287,28 +291,28 @@
 	return nil
 }
 
-// register takes VMs from the settings or the platform; what operators and groups did with a known VM stays.
-func (s *State) register(vms []VM) *refusal {
+// registerVMs adds or updates VMs from the settings or the platform; labels, drain and membership of a known VM stay.
+func (s *State) registerVMs(vms []VM) *refusal {
 	for i := range vms {
-		in := &vms[i]
-		if !ident.ValidName(string(in.Name)) || in.Accelerators < 1 {
-			return refuse(result.ChangeInvalid, "VM %q has no valid name or no accelerators", in.Name)
+		declared := &vms[i]
+		if !ident.ValidName(string(declared.Name)) || declared.Accelerators < 1 {
+			return refuse(result.ChangeInvalid, "VM %q has no valid name or no accelerators", declared.Name)
 		}
 	}
 	for i := range vms {
-		in := vms[i]
-		if old, ok := s.VMs[in.Name]; ok {
-			old.Address, old.Accelerators, old.Speed, old.ChecksOrders = in.Address, in.Accelerators, in.Speed, in.ChecksOrders
-			old.Hall, old.Domain = in.Hall, in.Domain
+		declared := vms[i]
+		if old, ok := s.VMs[declared.Name]; ok {
+			old.Address, old.Accelerators, old.Speed, old.ChecksOrders = declared.Address, declared.Accelerators, declared.Speed, declared.ChecksOrders
+			old.Hall, old.Domain = declared.Hall, declared.Domain
 			continue
 		}
-		in.Group, in.Epoch, in.Phase, in.Incarnation = "", 0, VMFree, ""
-		s.VMs[in.Name] = &in
+		declared.Group, declared.Epoch, declared.Phase, declared.Incarnation = "", 0, VMFree, ""
+		s.VMs[declared.Name] = &declared
 	}
 	return nil
 }
 
-func (s *State) list(revision ident.Revision, listings []VMListing) *refusal {
+func (s *State) updateListings(revision ident.Revision, listings []VMListing) *refusal {
 	for _, l := range listings {
 		v, ok := s.VMs[l.VM]
 		if !ok {
@@ -323,6 +327,7 @@
 	return nil
 }
 
+// release frees the VM for assignment to any group.
 func (v *VM) release() {
 	v.Group, v.Epoch, v.Phase, v.Incarnation = "", 0, VMFree, ""
 }
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -11,12 +11,12 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// historyLength bounds the remembered changes; it covers a day at 18,000 changes.
+// historyLength is the minimum number of newest changes kept, a day at 18,000 changes; up to twice as many are kept.
 const historyLength = 20_000
 
 const stateFormat = 1
 
-// State is everything the log has decided; a copy of the log gives an equal State on every daemon.
+// State is the result of the commands in the log; it is the same on every daemon that has applied the same log.
 type State struct {
 	Format   int                               `cbor:"1,keyasint"`
 	Revision ident.Revision                    `cbor:"2,keyasint"`
@@ -25,41 +25,42 @@
 	Limits   map[ident.Customer]CustomerLimits `cbor:"5,keyasint"`
 	History  []HistoryEntry                    `cbor:"6,keyasint"`
 
-	byChange map[ident.Change]int
-	// dropped counts history entries that were forgotten, so that positions stay valid.
+	// historyPositions holds each change's index in History plus dropped.
+	historyPositions map[ident.Change]int
+	// dropped is the number of entries removed from the front of History.
 	dropped int
 }
 
 // NewState returns the state before the first command.
 func NewState() *State {
 	return &State{
-		Format:   stateFormat,
-		VMs:      map[ident.VM]*VM{},
-		Groups:   map[ident.Group]*Group{},
-		Limits:   map[ident.Customer]CustomerLimits{},
-		byChange: map[ident.Change]int{},
+		Format:           stateFormat,
+		VMs:              map[ident.VM]*VM{},
+		Groups:           map[ident.Group]*Group{},
+		Limits:           map[ident.Customer]CustomerLimits{},
+		historyPositions: map[ident.Change]int{},
 	}
 }
 
-// Marshal returns the deterministic encoding of the state.
+// Marshal encodes the state; equal states give equal bytes.
 func (s *State) Marshal() ([]byte, error) {
 	return encoding.Marshal(s)
 }
 
-// UnmarshalState reads what Marshal wrote; no bytes give the empty state.
+// UnmarshalState decodes what Marshal wrote; empty data gives the empty state.
 func UnmarshalState(data []byte) (*State, error) {
 	s := NewState()
 	if len(data) == 0 {
 		return s, nil
 	}
 	if err := cbor.Unmarshal(data, s); err != nil {
-		return nil, result.Wrap(err, result.StorageDamaged, "the fleet's state cannot be decoded")
+		return nil, result.Wrap(err, result.StorageDamaged, "fleet state cannot be decoded")
 	}
 	if s.Format > stateFormat {
-		return nil, result.New(result.FormatTooNew, "state format %d is newer than %d", s.Format, stateFormat)
+		return nil, result.New(result.FormatTooNew, "fleet state has format %d, newest supported is %d", s.Format, stateFormat)
 	}
 	for i := range s.History {
-		s.byChange[s.History[i].Change] = i
+		s.historyPositions[s.History[i].Change] = i
 	}
 	return s, nil
 }
@@ -86,29 +87,29 @@
 	return values
 }
 
-func (s *State) remembered(id ident.Change) (*HistoryEntry, bool) {
-	i, ok := s.byChange[id]
+func (s *State) findChange(id ident.Change) (*HistoryEntry, bool) {
+	i, ok := s.historyPositions[id]
 	if !ok {
 		return nil, false
 	}
 	return &s.History[i-s.dropped], true
 }
 
-func (s *State) remember(h HistoryEntry) {
-	s.byChange[h.Change] = s.dropped + len(s.History)
+func (s *State) addHistory(h HistoryEntry) {
+	s.historyPositions[h.Change] = s.dropped + len(s.History)
 	s.History = append(s.History, h)
 	if len(s.History) < 2*historyLength {
 		return
 	}
-	// Forgetting half at once keeps the cost of one change constant.
+	// Dropping half at once keeps the amortized cost of a change constant.
 	for i := range s.History[:historyLength] {
-		delete(s.byChange, s.History[i].Change)
+		delete(s.historyPositions, s.History[i].Change)
 	}
 	s.History = append([]HistoryEntry(nil), s.History[historyLength:]...)
 	s.dropped += historyLength
 }
 
-// Clone returns a copy of VMs, groups and limits that later commands do not change; history is left out.
+// Clone returns a copy of VMs, groups and limits that later commands do not change; the history is left out.
 func (s *State) Clone() *State {
 	c := &State{
 		Format: s.Format, Revision: s.Revision,
