--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -26,60 +26,60 @@
 	"github.com/dunlinquay/dunlinquay/settings"
 )
 
-// front is a server whose requests end in the test.
-type front struct {
+// testServer is a server whose requests end in the test.
+type testServer struct {
 	*caller.Server
-	url   string
-	last  *dispatch.Request
-	call  *dispatch.Call
-	serve func(sink dispatch.Sink) (*dispatch.Answer, error)
+	url         string
+	lastRequest *dispatch.Request
+	lastCall    *dispatch.Call
+	serve       func(sink dispatch.Sink) (*dispatch.Answer, error)
 }
 
 var words = []string{"snow ", "above ", "1200 ", "\"m\"\n", "Zugspitze ❄"}
 
-func newFront(t *testing.T) *front {
+func newTestServer(t *testing.T) *testServer {
 	t.Helper()
-	f := &front{Server: caller.NewServer()}
-	f.Customers.Add(keys.Hash("secret"), "c")
-	f.Classes = settings.Default().Classes
-	f.Limits = settings.Default().Limits
-	f.Limits.BodyBytes = 10_000
-	f.Services = []settings.Service{{Name: "pay", NotRepeatable: []string{"POST /charges", "* /void/*"}}}
-	f.Models = func() []ident.Model { return []ident.Model{"m", "m:alps"} }
-	f.serve = func(sink dispatch.Sink) (*dispatch.Answer, error) { return speak(sink, words) }
-	f.Serve = func(_ context.Context, r *dispatch.Request, sink dispatch.Sink) (*dispatch.Answer, error) {
-		f.last = r
-		return f.serve(sink)
-	}
-	f.ServeCall = func(_ context.Context, c *dispatch.Call) (*dispatch.Reply, error) {
-		f.call = c
+	s := &testServer{Server: caller.NewServer()}
+	s.Customers.Add(keys.Hash("secret"), "c")
+	s.Classes = settings.Default().Classes
+	s.Limits = settings.Default().Limits
+	s.Limits.BodyBytes = 10_000
+	s.Services = []settings.Service{{Name: "pay", NotRepeatable: []string{"POST /charges", "* /void/*"}}}
+	s.Models = func() []ident.Model { return []ident.Model{"m", "m:alps"} }
+	s.serve = func(sink dispatch.Sink) (*dispatch.Answer, error) { return sendWords(sink, words) }
+	s.Serve = func(_ context.Context, r *dispatch.Request, sink dispatch.Sink) (*dispatch.Answer, error) {
+		s.lastRequest = r
+		return s.serve(sink)
+	}
+	s.ServeCall = func(_ context.Context, c *dispatch.Call) (*dispatch.Reply, error) {
+		s.lastCall = c
 		return &dispatch.Reply{Status: http.StatusAccepted, Header: map[string][]string{"X-Reply": {"1"}}, Body: []byte("done")}, nil
 	}
-	server := httptest.NewUnstartedServer(nil)
-	server.Config = f.HTTP()
-	server.Start()
-	t.Cleanup(server.Close)
-	f.url = server.URL
-	return f
+	httpServer := httptest.NewUnstartedServer(nil)
+	httpServer.Config = s.HTTP()
+	httpServer.Start()
+	t.Cleanup(httpServer.Close)
+	s.url = httpServer.URL
+	return s
 }
 
-func speak(sink dispatch.Sink, words []string) (*dispatch.Answer, error) {
-	for i, w := range words {
+func sendWords(sink dispatch.Sink, words []string) (*dispatch.Answer, error) {
+	for i, word := range words {
 		if sink == nil {
 			break
 		}
-		if err := sink(w, i%2 == 0); err != nil {
+		if err := sink(word, i%2 == 0); err != nil {
 			return nil, err
 		}
 	}
 	return &dispatch.Answer{Text: strings.Join(words, ""), Finish: "stop", Tokens: len(words), PromptTokens: 3}, nil
 }
 
-func (f *front) client() openai.Client {
+func (f *testServer) client() openai.Client {
 	return openai.NewClient(option.WithBaseURL(f.url+"/v1"), option.WithAPIKey("secret"), option.WithMaxRetries(0))
 }
 
-func chat() openai.ChatCompletionNewParams {
+func chatParams() openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{
 		Model: "m", Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("Will it snow?")},
 		MaxTokens: openai.Int(50), Temperature: openai.Float(0), TopP: openai.Float(0.9),
@@ -87,34 +87,34 @@
 }
 
 // The published client of the interface, unmodified.
-func TestPublishedClient(t *testing.T) {
-	f := newFront(t)
-	client := f.client()
-	whole := strings.Join(words, "")
+func TestOpenAIClient(t *testing.T) {
+	s := newTestServer(t)
+	client := s.client()
+	wantText := strings.Join(words, "")
 
-	plain, err := client.Chat.Completions.New(t.Context(), chat())
+	plain, err := client.Chat.Completions.New(t.Context(), chatParams())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(whole, plain.Choices[0].Message.Content); diff != "" || plain.Choices[0].FinishReason != "stop" || plain.Usage.TotalTokens != 8 {
+	if diff := cmp.Diff(wantText, plain.Choices[0].Message.Content); diff != "" || plain.Choices[0].FinishReason != "stop" || plain.Usage.TotalTokens != 8 {
 		t.Errorf("plain chat: %+v\n%s", plain, diff)
 	}
-	if r := f.last; r.MaxTokens != 50 || !r.Deterministic || !r.Chat || string(r.Options) != `{"temperature":0,"top_p":0.9}` {
+	if r := s.lastRequest; r.MaxTokens != 50 || !r.Deterministic || !r.Chat || string(r.Options) != `{"temperature":0,"top_p":0.9}` {
 		t.Errorf("request %+v with options %s", r, r.Options)
 	}
 
-	params := chat()
+	params := chatParams()
 	params.StreamOptions = openai.ChatCompletionStreamOptionsParam{IncludeUsage: openai.Bool(true)}
 	stream := client.Chat.Completions.NewStreaming(t.Context(), params)
-	acc := openai.ChatCompletionAccumulator{}
+	accumulated := openai.ChatCompletionAccumulator{}
 	for stream.Next() {
-		acc.AddChunk(stream.Current())
+		accumulated.AddChunk(stream.Current())
 	}
 	if err := stream.Err(); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(whole, acc.Choices[0].Message.Content); diff != "" || acc.Choices[0].FinishReason != "stop" || acc.Usage.TotalTokens != 8 {
-		t.Errorf("streamed chat: %+v\n%s", acc.ChatCompletion, diff)
+	if diff := cmp.Diff(wantText, accumulated.Choices[0].Message.Content); diff != "" || accumulated.Choices[0].FinishReason != "stop" || accumulated.Usage.TotalTokens != 8 {
+		t.Errorf("streamed chat: %+v\n%s", accumulated.ChatCompletion, diff)
 	}
 
 	text, err := client.Completions.New(t.Context(), openai.CompletionNewParams{
@@ -123,8 +123,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if text.Choices[0].Text != whole || f.last.Adapter != "alps" || f.last.Model != "m" {
-		t.Errorf("completion %q of model %q with adapter %q", text.Choices[0].Text, f.last.Model, f.last.Adapter)
+	if text.Choices[0].Text != wantText || s.lastRequest.Adapter != "alps" || s.lastRequest.Model != "m" {
+		t.Errorf("completion %q of model %q with adapter %q", text.Choices[0].Text, s.lastRequest.Model, s.lastRequest.Adapter)
 	}
 
 	models, err := client.Models.List(t.Context())
@@ -133,12 +133,12 @@
 	}
 }
 
-func TestErrorsInTheClientsShape(t *testing.T) {
-	f := newFront(t)
-	client := f.client()
+func TestErrorsReadByOpenAIClient(t *testing.T) {
+	s := newTestServer(t)
+	client := s.client()
 	for _, code := range []result.Code{result.LimitExceeded, result.NoWholeGroup, result.TimedOut, result.OutcomeUnknown, result.ModelUnknown} {
-		f.serve = func(dispatch.Sink) (*dispatch.Answer, error) { return nil, result.New(code, "because") }
-		_, err := client.Chat.Completions.New(t.Context(), chat())
+		s.serve = func(dispatch.Sink) (*dispatch.Answer, error) { return nil, result.New(code, "because") }
+		_, err := client.Chat.Completions.New(t.Context(), chatParams())
 		var apiError *openai.Error
 		info := result.Lookup(code)
 		if !errors.As(err, &apiError) || apiError.StatusCode != info.Status || apiError.Code != info.Name || apiError.Message != "because" {
@@ -154,7 +154,7 @@
 // A keyed request may be called not run only when its claim was granted; every refusal that came before says nothing of
 // earlier runs with that key.
 func TestNotRunOfKeyedRequests(t *testing.T) {
-	f := newFront(t)
+	s := newTestServer(t)
 	afterClaim := map[result.Code]bool{
 		result.LimitExceeded: true, result.Overloaded: true, result.DeadlineUnreachable: true, result.NoWholeGroup: true, result.ModelUnknown: true,
 		result.BackedOff: true,
@@ -163,26 +163,26 @@
 		if info.Code == result.OK || info.Status == 0 {
 			continue
 		}
-		f.serve = func(dispatch.Sink) (*dispatch.Answer, error) { return nil, result.New(info.Code, "because") }
-		w := f.post(t, "/v1/completions", `{"model":"m","prompt":"p"}`, map[string]string{caller.HeaderKey: "k"})
-		w.Body.Close()
-		if got := w.Header.Get(caller.HeaderNotRun) == "true"; got != afterClaim[info.Code] {
+		s.serve = func(dispatch.Sink) (*dispatch.Answer, error) { return nil, result.New(info.Code, "because") }
+		response := s.post(t, "/v1/completions", `{"model":"m","prompt":"p"}`, map[string]string{caller.HeaderKey: "k"})
+		response.Body.Close()
+		if got := response.Header.Get(caller.HeaderNotRun) == "true"; got != afterClaim[info.Code] {
 			t.Errorf("%d %s with a key: not run %t, want %t", info.Code, info.Name, got, afterClaim[info.Code])
 		}
 	}
 }
 
 // A stream that fails after its beginning never looks like a normal end.
-func TestABrokenStreamIsAnError(t *testing.T) {
-	f := newFront(t)
-	f.serve = func(sink dispatch.Sink) (*dispatch.Answer, error) {
-		if _, err := speak(sink, words[:2]); err != nil {
+func TestBrokenStreamIsError(t *testing.T) {
+	s := newTestServer(t)
+	s.serve = func(sink dispatch.Sink) (*dispatch.Answer, error) {
+		if _, err := sendWords(sink, words[:2]); err != nil {
 			return nil, err
 		}
 		return nil, result.New(result.UpstreamFailed, "because")
 	}
-	client := f.client()
-	stream := client.Chat.Completions.NewStreaming(t.Context(), chat())
+	client := s.client()
+	stream := client.Chat.Completions.NewStreaming(t.Context(), chatParams())
 	for stream.Next() {
 		if c := stream.Current(); len(c.Choices) > 0 && c.Choices[0].FinishReason != "" {
 			t.Errorf("the broken stream has the finish reason %q", c.Choices[0].FinishReason)
@@ -191,33 +191,33 @@
 	if stream.Err() == nil {
 		t.Error("the client takes the broken stream for ended")
 	}
-	w := f.post(t, "/v1/completions", `{"model":"m","prompt":"p","stream":true}`, nil)
-	body, err := io.ReadAll(w.Body)
-	w.Body.Close()
+	response := s.post(t, "/v1/completions", `{"model":"m","prompt":"p","stream":true}`, nil)
+	body, err := io.ReadAll(response.Body)
+	response.Body.Close()
 	if err == nil || strings.Contains(string(body), "[DONE]") || !strings.Contains(string(body), `"result-code":2014`) {
 		t.Errorf("error %v after %q", err, body)
 	}
 }
 
-func (f *front) post(t *testing.T, path, body string, header map[string]string) *http.Response {
+func (f *testServer) post(t *testing.T, path, body string, header map[string]string) *http.Response {
 	t.Helper()
-	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, f.url+path, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, f.url+path, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Header.Set("Authorization", "Bearer secret")
+	request.Header.Set("Authorization", "Bearer secret")
 	for name, value := range header {
-		r.Header.Set(name, value)
+		request.Header.Set(name, value)
 	}
-	w, err := http.DefaultClient.Do(r)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return w
+	return response
 }
 
-func TestBadRequestsGetNumberedErrors(t *testing.T) {
-	f := newFront(t)
+func TestResultCodesOfBadRequests(t *testing.T) {
+	s := newTestServer(t)
 	const path, good = "/v1/completions", `{"model":"m","prompt":"p"}`
 	for _, c := range []struct {
 		name   string
@@ -257,92 +257,92 @@
 		{"the same route with an escape", "/services/pay/%63harges", "", nil, result.KeyRequired, true},
 		{"below a not repeatable route", "/services/pay/void/7", "", nil, result.KeyRequired, true},
 	} {
-		w := f.post(t, c.path, c.body, c.header)
-		body, _ := io.ReadAll(w.Body)
-		w.Body.Close()
+		response := s.post(t, c.path, c.body, c.header)
+		body, _ := io.ReadAll(response.Body)
+		response.Body.Close()
 		if c.code == 0 {
-			if w.StatusCode != http.StatusOK {
-				t.Errorf("%s: status %d: %s", c.name, w.StatusCode, body)
+			if response.StatusCode != http.StatusOK {
+				t.Errorf("%s: status %d: %s", c.name, response.StatusCode, body)
 			}
 			continue
 		}
-		var e struct {
+		var answer struct {
 			Error struct {
 				Number int  `json:"result-code"`
 				NotRun bool `json:"not-run"`
 			} `json:"error"`
 		}
-		if err := json.Unmarshal(body, &e); err != nil || result.Code(e.Error.Number) != c.code || e.Error.NotRun != c.notRun {
-			t.Errorf("%s: status %d, want code %d and not run %t: %s", c.name, w.StatusCode, c.code, c.notRun, body)
+		if err := json.Unmarshal(body, &answer); err != nil || result.Code(answer.Error.Number) != c.code || answer.Error.NotRun != c.notRun {
+			t.Errorf("%s: status %d, want code %d and not run %t: %s", c.name, response.StatusCode, c.code, c.notRun, body)
 		}
 	}
 }
 
-func TestHeadersReachTheRequest(t *testing.T) {
-	f := newFront(t)
-	w := f.post(t, "/v1/completions", `{"model":"m","prompt":"p"}`, map[string]string{
+func TestHeadersSetRequestFields(t *testing.T) {
+	s := newTestServer(t)
+	response := s.post(t, "/v1/completions", `{"model":"m","prompt":"p"}`, map[string]string{
 		caller.HeaderClass: "batch", caller.HeaderDeadline: "90s", caller.HeaderKey: "k1",
 	})
-	w.Body.Close()
-	r := f.last
+	response.Body.Close()
+	r := s.lastRequest
 	if r.Class != "batch" || r.Priority != 1 || r.Customer != "c" || r.Repeatable || r.Key != "k1" {
 		t.Errorf("request %+v", r)
 	}
 	if left := time.Until(r.Deadline); left > 90*time.Second || left < 30*time.Second {
 		t.Errorf("deadline in %s", left)
 	}
-	if id := w.Header.Get(caller.HeaderRequest); id == "" || id != string(r.ID) {
+	if id := response.Header.Get(caller.HeaderRequest); id == "" || id != string(r.ID) {
 		t.Errorf("request id %q, the request has %q", id, r.ID)
 	}
-	first := r.Digest
-	w = f.post(t, "/v1/completions", `{"model":"m","prompt":"q"}`, map[string]string{caller.HeaderKey: "k1"})
-	w.Body.Close()
-	if f.last.Digest == first {
+	firstDigest := r.Digest
+	response = s.post(t, "/v1/completions", `{"model":"m","prompt":"q"}`, map[string]string{caller.HeaderKey: "k1"})
+	response.Body.Close()
+	if s.lastRequest.Digest == firstDigest {
 		t.Error("two bodies have the same digest")
 	}
 }
 
-func TestServicesPassThrough(t *testing.T) {
-	f := newFront(t)
-	w := f.post(t, "/services/pay/charges?x=1", "body", map[string]string{caller.HeaderKey: "k1", "X-Asked": "1"})
-	body, _ := io.ReadAll(w.Body)
-	w.Body.Close()
-	if w.StatusCode != http.StatusAccepted || string(body) != "done" || w.Header.Get("X-Reply") != "1" {
-		t.Errorf("status %d, body %q, header %v", w.StatusCode, body, w.Header)
-	}
-	c := f.call
-	if c.Path != "/charges" || c.Query != "x=1" || c.Method != http.MethodPost || string(c.Body) != "body" || !c.AtMostOnce || c.Repeatable || c.Header["X-Asked"][0] != "1" {
-		t.Errorf("call %+v", c)
-	}
-	w = f.post(t, "/services/pay/other", "", nil)
-	w.Body.Close()
-	if f.call.AtMostOnce || f.call.Repeatable {
-		t.Errorf("a POST that nothing is said of: once %t, repeatable %t", f.call.AtMostOnce, f.call.Repeatable)
+func TestServiceCalls(t *testing.T) {
+	s := newTestServer(t)
+	response := s.post(t, "/services/pay/charges?x=1", "body", map[string]string{caller.HeaderKey: "k1", "X-Asked": "1"})
+	body, _ := io.ReadAll(response.Body)
+	response.Body.Close()
+	if response.StatusCode != http.StatusAccepted || string(body) != "done" || response.Header.Get("X-Reply") != "1" {
+		t.Errorf("status %d, body %q, header %v", response.StatusCode, body, response.Header)
+	}
+	call := s.lastCall
+	if call.Path != "/charges" || call.Query != "x=1" || call.Method != http.MethodPost || string(call.Body) != "body" || !call.AtMostOnce || call.Repeatable || call.Header["X-Asked"][0] != "1" {
+		t.Errorf("call %+v", call)
+	}
+	response = s.post(t, "/services/pay/other", "", nil)
+	response.Body.Close()
+	if s.lastCall.AtMostOnce || s.lastCall.Repeatable {
+		t.Errorf("a POST that nothing is said of: once %t, repeatable %t", s.lastCall.AtMostOnce, s.lastCall.Repeatable)
 	}
 }
 
-func TestBalancerPaths(t *testing.T) {
-	f := newFront(t)
-	f.Ready = func() error { return result.New(result.ControlUnreachable, "cut off") }
+func TestHealthPaths(t *testing.T) {
+	s := newTestServer(t)
+	s.Ready = func() error { return result.New(result.ControlUnreachable, "cut off") }
 	for _, c := range []struct {
 		path   string
 		status int
 	}{{"/healthz", 200}, {"/readyz", 503}} {
-		w, err := http.Get(f.url + c.path)
+		response, err := http.Get(s.url + c.path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.Body.Close()
-		if w.StatusCode != c.status {
-			t.Errorf("%s: status %d", c.path, w.StatusCode)
+		response.Body.Close()
+		if response.StatusCode != c.status {
+			t.Errorf("%s: status %d", c.path, response.StatusCode)
 		}
 	}
 }
 
 // What arrives on the socket by hand: two lengths, a body that another reader might take for a second request, huge headers.
-func TestRawRequests(t *testing.T) {
-	f := newFront(t)
-	address := strings.TrimPrefix(f.url, "http://")
+func TestMalformedRawRequests(t *testing.T) {
+	s := newTestServer(t)
+	address := strings.TrimPrefix(s.url, "http://")
 	const head = "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer secret\r\n"
 	for _, c := range []struct {
 		name    string
--- a/caller/openai.go
+++ b/caller/openai.go
@@ -18,13 +18,13 @@
 
 const (
 	defaultMaxTokens = 1024
-	limitMaxTokens   = 1 << 20
+	maxTokensLimit   = 1 << 20
 	// bytesPerToken estimates a prompt's tokens before an engine has counted them.
 	bytesPerToken = 4
 )
 
-// fields are the parts of a completion request that this system itself acts on.
-type fields struct {
+// completionFields are the parts of a completion request that this system itself acts on.
+type completionFields struct {
 	Model               string          `json:"model"`
 	Messages            json.RawMessage `json:"messages"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -40,8 +40,8 @@
 	BestOf      *int     `json:"best_of"`
 }
 
-// handled are the keys that do not go on to the engine as options.
-var handled = []string{
+// handledKeys are the keys that do not go on to the engine as options.
+var handledKeys = []string{
 	"model", "messages", "prompt", "max_tokens", "max_completion_tokens", "stream", "stream_options", "n", "best_of",
 }
 
@@ -53,33 +53,33 @@
 
 // Parse reads the body of a completion request; chat says which of the two interfaces it came by.
 func Parse(body []byte, chat bool) (*Parsed, error) {
-	var f fields
-	if err := decodeOne(body, &f); err != nil {
+	var fields completionFields
+	if err := decodeSingle(body, &fields); err != nil {
 		return nil, err
 	}
-	p := &Parsed{IncludeUsage: f.StreamOptions != nil && f.StreamOptions.IncludeUsage}
-	r := &p.Request
-	model, adapter, _ := strings.Cut(f.Model, ":")
-	r.Model, r.Adapter, r.Chat, r.Streamed = ident.Model(model), adapter, chat, f.Stream
-	if model == "" || len(f.Model) > 2*ident.MaxNameLength {
+	parsed := &Parsed{IncludeUsage: fields.StreamOptions != nil && fields.StreamOptions.IncludeUsage}
+	r := &parsed.Request
+	model, adapter, _ := strings.Cut(fields.Model, ":")
+	r.Model, r.Adapter, r.Chat, r.Streamed = ident.Model(model), adapter, chat, fields.Stream
+	if model == "" || len(fields.Model) > 2*ident.MaxNameLength {
 		return nil, result.New(result.BadRequest, "model: a name is required")
 	}
-	if err := readPrompt(&f, r); err != nil {
+	if err := readPrompt(&fields, r); err != nil {
 		return nil, err
 	}
-	if err := readNumbers(&f, r); err != nil {
+	if err := readCounts(&fields, r); err != nil {
 		return nil, err
 	}
-	options, err := remaining(body)
+	options, err := engineOptions(body)
 	if err != nil {
 		return nil, err
 	}
 	r.Options = options
-	r.Deterministic = f.Seed != nil || f.Temperature != nil && *f.Temperature == 0
-	return p, nil
+	r.Deterministic = fields.Seed != nil || fields.Temperature != nil && *fields.Temperature == 0
+	return parsed, nil
 }
 
-func decodeOne(body []byte, v any) error {
+func decodeSingle(body []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(body))
 	if err := d.Decode(v); err != nil {
 		return result.Wrap(err, result.BadRequest, "body is not the JSON of a completion request")
@@ -90,17 +90,17 @@
 	return nil
 }
 
-func readPrompt(f *fields, r *dispatch.Request) error {
-	r.Prompt = f.Prompt
+func readPrompt(fields *completionFields, r *dispatch.Request) error {
+	r.Prompt = fields.Prompt
 	key := "prompt"
 	if r.Chat {
-		r.Prompt, key = f.Messages, "messages"
+		r.Prompt, key = fields.Messages, "messages"
 	}
-	var list []json.RawMessage
-	if isList := json.Unmarshal(r.Prompt, &list) == nil; r.Chat && !isList || isList && len(list) == 0 {
+	var elements []json.RawMessage
+	if isList := json.Unmarshal(r.Prompt, &elements) == nil; r.Chat && !isList || isList && len(elements) == 0 {
 		return result.New(result.BadRequest, "%s: a list with at least one element is required", key)
 	}
-	if !r.Chat && len(list) != 1 && list != nil {
+	if !r.Chat && len(elements) != 1 && elements != nil {
 		return result.New(result.BadRequest, "prompt: one prompt a request is served")
 	}
 	if len(r.Prompt) == 0 || string(r.Prompt) == "null" {
@@ -110,18 +110,18 @@
 	return nil
 }
 
-func readNumbers(f *fields, r *dispatch.Request) error {
+func readCounts(fields *completionFields, r *dispatch.Request) error {
 	r.MaxTokens = defaultMaxTokens
-	for _, n := range []*int{f.MaxTokens, f.MaxCompletionTokens} {
+	for _, n := range []*int{fields.MaxTokens, fields.MaxCompletionTokens} {
 		if n == nil {
 			continue
 		}
-		if *n < 1 || *n > limitMaxTokens {
-			return result.New(result.BadRequest, "max_tokens: %d is not between 1 and %d", *n, limitMaxTokens)
+		if *n < 1 || *n > maxTokensLimit {
+			return result.New(result.BadRequest, "max_tokens: %d is not between 1 and %d", *n, maxTokensLimit)
 		}
 		r.MaxTokens = ident.Tokens(*n)
 	}
-	for _, n := range []*int{f.N, f.BestOf} {
+	for _, n := range []*int{fields.N, fields.BestOf} {
 		if n != nil && *n != 1 {
 			return result.New(result.BadRequest, "n and best_of: one answer a request is served")
 		}
@@ -129,28 +129,28 @@
 	return nil
 }
 
-// remaining returns the options that only the engine understands; a key that stands twice is refused, because
+// engineOptions returns the options that only the engine understands; a key that stands twice is refused, because
 // two readers could take different ones.
-func remaining(body []byte) (json.RawMessage, error) {
-	if err := uniqueKeys(body); err != nil {
+func engineOptions(body []byte) (json.RawMessage, error) {
+	if err := checkUniqueKeys(body); err != nil {
 		return nil, err
 	}
-	all := map[string]json.RawMessage{}
-	if err := json.Unmarshal(body, &all); err != nil {
+	options := map[string]json.RawMessage{}
+	if err := json.Unmarshal(body, &options); err != nil {
 		return nil, result.Wrap(err, result.BadRequest, "body is not a JSON object")
 	}
-	for _, key := range handled {
-		delete(all, key)
+	for _, key := range handledKeys {
+		delete(options, key)
 	}
-	if len(all) == 0 {
+	if len(options) == 0 {
 		return nil, nil
 	}
-	return json.Marshal(all)
+	return json.Marshal(options)
 }
 
-func uniqueKeys(body []byte) error {
+func checkUniqueKeys(body []byte) error {
 	d := json.NewDecoder(bytes.NewReader(body))
-	if t, err := d.Token(); err != nil || t != json.Delim('{') {
+	if token, err := d.Token(); err != nil || token != json.Delim('{') {
 		return result.New(result.BadRequest, "body is not a JSON object")
 	}
 	seen := map[string]bool{}
@@ -172,64 +172,64 @@
 	return nil
 }
 
-func (s *Server) handleChat(w http.ResponseWriter, r *http.Request, customer ident.Customer) {
-	s.complete(w, r, customer, true)
+func (s *Server) handleChatCompletion(w http.ResponseWriter, r *http.Request, customer ident.Customer) {
+	s.serveCompletion(w, r, customer, true)
 }
 
-func (s *Server) handleText(w http.ResponseWriter, r *http.Request, customer ident.Customer) {
-	s.complete(w, r, customer, false)
+func (s *Server) handleTextCompletion(w http.ResponseWriter, r *http.Request, customer ident.Customer) {
+	s.serveCompletion(w, r, customer, false)
 }
 
-func (s *Server) complete(w http.ResponseWriter, r *http.Request, customer ident.Customer, chat bool) {
-	e, err := s.envelope(r)
-	var p *Parsed
+func (s *Server) serveCompletion(w http.ResponseWriter, r *http.Request, customer ident.Customer, chat bool) {
+	headers, err := s.readHeaders(r)
+	var parsed *Parsed
 	if err == nil {
-		p, err = s.parse(w, r, &e, chat)
+		parsed, err = s.readCompletion(w, r, &headers, chat)
 	}
 	if err != nil {
 		s.Refused(customer, result.CodeOf(err))
-		s.fail(w, r, err, &e)
+		s.writeError(w, r, err, &headers)
 		return
 	}
-	req := &p.Request
-	req.ID, req.Customer = ident.NewRequest(), customer
-	w.Header().Set(HeaderRequest, string(req.ID))
-	out := newWriter(w, p, time.Now())
+	request := &parsed.Request
+	request.ID, request.Customer = ident.NewRequest(), customer
+	w.Header().Set(HeaderRequest, string(request.ID))
+	out := newCompletionWriter(w, parsed, time.Now())
 	var sink dispatch.Sink
-	if req.Streamed {
-		sink = out.token
+	if request.Streamed {
+		sink = out.writeToken
 	}
-	answer, err := s.Serve(r.Context(), req, sink)
+	answer, err := s.Serve(r.Context(), request, sink)
 	switch {
 	case err == nil:
-		out.end(answer)
+		out.finish(answer)
 	case out.started:
-		out.abort(described(err, &e))
+		out.abort(newErrorResponse(err, &headers))
 	default:
-		s.fail(w, r, err, &e)
+		s.writeError(w, r, err, &headers)
 	}
 }
 
-func (s *Server) parse(w http.ResponseWriter, r *http.Request, e *envelope, chat bool) (*Parsed, error) {
-	body, err := s.body(w, r)
+func (s *Server) readCompletion(w http.ResponseWriter, r *http.Request, headers *requestHeaders, chat bool) (*Parsed, error) {
+	body, err := s.readBody(w, r)
 	if err != nil {
 		return nil, err
 	}
-	p, err := Parse(body, chat)
+	parsed, err := Parse(body, chat)
 	if err != nil {
 		return nil, err
 	}
-	req := &p.Request
-	req.Class, req.Priority, req.Deadline = e.class.Name, e.class.Priority, e.deadline
-	req.Repeatable, req.Key = !e.notRepeatable, e.key
-	if e.notRepeatable && e.key == "" {
+	request := &parsed.Request
+	request.Class, request.Priority, request.Deadline = headers.class.Name, headers.class.Priority, headers.deadline
+	request.Repeatable, request.Key = !headers.notRepeatable, headers.key
+	if headers.notRepeatable && headers.key == "" {
 		return nil, result.New(result.KeyRequired, "a not-repeatable request needs the header %s", HeaderKey)
 	}
-	req.Content = quarantine.ContentOf(r.URL.RequestURI(), body)
-	if e.notRepeatable {
-		req.Digest = sha256.Sum256(append([]byte(r.URL.Path+"\n"), body...))
+	request.Content = quarantine.ContentOf(r.URL.RequestURI(), body)
+	if headers.notRepeatable {
+		request.Digest = sha256.Sum256(append([]byte(r.URL.Path+"\n"), body...))
 	}
-	return p, nil
+	return parsed, nil
 }
 
 func (s *Server) handleModels(w http.ResponseWriter, _ *http.Request, _ ident.Customer) {
--- a/caller/server.go
+++ b/caller/server.go
@@ -93,12 +93,12 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
 	mux.HandleFunc("GET /readyz", s.handleReady)
-	mux.HandleFunc("GET /v1/models", s.customer(s.handleModels))
-	mux.HandleFunc("POST /v1/chat/completions", s.customer(s.handleChat))
-	mux.HandleFunc("POST /v1/completions", s.customer(s.handleText))
-	mux.HandleFunc("/services/{service}/{path...}", s.customer(s.handleService))
-	mux.HandleFunc("/", s.customer(func(w http.ResponseWriter, r *http.Request, _ ident.Customer) {
-		s.fail(w, r, result.New(result.NotFound, "there is no %s %s", r.Method, r.URL.Path), nil)
+	mux.HandleFunc("GET /v1/models", s.authenticate(s.handleModels))
+	mux.HandleFunc("POST /v1/chat/completions", s.authenticate(s.handleChatCompletion))
+	mux.HandleFunc("POST /v1/completions", s.authenticate(s.handleTextCompletion))
+	mux.HandleFunc("/services/{service}/{path...}", s.authenticate(s.handleService))
+	mux.HandleFunc("/", s.authenticate(func(w http.ResponseWriter, r *http.Request, _ ident.Customer) {
+		s.writeError(w, r, result.New(result.NotFound, "there is no %s %s", r.Method, r.URL.Path), nil)
 	}))
 	return mux
 }
@@ -111,8 +111,8 @@
 	_, _ = io.WriteString(w, "ready\n")
 }
 
-// customer finds who calls and counts the request as in progress.
-func (s *Server) customer(next func(w http.ResponseWriter, r *http.Request, customer ident.Customer)) http.HandlerFunc {
+// authenticate finds who calls and counts the request as in progress.
+func (s *Server) authenticate(next func(w http.ResponseWriter, r *http.Request, customer ident.Customer)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		// Counting comes before the look at stopping, so that a stop sees every request that passed it.
 		s.inProgress.Add(1)
@@ -121,56 +121,56 @@
 		switch {
 		case !ok:
 			s.Refused("", result.Unauthorized)
-			s.fail(w, r, result.New(result.Unauthorized, "present a key as Authorization: Bearer"), nil)
+			s.writeError(w, r, result.New(result.Unauthorized, "present a key as Authorization: Bearer"), nil)
 		case s.stopping.Load():
 			s.Refused(customer, result.Stopping)
-			s.fail(w, r, result.New(result.Stopping, "this daemon stops; use another"), nil)
+			s.writeError(w, r, result.New(result.Stopping, "this daemon stops; use another"), nil)
 		default:
 			next(w, r, customer)
 		}
 	}
 }
 
-// envelope is what the headers say about a request of either kind.
-type envelope struct {
+// requestHeaders is what the headers say about a request of either kind.
+type requestHeaders struct {
 	class         settings.Class
 	deadline      time.Time
 	notRepeatable bool
 	key           string
 }
 
-func (s *Server) envelope(r *http.Request) (envelope, error) {
-	e := envelope{class: s.Classes[0], key: r.Header.Get(HeaderKey)}
+func (s *Server) readHeaders(r *http.Request) (requestHeaders, error) {
+	headers := requestHeaders{class: s.Classes[0], key: r.Header.Get(HeaderKey)}
 	if name := r.Header.Get(HeaderClass); name != "" {
-		class, ok := s.class(ident.Class(name))
+		class, ok := s.findClass(ident.Class(name))
 		if !ok {
-			return e, result.New(result.BadRequest, "%s: there is no class %q", HeaderClass, name)
+			return headers, result.New(result.BadRequest, "%s: there is no class %q", HeaderClass, name)
 		}
-		e.class = class
+		headers.class = class
 	}
-	span := e.class.Deadline.Std()
+	timeout := headers.class.Deadline.Std()
 	if text := r.Header.Get(HeaderDeadline); text != "" {
-		d, err := time.ParseDuration(text)
-		if err != nil || d <= 0 || d > maxDeadline {
-			return e, result.New(result.BadRequest, "%s: %q is not a time such as 1.5s of at most %s", HeaderDeadline, text, maxDeadline)
+		given, err := time.ParseDuration(text)
+		if err != nil || given <= 0 || given > maxDeadline {
+			return headers, result.New(result.BadRequest, "%s: %q is not a time such as 1.5s of at most %s", HeaderDeadline, text, maxDeadline)
 		}
-		span = d
+		timeout = given
 	}
-	e.deadline = s.Now().Add(span)
-	switch v := strings.ToLower(r.Header.Get(HeaderNotRepeatable)); v {
+	headers.deadline = s.Now().Add(timeout)
+	switch value := strings.ToLower(r.Header.Get(HeaderNotRepeatable)); value {
 	case "", "false", "true":
 		// Who sends a key wants one effect, whether or not the other header says so.
-		e.notRepeatable = v == "true" || e.key != ""
+		headers.notRepeatable = value == "true" || headers.key != ""
 	default:
-		return e, result.New(result.BadRequest, "%s: %q is neither true nor false", HeaderNotRepeatable, v)
+		return headers, result.New(result.BadRequest, "%s: %q is neither true nor false", HeaderNotRepeatable, value)
 	}
-	if len(e.key) > maxKeyLength {
-		return e, result.New(result.BadRequest, "%s is over %d bytes", HeaderKey, maxKeyLength)
+	if len(headers.key) > maxKeyLength {
+		return headers, result.New(result.BadRequest, "%s is over %d bytes", HeaderKey, maxKeyLength)
 	}
-	return e, nil
+	return headers, nil
 }
 
-func (s *Server) class(name ident.Class) (settings.Class, bool) {
+func (s *Server) findClass(name ident.Class) (settings.Class, bool) {
 	for _, c := range s.Classes {
 		if c.Name == name {
 			return c, true
@@ -179,15 +179,15 @@
 	return settings.Class{}, false
 }
 
-// body reads the whole body within its bounds of size and time.
-func (s *Server) body(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
+// readBody reads the whole body within its bounds of size and time.
+func (s *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
+	controller := http.NewResponseController(w)
+	_ = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(s.Limits.BodyBytes)))
-	_ = control.SetReadDeadline(time.Time{})
-	var large *http.MaxBytesError
-	if errors.As(err, &large) {
-		return nil, result.New(result.TooLarge, "body is over %d bytes", large.Limit)
+	_ = controller.SetReadDeadline(time.Time{})
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		return nil, result.New(result.TooLarge, "body is over %d bytes", tooLarge.Limit)
 	}
 	if err != nil {
 		return nil, result.Wrap(err, result.BadRequest, "body cannot be read")
--- a/caller/services.go
+++ b/caller/services.go
@@ -15,21 +15,21 @@
 )
 
 func (s *Server) handleService(w http.ResponseWriter, r *http.Request, customer ident.Customer) {
-	e, err := s.envelope(r)
-	var c *dispatch.Call
+	headers, err := s.readHeaders(r)
+	var call *dispatch.Call
 	if err == nil {
-		c, err = s.call(w, r, &e)
+		call, err = s.readCall(w, r, &headers)
 	}
 	if err != nil {
 		s.Refused(customer, result.CodeOf(err))
-		s.fail(w, r, err, &e)
+		s.writeError(w, r, err, &headers)
 		return
 	}
-	c.ID, c.Customer = ident.NewRequest(), customer
-	w.Header().Set(HeaderRequest, string(c.ID))
-	reply, err := s.ServeCall(r.Context(), c)
+	call.ID, call.Customer = ident.NewRequest(), customer
+	w.Header().Set(HeaderRequest, string(call.ID))
+	reply, err := s.ServeCall(r.Context(), call)
 	if err != nil {
-		s.fail(w, r, err, &e)
+		s.writeError(w, r, err, &headers)
 		return
 	}
 	h := w.Header()
@@ -41,38 +41,38 @@
 	_, _ = w.Write(reply.Body)
 }
 
-func (s *Server) call(w http.ResponseWriter, r *http.Request, e *envelope) (*dispatch.Call, error) {
-	service, ok := s.service(ident.Service(r.PathValue("service")))
+func (s *Server) readCall(w http.ResponseWriter, r *http.Request, headers *requestHeaders) (*dispatch.Call, error) {
+	service, ok := s.findService(ident.Service(r.PathValue("service")))
 	if !ok {
 		return nil, result.New(result.ServiceUnknown, "there is no service %q", r.PathValue("service"))
 	}
-	body, err := s.body(w, r)
+	body, err := s.readBody(w, r)
 	if err != nil {
 		return nil, err
 	}
-	c := &dispatch.Call{
-		Class: e.class.Name, Priority: e.class.Priority, Deadline: e.deadline, Service: service.Name,
+	call := &dispatch.Call{
+		Class: headers.class.Name, Priority: headers.class.Priority, Deadline: headers.deadline, Service: service.Name,
 		Method: r.Method, Path: strings.TrimPrefix(r.URL.EscapedPath(), "/services/"+r.PathValue("service")),
-		Query: r.URL.RawQuery, Header: r.Header, Body: body, Key: e.key,
+		Query: r.URL.RawQuery, Header: r.Header, Body: body, Key: headers.key,
 	}
-	c.Content = quarantine.ContentOf(r.URL.RequestURI(), body)
-	c.AtMostOnce = e.notRepeatable || notRepeatable(&service, r.Method, "/"+r.PathValue("path"))
-	c.Repeatable = !c.AtMostOnce && safe(r.Method)
-	if c.AtMostOnce && c.Key == "" {
-		return nil, result.New(result.KeyRequired, "%s %s must not be repeated and needs the header %s", c.Method, c.Path, HeaderKey)
+	call.Content = quarantine.ContentOf(r.URL.RequestURI(), body)
+	call.AtMostOnce = headers.notRepeatable || matchesNotRepeatable(&service, r.Method, "/"+r.PathValue("path"))
+	call.Repeatable = !call.AtMostOnce && isSafe(r.Method)
+	if call.AtMostOnce && call.Key == "" {
+		return nil, result.New(result.KeyRequired, "%s %s must not be repeated and needs the header %s", call.Method, call.Path, HeaderKey)
 	}
-	if c.AtMostOnce {
-		c.Digest = sha256.Sum256([]byte(c.Method + "\n" + r.URL.RequestURI() + "\n" + string(body)))
+	if call.AtMostOnce {
+		call.Digest = sha256.Sum256([]byte(call.Method + "\n" + r.URL.RequestURI() + "\n" + string(body)))
 	}
-	return c, nil
+	return call, nil
 }
 
-// safe methods ask for no effect, so that sending them again does no harm.
-func safe(method string) bool {
+// isSafe methods ask for no effect, so that sending them again does no harm.
+func isSafe(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
-func (s *Server) service(name ident.Service) (settings.Service, bool) {
+func (s *Server) findService(name ident.Service) (settings.Service, bool) {
 	for _, service := range s.Services {
 		if service.Name == name {
 			return service, true
@@ -81,16 +81,16 @@
 	return settings.Service{}, false
 }
 
-// notRepeatable matches a route of the settings, "METHOD /path"; a trailing /* covers everything below. The path is
+// matchesNotRepeatable matches a route of the settings, "METHOD /path"; a trailing /* covers everything below. The path is
 // cleaned first, so that doubled slashes or dots do not slip past a route.
-func notRepeatable(s *settings.Service, method, p string) bool {
-	clean := path.Clean("/" + p)
-	for _, route := range s.NotRepeatable {
+func matchesNotRepeatable(service *settings.Service, method, requestPath string) bool {
+	cleanPath := path.Clean("/" + requestPath)
+	for _, route := range service.NotRepeatable {
 		routeMethod, pattern, _ := strings.Cut(route, " ")
 		if routeMethod != "*" && !strings.EqualFold(routeMethod, method) {
 			continue
 		}
-		if prefix, ok := strings.CutSuffix(pattern, "/*"); ok && strings.HasPrefix(clean+"/", prefix+"/") || clean == path.Clean(pattern) {
+		if prefix, ok := strings.CutSuffix(pattern, "/*"); ok && strings.HasPrefix(cleanPath+"/", prefix+"/") || cleanPath == path.Clean(pattern) {
 			return true
 		}
 	}
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -12,18 +12,18 @@
 	"github.com/dunlinquay/dunlinquay/dispatch"
 )
 
-// writer turns an answer into the interface's JSON, whole or as server-sent events.
-type writer struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	p       *Parsed
-	created int64
-	started bool
-	// head and tail surround the JSON string of one token; they are the same for every event of a stream.
-	head, tail []byte
-	line       []byte
-	// extended is when the write deadline was set last.
-	extended time.Time
+// completionWriter turns an answer into the interface's JSON, whole or as server-sent events.
+type completionWriter struct {
+	w          http.ResponseWriter
+	controller *http.ResponseController
+	parsed     *Parsed
+	created    int64
+	started    bool
+	// tokenPrefix and tail surround the JSON string of one token; they are the same for every event of a stream.
+	tokenPrefix, tokenSuffix []byte
+	eventBuffer              []byte
+	// deadlineSetAt is when the write deadline was set last.
+	deadlineSetAt time.Time
 }
 
 type choice struct {
@@ -55,101 +55,101 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-func newWriter(w http.ResponseWriter, p *Parsed, now time.Time) *writer {
-	return &writer{w: w, control: http.NewResponseController(w), p: p, created: now.Unix()}
+func newCompletionWriter(w http.ResponseWriter, parsed *Parsed, now time.Time) *completionWriter {
+	return &completionWriter{w: w, controller: http.NewResponseController(w), parsed: parsed, created: now.Unix()}
 }
 
-func (out *writer) envelope(object string, choices ...choice) completion {
-	model := string(out.p.Request.Model)
-	if out.p.Request.Adapter != "" {
-		model += ":" + out.p.Request.Adapter
+func (out *completionWriter) newCompletion(object string, choices ...choice) completion {
+	model := string(out.parsed.Request.Model)
+	if out.parsed.Request.Adapter != "" {
+		model += ":" + out.parsed.Request.Adapter
 	}
 	prefix := "cmpl-"
-	if out.p.Request.Chat {
+	if out.parsed.Request.Chat {
 		prefix = "chatcmpl-"
 	}
-	return completion{ID: prefix + string(out.p.Request.ID), Object: object, Created: out.created, Model: model, Choices: choices}
+	return completion{ID: prefix + string(out.parsed.Request.ID), Object: object, Created: out.created, Model: model, Choices: choices}
 }
 
-func (out *writer) chunkObject() string {
-	if out.p.Request.Chat {
+func (out *completionWriter) chunkObjectType() string {
+	if out.parsed.Request.Chat {
 		return "chat.completion.chunk"
 	}
 	return "text_completion"
 }
 
-// start writes the headers of a stream, and for a chat the event that names the role.
-func (out *writer) start() error {
+// startStream writes the headers of a stream, and for a chat the event that names the role.
+func (out *completionWriter) startStream() error {
 	out.started = true
 	h := out.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
 	out.w.WriteHeader(http.StatusOK)
-	out.prepare()
-	if !out.p.Request.Chat {
+	out.prepareTokenEvent()
+	if !out.parsed.Request.Chat {
 		return nil
 	}
 	empty := ""
-	return out.event(out.envelope(out.chunkObject(), choice{Delta: &message{Role: "assistant", Content: &empty}}))
+	return out.writeEvent(out.newCompletion(out.chunkObjectType(), choice{Delta: &message{Role: "assistant", Content: &empty}}))
 }
 
-// extendEvery is how often the write deadline of a stream is moved.
-const extendEvery = time.Second
+// deadlineExtendInterval is how often the write deadline of a stream is moved.
+const deadlineExtendInterval = time.Second
 
-// mark stands for the token's text while head and tail are cut from a whole event.
-const mark = "\x01"
+// textPlaceholder stands for the token's text while head and tail are cut from a whole event.
+const textPlaceholder = "\x01"
 
-// prepare encodes one event and cuts it where the text of a token belongs, so that a token costs one string and no structure.
-func (out *writer) prepare() {
-	text := mark
+// prepareTokenEvent encodes one event and cuts it where the text of a token belongs, so that a token costs one string and no structure.
+func (out *completionWriter) prepareTokenEvent() {
+	text := textPlaceholder
 	c := choice{Text: &text}
-	if out.p.Request.Chat {
+	if out.parsed.Request.Chat {
 		c = choice{Delta: &message{Content: &text}}
 	}
-	whole, err := json.Marshal(out.envelope(out.chunkObject(), c))
+	encoded, err := json.Marshal(out.newCompletion(out.chunkObjectType(), c))
 	if err != nil {
 		return
 	}
-	quoted, _ := json.Marshal(mark)
-	head, tail, _ := bytes.Cut(whole, quoted)
-	out.head = append([]byte("data: "), head...)
-	out.tail = slices.Concat(tail, []byte("\n\n"))
+	quotedPlaceholder, _ := json.Marshal(textPlaceholder)
+	prefix, suffix, _ := bytes.Cut(encoded, quotedPlaceholder)
+	out.tokenPrefix = append([]byte("data: "), prefix...)
+	out.tokenSuffix = slices.Concat(suffix, []byte("\n\n"))
 }
 
-// token is the sink of a streamed answer; more says that the next token has arrived already.
-func (out *writer) token(text string, more bool) error {
+// writeToken is the sink of a streamed answer; more says that the next token has arrived already.
+func (out *completionWriter) writeToken(text string, moreBuffered bool) error {
 	out.extendDeadline()
 	if !out.started {
-		if err := out.start(); err != nil {
+		if err := out.startStream(); err != nil {
 			return err
 		}
 	}
-	line, err := fast.Append(append(out.line[:0], out.head...), text, 0)
+	event, err := fast.Append(append(out.eventBuffer[:0], out.tokenPrefix...), text, 0)
 	if err != nil {
 		return err
 	}
-	line = append(line, out.tail...)
-	out.line = line
-	if _, err := out.w.Write(out.line); err != nil {
+	event = append(event, out.tokenSuffix...)
+	out.eventBuffer = event
+	if _, err := out.w.Write(out.eventBuffer); err != nil {
 		return err
 	}
-	if more {
+	if moreBuffered {
 		return nil
 	}
-	return out.control.Flush()
+	return out.controller.Flush()
 }
 
 // extendDeadline gives a caller that reads more time; setting it for every token would cost more than the token.
-func (out *writer) extendDeadline() {
+func (out *completionWriter) extendDeadline() {
 	now := time.Now()
-	if now.Sub(out.extended) < extendEvery {
+	if now.Sub(out.deadlineSetAt) < deadlineExtendInterval {
 		return
 	}
-	out.extended = now
-	_ = out.control.SetWriteDeadline(now.Add(writeTimeout))
+	out.deadlineSetAt = now
+	_ = out.controller.SetWriteDeadline(now.Add(writeTimeout))
 }
 
-func (out *writer) event(v any) error {
+func (out *completionWriter) writeEvent(v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -158,41 +158,41 @@
 	return err
 }
 
-// end writes the proper end of a stream, or the whole of an answer that was not streamed.
-func (out *writer) end(a *dispatch.Answer) {
-	u := &usage{PromptTokens: a.PromptTokens, CompletionTokens: a.Tokens, TotalTokens: a.PromptTokens + a.Tokens}
-	if !out.p.Request.Streamed {
-		out.whole(a, u)
+// finish writes the proper end of a stream, or the whole of an answer that was not streamed.
+func (out *completionWriter) finish(answer *dispatch.Answer) {
+	u := &usage{PromptTokens: answer.PromptTokens, CompletionTokens: answer.Tokens, TotalTokens: answer.PromptTokens + answer.Tokens}
+	if !out.parsed.Request.Streamed {
+		out.writeWhole(answer, u)
 		return
 	}
-	if !out.started && out.start() != nil {
+	if !out.started && out.startStream() != nil {
 		return
 	}
-	last := choice{FinishReason: &a.Finish}
+	last := choice{FinishReason: &answer.Finish}
 	empty := ""
-	if out.p.Request.Chat {
+	if out.parsed.Request.Chat {
 		last.Delta = &message{}
 	} else {
 		last.Text = &empty
 	}
-	_ = out.event(out.envelope(out.chunkObject(), last))
-	if out.p.IncludeUsage {
-		v := out.envelope(out.chunkObject())
+	_ = out.writeEvent(out.newCompletion(out.chunkObjectType(), last))
+	if out.parsed.IncludeUsage {
+		v := out.newCompletion(out.chunkObjectType())
 		v.Choices, v.Usage = []choice{}, u
-		_ = out.event(v)
+		_ = out.writeEvent(v)
 	}
 	_, _ = out.w.Write([]byte("data: [DONE]\n\n"))
-	_ = out.control.Flush()
+	_ = out.controller.Flush()
 }
 
-func (out *writer) whole(a *dispatch.Answer, u *usage) {
-	c := choice{Text: &a.Text, FinishReason: &a.Finish}
+func (out *completionWriter) writeWhole(answer *dispatch.Answer, u *usage) {
+	c := choice{Text: &answer.Text, FinishReason: &answer.Finish}
 	object := "text_completion"
-	if out.p.Request.Chat {
-		c = choice{Message: &message{Role: "assistant", Content: &a.Text}, FinishReason: &a.Finish}
+	if out.parsed.Request.Chat {
+		c = choice{Message: &message{Role: "assistant", Content: &answer.Text}, FinishReason: &answer.Finish}
 		object = "chat.completion"
 	}
-	v := out.envelope(object, c)
+	v := out.newCompletion(object, c)
 	v.Usage = u
 	out.w.Header().Set("Content-Type", "application/json")
 	out.extendDeadline()
@@ -200,8 +200,8 @@
 }
 
 // abort tells the caller what went wrong and breaks the connection, so that no client takes the stream for ended.
-func (out *writer) abort(a errorAnswer) {
-	_ = out.event(a)
-	_ = out.control.Flush()
+func (out *completionWriter) abort(response errorResponse) {
+	_ = out.writeEvent(response)
+	_ = out.controller.Flush()
 	panic(http.ErrAbortHandler)
 }
