--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -26,7 +26,7 @@
 	"github.com/dunlinquay/dunlinquay/settings"
 )
 
-// testServer is a server whose requests end in the test.
+// testServer is a server whose Serve and ServeCall record the request and answer without a dispatcher.
 type testServer struct {
 	*caller.Server
 	url         string
@@ -86,7 +86,7 @@
 	}
 }
 
-// The published client of the interface, unmodified.
+// Uses OpenAI's published client, unmodified.
 func TestOpenAIClient(t *testing.T) {
 	s := newTestServer(t)
 	client := s.client()
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(wantText, plain.Choices[0].Message.Content); diff != "" || plain.Choices[0].FinishReason != "stop" || plain.Usage.TotalTokens != 8 {
-		t.Errorf("plain chat: %+v\n%s", plain, diff)
+		t.Errorf("chat that is not streamed: %+v\n%s", plain, diff)
 	}
 	if r := s.lastRequest; r.MaxTokens != 50 || !r.Deterministic || !r.Chat || string(r.Options) != `{"temperature":0,"top_p":0.9}` {
 		t.Errorf("request %+v with options %s", r, r.Options)
@@ -151,8 +151,8 @@
 	}
 }
 
-// A keyed request may be called not run only when its claim was granted; every refusal that came before says nothing of
-// earlier runs with that key.
+// A keyed request may be reported as not run only if its claim was granted; a request refused before that may have run
+// earlier with the same key.
 func TestNotRunOfKeyedRequests(t *testing.T) {
 	s := newTestServer(t)
 	afterClaim := map[result.Code]bool{
@@ -172,7 +172,7 @@
 	}
 }
 
-// A stream that fails after its beginning never looks like a normal end.
+// Guards against a stream that fails after its first events and looks complete to the client.
 func TestBrokenStreamIsError(t *testing.T) {
 	s := newTestServer(t)
 	s.serve = func(sink dispatch.Sink) (*dispatch.Answer, error) {
@@ -189,7 +189,7 @@
 		}
 	}
 	if stream.Err() == nil {
-		t.Error("the client takes the broken stream for ended")
+		t.Error("the client reports no error for the broken stream")
 	}
 	response := s.post(t, "/v1/completions", `{"model":"m","prompt":"p","stream":true}`, nil)
 	body, err := io.ReadAll(response.Body)
@@ -228,34 +228,34 @@
 		notRun bool
 	}{
 		{"good", path, good, nil, 0, false},
-		{"no key", path, good, map[string]string{"Authorization": ""}, result.Unauthorized, true},
-		{"a wrong key", path, good, map[string]string{"Authorization": "Bearer other"}, result.Unauthorized, true},
+		{"no API key", path, good, map[string]string{"Authorization": ""}, result.Unauthorized, true},
+		{"a wrong API key", path, good, map[string]string{"Authorization": "Bearer other"}, result.Unauthorized, true},
 		{"no such path", "/v2/x", good, nil, result.NotFound, true},
 		{"not JSON", path, `{"model":`, nil, result.BadRequest, true},
 		{"two values", path, good + good, nil, result.BadRequest, true},
-		{"a list", path, `[]`, nil, result.BadRequest, true},
+		{"a list as the body", path, `[]`, nil, result.BadRequest, true},
 		{"no model", path, `{"prompt":"p"}`, nil, result.BadRequest, true},
 		{"no prompt", path, `{"model":"m"}`, nil, result.BadRequest, true},
-		{"null for a prompt", path, `{"model":"m","prompt":null}`, nil, result.BadRequest, true},
+		{"null as the prompt", path, `{"model":"m","prompt":null}`, nil, result.BadRequest, true},
 		{"two prompts", path, `{"model":"m","prompt":["a","b"]}`, nil, result.BadRequest, true},
 		{"no messages", "/v1/chat/completions", `{"model":"m","messages":[]}`, nil, result.BadRequest, true},
-		{"messages that are none", "/v1/chat/completions", `{"model":"m","messages":"x"}`, nil, result.BadRequest, true},
-		{"a key twice", path, `{"model":"m","prompt":"p","Model":"n"}`, nil, result.BadRequest, true},
-		{"two answers asked for", path, `{"model":"m","prompt":"p","n":2}`, nil, result.BadRequest, true},
-		{"no tokens asked for", path, `{"model":"m","prompt":"p","max_tokens":0}`, nil, result.BadRequest, true},
+		{"messages that are not a list", "/v1/chat/completions", `{"model":"m","messages":"x"}`, nil, result.BadRequest, true},
+		{"a duplicate key in different case", path, `{"model":"m","prompt":"p","Model":"n"}`, nil, result.BadRequest, true},
+		{"two answers requested", path, `{"model":"m","prompt":"p","n":2}`, nil, result.BadRequest, true},
+		{"max_tokens of 0", path, `{"model":"m","prompt":"p","max_tokens":0}`, nil, result.BadRequest, true},
 		{"too large", path, `{"model":"m","prompt":"` + strings.Repeat("x", 10_000) + `"}`, nil, result.TooLarge, true},
 		{"an unknown class", path, good, map[string]string{caller.HeaderClass: "x"}, result.BadRequest, true},
-		{"a deadline that is none", path, good, map[string]string{caller.HeaderDeadline: "soon"}, result.BadRequest, true},
-		{"a deadline in the past", path, good, map[string]string{caller.HeaderDeadline: "-1s"}, result.BadRequest, true},
-		{"not repeatable without a key", path, good, map[string]string{caller.HeaderNotRepeatable: "true"}, result.KeyRequired, true},
-		{"neither true nor false", path, good, map[string]string{caller.HeaderNotRepeatable: "maybe"}, result.BadRequest, true},
-		{"a key that is too long", path, good, map[string]string{caller.HeaderKey: strings.Repeat("k", 300)}, result.BadRequest, false},
-		{"a bad request with a key may have run before", path, `{`, map[string]string{caller.HeaderKey: "k"}, result.BadRequest, false},
+		{"a deadline that is not a duration", path, good, map[string]string{caller.HeaderDeadline: "soon"}, result.BadRequest, true},
+		{"a negative deadline", path, good, map[string]string{caller.HeaderDeadline: "-1s"}, result.BadRequest, true},
+		{"not repeatable without an idempotency key", path, good, map[string]string{caller.HeaderNotRepeatable: "true"}, result.KeyRequired, true},
+		{"not-repeatable neither true nor false", path, good, map[string]string{caller.HeaderNotRepeatable: "maybe"}, result.BadRequest, true},
+		{"an idempotency key that is too long", path, good, map[string]string{caller.HeaderKey: strings.Repeat("k", 300)}, result.BadRequest, false},
+		{"a bad request whose idempotency key may have been used before", path, `{`, map[string]string{caller.HeaderKey: "k"}, result.BadRequest, false},
 		{"no such service", "/services/x/y", "", nil, result.ServiceUnknown, true},
-		{"a not repeatable route without a key", "/services/pay/charges", "", nil, result.KeyRequired, true},
-		{"the same route written differently", "/services/pay/x/..//charges/", "", nil, result.KeyRequired, true},
-		{"the same route with an escape", "/services/pay/%63harges", "", nil, result.KeyRequired, true},
-		{"below a not repeatable route", "/services/pay/void/7", "", nil, result.KeyRequired, true},
+		{"a not-repeatable route without an idempotency key", "/services/pay/charges", "", nil, result.KeyRequired, true},
+		{"the same route with dot segments and doubled slashes", "/services/pay/x/..//charges/", "", nil, result.KeyRequired, true},
+		{"the same route with an escaped character", "/services/pay/%63harges", "", nil, result.KeyRequired, true},
+		{"a path below a not-repeatable route", "/services/pay/void/7", "", nil, result.KeyRequired, true},
 	} {
 		response := s.post(t, c.path, c.body, c.header)
 		body, _ := io.ReadAll(response.Body)
@@ -292,13 +292,13 @@
 		t.Errorf("deadline in %s", left)
 	}
 	if id := response.Header.Get(caller.HeaderRequest); id == "" || id != string(r.ID) {
-		t.Errorf("request id %q, the request has %q", id, r.ID)
+		t.Errorf("request id %q in the header, %q in the request", id, r.ID)
 	}
 	firstDigest := r.Digest
 	response = s.post(t, "/v1/completions", `{"model":"m","prompt":"q"}`, map[string]string{caller.HeaderKey: "k1"})
 	response.Body.Close()
 	if s.lastRequest.Digest == firstDigest {
-		t.Error("two bodies have the same digest")
+		t.Error("the digest is the same for two different bodies")
 	}
 }
 
@@ -317,13 +317,13 @@
 	response = s.post(t, "/services/pay/other", "", nil)
 	response.Body.Close()
 	if s.lastCall.AtMostOnce || s.lastCall.Repeatable {
-		t.Errorf("a POST that nothing is said of: once %t, repeatable %t", s.lastCall.AtMostOnce, s.lastCall.Repeatable)
+		t.Errorf("a POST without a not-repeatable route: at most once %t, repeatable %t", s.lastCall.AtMostOnce, s.lastCall.Repeatable)
 	}
 }
 
 func TestHealthPaths(t *testing.T) {
 	s := newTestServer(t)
-	s.Ready = func() error { return result.New(result.ControlUnreachable, "cut off") }
+	s.Ready = func() error { return result.New(result.ControlUnreachable, "no connection to the control daemon") }
 	for _, c := range []struct {
 		path   string
 		status int
@@ -339,7 +339,7 @@
 	}
 }
 
-// What arrives on the socket by hand: two lengths, a body that another reader might take for a second request, huge headers.
+// Requests that an HTTP client would not send, among them those that two servers could split differently (request smuggling).
 func TestMalformedRawRequests(t *testing.T) {
 	s := newTestServer(t)
 	address := strings.TrimPrefix(s.url, "http://")
@@ -350,11 +350,11 @@
 		status  string
 	}{
 		{"two lengths", head + "Content-Length: 2\r\nContent-Length: 3\r\n\r\n{}", "400"},
-		{"a length that is none", head + "Content-Length: x\r\n\r\n{}", "400"},
+		{"a length that is not a number", head + "Content-Length: x\r\n\r\n{}", "400"},
 		{"an unknown transfer encoding", head + "Transfer-Encoding: strange\r\n\r\n{}", "501"},
 		{"a space before the colon", head + "Content-Length : 2\r\n\r\n{}", "400"},
 		{"huge headers", head + "X: " + strings.Repeat("y", 100_000) + "\r\n\r\n", "431"},
-		{"no HTTP", "hello\r\n\r\n", "400"},
+		{"not HTTP", "hello\r\n\r\n", "400"},
 	} {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
@@ -384,7 +384,7 @@
 		}
 		r := &p.Request
 		if r.Model == "" || len(r.Prompt) == 0 || r.MaxTokens < 1 || !json.Valid(r.Prompt) || len(r.Options) > 0 && !json.Valid(r.Options) {
-			t.Fatalf("passed as %+v", r)
+			t.Fatalf("accepted as %+v", r)
 		}
 	})
 }
--- a/caller/errors.go
+++ b/caller/errors.go
@@ -10,7 +10,7 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// errorDetail is the shape that clients of the OpenAI interface read, with this system's own keys beside theirs.
+// errorDetail is the error object of the OpenAI interface, with the result code and not-run as additional keys.
 type errorDetail struct {
 	Message    string  `json:"message"`
 	Type       string  `json:"type"`
@@ -24,8 +24,8 @@
 	Error errorDetail `json:"error"`
 }
 
-// newErrorResponse returns err in the shape of the interface. A refusal of a keyed request that came before its claim says
-// nothing of earlier runs with that key, so only a claimed request may be called not run.
+// newErrorResponse returns the response body for err. A keyed request that was refused before its claim may have run earlier
+// with the same key, so only a claimed one is reported as not run.
 func newErrorResponse(err error, headers *requestHeaders) errorResponse {
 	code := result.CodeOf(err)
 	info := result.Lookup(code)
@@ -36,8 +36,8 @@
 	}}
 }
 
-// onlyAfterClaim is true for the refusals that the dispatcher gives only once a request's claim was granted: nothing ran with
-// that key before. Every other refusal of a keyed request, whichever it is, may meet a key whose request ran earlier.
+// onlyAfterClaim reports whether the dispatcher returns code only after it has granted the request's claim, which means that
+// no request with the same key ran before. With any other code, an earlier request with the same key may have run.
 func onlyAfterClaim(code result.Code) bool {
 	switch code {
 	case result.LimitExceeded, result.Overloaded, result.DeadlineUnreachable, result.NoWholeGroup, result.ModelUnknown, result.BackedOff:
@@ -58,7 +58,7 @@
 	return "invalid_request_error"
 }
 
-// writeError answers with err before anything else was written; e is nil before the headers were understood.
+// writeError writes err as the response, of which nothing has been written yet. headers is nil if they have not been parsed.
 func (s *Server) writeError(w http.ResponseWriter, r *http.Request, err error, headers *requestHeaders) {
 	if headers == nil {
 		headers = &requestHeaders{key: r.Header.Get(HeaderKey)}
--- a/caller/openai.go
+++ b/caller/openai.go
@@ -19,11 +19,11 @@
 const (
 	defaultMaxTokens = 1024
 	maxTokensLimit   = 1 << 20
-	// bytesPerToken estimates a prompt's tokens before an engine has counted them.
+	// bytesPerToken estimates the number of tokens of a prompt that no engine has counted yet.
 	bytesPerToken = 4
 )
 
-// completionFields are the parts of a completion request that this system itself acts on.
+// completionFields are the fields of a completion request that are interpreted here.
 type completionFields struct {
 	Model               string          `json:"model"`
 	Messages            json.RawMessage `json:"messages"`
@@ -40,18 +40,18 @@
 	BestOf      *int     `json:"best_of"`
 }
 
-// handledKeys are the keys that do not go on to the engine as options.
+// handledKeys are the keys that are not passed to the engine as options.
 var handledKeys = []string{
 	"model", "messages", "prompt", "max_tokens", "max_completion_tokens", "stream", "stream_options", "n", "best_of",
 }
 
-// Parsed is a completion request as the dispatcher takes it, and how to write its answer.
+// Parsed is a completion request for the dispatcher, with the options that only concern the format of the response.
 type Parsed struct {
 	Request      dispatch.Request
 	IncludeUsage bool
 }
 
-// Parse reads the body of a completion request; chat says which of the two interfaces it came by.
+// Parse reads the body of a chat completion request (chat) or of a text completion request.
 func Parse(body []byte, chat bool) (*Parsed, error) {
 	var fields completionFields
 	if err := decodeSingle(body, &fields); err != nil {
@@ -62,7 +62,7 @@
 	model, adapter, _ := strings.Cut(fields.Model, ":")
 	r.Model, r.Adapter, r.Chat, r.Streamed = ident.Model(model), adapter, chat, fields.Stream
 	if model == "" || len(fields.Model) > 2*ident.MaxNameLength {
-		return nil, result.New(result.BadRequest, "model: a name is required")
+		return nil, result.New(result.BadRequest, "model: the name is missing or too long")
 	}
 	if err := readPrompt(&fields, r); err != nil {
 		return nil, err
@@ -82,10 +82,10 @@
 func decodeSingle(body []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(body))
 	if err := d.Decode(v); err != nil {
-		return result.Wrap(err, result.BadRequest, "body is not the JSON of a completion request")
+		return result.Wrap(err, result.BadRequest, "body is not a valid completion request in JSON")
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return result.New(result.BadRequest, "body goes on after its JSON value")
+		return result.New(result.BadRequest, "body has data after its JSON value")
 	}
 	return nil
 }
@@ -98,10 +98,10 @@
 	}
 	var elements []json.RawMessage
 	if isList := json.Unmarshal(r.Prompt, &elements) == nil; r.Chat && !isList || isList && len(elements) == 0 {
-		return result.New(result.BadRequest, "%s: a list with at least one element is required", key)
+		return result.New(result.BadRequest, "%s: a non-empty list is required", key)
 	}
 	if !r.Chat && len(elements) != 1 && elements != nil {
-		return result.New(result.BadRequest, "prompt: one prompt a request is served")
+		return result.New(result.BadRequest, "prompt: exactly one prompt per request is supported")
 	}
 	if len(r.Prompt) == 0 || string(r.Prompt) == "null" {
 		return result.New(result.BadRequest, "%s is required", key)
@@ -123,14 +123,14 @@
 	}
 	for _, n := range []*int{fields.N, fields.BestOf} {
 		if n != nil && *n != 1 {
-			return result.New(result.BadRequest, "n and best_of: one answer a request is served")
+			return result.New(result.BadRequest, "n and best_of: only 1 is supported")
 		}
 	}
 	return nil
 }
 
-// engineOptions returns the options that only the engine understands; a key that stands twice is refused, because
-// two readers could take different ones.
+// engineOptions returns the options that only the engine interprets. Duplicate keys are an error, because two parsers could
+// pick different values.
 func engineOptions(body []byte) (json.RawMessage, error) {
 	if err := checkUniqueKeys(body); err != nil {
 		return nil, err
@@ -148,6 +148,7 @@
 	return json.Marshal(options)
 }
 
+// checkUniqueKeys ignores case, as encoding/json does when it matches keys to fields.
 func checkUniqueKeys(body []byte) error {
 	d := json.NewDecoder(bytes.NewReader(body))
 	if token, err := d.Token(); err != nil || token != json.Delim('{') {
@@ -161,7 +162,7 @@
 		}
 		name := strings.ToLower(key.(string))
 		if seen[name] {
-			return result.New(result.BadRequest, "%s stands twice", name)
+			return result.New(result.BadRequest, "duplicate key %s", name)
 		}
 		seen[name] = true
 		var skip json.RawMessage
--- a/caller/server.go
+++ b/caller/server.go
@@ -17,7 +17,7 @@
 	"github.com/dunlinquay/dunlinquay/settings"
 )
 
-// The headers of this interface beside those of HTTP and of the OpenAI interface.
+// Headers in addition to those of HTTP and of the OpenAI interface.
 const (
 	HeaderClass         = "Dunlinquay-Class"
 	HeaderDeadline      = "Dunlinquay-Deadline"
@@ -37,7 +37,7 @@
 	maxKeyLength      = 255
 )
 
-// Server answers callers; exported fields are set before Handler.
+// Server answers callers. Its exported fields are set before Handler is called.
 type Server struct {
 	Customers *keys.Ring[ident.Customer]
 	Classes   []settings.Class
@@ -46,18 +46,18 @@
 	Now       func() time.Time
 	Serve     func(ctx context.Context, r *dispatch.Request, sink dispatch.Sink) (*dispatch.Answer, error)
 	ServeCall func(ctx context.Context, c *dispatch.Call) (*dispatch.Reply, error)
-	// Models lists the models and adapters ("model:adapter") that are declared.
+	// Models lists the declared models and adapters ("model:adapter").
 	Models func() []ident.Model
-	// Ready returns why the balancer should look away, or nil.
+	// Ready returns why the load balancer should send no requests to this daemon, or nil.
 	Ready func() error
-	// Refused is told of requests that ended before they reached Serve.
+	// Refused is called for each request that fails before Serve or ServeCall is called, except for unknown paths.
 	Refused func(customer ident.Customer, code result.Code)
 
 	inProgress atomic.Int64
 	stopping   atomic.Bool
 }
 
-// NewServer returns a server that is ready and has no customers.
+// NewServer returns a server that reports ready and has no customers.
 func NewServer() *Server {
 	return &Server{
 		Customers: &keys.Ring[ident.Customer]{},
@@ -68,7 +68,7 @@
 	}
 }
 
-// HTTP returns the http.Server with its bounds on headers and slow senders.
+// HTTP returns an http.Server with limits on header size, the time to read the headers, and idle time.
 func (s *Server) HTTP() *http.Server {
 	return &http.Server{
 		Handler:           s.Handler(),
@@ -78,17 +78,17 @@
 	}
 }
 
-// InProgress returns the number of requests being answered.
+// InProgress returns the number of requests that are being handled.
 func (s *Server) InProgress() int {
 	return int(s.inProgress.Load())
 }
 
-// Stop makes every later request be refused as not run; those in progress go on.
+// Stop makes the server refuse every later request as not run; requests in progress continue.
 func (s *Server) Stop() {
 	s.stopping.Store(true)
 }
 
-// Handler returns the routes.
+// Handler returns the routes. All except the two health checks require a customer's key.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
@@ -98,7 +98,7 @@
 	mux.HandleFunc("POST /v1/completions", s.authenticate(s.handleTextCompletion))
 	mux.HandleFunc("/services/{service}/{path...}", s.authenticate(s.handleService))
 	mux.HandleFunc("/", s.authenticate(func(w http.ResponseWriter, r *http.Request, _ ident.Customer) {
-		s.writeError(w, r, result.New(result.NotFound, "there is no %s %s", r.Method, r.URL.Path), nil)
+		s.writeError(w, r, result.New(result.NotFound, "no route for %s %s", r.Method, r.URL.Path), nil)
 	}))
 	return mux
 }
@@ -111,27 +111,27 @@
 	_, _ = io.WriteString(w, "ready\n")
 }
 
-// authenticate finds who calls and counts the request as in progress.
+// authenticate counts the request as in progress and calls next with the customer whose key the request carries.
 func (s *Server) authenticate(next func(w http.ResponseWriter, r *http.Request, customer ident.Customer)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		// Counting comes before the look at stopping, so that a stop sees every request that passed it.
+		// Counted before stopping is checked, so that InProgress after Stop includes every request that passed the check.
 		s.inProgress.Add(1)
 		defer s.inProgress.Add(-1)
 		customer, ok := s.Customers.Find(keys.Bearer(r))
 		switch {
 		case !ok:
 			s.Refused("", result.Unauthorized)
-			s.writeError(w, r, result.New(result.Unauthorized, "present a key as Authorization: Bearer"), nil)
+			s.writeError(w, r, result.New(result.Unauthorized, "no valid key in the header Authorization: Bearer KEY"), nil)
 		case s.stopping.Load():
 			s.Refused(customer, result.Stopping)
-			s.writeError(w, r, result.New(result.Stopping, "this daemon stops; use another"), nil)
+			s.writeError(w, r, result.New(result.Stopping, "this daemon is stopping; use another one"), nil)
 		default:
 			next(w, r, customer)
 		}
 	}
 }
 
-// requestHeaders is what the headers say about a request of either kind.
+// requestHeaders are the parsed headers of a completion request or service call.
 type requestHeaders struct {
 	class         settings.Class
 	deadline      time.Time
@@ -144,7 +144,7 @@
 	if name := r.Header.Get(HeaderClass); name != "" {
 		class, ok := s.findClass(ident.Class(name))
 		if !ok {
-			return headers, result.New(result.BadRequest, "%s: there is no class %q", HeaderClass, name)
+			return headers, result.New(result.BadRequest, "%s: unknown class %q", HeaderClass, name)
 		}
 		headers.class = class
 	}
@@ -152,20 +152,20 @@
 	if text := r.Header.Get(HeaderDeadline); text != "" {
 		given, err := time.ParseDuration(text)
 		if err != nil || given <= 0 || given > maxDeadline {
-			return headers, result.New(result.BadRequest, "%s: %q is not a time such as 1.5s of at most %s", HeaderDeadline, text, maxDeadline)
+			return headers, result.New(result.BadRequest, "%s: %q is not a positive duration such as 1.5s, at most %s", HeaderDeadline, text, maxDeadline)
 		}
 		timeout = given
 	}
 	headers.deadline = s.Now().Add(timeout)
 	switch value := strings.ToLower(r.Header.Get(HeaderNotRepeatable)); value {
 	case "", "false", "true":
-		// Who sends a key wants one effect, whether or not the other header says so.
+		// A caller that sends a key wants the request to run at most once, even without HeaderNotRepeatable.
 		headers.notRepeatable = value == "true" || headers.key != ""
 	default:
 		return headers, result.New(result.BadRequest, "%s: %q is neither true nor false", HeaderNotRepeatable, value)
 	}
 	if len(headers.key) > maxKeyLength {
-		return headers, result.New(result.BadRequest, "%s is over %d bytes", HeaderKey, maxKeyLength)
+		return headers, result.New(result.BadRequest, "%s: the key is longer than %d bytes", HeaderKey, maxKeyLength)
 	}
 	return headers, nil
 }
@@ -179,7 +179,7 @@
 	return settings.Class{}, false
 }
 
-// readBody reads the whole body within its bounds of size and time.
+// readBody reads the whole body, subject to the limit on its size and to bodyTimeout.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	controller := http.NewResponseController(w)
 	_ = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
@@ -187,7 +187,7 @@
 	_ = controller.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, result.New(result.TooLarge, "body is over %d bytes", tooLarge.Limit)
+		return nil, result.New(result.TooLarge, "body is larger than %d bytes", tooLarge.Limit)
 	}
 	if err != nil {
 		return nil, result.Wrap(err, result.BadRequest, "body cannot be read")
--- a/caller/services.go
+++ b/caller/services.go
@@ -44,7 +44,7 @@
 func (s *Server) readCall(w http.ResponseWriter, r *http.Request, headers *requestHeaders) (*dispatch.Call, error) {
 	service, ok := s.findService(ident.Service(r.PathValue("service")))
 	if !ok {
-		return nil, result.New(result.ServiceUnknown, "there is no service %q", r.PathValue("service"))
+		return nil, result.New(result.ServiceUnknown, "unknown service %q", r.PathValue("service"))
 	}
 	body, err := s.readBody(w, r)
 	if err != nil {
@@ -59,7 +59,7 @@
 	call.AtMostOnce = headers.notRepeatable || matchesNotRepeatable(&service, r.Method, "/"+r.PathValue("path"))
 	call.Repeatable = !call.AtMostOnce && isSafe(r.Method)
 	if call.AtMostOnce && call.Key == "" {
-		return nil, result.New(result.KeyRequired, "%s %s must not be repeated and needs the header %s", call.Method, call.Path, HeaderKey)
+		return nil, result.New(result.KeyRequired, "%s %s is not repeatable and needs the header %s", call.Method, call.Path, HeaderKey)
 	}
 	if call.AtMostOnce {
 		call.Digest = sha256.Sum256([]byte(call.Method + "\n" + r.URL.RequestURI() + "\n" + string(body)))
@@ -67,7 +67,7 @@
 	return call, nil
 }
 
-// isSafe methods ask for no effect, so that sending them again does no harm.
+// isSafe reports whether requests with the method have no side effects, so that they can be retried.
 func isSafe(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
@@ -81,8 +81,9 @@
 	return settings.Service{}, false
 }
 
-// matchesNotRepeatable matches a route of the settings, "METHOD /path"; a trailing /* covers everything below. The path is
-// cleaned first, so that doubled slashes or dots do not slip past a route.
+// matchesNotRepeatable reports whether the request matches one of the service's not-repeatable routes, "METHOD /path". The
+// method * matches every method, and a trailing /* every path below. The path is cleaned first, so that a doubled slash or
+// a dot segment cannot bypass a route.
 func matchesNotRepeatable(service *settings.Service, method, requestPath string) bool {
 	cleanPath := path.Clean("/" + requestPath)
 	for _, route := range service.NotRepeatable {
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -12,18 +12,17 @@
 	"github.com/dunlinquay/dunlinquay/dispatch"
 )
 
-// completionWriter turns an answer into the interface's JSON, whole or as server-sent events.
+// completionWriter writes an answer in the JSON of the OpenAI interface, complete or as server-sent events.
 type completionWriter struct {
 	w          http.ResponseWriter
 	controller *http.ResponseController
 	parsed     *Parsed
 	created    int64
 	started    bool
-	// tokenPrefix and tail surround the JSON string of one token; they are the same for every event of a stream.
+	// tokenPrefix and tokenSuffix surround the JSON string of one token; they are the same for every event of a stream.
 	tokenPrefix, tokenSuffix []byte
 	eventBuffer              []byte
-	// deadlineSetAt is when the write deadline was set last.
-	deadlineSetAt time.Time
+	deadlineSetAt            time.Time
 }
 
 type choice struct {
@@ -78,7 +77,7 @@
 	return "text_completion"
 }
 
-// startStream writes the headers of a stream, and for a chat the event that names the role.
+// startStream writes the headers of a stream, and for a chat the event with the role.
 func (out *completionWriter) startStream() error {
 	out.started = true
 	h := out.w.Header()
@@ -93,13 +92,12 @@
 	return out.writeEvent(out.newCompletion(out.chunkObjectType(), choice{Delta: &message{Role: "assistant", Content: &empty}}))
 }
 
-// deadlineExtendInterval is how often the write deadline of a stream is moved.
 const deadlineExtendInterval = time.Second
 
-// textPlaceholder stands for the token's text while head and tail are cut from a whole event.
+// textPlaceholder is the text of the event that prepareTokenEvent splits into tokenPrefix and tokenSuffix.
 const textPlaceholder = "\x01"
 
-// prepareTokenEvent encodes one event and cuts it where the text of a token belongs, so that a token costs one string and no structure.
+// prepareTokenEvent encodes one event and splits it at the token's text, so that later events encode only a string.
 func (out *completionWriter) prepareTokenEvent() {
 	text := textPlaceholder
 	c := choice{Text: &text}
@@ -116,7 +114,7 @@
 	out.tokenSuffix = slices.Concat(suffix, []byte("\n\n"))
 }
 
-// writeToken is the sink of a streamed answer; more says that the next token has arrived already.
+// writeToken is the dispatch.Sink of a streamed answer. It flushes once no further token is buffered.
 func (out *completionWriter) writeToken(text string, moreBuffered bool) error {
 	out.extendDeadline()
 	if !out.started {
@@ -139,7 +137,8 @@
 	return out.controller.Flush()
 }
 
-// extendDeadline gives a caller that reads more time; setting it for every token would cost more than the token.
+// extendDeadline extends the write deadline at most once per deadlineExtendInterval: setting the deadline for every token
+// would cost more than writing the token.
 func (out *completionWriter) extendDeadline() {
 	now := time.Now()
 	if now.Sub(out.deadlineSetAt) < deadlineExtendInterval {
@@ -158,7 +157,7 @@
 	return err
 }
 
-// finish writes the proper end of a stream, or the whole of an answer that was not streamed.
+// finish writes the last events of a stream, or the complete response of an answer that is not streamed.
 func (out *completionWriter) finish(answer *dispatch.Answer) {
 	u := &usage{PromptTokens: answer.PromptTokens, CompletionTokens: answer.Tokens, TotalTokens: answer.PromptTokens + answer.Tokens}
 	if !out.parsed.Request.Streamed {
@@ -199,7 +198,7 @@
 	_ = json.NewEncoder(out.w).Encode(v)
 }
 
-// abort tells the caller what went wrong and breaks the connection, so that no client takes the stream for ended.
+// abort sends the error as an event and breaks the connection, so that no client takes the stream for complete.
 func (out *completionWriter) abort(response errorResponse) {
 	_ = out.writeEvent(response)
 	_ = out.controller.Flush()
