--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -75,8 +75,8 @@
 	return &dispatch.Answer{Text: strings.Join(words, ""), Finish: "stop", Tokens: len(words), PromptTokens: 3}, nil
 }
 
-func (f *testServer) client() openai.Client {
-	return openai.NewClient(option.WithBaseURL(f.url+"/v1"), option.WithAPIKey("secret"), option.WithMaxRetries(0))
+func (s *testServer) client() openai.Client {
+	return openai.NewClient(option.WithBaseURL(s.url+"/v1"), option.WithAPIKey("secret"), option.WithMaxRetries(0))
 }
 
 func chatParams() openai.ChatCompletionNewParams {
@@ -199,9 +199,9 @@
 	}
 }
 
-func (f *testServer) post(t *testing.T, path, body string, header map[string]string) *http.Response {
+func (s *testServer) post(t *testing.T, path, body string, header map[string]string) *http.Response {
 	t.Helper()
-	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, f.url+path, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, s.url+path, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
