--- a/engine/client.go
+++ b/engine/client.go
@@ -32,9 +32,9 @@
 )
 
 const (
-	maxLine        = 64 << 10
-	maxSmallAnswer = 1 << 20
-	drainBytes     = 4096
+	maxLineBytes        = 64 << 10
+	maxReplyBytes = 1 << 20
+	maxDrainBytes     = 4096
 )
 
 // Client speaks to any number of engines; the address is host:port.
@@ -81,7 +81,7 @@
 	return e, err
 }
 
-func (c *Client) call(ctx context.Context, s *sling.Sling, into any) error {
+func (c *Client) call(ctx context.Context, s *sling.Sling, reply any) error {
 	r, err := s.Request()
 	if err != nil {
 		return result.Wrap(err, result.BadRequest, "call cannot be built")
@@ -91,14 +91,14 @@
 		return transport.Classify(err)
 	}
 	defer w.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(w.Body, maxSmallAnswer))
+	body, err := io.ReadAll(io.LimitReader(w.Body, maxReplyBytes))
 	if err != nil {
 		return transport.Classify(err)
 	}
 	if w.StatusCode != http.StatusOK {
-		return refusalOf(w, body)
+		return refusalError(w, body)
 	}
-	if err := json.Unmarshal(body, into); err != nil {
+	if err := json.Unmarshal(body, reply); err != nil {
 		return result.Wrap(err, result.UpstreamMalformed, "engine's answer cannot be read")
 	}
 	return nil
@@ -107,23 +107,23 @@
 // StatusFenced is the status with which an engine refuses the order of an older leader.
 const StatusFenced = http.StatusPreconditionFailed
 
-// refusalOf returns what an engine's refusal means, with the time that it asks for.
-func refusalOf(w *http.Response, body []byte) error {
-	err := refusalIn(w.StatusCode, body)
+// refusalError returns what an engine's refusal means, with the time that it asks for.
+func refusalError(w *http.Response, body []byte) error {
+	err := parseRefusal(w.StatusCode, body)
 	if !backoff.IsRefusal(w.StatusCode) {
 		return err
 	}
-	asked, unreadable := backoff.ParseRetryAfter(w.Header, time.Now())
+	delay, parseErr := backoff.ParseRetryAfter(w.Header, time.Now())
 	switch {
-	case unreadable != nil:
-		return result.Wrap(err, result.CodeOf(err), "%s", result.Message(unreadable))
-	case asked > 0:
-		return backoff.NewRefusal(err, asked)
+	case parseErr != nil:
+		return result.Wrap(err, result.CodeOf(err), "%s", result.Message(parseErr))
+	case delay > 0:
+		return backoff.NewRefusal(err, delay)
 	}
 	return err
 }
 
-func refusalIn(status int, body []byte) error {
+func parseRefusal(status int, body []byte) error {
 	var refusal Refusal
 	if json.Unmarshal(body, &refusal) != nil {
 		return result.New(result.UpstreamMalformed, "engine answered with status %d", status)
@@ -162,8 +162,8 @@
 	c.Heard(address, sent, w.StatusCode, w.Header)
 	if w.StatusCode != http.StatusOK {
 		defer w.Body.Close()
-		text, _ := io.ReadAll(io.LimitReader(w.Body, maxSmallAnswer))
-		return nil, refusalOf(w, text)
+		refusal, _ := io.ReadAll(io.LimitReader(w.Body, maxReplyBytes))
+		return nil, refusalError(w, refusal)
 	}
 	return NewStream(w.Body, g.Request, g.Epoch, g.From), nil
 }
@@ -174,13 +174,13 @@
 	reader  *bufio.Reader
 	request ident.Request
 	epoch   ident.Epoch
-	next    int
+	nextToken    int
 	done    bool
 }
 
 // NewStream returns a stream over body that expects token number from first.
 func NewStream(body io.ReadCloser, request ident.Request, epoch ident.Epoch, from int) *Stream {
-	return &Stream{body: body, reader: bufio.NewReaderSize(body, maxLine), request: request, epoch: epoch, next: from}
+	return &Stream{body: body, reader: bufio.NewReaderSize(body, maxLineBytes), request: request, epoch: epoch, nextToken: from}
 }
 
 // Next returns the next token; the one with Done set is the proper end, after which Next must not be called.
@@ -188,37 +188,37 @@
 	var t Token
 	line, err := s.reader.ReadSlice('\n')
 	if err != nil {
-		return t, s.broken(err)
+		return t, s.readError(err)
 	}
 	if err := fast.Unmarshal(line, &t); err != nil {
-		return t, result.Wrap(err, result.UpstreamMalformed, "line after %d tokens cannot be read", s.next)
+		return t, result.Wrap(err, result.UpstreamMalformed, "line after %d tokens cannot be read", s.nextToken)
 	}
 	if t.Request != s.request || t.Epoch != s.epoch {
 		return t, result.New(result.AnswerForeign, "answer is for request %q in epoch %d", t.Request, t.Epoch)
 	}
-	if t.N != s.next {
-		return t, result.New(result.AnswerFragment, "token %d came where %d was due", t.N, s.next)
+	if t.N != s.nextToken {
+		return t, result.New(result.AnswerFragment, "token %d came where %d was due", t.N, s.nextToken)
 	}
 	if t.Done {
 		s.done = true
 		return t, nil
 	}
-	s.next++
+	s.nextToken++
 	return t, nil
 }
 
-// broken names the end of a stream that had no proper end; a last line without its newline counts as none.
-func (s *Stream) broken(err error) error {
+// readError names the end of a stream that had no proper end; a last line without its newline counts as none.
+func (s *Stream) readError(err error) error {
 	switch {
 	case errors.Is(err, io.EOF):
-		return result.New(result.AnswerFragment, "answer ended after %d tokens without its end", s.next)
+		return result.New(result.AnswerFragment, "answer ended after %d tokens without its end", s.nextToken)
 	case errors.Is(err, bufio.ErrBufferFull):
-		return result.Wrap(err, result.UpstreamMalformed, "line over %d bytes", maxLine)
+		return result.Wrap(err, result.UpstreamMalformed, "line over %d bytes", maxLineBytes)
 	}
 	if code := result.CodeOf(transport.Classify(err)); code == result.TimedOut || code == result.Cancelled {
 		return transport.Classify(err)
 	}
-	return result.Wrap(err, result.AnswerFragment, "answer broke after %d tokens", s.next)
+	return result.Wrap(err, result.AnswerFragment, "answer broke after %d tokens", s.nextToken)
 }
 
 // Buffered reports whether more of the answer has arrived already.
@@ -228,14 +228,14 @@
 
 // Received returns the number of the next token that is due.
 func (s *Stream) Received() int {
-	return s.next
+	return s.nextToken
 }
 
 // Close ends the stream; an unfinished one closes the connection, which tells the engine to stop.
 func (s *Stream) Close() {
 	if s.done {
 		// What follows a proper end is nothing; reading it lets the connection be used again.
-		_, _ = io.CopyN(io.Discard, s.body, drainBytes)
+		_, _ = io.CopyN(io.Discard, s.body, maxDrainBytes)
 	}
 	s.body.Close()
 }
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -20,8 +20,8 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// raw listens on a socket and lets serve answer the n-th request that arrives, on whichever connection, by hand.
-func raw(t *testing.T, serve func(n int, conn net.Conn, r *http.Request) (keep bool)) (address string, requests *atomic.Int64) {
+// listenRaw listens on a socket and lets serve answer the n-th request that arrives, on whichever connection, by hand.
+func listenRaw(t *testing.T, serve func(n int, conn net.Conn, r *http.Request) (keepOpen bool)) (address string, requests *atomic.Int64) {
 	t.Helper()
 	ln, requests, err := standin.ByHand(serve)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return ln.Addr().String(), requests
 }
 
-func write(conn net.Conn, body string) {
+func writeResponse(conn net.Conn, body string) {
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
@@ -40,7 +40,7 @@
 {"request":"r1","epoch":7,"n":2,"done":true,"finish":"stop"}
 `
 
-func ask(t *testing.T, address string, client *engine.Client) (string, error) {
+func generate(t *testing.T, address string, client *engine.Client) (string, error) {
 	t.Helper()
 	s, err := client.Generate(t.Context(), address, &engine.Generate{Request: "r1", Epoch: 7, Prompt: []byte(`"p"`), MaxTokens: 2})
 	if err != nil {
@@ -61,7 +61,7 @@
 }
 
 // A connection that breaks, wherever, never makes the transport send a request a second time.
-func TestABrokenConnectionNeverSendsTwice(t *testing.T) {
+func TestBrokenConnectionIsNotRetried(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		// second handles the second request, which comes over the kept connection of the first.
@@ -80,20 +80,20 @@
 		}, result.AnswerFragment},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			address, requests := raw(t, func(n int, conn net.Conn, r *http.Request) bool {
+			address, requests := listenRaw(t, func(n int, conn net.Conn, r *http.Request) bool {
 				if n == 2 {
 					c.second(conn, r)
 					return false
 				}
 				_, _ = io.Copy(io.Discard, r.Body)
-				write(conn, wholeAnswer)
+				writeResponse(conn, wholeAnswer)
 				return true
 			})
 			client := engine.NewClient(transport.TCP())
-			if _, err := ask(t, address, client); err != nil {
+			if _, err := generate(t, address, client); err != nil {
 				t.Fatalf("the first request: %v", err)
 			}
-			_, err := ask(t, address, client)
+			_, err := generate(t, address, client)
 			if code := result.CodeOf(err); code != c.code {
 				t.Errorf("code %d, want %d: %v", code, c.code, err)
 			}
@@ -104,21 +104,21 @@
 	}
 }
 
-func TestOnlyAFailedDialIsNeverSent(t *testing.T) {
+func TestFailedDialIsNeverSent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := ln.Addr().String()
 	ln.Close()
-	_, err = ask(t, address, engine.NewClient(transport.TCP()))
+	_, err = generate(t, address, engine.NewClient(transport.TCP()))
 	if code := result.CodeOf(err); code != result.NeverSent {
 		t.Errorf("closed port: code %d: %v", code, err)
 	}
 }
 
 // Whatever is not the whole answer to this very request is told apart.
-func TestAnswersAreChecked(t *testing.T) {
+func TestStreamRejectsInvalidAnswers(t *testing.T) {
 	line := func(n int) string { return fmt.Sprintf(`{"request":"r1","epoch":7,"n":%d,"text":"x "}`+"\n", n) }
 	end := func(n int) string { return fmt.Sprintf(`{"request":"r1","epoch":7,"n":%d,"done":true}`+"\n", n) }
 	for _, c := range []struct {
@@ -144,12 +144,12 @@
 		{"a line without end", strings.Repeat("x", 1<<20), result.UpstreamMalformed, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			address, _ := raw(t, func(_ int, conn net.Conn, r *http.Request) bool {
+			address, _ := listenRaw(t, func(_ int, conn net.Conn, r *http.Request) bool {
 				_, _ = io.Copy(io.Discard, r.Body)
-				write(conn, c.body)
+				writeResponse(conn, c.body)
 				return true
 			})
-			text, err := ask(t, address, engine.NewClient(transport.TCP()))
+			text, err := generate(t, address, engine.NewClient(transport.TCP()))
 			if code := result.CodeOf(err); code != c.code {
 				t.Errorf("code %d, want %d: %v", code, c.code, err)
 			}
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestRefusalsAreTold(t *testing.T) {
+func TestRefusalCodes(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status int
@@ -175,12 +175,12 @@
 		{"no words", 503, `oops`, result.UpstreamMalformed},
 		{"a redirect is not followed", 302, `{}`, result.UpstreamFailed},
 	} {
-		address, requests := raw(t, func(_ int, conn net.Conn, r *http.Request) bool {
+		address, requests := listenRaw(t, func(_ int, conn net.Conn, r *http.Request) bool {
 			_, _ = io.Copy(io.Discard, r.Body)
 			fmt.Fprintf(conn, "HTTP/1.1 %d X\r\nLocation: /elsewhere\r\nContent-Length: %d\r\n\r\n%s", c.status, len(c.body), c.body)
 			return true
 		})
-		_, err := ask(t, address, engine.NewClient(transport.TCP()))
+		_, err := generate(t, address, engine.NewClient(transport.TCP()))
 		if code := result.CodeOf(err); code != c.code || requests.Load() != 1 {
 			t.Errorf("%s: code %d, want %d, after %d requests: %v", c.name, code, c.code, requests.Load(), err)
 		}
@@ -249,7 +249,7 @@
 }
 
 // An engine that refuses for want of room may say for how long it wants nothing; only then, and only what can be read counts.
-func TestRefusalsAskForTime(t *testing.T) {
+func TestRefusalBackoff(t *testing.T) {
 	for _, c := range []struct {
 		name, status, header string
 		want                 time.Duration
@@ -261,7 +261,7 @@
 		{"not for want of room", "409", "Retry-After: 3\r\n", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			address, _ := raw(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+			address, _ := listenRaw(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 				body := `{"not-run":true,"reason":"no room"}`
 				fmt.Fprintf(conn, "HTTP/1.1 %s X\r\n%sContent-Length: %d\r\n\r\n%s", c.status, c.header, len(body), body)
 				return false
--- a/engine/standin.go
+++ b/engine/standin.go
@@ -61,15 +61,15 @@
 	mu          sync.Mutex
 	incarnation ident.Incarnation
 	state       State
-	order       Order
+	joinOrder       Order
 	fence       Fence
-	loaded      string
+	loadedModel      string
 	readyAt     time.Time
 	cancels     map[ident.Request]context.CancelFunc
 	slots       chan struct{}
 	paused      chan struct{}
 	events      []CacheEvent
-	firstEvent  uint64
+	firstSequence  uint64
 	running     atomic.Int64
 	queued      atomic.Int64
 }
@@ -83,7 +83,7 @@
 		ChecksOrders: true,
 		OnRun:        func(ident.Request, string) {},
 		cancels:      map[ident.Request]context.CancelFunc{},
-		firstEvent:   1,
+		firstSequence:   1,
 	}
 }
 
@@ -97,7 +97,7 @@
 	s.incarnation = ident.NewIncarnation()
 	s.state = State{Phase: PhaseIdle}
 	s.fence = Fence{}
-	s.loaded = ""
+	s.loadedModel = ""
 	s.slots = make(chan struct{}, s.Slots)
 	return nil
 }
@@ -158,7 +158,7 @@
 	})
 }
 
-func reply(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
@@ -166,18 +166,18 @@
 
 func (s *StandIn) handleState(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	s.settle()
+	s.finishLoad()
 	st := s.state
 	st.Incarnation = s.incarnation
 	s.mu.Unlock()
 	st.Slots = s.Slots
 	st.Running = int(s.running.Load())
 	st.Queued = int(s.queued.Load())
-	reply(w, http.StatusOK, st)
+	writeJSON(w, http.StatusOK, st)
 }
 
-// settle ends a load whose time has come.
-func (s *StandIn) settle() {
+// finishLoad ends a load whose time has come.
+func (s *StandIn) finishLoad() {
 	if s.state.Phase == PhaseLoading && !time.Now().Before(s.readyAt) {
 		s.state.Phase = PhaseReady
 	}
@@ -186,13 +186,13 @@
 func (s *StandIn) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o Order
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOrderBytes)).Decode(&o); err != nil {
-		reply(w, http.StatusBadRequest, Refusal{Reason: err.Error()})
+		writeJSON(w, http.StatusBadRequest, Refusal{Reason: err.Error()})
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ChecksOrders && o.Fence.Less(s.fence) {
-		reply(w, StatusFenced, Refusal{Reason: fmt.Sprintf("fence %v is older than %v", o.Fence, s.fence)})
+		writeJSON(w, StatusFenced, Refusal{Reason: fmt.Sprintf("fence %v is older than %v", o.Fence, s.fence)})
 		return
 	}
 	s.fence = o.Fence
@@ -207,26 +207,26 @@
 	if s.state.Epoch == o.Epoch {
 		s.state.Group, s.state.Epoch, s.state.Phase = "", 0, PhaseIdle
 	}
-	reply(w, http.StatusOK, OrderAnswer{Incarnation: s.incarnation, Done: true})
+	writeJSON(w, http.StatusOK, OrderAnswer{Incarnation: s.incarnation, Done: true})
 }
 
 func (s *StandIn) join(w http.ResponseWriter, o *Order) {
 	if s.state.Epoch > o.Epoch {
-		reply(w, http.StatusConflict, Refusal{Reason: fmt.Sprintf("joined epoch %d already", s.state.Epoch)})
+		writeJSON(w, http.StatusConflict, Refusal{Reason: fmt.Sprintf("joined epoch %d already", s.state.Epoch)})
 		return
 	}
 	if s.state.Epoch != o.Epoch {
-		load := fmt.Sprint(o.Model, o.Version, o.Adapters)
+		model := fmt.Sprint(o.Model, o.Version, o.Adapters)
 		s.state.Group, s.state.Epoch, s.state.Phase = o.Group, o.Epoch, PhaseLoading
-		s.order = *o
+		s.joinOrder = *o
 		s.readyAt = time.Now()
-		if s.loaded != load {
+		if s.loadedModel != model {
 			s.readyAt = s.readyAt.Add(s.LoadTime)
-			s.loaded = load
+			s.loadedModel = model
 		}
 	}
-	s.settle()
-	reply(w, http.StatusOK, OrderAnswer{Incarnation: s.incarnation, Done: s.state.Phase == PhaseReady})
+	s.finishLoad()
+	writeJSON(w, http.StatusOK, OrderAnswer{Incarnation: s.incarnation, Done: s.state.Phase == PhaseReady})
 }
 
 func (s *StandIn) handleCancel(w http.ResponseWriter, r *http.Request) {
@@ -239,35 +239,35 @@
 		cancel()
 	}
 	s.mu.Unlock()
-	reply(w, http.StatusOK, struct{}{})
+	writeJSON(w, http.StatusOK, struct{}{})
 }
 
 func (s *StandIn) handleEvents(w http.ResponseWriter, r *http.Request) {
 	first, _ := strconv.ParseUint(r.URL.Query().Get("first"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	first = max(first, s.firstEvent)
-	skip := min(int(first-s.firstEvent), len(s.events))
-	reply(w, http.StatusOK, CacheEvents{First: first, Events: slices.Clone(s.events[skip:])})
+	first = max(first, s.firstSequence)
+	skip := min(int(first-s.firstSequence), len(s.events))
+	writeJSON(w, http.StatusOK, CacheEvents{First: first, Events: slices.Clone(s.events[skip:])})
 }
 
-func (s *StandIn) publish(prefixes []uint64) {
+func (s *StandIn) appendCacheEvents(prefixes []uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range prefixes {
 		s.events = append(s.events, CacheEvent{Prefix: p})
 	}
-	if extra := len(s.events) - maxEvents; extra > 0 {
-		s.events = slices.Clone(s.events[extra:])
-		s.firstEvent += uint64(extra)
+	if excess := len(s.events) - maxEvents; excess > 0 {
+		s.events = slices.Clone(s.events[excess:])
+		s.firstSequence += uint64(excess)
 	}
 }
 
 // admit checks everything that lets the stand-in refuse a request as not run.
 func (s *StandIn) admit(g *Generate) *Refusal {
 	s.mu.Lock()
-	s.settle()
-	st, order := s.state, s.order
+	s.finishLoad()
+	st, joinOrder := s.state, s.joinOrder
 	s.mu.Unlock()
 	switch {
 	case s.Refuse.Load():
@@ -276,9 +276,9 @@
 		return &Refusal{NotRun: true, Epoch: true, Reason: fmt.Sprintf("in group %q epoch %d", st.Group, st.Epoch)}
 	case st.Phase != PhaseReady:
 		return &Refusal{NotRun: true, Reason: "still loading"}
-	case order.Rank != 0:
+	case joinOrder.Rank != 0:
 		return &Refusal{NotRun: true, Reason: "not the first member"}
-	case s.PeersPresent != nil && !s.PeersPresent(order.Members):
+	case s.PeersPresent != nil && !s.PeersPresent(joinOrder.Members):
 		return &Refusal{NotRun: true, Reason: "a member of the replica is absent"}
 	}
 	return nil
@@ -287,11 +287,11 @@
 func (s *StandIn) handleGenerate(w http.ResponseWriter, r *http.Request) {
 	var g Generate
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxGenerateBytes)).Decode(&g); err != nil {
-		reply(w, http.StatusBadRequest, Refusal{NotRun: true, Reason: err.Error()})
+		writeJSON(w, http.StatusBadRequest, Refusal{NotRun: true, Reason: err.Error()})
 		return
 	}
 	if refusal := s.admit(&g); refusal != nil {
-		reply(w, http.StatusServiceUnavailable, refusal)
+		writeJSON(w, http.StatusServiceUnavailable, refusal)
 		return
 	}
 	ctx, cancel := context.WithCancel(r.Context())
@@ -321,8 +321,8 @@
 	s.running.Add(1)
 	defer s.running.Add(-1)
 	s.OnRun(g.Request, string(g.Prompt))
-	s.publish(g.Prefixes)
-	if !wait(ctx, s.PrefillTime) {
+	s.appendCacheEvents(g.Prefixes)
+	if !sleep(ctx, s.PrefillTime) {
 		return
 	}
 	id := g.Request
@@ -331,22 +331,22 @@
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	ratelimit.SetHeader(w.Header(), ratelimit.Rate(s.Limit.Load()))
-	flush := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	encoder := json.NewEncoder(w)
-	cut := int(s.CutAfter.Load())
+	cutAfter := int(s.CutAfter.Load())
 	for i := g.From; i < int(g.MaxTokens); i++ {
-		if cut > 0 && i-g.From >= cut {
+		if cutAfter > 0 && i-g.From >= cutAfter {
 			panic(http.ErrAbortHandler)
 		}
 		s.waitWhilePaused()
-		if !wait(ctx, s.TokenTime) {
+		if !sleep(ctx, s.TokenTime) {
 			return
 		}
 		if encoder.Encode(Token{Request: id, Epoch: g.Epoch, N: i, Text: ExpectedToken(g.Prompt, i)}) != nil {
 			return
 		}
 		if s.TokenTime > 0 {
-			_ = flush.Flush()
+			_ = controller.Flush()
 		}
 	}
 	_ = encoder.Encode(Token{
@@ -355,7 +355,7 @@
 	})
 }
 
-func wait(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
--- a/service/client.go
+++ b/service/client.go
@@ -30,8 +30,8 @@
 	return &Client{Kept: transport.New(transport.Kept, dial), Fresh: transport.New(transport.Fresh, dial), MaxReply: maxReply}
 }
 
-// hopByHop are the headers that belong to one connection.
-var hopByHop = []string{
+// hopByHopHeaders are the headers that belong to one connection.
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade",
 }
@@ -42,12 +42,12 @@
 	if out == nil {
 		out = http.Header{}
 	}
-	for _, list := range h["Connection"] {
-		for name := range strings.SplitSeq(list, ",") {
+	for _, value := range h["Connection"] {
+		for name := range strings.SplitSeq(value, ",") {
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
--- a/service/client_test.go
+++ b/service/client_test.go
@@ -18,8 +18,8 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// breaker answers the first request and closes the connection on the second one, which is when net/http likes to send again.
-func breaker(t *testing.T) (address string, requests *atomic.Int64) {
+// closeOnSecondRequest answers the first request and closes the connection on the second one, which is when net/http likes to send again.
+func closeOnSecondRequest(t *testing.T) (address string, requests *atomic.Int64) {
 	t.Helper()
 	ln, requests, err := standin.ByHand(func(n int, conn net.Conn, r *http.Request) bool {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -37,7 +37,7 @@
 }
 
 // Calls that look replayable to net/http are sent once all the same when they must not be repeated.
-func TestNotRepeatableCallsAreSentOnce(t *testing.T) {
+func TestNonRepeatableCallIsSentOnce(t *testing.T) {
 	for _, c := range []struct {
 		method string
 		body   string
@@ -51,7 +51,7 @@
 		{http.MethodPost, "", "k"},
 	} {
 		t.Run(fmt.Sprintf("%s %q key %q", c.method, c.body, c.key), func(t *testing.T) {
-			address, requests := breaker(t)
+			address, requests := closeOnSecondRequest(t)
 			client := service.NewClient(transport.TCP(), 1<<20)
 			call := &dispatch.Call{Method: c.method, Path: "/x", Body: []byte(c.body), Header: http.Header{}, AtMostOnce: true}
 			if c.key != "" {
@@ -71,14 +71,14 @@
 	}
 }
 
-func TestCallsPassFaithfully(t *testing.T) {
-	var seen *http.Request
+func TestCallAndReplyAreForwarded(t *testing.T) {
+	var received *http.Request
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { //nolint:gosec // a test's server
-		seen = r.Clone(r.Context())
+		received = r.Clone(r.Context())
 		w.Header().Set("X-Reply", "1")
 		w.Header().Set("Connection", "X-Hop")
 		w.Header().Set("X-Hop", "1")
@@ -96,14 +96,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if seen.Method != http.MethodPut || seen.RequestURI != "/a%2Fb/c?x=1&y=%20" {
-		t.Errorf("arrived as %s %s", seen.Method, seen.RequestURI)
+	if received.Method != http.MethodPut || received.RequestURI != "/a%2Fb/c?x=1&y=%20" {
+		t.Errorf("arrived as %s %s", received.Method, received.RequestURI)
 	}
-	if diff := cmp.Diff([]string{"1", "2"}, seen.Header["X-Asked"]); diff != "" {
+	if diff := cmp.Diff([]string{"1", "2"}, received.Header["X-Asked"]); diff != "" {
 		t.Errorf("header (-want +got):\n%s", diff)
 	}
 	for _, name := range []string{"Authorization", "X-Gone", "Te"} {
-		if v := seen.Header.Get(name); v != "" {
+		if v := received.Header.Get(name); v != "" {
 			t.Errorf("header %s: %q went on", name, v)
 		}
 	}
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestRepliesAreWholeOrFail(t *testing.T) {
+func TestIncompleteReplyFails(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		reply string
--- a/service/standin.go
+++ b/service/standin.go
@@ -12,7 +12,7 @@
 	"github.com/dunlinquay/dunlinquay/standin"
 )
 
-const maxStandInBody = 16 << 20
+const maxStandInBodyBytes = 16 << 20
 
 // Effect is what the stand-in replies: what it was asked, and the how-manieth run of that body it was.
 type Effect struct {
@@ -34,12 +34,12 @@
 	OnCall func()
 
 	mu   sync.Mutex
-	runs map[string]int
+	runCounts map[string]int
 }
 
 // NewStandIn returns a stand-in that answers at once.
 func NewStandIn() *StandIn {
-	return &StandIn{Server: standin.NewServer(), OnCall: func() {}, runs: map[string]int{}}
+	return &StandIn{Server: standin.NewServer(), OnCall: func() {}, runCounts: map[string]int{}}
 }
 
 // Start listens on address (host:port, port 0 for any).
@@ -52,7 +52,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, runs := range s.runs {
+	for _, runs := range s.runCounts {
 		if runs > 1 {
 			n++
 		}
@@ -61,17 +61,17 @@
 }
 
 func (s *StandIn) serve(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxStandInBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxStandInBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	s.OnCall()
 	time.Sleep(s.Delay)
-	key := fmt.Sprint(r.Method, " ", r.URL.RequestURI(), " ", string(body))
+	call := fmt.Sprint(r.Method, " ", r.URL.RequestURI(), " ", string(body))
 	s.mu.Lock()
-	s.runs[key]++
-	run := s.runs[key]
+	s.runCounts[call]++
+	run := s.runCounts[call]
 	s.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	ratelimit.SetHeader(w.Header(), s.Limit)
--- a/standin/byhand.go
+++ b/standin/raw.go
@@ -9,7 +9,7 @@
 
 // ByHand listens on a free port of the loopback and lets serve answer the n-th request that arrives, on whichever connection, by hand;
 // a connection goes on while serve returns true. Close ends the listener.
-func ByHand(serve func(n int, conn net.Conn, r *http.Request) (goOn bool)) (ln net.Listener, requests *atomic.Int64, err error) {
+func ByHand(serve func(n int, conn net.Conn, r *http.Request) (keepOpen bool)) (ln net.Listener, requests *atomic.Int64, err error) {
 	ln, err = net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, nil, err
@@ -21,13 +21,13 @@
 			if err != nil {
 				return
 			}
-			go byHand(conn, requests, serve)
+			go serveRaw(conn, requests, serve)
 		}
 	}()
 	return ln, requests, nil
 }
 
-func byHand(conn net.Conn, requests *atomic.Int64, serve func(n int, conn net.Conn, r *http.Request) bool) {
+func serveRaw(conn net.Conn, requests *atomic.Int64, serve func(n int, conn net.Conn, r *http.Request) bool) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -32,7 +32,7 @@
 )
 
 const (
-	idlePerUpstream = 64
+	maxIdlePerUpstream = 64
 	dialTimeout     = 2 * time.Second
 	idleTimeout     = 30 * time.Second
 )
@@ -49,20 +49,20 @@
 }
 
 const (
-	// guardTimeout is how long sent bytes may stay unacknowledged before a connection breaks; a peer without power says
+	// unacknowledgedTimeout is how long sent bytes may stay unacknowledged before a connection breaks; a peer without power says
 	// nothing, and without this a write to it would hang for minutes.
-	guardTimeout = 3 * time.Second
-	// guardIdle and guardInterval do the same for a connection on which only reads wait.
-	guardIdle     = 3 * time.Second
-	guardInterval = time.Second
-	guardCount    = 3
+	unacknowledgedTimeout = 3 * time.Second
+	// keepAliveIdle and keepAliveInterval do the same for a connection on which only reads wait.
+	keepAliveIdle     = 3 * time.Second
+	keepAliveInterval = time.Second
+	keepAliveProbes    = 3
 )
 
 // Guarded returns the way to open connections that break by themselves when the other side has fallen silent.
 func Guarded() Dial {
 	dialer := &net.Dialer{
 		Timeout:         dialTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: guardIdle, Interval: guardInterval, Count: guardCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes},
 		Control:         setUserTimeout,
 	}
 	return func(ctx context.Context, address string) (net.Conn, error) {
@@ -71,14 +71,14 @@
 }
 
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
-	var set error
+	var optionErr error
 	err := c.Control(func(fd uintptr) {
-		set = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(guardTimeout.Milliseconds()))
+		optionErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unacknowledgedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return set
+	return optionErr
 }
 
 // tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall lacks.
@@ -93,7 +93,7 @@
 			},
 			DisableKeepAlives:   reuse == Fresh,
 			DisableCompression:  true,
-			MaxIdleConnsPerHost: idlePerUpstream,
+			MaxIdleConnsPerHost: maxIdlePerUpstream,
 			IdleConnTimeout:     idleTimeout,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -105,11 +105,11 @@
 	if len(b) == 0 {
 		return nil
 	}
-	return onceReader{bytes.NewReader(b)}
+	return plainReader{bytes.NewReader(b)}
 }
 
-// onceReader hides every other method of the reader in it.
-type onceReader struct{ io.Reader }
+// plainReader hides every other method of the reader in it.
+type plainReader struct{ io.Reader }
 
 // Refuses reports whether address refuses connections, as a VM does on which no process listens there any more.
 func Refuses(ctx context.Context, dial Dial, address string) bool {
@@ -122,8 +122,8 @@
 
 // Classify gives a failed call its code; only NeverSent is certain that nothing was sent.
 func Classify(err error) error {
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return result.Wrap(err, result.NeverSent, "no connection")
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
--- a/vmlist/client.go
+++ b/vmlist/client.go
@@ -18,7 +18,7 @@
 // PathVMs is the path of the list below the platform's URL.
 const PathVMs = "/platform/v1/vms"
 
-const maxList = 64 << 20
+const maxListBytes = 64 << 20
 
 // Stay is the platform's word for a VM's stay.
 type Stay string
@@ -67,7 +67,7 @@
 		return nil, result.New(result.UpstreamFailed, "platform answered with status %d", w.StatusCode)
 	}
 	list := &List{}
-	if err := json.NewDecoder(io.LimitReader(w.Body, maxList)).Decode(list); err != nil {
+	if err := json.NewDecoder(io.LimitReader(w.Body, maxListBytes)).Decode(list); err != nil {
 		return nil, result.Wrap(err, result.UpstreamMalformed, "platform's list cannot be read")
 	}
 	return list, nil
--- a/vmlist/client_test.go
+++ b/vmlist/client_test.go
@@ -46,13 +46,13 @@
 		if err != nil {
 			continue
 		}
-		var stays []fleet.Listing
+		var listings []fleet.Listing
 		var valid []bool
 		for i := range list.VMs {
-			stays = append(stays, list.VMs[i].Stay.Listing())
+			listings = append(listings, list.VMs[i].Stay.Listing())
 			valid = append(valid, list.VMs[i].Valid())
 		}
-		if diff := cmp.Diff(c.want, stays) + cmp.Diff(c.valid, valid); diff != "" {
+		if diff := cmp.Diff(c.want, listings) + cmp.Diff(c.valid, valid); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", c.name, diff)
 		}
 	}
