--- a/service/client.go
+++ b/service/client.go
@@ -1,9 +1,9 @@
 package service
 
-// A call is sent once. Calls that may be repeated use kept connections; all
-// others get a fresh one each, which the transport never retries (see package
-// transport). What the worker replies is read whole before any of it goes on,
-// so that a reply that breaks off is a failure and never a short answer.
+// A call is sent once. Repeatable calls use kept-alive connections; each other
+// call gets a fresh connection, on which the transport never retries (see
+// package transport). The worker's reply is read completely before any of it is
+// forwarded, so that a truncated reply becomes an error, never a short answer.
 
 import (
 	"context"
@@ -16,27 +16,27 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// Client sends calls to workers of plain services; exported fields are set before use.
+// Client sends calls to the workers of plain HTTP services. Set the exported fields before use.
 type Client struct {
-	// Kept carries repeatable calls, Fresh all others.
+	// Kept sends repeatable calls, Fresh all others.
 	Kept  *http.Client
 	Fresh *http.Client
-	// MaxReply is the largest accepted body in bytes.
+	// MaxReply is the largest accepted reply body in bytes.
 	MaxReply int64
 }
 
-// NewClient returns a client that follows no redirects and accepts bodies up to maxReply bytes.
+// NewClient returns a client that follows no redirects and accepts reply bodies of up to maxReply bytes.
 func NewClient(dial transport.Dial, maxReply int64) *Client {
 	return &Client{Kept: transport.New(transport.Kept, dial), Fresh: transport.New(transport.Fresh, dial), MaxReply: maxReply}
 }
 
-// hopByHopHeaders are the headers that belong to one connection.
+// hopByHopHeaders are the headers that apply to a single connection and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade",
 }
 
-// EndToEnd returns a copy of h without the headers that belong to one connection.
+// EndToEnd returns a copy of h without hop-by-hop headers, including those that Connection names.
 func EndToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	if out == nil {
@@ -53,11 +53,11 @@
 	return out
 }
 
-// Send makes one call to the worker at address (host:port) and returns its whole reply.
+// Send sends call once to the worker at address (host:port) and returns the complete reply.
 func (c *Client) Send(ctx context.Context, address string, call *dispatch.Call) (*dispatch.Reply, error) {
 	r, err := newRequest(ctx, address, call)
 	if err != nil {
-		return nil, result.Wrap(err, result.BadRequest, "call cannot be built")
+		return nil, result.Wrap(err, result.BadRequest, "cannot build call")
 	}
 	client := c.Fresh
 	if call.Repeatable {
@@ -70,10 +70,10 @@
 	defer w.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(w.Body, c.MaxReply+1))
 	if err != nil {
-		return nil, result.Wrap(err, result.UpstreamFailed, "reply ended after %d bytes", len(body))
+		return nil, result.Wrap(err, result.UpstreamFailed, "reply truncated after %d bytes", len(body))
 	}
 	if int64(len(body)) > c.MaxReply {
-		return nil, result.New(result.UpstreamFailed, "reply is over %d bytes", c.MaxReply)
+		return nil, result.New(result.UpstreamFailed, "reply is larger than %d bytes", c.MaxReply)
 	}
 	return &dispatch.Reply{Status: w.StatusCode, Header: EndToEnd(w.Header), Body: body}, nil
 }
@@ -89,7 +89,7 @@
 	}
 	r.ContentLength = int64(len(call.Body))
 	r.Header = EndToEnd(call.Header)
-	// The customer's key is for this system only.
+	// The API key authenticates the customer to this system only; the worker must not see it.
 	r.Header.Del("Authorization")
 	if r.Header.Get("User-Agent") == "" {
 		r.Header.Set("User-Agent", "")
--- a/service/client_test.go
+++ b/service/client_test.go
@@ -18,7 +18,8 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// closeOnSecondRequest answers the first request and closes the connection on the second one, which is when net/http likes to send again.
+// closeOnSecondRequest answers the first request and closes the connection on the second, without an answer: the case in
+// which net/http may send a request again.
 func closeOnSecondRequest(t *testing.T) (address string, requests *atomic.Int64) {
 	t.Helper()
 	ln, requests, err := standin.ByHand(func(n int, conn net.Conn, r *http.Request) bool {
@@ -36,7 +37,8 @@
 	return ln.Addr().String(), requests
 }
 
-// Calls that look replayable to net/http are sent once all the same when they must not be repeated.
+// Guards against a call that must not be repeated being sent twice by net/http, which resends on a broken kept-alive
+// connection if the body is empty or can be rewound, and the call is a GET or has an Idempotency-Key.
 func TestNonRepeatableCallIsSentOnce(t *testing.T) {
 	for _, c := range []struct {
 		method string
@@ -58,14 +60,14 @@
 				call.Header["Idempotency-Key"] = []string{c.key}
 			}
 			if _, err := client.Send(t.Context(), address, call); err != nil {
-				t.Fatalf("the first call: %v", err)
+				t.Fatalf("first call: %v", err)
 			}
 			_, err := client.Send(t.Context(), address, call)
 			if code := result.CodeOf(err); code != result.UpstreamFailed {
-				t.Errorf("the broken call: code %d: %v", code, err)
+				t.Errorf("call on closed connection: code %d, want %d: %v", code, result.UpstreamFailed, err)
 			}
 			if n := requests.Load(); n != 2 {
-				t.Errorf("%d requests arrived, 2 were sent", n)
+				t.Errorf("service received %d requests, want 2", n)
 			}
 		})
 	}
@@ -77,7 +79,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { //nolint:gosec // a test's server
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { //nolint:gosec // test server
 		received = r.Clone(r.Context())
 		w.Header().Set("X-Reply", "1")
 		w.Header().Set("Connection", "X-Hop")
@@ -97,21 +99,21 @@
 		t.Fatal(err)
 	}
 	if received.Method != http.MethodPut || received.RequestURI != "/a%2Fb/c?x=1&y=%20" {
-		t.Errorf("arrived as %s %s", received.Method, received.RequestURI)
+		t.Errorf("received request %s %s", received.Method, received.RequestURI)
 	}
 	if diff := cmp.Diff([]string{"1", "2"}, received.Header["X-Asked"]); diff != "" {
-		t.Errorf("header (-want +got):\n%s", diff)
+		t.Errorf("header X-Asked (-want +got):\n%s", diff)
 	}
 	for _, name := range []string{"Authorization", "X-Gone", "Te"} {
 		if v := received.Header.Get(name); v != "" {
-			t.Errorf("header %s: %q went on", name, v)
+			t.Errorf("header %s: %q was forwarded to the service", name, v)
 		}
 	}
 	if reply.Status != http.StatusTeapot || string(reply.Body) != "short and stout" || http.Header(reply.Header).Get("X-Reply") != "1" {
 		t.Errorf("reply %d %q %v", reply.Status, reply.Body, reply.Header)
 	}
 	if v := http.Header(reply.Header).Get("X-Hop"); v != "" {
-		t.Errorf("a header of the connection came back: %q", v)
+		t.Errorf("hop-by-hop header X-Hop: %q was forwarded in the reply", v)
 	}
 }
 
@@ -121,9 +123,9 @@
 		reply string
 		code  result.Code
 	}{
-		{"whole", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", result.OK},
-		{"cut short", "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nok", result.UpstreamFailed},
-		{"chunks without their end", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", result.UpstreamFailed},
+		{"complete", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", result.OK},
+		{"truncated", "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nok", result.UpstreamFailed},
+		{"chunked without final chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", result.UpstreamFailed},
 		{"too large", "HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\n" + fmt.Sprintf("%0200d", 1), result.UpstreamFailed},
 		{"not HTTP", "hello", result.UpstreamFailed},
 	} {
--- a/service/doc.go
+++ b/service/doc.go
@@ -1,2 +1,3 @@
-// Package service speaks HTTP to plain services and holds a small stand-in of one.
+// Package service is the HTTP client for workers of plain services. It decides which calls may use a kept-alive connection,
+// and includes a stand-in service for tests and the demo.
 package service
--- a/service/standin.go
+++ b/service/standin.go
@@ -14,7 +14,7 @@
 
 const maxStandInBodyBytes = 16 << 20
 
-// Effect is what the stand-in replies: what it was asked, and the how-manieth run of that body it was.
+// Effect is the body of the stand-in's reply: the call as received, and how often the same call has run so far.
 type Effect struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
@@ -23,37 +23,37 @@
 	Run    int    `json:"run"`
 }
 
-// StandIn is a small plain service that counts how often each body arrived.
+// StandIn is a plain HTTP service that counts how often it ran each call (same method, URI and body).
 type StandIn struct {
 	*standin.Server
-	// Delay is how long each call takes.
+	// Delay is the processing time of each call.
 	Delay time.Duration
-	// Limit is how many calls a second it names as its limit; 0 names none.
+	// Limit is the advertised limit in calls per second; 0 advertises none.
 	Limit ratelimit.Rate
-	// OnCall is told of each call; it must not block.
+	// OnCall is run for each call before Delay; it must not block.
 	OnCall func()
 
-	mu   sync.Mutex
+	mu        sync.Mutex
 	runCounts map[string]int
 }
 
-// NewStandIn returns a stand-in that answers at once.
+// NewStandIn returns a stand-in without delay and limit.
 func NewStandIn() *StandIn {
 	return &StandIn{Server: standin.NewServer(), OnCall: func() {}, runCounts: map[string]int{}}
 }
 
-// Start listens on address (host:port, port 0 for any).
+// Start listens on address (host:port; port 0 selects a free port).
 func (s *StandIn) Start(address string) error {
 	return s.Serve(address, http.HandlerFunc(s.serve))
 }
 
-// Doubled returns how many bodies ran more than once.
+// Doubled returns the number of distinct calls that ran more than once.
 func (s *StandIn) Doubled() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, runs := range s.runCounts {
-		if runs > 1 {
+	for _, count := range s.runCounts {
+		if count > 1 {
 			n++
 		}
 	}
