--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,2 +1,2 @@
-// Package standin is the listener that the stand-ins of upstreams share.
+// Package standin holds the listeners that the stand-ins of upstreams and the tests of HTTP clients share.
 package standin
--- a/standin/raw.go
+++ b/standin/raw.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// ByHand listens on a free port of the loopback and lets serve answer the n-th request that arrives, on whichever connection, by hand;
-// a connection goes on while serve returns true. Close ends the listener.
+// ByHand listens on a free loopback port and has serve write the raw answer to each request to conn. n counts the requests
+// on all connections from 1; a connection stays open while serve returns true. Closing ln ends the listener.
 func ByHand(serve func(n int, conn net.Conn, r *http.Request) (keepOpen bool)) (ln net.Listener, requests *atomic.Int64, err error) {
 	ln, err = net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/standin/server.go
+++ b/standin/server.go
@@ -9,7 +9,7 @@
 
 const readHeaderTimeout = 5 * time.Second
 
-// Server is an HTTP listener that can be killed and started again; Listen is set before Start.
+// Server is an HTTP server that can be killed and started again. Set Listen before Serve.
 type Server struct {
 	// Listen opens the address; tests replace it.
 	Listen func(address string) (net.Listener, error)
@@ -19,12 +19,12 @@
 	address string
 }
 
-// NewServer returns a server on TCP that does not listen yet.
+// NewServer returns a TCP server that does not listen yet.
 func NewServer() *Server {
 	return &Server{Listen: func(address string) (net.Listener, error) { return net.Listen("tcp", address) }}
 }
 
-// Serve listens on address (host:port, port 0 for any) and answers by h until Kill.
+// Serve listens on address (host:port; port 0 selects a free port) and serves requests with h until Kill.
 func (s *Server) Serve(address string, h http.Handler) error {
 	ln, err := s.Listen(address)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// Address returns host:port of the newest listener.
+// Address returns host:port of the latest listener, also after Kill.
 func (s *Server) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/transport/doc.go
+++ b/transport/doc.go
@@ -1,2 +1,2 @@
-// Package transport makes the HTTP clients that never send a request twice by themselves.
+// Package transport creates HTTP clients that never resend a request on their own, and maps their errors to result codes.
 package transport
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -1,13 +1,13 @@
 package transport
 
-// net/http's transport sends a request again when a kept connection breaks and
-// the request looks replayable: it has no body or one that can be rewound, and
-// is a GET or carries an Idempotency-Key header. Two rules keep that from
-// happening to work that may have effects:
+// http.Transport resends a request when a kept-alive connection breaks and the
+// request looks replayable: it has no body or one that can be rewound, and it
+// is a GET or has an Idempotency-Key header. Two rules prevent this for
+// requests that may have side effects:
 //
-//   - bodies are plain readers (Body), so the transport cannot rewind them;
-//   - what must not be repeated goes over a fresh connection (New(Fresh)),
-//     which the transport never retries, whatever the headers are.
+//   - bodies are plain readers, which the transport cannot rewind;
+//   - requests that must not be repeated use a fresh connection (New(Fresh)),
+//     on which the transport never retries, whatever the headers are.
 
 import (
 	"bytes"
@@ -22,10 +22,10 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-// Reuse says whether connections are kept between requests.
+// Reuse selects whether connections are kept alive between requests.
 type Reuse bool
 
-// The two kinds of clients.
+// The two kinds of clients: one that reuses connections, and one that opens a connection for each request.
 const (
 	Kept  Reuse = true
 	Fresh Reuse = false
@@ -33,14 +33,14 @@
 
 const (
 	maxIdlePerUpstream = 64
-	dialTimeout     = 2 * time.Second
-	idleTimeout     = 30 * time.Second
+	dialTimeout        = 2 * time.Second
+	idleTimeout        = 30 * time.Second
 )
 
 // Dial opens a TCP connection to address (host:port).
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// TCP returns the usual way to open connections.
+// TCP returns a Dial with a timeout for opening the connection and default socket options.
 func TCP() Dial {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return func(ctx context.Context, address string) (net.Conn, error) {
@@ -49,16 +49,16 @@
 }
 
 const (
-	// unacknowledgedTimeout is how long sent bytes may stay unacknowledged before a connection breaks; a peer without power says
-	// nothing, and without this a write to it would hang for minutes.
+	// unacknowledgedTimeout is how long sent bytes may stay unacknowledged before the connection fails. A peer that has lost
+	// power sends no reset, and without this limit a write to it would block for minutes.
 	unacknowledgedTimeout = 3 * time.Second
-	// keepAliveIdle and keepAliveInterval do the same for a connection on which only reads wait.
+	// The keep-alive settings detect a lost peer on a connection that only waits to read.
 	keepAliveIdle     = 3 * time.Second
 	keepAliveInterval = time.Second
-	keepAliveProbes    = 3
+	keepAliveProbes   = 3
 )
 
-// Guarded returns the way to open connections that break by themselves when the other side has fallen silent.
+// Guarded returns a Dial whose connections fail when the peer stops acknowledging data or keep-alive probes.
 func Guarded() Dial {
 	dialer := &net.Dialer{
 		Timeout:         dialTimeout,
@@ -84,7 +84,7 @@
 // tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall lacks.
 const tcpUserTimeout = 18
 
-// New returns a client that follows no redirects and asks for no compression; connections come from dial.
+// New returns a client that follows no redirects, requests no compression, and opens its connections with dial.
 func New(reuse Reuse, dial Dial) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
@@ -100,7 +100,8 @@
 	}
 }
 
-// Body returns a reader of b that the transport can neither measure nor rewind; set ContentLength beside it.
+// Body returns a reader of b whose size the transport cannot see and which the transport cannot rewind; the caller sets
+// ContentLength. The reader of an empty b is nil.
 func Body(b []byte) io.Reader {
 	if len(b) == 0 {
 		return nil
@@ -108,10 +109,10 @@
 	return plainReader{bytes.NewReader(b)}
 }
 
-// plainReader hides every other method of the reader in it.
+// plainReader hides all methods but Read, by which net/http would recognize a rewindable body.
 type plainReader struct{ io.Reader }
 
-// Refuses reports whether address refuses connections, as a VM does on which no process listens there any more.
+// Refuses reports whether address refuses connections, as a running VM does when no process listens on the port.
 func Refuses(ctx context.Context, dial Dial, address string) bool {
 	conn, err := dial(ctx, address)
 	if err == nil {
@@ -120,17 +121,17 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// Classify gives a failed call its code; only NeverSent is certain that nothing was sent.
+// Classify wraps the error of a failed call with a result code. Only NeverSent guarantees that nothing was sent.
 func Classify(err error) error {
 	var opErr *net.OpError
 	if errors.As(err, &opErr) && opErr.Op == "dial" {
-		return result.Wrap(err, result.NeverSent, "no connection")
+		return result.Wrap(err, result.NeverSent, "cannot open connection")
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		return result.Wrap(err, result.TimedOut, "no answer in time")
+		return result.Wrap(err, result.TimedOut, "no answer before the deadline")
 	}
 	if errors.Is(err, context.Canceled) {
-		return result.Wrap(err, result.Cancelled, "cancelled")
+		return result.Wrap(err, result.Cancelled, "call cancelled")
 	}
 	return result.Wrap(err, result.UpstreamFailed, "connection broke")
 }
--- a/vmlist/client.go
+++ b/vmlist/client.go
@@ -15,33 +15,33 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// PathVMs is the path of the list below the platform's URL.
+// PathVMs is the path of the list, relative to the platform's URL.
 const PathVMs = "/platform/v1/vms"
 
 const maxListBytes = 64 << 20
 
-// Stay is the platform's word for a VM's stay.
+// Stay is the lifecycle state of a VM, as the platform names it.
 type Stay string
 
-// The stays.
+// The lifecycle states of a VM: in use, about to be taken away, taken away.
 const (
 	StayLive    Stay = "live"
 	StayLeaving Stay = "leaving"
 	StayGone    Stay = "gone"
 )
 
-// Entry is one VM of the list; a VM with an address is a new upstream, one without only changes its stay.
+// Entry is one VM of the list. With an address, it registers a new upstream; without one, it only updates the VM's state.
 type Entry struct {
 	settings.Upstream
 	Stay Stay `json:"stay"`
 }
 
-// List is the platform's list; VMs that it does not name are left as they are, because it may be incomplete.
+// List is the platform's list of VMs. The list may be incomplete, so VMs that it does not name stay unchanged.
 type List struct {
 	VMs []Entry `json:"vms"`
 }
 
-// Client reads the list at URL.
+// Client reads the list of the platform at URL.
 type Client struct {
 	URL  string
 	HTTP *http.Client
@@ -52,11 +52,11 @@
 	return &Client{URL: url, HTTP: transport.New(transport.Kept, dial)}
 }
 
-// List returns the present list.
+// List requests the current list.
 func (c *Client) List(ctx context.Context) (*List, error) {
 	r, err := sling.New().Get(c.URL + PathVMs).Request()
 	if err != nil {
-		return nil, result.Wrap(err, result.UpstreamFailed, "platform's list cannot be asked for")
+		return nil, result.Wrap(err, result.UpstreamFailed, "cannot build request for the platform's VM list")
 	}
 	w, err := c.HTTP.Do(r.WithContext(ctx))
 	if err != nil {
@@ -64,16 +64,16 @@
 	}
 	defer w.Body.Close()
 	if w.StatusCode != http.StatusOK {
-		return nil, result.New(result.UpstreamFailed, "platform answered with status %d", w.StatusCode)
+		return nil, result.New(result.UpstreamFailed, "platform answered the VM list request with status %d", w.StatusCode)
 	}
 	list := &List{}
 	if err := json.NewDecoder(io.LimitReader(w.Body, maxListBytes)).Decode(list); err != nil {
-		return nil, result.Wrap(err, result.UpstreamMalformed, "platform's list cannot be read")
+		return nil, result.Wrap(err, result.UpstreamMalformed, "cannot decode the platform's VM list")
 	}
 	return list, nil
 }
 
-// Listing returns the state machine's word for s; an unknown word counts as leaving, which takes no new work.
+// Listing converts s to the state machine's type. An unknown state counts as leaving, so that the VM gets no new work.
 func (s Stay) Listing() fleet.Listing {
 	switch s {
 	case StayLive, "":
@@ -84,7 +84,7 @@
 	return fleet.ListingLeaving
 }
 
-// VM returns the upstream as the state machine registers it.
+// VM converts u to the form in which the state machine registers it; an unset speed becomes 1.
 func VM(u *settings.Upstream) fleet.VM {
 	speed := u.Speed
 	if speed == 0 {
@@ -96,7 +96,7 @@
 	}
 }
 
-// Valid reports whether an entry names a whole upstream.
+// Valid reports whether the entry has all fields that registering an upstream requires.
 func (e *Entry) Valid() bool {
 	return ident.ValidName(string(e.Name)) && e.Address != "" && e.Hall != "" && e.Domain != "" && e.Accelerators > 0
 }
--- a/vmlist/client_test.go
+++ b/vmlist/client_test.go
@@ -24,15 +24,15 @@
 		valid  []bool
 	}{
 		{"empty", 200, `{"vms":[]}`, result.OK, nil, nil},
-		{"stays", 200, `{"vms":[{"name":"a","stay":"live"},{"name":"b","stay":"leaving"},{"name":"c","stay":"gone"},{"name":"d"}]}`, result.OK,
+		{"states", 200, `{"vms":[{"name":"a","stay":"live"},{"name":"b","stay":"leaving"},{"name":"c","stay":"gone"},{"name":"d"}]}`, result.OK,
 			[]fleet.Listing{fleet.ListingLive, fleet.ListingLeaving, fleet.ListingGone, fleet.ListingLive}, []bool{false, false, false, false}},
-		{"an unknown stay takes no new work", 200, `{"vms":[{"name":"a","stay":"frozen"}]}`, result.OK, []fleet.Listing{fleet.ListingLeaving}, []bool{false}},
-		{"a whole upstream", 200, `{"vms":[{"name":"a","address":"10.0.0.1:9","hall":"h","domain":"d","accelerators":8}]}`, result.OK,
+		{"unknown state counts as leaving", 200, `{"vms":[{"name":"a","stay":"frozen"}]}`, result.OK, []fleet.Listing{fleet.ListingLeaving}, []bool{false}},
+		{"complete upstream", 200, `{"vms":[{"name":"a","address":"10.0.0.1:9","hall":"h","domain":"d","accelerators":8}]}`, result.OK,
 			[]fleet.Listing{fleet.ListingLive}, []bool{true}},
-		{"an upstream without accelerators", 200, `{"vms":[{"name":"a","address":"10.0.0.1:9","hall":"h","domain":"d"}]}`, result.OK,
+		{"upstream without accelerators", 200, `{"vms":[{"name":"a","address":"10.0.0.1:9","hall":"h","domain":"d"}]}`, result.OK,
 			[]fleet.Listing{fleet.ListingLive}, []bool{false}},
-		{"cut short", 200, `{"vms":[{"name":"a"`, result.UpstreamMalformed, nil, nil},
-		{"an error", 500, `{}`, result.UpstreamFailed, nil, nil},
+		{"truncated", 200, `{"vms":[{"name":"a"`, result.UpstreamMalformed, nil, nil},
+		{"error status", 500, `{}`, result.UpstreamFailed, nil, nil},
 	} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(c.status)
