--- a/engine/client.go
+++ b/engine/client.go
@@ -1,16 +1,17 @@
 package engine
 
-// The client must be certain about two things: whether a request can have
-// reached the engine, and whether an answer is whole.
+// The client must determine reliably whether a request can have reached the
+// engine, and whether an answer is complete.
 //
-// A connection that could not be opened is the only failure after which a
-// request was surely never sent (NeverSent). net/http resends by itself when a
-// kept connection breaks and the request looks replayable; a body without
-// GetBody on a POST without an Idempotency-Key header never does, and the
-// tests in client_test.go hold that against raw sockets.
+// Only a failure to open the connection proves that a request was never sent
+// (NeverSent). http.Transport resends a request when a kept-alive connection
+// breaks and the request looks replayable; it never resends a POST whose body
+// has no GetBody and that has no Idempotency-Key header. The tests in
+// client_test.go check this with raw sockets.
 //
-// An answer is a stream of numbered lines that carry the request's id and
-// epoch, and is whole only when its end says so with the right count.
+// An answer is a stream of numbered lines, each with the request's ID and
+// epoch. The answer is complete only if it has a final line with the correct
+// token count.
 
 import (
 	"bufio"
@@ -32,46 +33,48 @@
 )
 
 const (
-	maxLineBytes        = 64 << 10
+	maxLineBytes  = 64 << 10
 	maxReplyBytes = 1 << 20
-	maxDrainBytes     = 4096
+	maxDrainBytes = 4096
 )
 
-// Client speaks to any number of engines; the address is host:port.
+// Client calls any number of engines; the address of a call is host:port.
 type Client struct {
-	// HTTP carries the calls; it must neither follow redirects nor retry.
+	// HTTP must neither follow redirects nor retry.
 	HTTP *http.Client
-	// Heard takes the head of each answer to a request that was sent at a time.
+	// Heard is called with the status and headers of each answer to Generate, and the time at which the request was sent.
 	Heard func(address string, sent time.Time, status int, h http.Header)
-	Now   func() time.Time
+	// Now is the clock for the send times of requests.
+	Now func() time.Time
 }
 
-// NewClient returns a client that keeps connections and follows no redirects.
+// NewClient returns a client that keeps connections alive and follows no redirects.
 func NewClient(dial transport.Dial) *Client {
 	return &Client{HTTP: transport.New(transport.Kept, dial), Heard: func(string, time.Time, int, http.Header) {}, Now: clock.Now}
 }
 
-// State probes the engine at address.
+// State requests the current state of the engine at address.
 func (c *Client) State(ctx context.Context, address string) (State, error) {
 	var s State
 	err := c.call(ctx, sling.New().Get("http://"+address+PathState), &s)
 	return s, err
 }
 
-// Order gives an order; OrderFenced means a newer leader exists, OrderRefused that the engine will not obey.
+// Order sends an order. OrderFenced means that the engine has seen an order of a newer leader, OrderRefused that the engine
+// does not carry out the order.
 func (c *Client) Order(ctx context.Context, address string, o *Order) (OrderAnswer, error) {
 	var a OrderAnswer
 	err := c.call(ctx, sling.New().Post("http://"+address+PathOrders).BodyJSON(o), &a)
 	return a, err
 }
 
-// Cancel asks the engine to stop working on a request.
+// Cancel stops the processing of a request on the engine.
 func (c *Client) Cancel(ctx context.Context, address string, id ident.Request) error {
 	var ignored struct{}
 	return c.call(ctx, sling.New().Post("http://"+address+PathCancel).BodyJSON(map[string]ident.Request{"request": id}), &ignored)
 }
 
-// Events returns the cache events from sequence number first on.
+// Events returns the cache events from sequence number first onwards.
 func (c *Client) Events(ctx context.Context, address string, first uint64) (CacheEvents, error) {
 	var e CacheEvents
 	query := struct {
@@ -84,7 +87,7 @@
 func (c *Client) call(ctx context.Context, s *sling.Sling, reply any) error {
 	r, err := s.Request()
 	if err != nil {
-		return result.Wrap(err, result.BadRequest, "call cannot be built")
+		return result.Wrap(err, result.BadRequest, "cannot build engine call")
 	}
 	w, err := c.HTTP.Do(r.WithContext(ctx))
 	if err != nil {
@@ -99,15 +102,15 @@
 		return refusalError(w, body)
 	}
 	if err := json.Unmarshal(body, reply); err != nil {
-		return result.Wrap(err, result.UpstreamMalformed, "engine's answer cannot be read")
+		return result.Wrap(err, result.UpstreamMalformed, "cannot decode the engine's answer")
 	}
 	return nil
 }
 
-// StatusFenced is the status with which an engine refuses the order of an older leader.
+// StatusFenced is the HTTP status with which an engine refuses an order of an older leader.
 const StatusFenced = http.StatusPreconditionFailed
 
-// refusalError returns what an engine's refusal means, with the time that it asks for.
+// refusalError converts an engine's refusal to an error, with the backoff that a Retry-After header requests.
 func refusalError(w *http.Response, body []byte) error {
 	err := parseRefusal(w.StatusCode, body)
 	if !backoff.IsRefusal(w.StatusCode) {
@@ -141,16 +144,16 @@
 	return result.New(result.UpstreamFailed, "status %d: %s", status, refusal.Reason)
 }
 
-// Generate sends a request once and returns its answer as a stream that the caller must close.
+// Generate sends a request once and returns the answer as a stream, which the caller must close.
 func (c *Client) Generate(ctx context.Context, address string, g *Generate) (*Stream, error) {
 	body, err := json.Marshal(g)
 	if err != nil {
-		return nil, result.Wrap(err, result.BadRequest, "request cannot be encoded")
+		return nil, result.Wrap(err, result.BadRequest, "cannot encode generate request")
 	}
-	// A plain reader leaves GetBody unset, so that the transport cannot rewind and send again.
+	// A plain reader leaves GetBody unset, so the transport cannot rewind the body and resend the request.
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+PathGenerate, transport.Body(body))
 	if err != nil {
-		return nil, result.Wrap(err, result.BadRequest, "request cannot be built")
+		return nil, result.Wrap(err, result.BadRequest, "cannot build generate request")
 	}
 	r.ContentLength = int64(len(body))
 	r.Header.Set("Content-Type", "application/json")
@@ -168,22 +171,22 @@
 	return NewStream(w.Body, g.Request, g.Epoch, g.From), nil
 }
 
-// Stream reads the lines of one answer and checks each against the request.
+// Stream reads the lines of one answer and checks that each belongs to the request and is the next in order.
 type Stream struct {
-	body    io.ReadCloser
-	reader  *bufio.Reader
-	request ident.Request
-	epoch   ident.Epoch
-	nextToken    int
-	done    bool
+	body      io.ReadCloser
+	reader    *bufio.Reader
+	request   ident.Request
+	epoch     ident.Epoch
+	nextToken int
+	done      bool
 }
 
-// NewStream returns a stream over body that expects token number from first.
+// NewStream returns a stream over body whose first token must have number from.
 func NewStream(body io.ReadCloser, request ident.Request, epoch ident.Epoch, from int) *Stream {
 	return &Stream{body: body, reader: bufio.NewReaderSize(body, maxLineBytes), request: request, epoch: epoch, nextToken: from}
 }
 
-// Next returns the next token; the one with Done set is the proper end, after which Next must not be called.
+// Next returns the next token. A token with Done set is the final line of a complete answer; Next must not be called after it.
 func (s *Stream) Next() (Token, error) {
 	var t Token
 	line, err := s.reader.ReadSlice('\n')
@@ -191,13 +194,13 @@
 		return t, s.readError(err)
 	}
 	if err := fast.Unmarshal(line, &t); err != nil {
-		return t, result.Wrap(err, result.UpstreamMalformed, "line after %d tokens cannot be read", s.nextToken)
+		return t, result.Wrap(err, result.UpstreamMalformed, "cannot decode the line after %d tokens", s.nextToken)
 	}
 	if t.Request != s.request || t.Epoch != s.epoch {
-		return t, result.New(result.AnswerForeign, "answer is for request %q in epoch %d", t.Request, t.Epoch)
+		return t, result.New(result.AnswerForeign, "answer belongs to request %q in epoch %d", t.Request, t.Epoch)
 	}
 	if t.N != s.nextToken {
-		return t, result.New(result.AnswerFragment, "token %d came where %d was due", t.N, s.nextToken)
+		return t, result.New(result.AnswerFragment, "received token %d, expected token %d", t.N, s.nextToken)
 	}
 	if t.Done {
 		s.done = true
@@ -207,34 +210,34 @@
 	return t, nil
 }
 
-// readError names the end of a stream that had no proper end; a last line without its newline counts as none.
+// readError converts the error that ended a stream before its final line; a final line without newline counts as missing.
 func (s *Stream) readError(err error) error {
 	switch {
 	case errors.Is(err, io.EOF):
-		return result.New(result.AnswerFragment, "answer ended after %d tokens without its end", s.nextToken)
+		return result.New(result.AnswerFragment, "answer ended after %d tokens without a final line", s.nextToken)
 	case errors.Is(err, bufio.ErrBufferFull):
-		return result.Wrap(err, result.UpstreamMalformed, "line over %d bytes", maxLineBytes)
+		return result.Wrap(err, result.UpstreamMalformed, "line longer than %d bytes", maxLineBytes)
 	}
 	if code := result.CodeOf(transport.Classify(err)); code == result.TimedOut || code == result.Cancelled {
 		return transport.Classify(err)
 	}
-	return result.Wrap(err, result.AnswerFragment, "answer broke after %d tokens", s.nextToken)
+	return result.Wrap(err, result.AnswerFragment, "connection failed after %d tokens of the answer", s.nextToken)
 }
 
-// Buffered reports whether more of the answer has arrived already.
+// Buffered reports whether further bytes of the answer have been read from the connection.
 func (s *Stream) Buffered() bool {
 	return s.reader.Buffered() > 0
 }
 
-// Received returns the number of the next token that is due.
+// Received returns the number of the next expected token; tokens before it have been received or skipped by From.
 func (s *Stream) Received() int {
 	return s.nextToken
 }
 
-// Close ends the stream; an unfinished one closes the connection, which tells the engine to stop.
+// Close ends the stream. If the answer is incomplete, Close closes the connection, on which the engine stops.
 func (s *Stream) Close() {
 	if s.done {
-		// What follows a proper end is nothing; reading it lets the connection be used again.
+		// Reading up to the end of the body makes the connection reusable.
 		_, _ = io.CopyN(io.Discard, s.body, maxDrainBytes)
 	}
 	s.body.Close()
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -20,7 +20,7 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// listenRaw listens on a socket and lets serve answer the n-th request that arrives, on whichever connection, by hand.
+// listenRaw starts a listener whose answers serve writes to the connection; n counts the requests on all connections from 1.
 func listenRaw(t *testing.T, serve func(n int, conn net.Conn, r *http.Request) (keepOpen bool)) (address string, requests *atomic.Int64) {
 	t.Helper()
 	ln, requests, err := standin.ByHand(serve)
@@ -35,7 +35,7 @@
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-const wholeAnswer = `{"request":"r1","epoch":7,"n":0,"text":"a "}
+const completeAnswer = `{"request":"r1","epoch":7,"n":0,"text":"a "}
 {"request":"r1","epoch":7,"n":1,"text":"b "}
 {"request":"r1","epoch":7,"n":2,"done":true,"finish":"stop"}
 `
@@ -60,23 +60,23 @@
 	}
 }
 
-// A connection that breaks, wherever, never makes the transport send a request a second time.
+// Guards against the transport sending a request a second time when a kept-alive connection breaks, at any point of the exchange.
 func TestBrokenConnectionIsNotRetried(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// second handles the second request, which comes over the kept connection of the first.
+		// second handles the second request, which arrives on the connection of the first.
 		second func(conn net.Conn, r *http.Request)
 		code   result.Code
 	}{
-		{"after the headers, before the body was read", func(net.Conn, *http.Request) {}, result.UpstreamFailed},
+		{"after the request headers, before the body is read", func(net.Conn, *http.Request) {}, result.UpstreamFailed},
 		{"after the whole request", func(_ net.Conn, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) }, result.UpstreamFailed},
-		{"in the middle of the answer's head", func(conn net.Conn, r *http.Request) {
+		{"in the middle of the answer's headers", func(conn net.Conn, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nCont")
 		}, result.UpstreamFailed},
 		{"in the middle of the answer", func(conn net.Conn, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
-			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(wholeAnswer), wholeAnswer[:60])
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(completeAnswer), completeAnswer[:60])
 		}, result.AnswerFragment},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -86,19 +86,19 @@
 					return false
 				}
 				_, _ = io.Copy(io.Discard, r.Body)
-				writeResponse(conn, wholeAnswer)
+				writeResponse(conn, completeAnswer)
 				return true
 			})
 			client := engine.NewClient(transport.TCP())
 			if _, err := generate(t, address, client); err != nil {
-				t.Fatalf("the first request: %v", err)
+				t.Fatalf("first request: %v", err)
 			}
 			_, err := generate(t, address, client)
 			if code := result.CodeOf(err); code != c.code {
 				t.Errorf("code %d, want %d: %v", code, c.code, err)
 			}
 			if n := requests.Load(); n != 2 {
-				t.Errorf("%d requests arrived, 2 were sent", n)
+				t.Errorf("engine received %d requests, want 2", n)
 			}
 		})
 	}
@@ -113,11 +113,11 @@
 	ln.Close()
 	_, err = generate(t, address, engine.NewClient(transport.TCP()))
 	if code := result.CodeOf(err); code != result.NeverSent {
-		t.Errorf("closed port: code %d: %v", code, err)
+		t.Errorf("closed port: code %d, want %d: %v", code, result.NeverSent, err)
 	}
 }
 
-// Whatever is not the whole answer to this very request is told apart.
+// Guards against taking a fragment, or another request's answer, for the complete answer.
 func TestStreamRejectsInvalidAnswers(t *testing.T) {
 	line := func(n int) string { return fmt.Sprintf(`{"request":"r1","epoch":7,"n":%d,"text":"x "}`+"\n", n) }
 	end := func(n int) string { return fmt.Sprintf(`{"request":"r1","epoch":7,"n":%d,"done":true}`+"\n", n) }
@@ -127,21 +127,21 @@
 		code result.Code
 		text string
 	}{
-		{"whole", wholeAnswer, result.OK, "a b "},
-		{"whole and empty", end(0), result.OK, ""},
-		{"nothing at all", "", result.AnswerFragment, ""},
-		{"no end", line(0) + line(1), result.AnswerFragment, "x x "},
-		{"the end cut in its line", line(0) + end(1)[:20], result.AnswerFragment, "x "},
-		{"a gap", line(0) + line(2), result.AnswerFragment, "x "},
-		{"a token twice", line(0) + line(0), result.AnswerFragment, "x "},
+		{"complete", completeAnswer, result.OK, "a b "},
+		{"complete without tokens", end(0), result.OK, ""},
+		{"empty body", "", result.AnswerFragment, ""},
+		{"no final line", line(0) + line(1), result.AnswerFragment, "x x "},
+		{"truncated final line", line(0) + end(1)[:20], result.AnswerFragment, "x "},
+		{"missing token", line(0) + line(2), result.AnswerFragment, "x "},
+		{"duplicate token", line(0) + line(0), result.AnswerFragment, "x "},
 		{"tokens out of order", line(1) + line(0), result.AnswerFragment, ""},
-		{"an end that counts too many", line(0) + end(2), result.AnswerFragment, "x "},
-		{"an end that counts too few", line(0) + line(1) + end(1), result.AnswerFragment, "x x "},
-		{"another request's answer", strings.ReplaceAll(wholeAnswer, "r1", "r2"), result.AnswerForeign, ""},
-		{"a stranger's token in between", line(0) + strings.ReplaceAll(line(1), "r1", "r2"), result.AnswerForeign, "x "},
-		{"another epoch", strings.ReplaceAll(wholeAnswer, `"epoch":7`, `"epoch":6`), result.AnswerForeign, ""},
+		{"final line with a count too high", line(0) + end(2), result.AnswerFragment, "x "},
+		{"final line with a count too low", line(0) + line(1) + end(1), result.AnswerFragment, "x x "},
+		{"another request's answer", strings.ReplaceAll(completeAnswer, "r1", "r2"), result.AnswerForeign, ""},
+		{"another request's token in between", line(0) + strings.ReplaceAll(line(1), "r1", "r2"), result.AnswerForeign, "x "},
+		{"another epoch", strings.ReplaceAll(completeAnswer, `"epoch":7`, `"epoch":6`), result.AnswerForeign, ""},
 		{"not JSON", "hello\n", result.UpstreamMalformed, ""},
-		{"a line without end", strings.Repeat("x", 1<<20), result.UpstreamMalformed, ""},
+		{"line longer than the limit", strings.Repeat("x", 1<<20), result.UpstreamMalformed, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			address, _ := listenRaw(t, func(_ int, conn net.Conn, r *http.Request) bool {
@@ -171,9 +171,9 @@
 		{"another epoch", 503, `{"not-run":true,"wrong-epoch":true}`, result.EpochMismatch},
 		{"failed while it ran", 500, `{"reason":"out of memory"}`, result.UpstreamFailed},
 		{"fenced", 412, `{"reason":"older"}`, result.OrderFenced},
-		{"an order refused", 409, `{"reason":"no"}`, result.OrderRefused},
-		{"no words", 503, `oops`, result.UpstreamMalformed},
-		{"a redirect is not followed", 302, `{}`, result.UpstreamFailed},
+		{"order refused", 409, `{"reason":"no"}`, result.OrderRefused},
+		{"body is not JSON", 503, `oops`, result.UpstreamMalformed},
+		{"redirect is not followed", 302, `{}`, result.UpstreamFailed},
 	} {
 		address, requests := listenRaw(t, func(_ int, conn net.Conn, r *http.Request) bool {
 			_, _ = io.Copy(io.Discard, r.Body)
@@ -187,7 +187,7 @@
 	}
 }
 
-// The stand-in keeps to the interface that the client expects of an engine.
+// A stand-in that checks orders refuses those with an older fence, as the client expects of an engine.
 func TestStandInObeysFencedOrders(t *testing.T) {
 	join := func(term, sequence uint64) *engine.Order {
 		return &engine.Order{Kind: engine.OrderJoin, Fence: engine.Fence{Term: term, Sequence: sequence}, Group: "g", Epoch: 7, Model: "m"}
@@ -198,12 +198,12 @@
 		order  *engine.Order
 		code   result.Code
 	}{
-		{"a newer leader", true, join(3, 1), result.OK},
-		{"the same leader later", true, join(2, 9), result.OK},
-		{"the same order again", true, join(2, 5), result.OK},
-		{"the same leader earlier", true, join(2, 4), result.OrderFenced},
-		{"an older leader", true, join(1, 99), result.OrderFenced},
-		{"an older leader, and it does not check", false, join(1, 99), result.OK},
+		{"newer leader", true, join(3, 1), result.OK},
+		{"same leader, later order", true, join(2, 9), result.OK},
+		{"same order again", true, join(2, 5), result.OK},
+		{"same leader, earlier order", true, join(2, 4), result.OrderFenced},
+		{"older leader", true, join(1, 99), result.OrderFenced},
+		{"older leader, engine does not check", false, join(1, 99), result.OK},
 	} {
 		e := engine.NewStandIn()
 		e.ChecksOrders = c.checks
@@ -222,9 +222,9 @@
 }
 
 func FuzzStream(f *testing.F) {
-	f.Add(wholeAnswer)
-	f.Add(wholeAnswer[:70])
-	f.Add(strings.ReplaceAll(wholeAnswer, "r1", "r2"))
+	f.Add(completeAnswer)
+	f.Add(completeAnswer[:70])
+	f.Add(strings.ReplaceAll(completeAnswer, "r1", "r2"))
 	f.Add(`{"request":"r1","epoch":7,"n":0,"done":true}` + "\n")
 	f.Add("{}\n\n")
 	f.Fuzz(func(t *testing.T, body string) {
@@ -234,12 +234,12 @@
 			token, err := s.Next()
 			if err != nil {
 				if result.CodeOf(err) == result.Unnamed {
-					t.Fatalf("an error without a code: %v", err)
+					t.Fatalf("error without a code: %v", err)
 				}
 				return
 			}
 			if token.Request != "r1" || token.Epoch != 7 || token.N != want {
-				t.Fatalf("token %d passed as %+v", want, token)
+				t.Fatalf("Next accepted for token %d: %+v", want, token)
 			}
 			if token.Done {
 				return
@@ -248,17 +248,18 @@
 	})
 }
 
-// An engine that refuses for want of room may say for how long it wants nothing; only then, and only what can be read counts.
+// An engine that refuses for lack of capacity may request a backoff by Retry-After. Other refusals and values that cannot be
+// parsed request none.
 func TestRefusalBackoff(t *testing.T) {
 	for _, c := range []struct {
 		name, status, header string
 		want                 time.Duration
 	}{
-		{"three seconds", "503", "Retry-After: 3\r\n", 3 * time.Second},
-		{"too many", "429", "Retry-After: 0.5\r\n", 500 * time.Millisecond},
-		{"nothing", "503", "", 0},
-		{"unreadable", "503", "Retry-After: soon\r\n", 0},
-		{"not for want of room", "409", "Retry-After: 3\r\n", 0},
+		{"503 with whole seconds", "503", "Retry-After: 3\r\n", 3 * time.Second},
+		{"429 with a fraction of a second", "429", "Retry-After: 0.5\r\n", 500 * time.Millisecond},
+		{"no header", "503", "", 0},
+		{"value cannot be parsed", "503", "Retry-After: soon\r\n", 0},
+		{"not a refusal for lack of capacity", "409", "Retry-After: 3\r\n", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			address, _ := listenRaw(t, func(_ int, conn net.Conn, _ *http.Request) bool {
@@ -268,7 +269,7 @@
 			})
 			_, err := engine.NewClient(transport.TCP()).Generate(context.Background(), address, &engine.Generate{Request: "r1", Epoch: 7})
 			if got := backoff.RequestedBy(err); got != c.want || result.CodeOf(err) != result.UpstreamNotRun {
-				t.Errorf("%v asks for %v, want code %d and %v", err, got, result.UpstreamNotRun, c.want)
+				t.Errorf("error %v requests a backoff of %v, want code %d and %v", err, got, result.UpstreamNotRun, c.want)
 			}
 		})
 	}
--- a/engine/doc.go
+++ b/engine/doc.go
@@ -1,2 +1,3 @@
-// Package engine speaks to model engines over their HTTP interface and holds a small stand-in of one.
+// Package engine is the client for the HTTP interface of model engines. It decides whether a failed request can have reached
+// the engine and whether an answer is complete, and includes a stand-in engine for tests and the demo.
 package engine
--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -6,7 +6,7 @@
 	"github.com/dunlinquay/dunlinquay/ident"
 )
 
-// The paths of an engine's interface.
+// The paths of the engine's HTTP interface.
 const (
 	PathState    = "/engine/v1/state"
 	PathOrders   = "/engine/v1/orders"
@@ -15,17 +15,17 @@
 	PathEvents   = "/engine/v1/events"
 )
 
-// Phase is an engine's own word for what it does.
+// Phase is the state of loading, as the engine reports it.
 type Phase string
 
-// The phases of an engine.
+// The phases of an engine: no model assigned, loading one, ready to serve.
 const (
 	PhaseIdle    Phase = "idle"
 	PhaseLoading Phase = "loading"
 	PhaseReady   Phase = "ready"
 )
 
-// State is an engine's answer to a probe.
+// State is the body of an engine's answer to a state request.
 type State struct {
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Group       ident.Group       `json:"group"`
@@ -37,18 +37,19 @@
 	Queued      int               `json:"queued"`
 }
 
-// Fence orders the leaders of control: an engine that checks refuses a fence lower than the highest it has seen.
+// Fence is a fencing token that orders the commands of control leaders. An engine that checks orders refuses one whose fence is
+// lower than the highest that the engine has seen.
 type Fence struct {
 	Term     uint64 `json:"term"`
 	Sequence uint64 `json:"sequence"`
 }
 
-// Less reports whether f is older than other.
+// Less reports whether f was issued before other.
 func (f Fence) Less(other Fence) bool {
 	return f.Term < other.Term || f.Term == other.Term && f.Sequence < other.Sequence
 }
 
-// OrderKind says what an order asks for.
+// OrderKind is the action that an order requests.
 type OrderKind string
 
 // The kinds of orders.
@@ -57,7 +58,7 @@
 	OrderLeave OrderKind = "leave"
 )
 
-// Order tells an engine to join a group's epoch with a load, or to leave an epoch.
+// Order instructs an engine to load a model and join an epoch of a group, or to leave an epoch.
 type Order struct {
 	Kind     OrderKind   `json:"kind"`
 	Fence    Fence       `json:"fence"`
@@ -77,7 +78,8 @@
 	Reason      string            `json:"reason,omitempty"`
 }
 
-// Generate asks for an answer; From skips tokens that an earlier stream of the same request has given.
+// Generate is the body of a request to generate text. From is the first token wanted; an earlier stream of the same request
+// has delivered the tokens before it.
 type Generate struct {
 	Request   ident.Request   `json:"request"`
 	Group     ident.Group     `json:"group"`
@@ -90,18 +92,19 @@
 	MaxTokens ident.Tokens    `json:"max-tokens"`
 	Priority  int             `json:"priority"`
 	From      int             `json:"from"`
-	// Prefixes are the chained hashes of the prompt's blocks, by which cache events name them.
+	// Prefixes are the chained hashes of the prompt's blocks; cache events identify blocks by them.
 	Prefixes []uint64 `json:"prefixes,omitempty"`
 }
 
-// Refusal is the body of an engine's answer when it has not run a request.
+// Refusal is the body of an engine's answer to a call that failed. NotRun guarantees that the request was not run.
 type Refusal struct {
-	NotRun bool   `json:"not-run"`
+	NotRun bool `json:"not-run"`
+	// The request named a group or epoch that the engine is not in.
 	Epoch  bool   `json:"wrong-epoch"`
 	Reason string `json:"reason"`
 }
 
-// Token is one line of an answer: the N-th token from 0, or with Done the end after N tokens.
+// Token is one line of an answer: token number N, counted from 0, or with Done the final line, where N is the token count.
 type Token struct {
 	Request ident.Request `json:"request"`
 	Epoch   ident.Epoch   `json:"epoch"`
@@ -109,18 +112,18 @@
 	Text    string        `json:"text,omitempty"`
 	Done    bool          `json:"done,omitempty"`
 	Finish  string        `json:"finish,omitempty"`
-	// PromptTokens comes with the end.
+	// PromptTokens is set in the final line only.
 	PromptTokens int `json:"prompt-tokens,omitempty"`
 }
 
-// CacheEvents is what an engine publishes of its prefix cache, late and possibly with gaps.
+// CacheEvents is a batch of changes of an engine's prefix cache. Events are published with a delay, and some may be missing.
 type CacheEvents struct {
-	// First is the sequence number of the first event; a number higher than asked for means a gap.
+	// First is the sequence number of the first event; if higher than requested, the events before it are lost.
 	First  uint64       `json:"first"`
 	Events []CacheEvent `json:"events"`
 }
 
-// CacheEvent says that a prefix block was stored or removed.
+// CacheEvent reports that a prefix block was stored or, with Removed, evicted.
 type CacheEvent struct {
 	Prefix  uint64 `json:"prefix"`
 	Removed bool   `json:"removed"`
--- a/engine/standin.go
+++ b/engine/standin.go
@@ -1,13 +1,13 @@
 package engine
 
-// StandIn is a small stand-in of a model engine for the demo, the tests and
-// trying things by hand. Its answer to a prompt is derived from the prompt, so
-// that anyone can tell a whole answer from a fragment or a stranger's:
+// StandIn replaces a model engine in the demo, in tests and in manual trials.
+// Its answer is derived from the prompt, so that a caller can detect a
+// fragment or another request's answer:
 //
 //	token i = first six hex digits of xxhash(prompt, i), and a space
 //
-// Faults are switches. It is not a simulator: it knows nothing of other VMs
-// but what PeersPresent tells it.
+// Faults are injected by fields and methods. StandIn does not simulate a
+// cluster: all that it knows of other VMs is the result of PeersPresent.
 
 import (
 	"context"
@@ -34,60 +34,60 @@
 	maxEvents        = 4096
 )
 
-// StandIn is one stand-in engine; exported fields are set before Start.
+// StandIn is one stand-in engine. Set the exported fields before Start; the atomic ones may change later.
 type StandIn struct {
 	*standin.Server
-	// Slots is how many requests run at once; more wait.
+	// Slots is the number of requests that run at once; further requests wait.
 	Slots int
-	// TokenTime is the time for one token, PrefillTime for the prompt, LoadTime for the weights.
+	// TokenTime is the time to generate one token, PrefillTime to process a prompt, LoadTime to load a model.
 	TokenTime   time.Duration
 	PrefillTime time.Duration
 	LoadTime    time.Duration
-	// ChecksOrders makes it refuse the orders of older leaders.
+	// ChecksOrders makes the engine refuse orders of older leaders.
 	ChecksOrders bool
-	// PeersPresent tells whether all members of the replica are there; nil means they are.
+	// PeersPresent reports whether all members of the replica are running; nil counts as true.
 	PeersPresent func(members []string) bool
-	// OnRun is told of each request that starts to run.
+	// OnRun is called for each request that starts to run.
 	OnRun func(id ident.Request, prompt string)
-	// CutAfter breaks each stream after so many tokens; 0 never does.
+	// CutAfter is the number of tokens after which each stream is broken off; 0 disables it.
 	CutAfter atomic.Int64
-	// Foreign makes it answer with another request's id.
+	// Foreign makes answers contain another request's ID.
 	Foreign atomic.Bool
-	// Limit is how many requests a second it names as its limit; 0 names none.
+	// Limit is the advertised limit in requests per second; 0 advertises none.
 	Limit atomic.Int64
-	// Refuse makes it refuse every request as not run.
+	// Refuse makes the engine refuse every generate request as not run.
 	Refuse atomic.Bool
 
-	mu          sync.Mutex
-	incarnation ident.Incarnation
-	state       State
-	joinOrder       Order
-	fence       Fence
-	loadedModel      string
-	readyAt     time.Time
-	cancels     map[ident.Request]context.CancelFunc
-	slots       chan struct{}
-	paused      chan struct{}
-	events      []CacheEvent
-	firstSequence  uint64
-	running     atomic.Int64
-	queued      atomic.Int64
+	mu            sync.Mutex
+	incarnation   ident.Incarnation
+	state         State
+	joinOrder     Order
+	fence         Fence
+	loadedModel   string
+	readyAt       time.Time
+	cancels       map[ident.Request]context.CancelFunc
+	slots         chan struct{}
+	paused        chan struct{}
+	events        []CacheEvent
+	firstSequence uint64
+	running       atomic.Int64
+	queued        atomic.Int64
 }
 
-// NewStandIn returns a stand-in with four slots and quick tokens.
+// NewStandIn returns a stand-in that has four slots, checks orders and generates a token per millisecond.
 func NewStandIn() *StandIn {
 	return &StandIn{
-		Server:       standin.NewServer(),
-		Slots:        4,
-		TokenTime:    time.Millisecond,
-		ChecksOrders: true,
-		OnRun:        func(ident.Request, string) {},
-		cancels:      map[ident.Request]context.CancelFunc{},
-		firstSequence:   1,
+		Server:        standin.NewServer(),
+		Slots:         4,
+		TokenTime:     time.Millisecond,
+		ChecksOrders:  true,
+		OnRun:         func(ident.Request, string) {},
+		cancels:       map[ident.Request]context.CancelFunc{},
+		firstSequence: 1,
 	}
 }
 
-// Start listens on address (host:port, port 0 for any) with a new incarnation and nothing loaded.
+// Start listens on address (host:port; port 0 selects a free port) with a new incarnation and no model loaded.
 func (s *StandIn) Start(address string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// Pause makes every call hang until Resume, as a frozen machine does.
+// Pause makes calls and running answers block until Resume, as on a frozen machine.
 func (s *StandIn) Pause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +111,7 @@
 	}
 }
 
-// Resume lets paused calls go on as if nothing had happened.
+// Resume continues the paused calls.
 func (s *StandIn) Resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,14 +121,14 @@
 	}
 }
 
-// SetLeaving makes the engine say of itself that it leaves.
+// SetLeaving sets whether the engine reports that it is leaving.
 func (s *StandIn) SetLeaving(leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state.Leaving = leaving
 }
 
-// Fence returns the highest fence that the stand-in has obeyed.
+// Fence returns the fence of the last order that the stand-in did not refuse as fenced.
 func (s *StandIn) Fence() Fence {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +144,7 @@
 	}
 }
 
-// Handler returns the HTTP interface.
+// Handler serves the engine's HTTP interface.
 func (s *StandIn) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathState, s.handleState)
@@ -176,7 +176,7 @@
 	writeJSON(w, http.StatusOK, st)
 }
 
-// finishLoad ends a load whose time has come.
+// finishLoad changes the phase from loading to ready once the load time has elapsed. The caller holds mu.
 func (s *StandIn) finishLoad() {
 	if s.state.Phase == PhaseLoading && !time.Now().Before(s.readyAt) {
 		s.state.Phase = PhaseReady
@@ -212,7 +212,7 @@
 
 func (s *StandIn) join(w http.ResponseWriter, o *Order) {
 	if s.state.Epoch > o.Epoch {
-		writeJSON(w, http.StatusConflict, Refusal{Reason: fmt.Sprintf("joined epoch %d already", s.state.Epoch)})
+		writeJSON(w, http.StatusConflict, Refusal{Reason: fmt.Sprintf("already in epoch %d", s.state.Epoch)})
 		return
 	}
 	if s.state.Epoch != o.Epoch {
@@ -263,7 +263,7 @@
 	}
 }
 
-// admit checks everything that lets the stand-in refuse a request as not run.
+// admit returns the refusal of a request that the stand-in does not run, or nil.
 func (s *StandIn) admit(g *Generate) *Refusal {
 	s.mu.Lock()
 	s.finishLoad()
@@ -271,13 +271,13 @@
 	s.mu.Unlock()
 	switch {
 	case s.Refuse.Load():
-		return &Refusal{NotRun: true, Reason: "told to refuse"}
+		return &Refusal{NotRun: true, Reason: "refusal is switched on"}
 	case st.Epoch != g.Epoch || st.Group != g.Group:
 		return &Refusal{NotRun: true, Epoch: true, Reason: fmt.Sprintf("in group %q epoch %d", st.Group, st.Epoch)}
 	case st.Phase != PhaseReady:
-		return &Refusal{NotRun: true, Reason: "still loading"}
+		return &Refusal{NotRun: true, Reason: "engine is not ready"}
 	case joinOrder.Rank != 0:
-		return &Refusal{NotRun: true, Reason: "not the first member"}
+		return &Refusal{NotRun: true, Reason: "engine is not the first member of the replica"}
 	case s.PeersPresent != nil && !s.PeersPresent(joinOrder.Members):
 		return &Refusal{NotRun: true, Reason: "a member of the replica is absent"}
 	}
@@ -371,7 +371,7 @@
 
 const tokenDigits = 6
 
-// ExpectedToken returns the i-th token that a stand-in answers to prompt.
+// ExpectedToken returns token i, counted from 0, of a stand-in's answer to prompt.
 func ExpectedToken(prompt []byte, i int) string {
 	h := xxhash.New()
 	_, _ = h.Write(prompt)
@@ -379,7 +379,7 @@
 	return fmt.Sprintf("%016x", h.Sum64())[:tokenDigits] + " "
 }
 
-// ExpectedText returns the whole answer of n tokens that a stand-in gives to prompt.
+// ExpectedText returns a stand-in's complete answer of n tokens to prompt.
 func ExpectedText(prompt []byte, n int) string {
 	var b strings.Builder
 	for i := range n {
