--- a/service/client_test.go
+++ b/service/client_test.go
@@ -18,8 +18,9 @@
 	"github.com/dunlinquay/dunlinquay/transport"
 )
 
-// breaker answers the first request and closes the connection on the second one, which is when net/http likes to send again.
-func breaker(t *testing.T) (address string, requests *atomic.Int64) {
+// closeOnSecondRequest answers the first request and closes the connection on the second, without an answer: the case in
+// which net/http may send a request again.
+func closeOnSecondRequest(t *testing.T) (address string, requests *atomic.Int64) {
 	t.Helper()
 	ln, requests, err := standin.ByHand(func(n int, conn net.Conn, r *http.Request) bool {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -36,8 +37,9 @@
 	return ln.Addr().String(), requests
 }
 
-// Calls that look replayable to net/http are sent once all the same when they must not be repeated.
-func TestNotRepeatableCallsAreSentOnce(t *testing.T) {
+// Guards against a call that must not be repeated being sent twice by net/http, which resends on a broken kept-alive
+// connection if the body is empty or can be rewound, and the call is a GET or has an Idempotency-Key.
+func TestNonRepeatableCallIsSentOnce(t *testing.T) {
 	for _, c := range []struct {
 		method string
 		body   string
@@ -51,34 +53,34 @@
 		{http.MethodPost, "", "k"},
 	} {
 		t.Run(fmt.Sprintf("%s %q key %q", c.method, c.body, c.key), func(t *testing.T) {
-			address, requests := breaker(t)
+			address, requests := closeOnSecondRequest(t)
 			client := service.NewClient(transport.TCP(), 1<<20)
 			call := &dispatch.Call{Method: c.method, Path: "/x", Body: []byte(c.body), Header: http.Header{}, AtMostOnce: true}
 			if c.key != "" {
 				call.Header["Idempotency-Key"] = []string{c.key}
 			}
 			if _, err := client.Send(t.Context(), address, call); err != nil {
-				t.Fatalf("the first call: %v", err)
+				t.Fatalf("first call: %v", err)
 			}
 			_, err := client.Send(t.Context(), address, call)
 			if code := result.CodeOf(err); code != result.UpstreamFailed {
-				t.Errorf("the broken call: code %d: %v", code, err)
+				t.Errorf("call on closed connection: code %d, want %d: %v", code, result.UpstreamFailed, err)
 			}
 			if n := requests.Load(); n != 2 {
-				t.Errorf("%d requests arrived, 2 were sent", n)
+				t.Errorf("service received %d requests, want 2", n)
 			}
 		})
 	}
 }
 
-func TestCallsPassFaithfully(t *testing.T) {
-	var seen *http.Request
+func TestCallAndReplyAreForwarded(t *testing.T) {
+	var received *http.Request
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { //nolint:gosec // a test's server
-		seen = r.Clone(r.Context())
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { //nolint:gosec // test server
+		received = r.Clone(r.Context())
 		w.Header().Set("X-Reply", "1")
 		w.Header().Set("Connection", "X-Hop")
 		w.Header().Set("X-Hop", "1")
@@ -96,34 +98,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if seen.Method != http.MethodPut || seen.RequestURI != "/a%2Fb/c?x=1&y=%20" {
-		t.Errorf("arrived as %s %s", seen.Method, seen.RequestURI)
+	if received.Method != http.MethodPut || received.RequestURI != "/a%2Fb/c?x=1&y=%20" {
+		t.Errorf("received request %s %s", received.Method, received.RequestURI)
 	}
-	if diff := cmp.Diff([]string{"1", "2"}, seen.Header["X-Asked"]); diff != "" {
-		t.Errorf("header (-want +got):\n%s", diff)
+	if diff := cmp.Diff([]string{"1", "2"}, received.Header["X-Asked"]); diff != "" {
+		t.Errorf("header X-Asked (-want +got):\n%s", diff)
 	}
 	for _, name := range []string{"Authorization", "X-Gone", "Te"} {
-		if v := seen.Header.Get(name); v != "" {
-			t.Errorf("header %s: %q went on", name, v)
+		if v := received.Header.Get(name); v != "" {
+			t.Errorf("header %s: %q was forwarded to the service", name, v)
 		}
 	}
 	if reply.Status != http.StatusTeapot || string(reply.Body) != "short and stout" || http.Header(reply.Header).Get("X-Reply") != "1" {
 		t.Errorf("reply %d %q %v", reply.Status, reply.Body, reply.Header)
 	}
 	if v := http.Header(reply.Header).Get("X-Hop"); v != "" {
-		t.Errorf("a header of the connection came back: %q", v)
+		t.Errorf("hop-by-hop header X-Hop: %q was forwarded in the reply", v)
 	}
 }
 
-func TestRepliesAreWholeOrFail(t *testing.T) {
+func TestIncompleteReplyFails(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		reply string
 		code  result.Code
 	}{
-		{"whole", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", result.OK},
-		{"cut short", "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nok", result.UpstreamFailed},
-		{"chunks without their end", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", result.UpstreamFailed},
+		{"complete", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", result.OK},
+		{"truncated", "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nok", result.UpstreamFailed},
+		{"chunked without final chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", result.UpstreamFailed},
 		{"too large", "HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\n" + fmt.Sprintf("%0200d", 1), result.UpstreamFailed},
 		{"not HTTP", "hello", result.UpstreamFailed},
 	} {
