--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -244,10 +244,10 @@
 // logBackoff logs the backoff that an upstream requested, or the error when its header cannot be parsed.
 func (d *Daemon) logBackoff(upstream string, requested time.Duration, err error) {
 	if err != nil {
-		d.Log.Info("upstream sent a backoff that cannot be parsed", "upstream", upstream, "code", result.CodeOf(err), "error", result.Message(err))
+		d.Log.Info("upstream sent an unreadable backoff", "upstream", upstream, "code", result.CodeOf(err), "error", result.Message(err))
 		return
 	}
-	d.Log.Info("upstream requested backoff", "upstream", upstream, "asked-ms", requested.Milliseconds())
+	d.Log.Info("upstream requested a backoff", "upstream", upstream, "asked-ms", requested.Milliseconds())
 }
 
 // observeRequest records a finished request in metrics and log; successful ones are logged at verbosity 1.
--- a/daemon/limits.go
+++ b/daemon/limits.go
@@ -36,10 +36,10 @@
 			d.Log.Info("upstream removed its limit", "upstream", upstream, "was", previous.Rate, "was-since", previous.Since)
 			return
 		}
-		d.Log.Info("upstream advertises a limit", "upstream", upstream, "limit", current.Rate, "was", previous.Rate)
+		d.Log.Info("upstream set a limit", "upstream", upstream, "limit", current.Rate, "was", previous.Rate)
 	}
 	dispatcher.LimitUnreadable = func(upstream string, err error) {
-		d.Log.Info("upstream sent a limit that cannot be parsed", "upstream", upstream, "code", result.CodeOf(err), "error", result.Message(err))
+		d.Log.Info("upstream sent an unreadable limit", "upstream", upstream, "code", result.CodeOf(err), "error", result.Message(err))
 	}
 	d.engineClient.Heard, d.engineClient.Now = dispatcher.ApplyLimit, d.now
 }
--- a/relay/backoff.go
+++ b/relay/backoff.go
@@ -14,7 +14,7 @@
 	"github.com/dunlinquay/dunlinquay/ratelimit"
 )
 
-// BackpressureKind says which backpressure signal of an upstream changed. The value is logged and is a label of a metric.
+// BackpressureKind says which backpressure signal of an upstream changed. The value is a label of a metric.
 type BackpressureKind string
 
 // The kinds of changes.
--- a/site/backoff.go
+++ b/site/backoff.go
@@ -118,6 +118,17 @@
 	}
 }
 
+// signalMessages are the log messages of the kinds; control daemons log the same messages for the same events.
+var signalMessages = map[relay.BackpressureKind]string{
+	relay.BackpressureDelay:        "upstream requested a backoff",
+	relay.BackpressureCleared:      "upstream accepts requests again",
+	relay.BackpressureLeaving:      "upstream leaves",
+	relay.BackpressureUnreadable:   "upstream sent an unreadable backoff or limit",
+	relay.BackpressureLimit:        "upstream set a limit",
+	relay.BackpressureLimitRemoved: "upstream removed its limit",
+	relay.BackpressureUnrecognized: "upstream sent an unrecognized header",
+}
+
 // logUpstreamSignal logs and counts a change in what an upstream asks for.
 func (e *Entry) logUpstreamSignal(signal *relay.BackpressureEvent) {
 	e.meter.Scope.Tagged(map[string]string{"kind": string(signal.Kind)}).Counter("upstream_askings").Inc(1)
@@ -144,7 +155,7 @@
 		// among them.
 		log = e.RequestLog
 	}
-	log.Info("upstream "+string(signal.Kind), fields...)
+	log.Info(signalMessages[signal.Kind], fields...)
 }
 
 // countBackoffs updates how many upstreams are backed off or limited at this entry.
