--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -76,5 +76,5 @@
 // refuseNoPermit returns the refusal of a request that gets no permit in time.
 func refuseNoPermit(permit *ratelimit.Permit, model ident.Model) error {
 	retryAfter := permit.After + time.Duration(admission.RetryJitter*rand.Float64()*float64(permit.After))
-	return admission.Refuse(result.Limited, retryAfter, "no upstream of %q has a permit in time, the first one is due in %v", model, permit.After)
+	return admission.Refuse(result.Limited, retryAfter, "no upstream of %q has a permit in time; the first is available in %v", model, permit.After)
 }
--- a/dispatch/quarantine.go
+++ b/dispatch/quarantine.go
@@ -23,7 +23,7 @@
 	if remaining <= 0 {
 		return nil
 	}
-	return admission.Refuse(result.WorkHeld, remaining, "upstreams crashed while running the same request, content %v; quarantined for another %v", fingerprint.Content, remaining.Round(time.Second))
+	return admission.Refuse(result.WorkHeld, remaining, "upstreams crashed while they ran the same request, content %v; quarantined for another %v", fingerprint.Content, remaining.Round(time.Second))
 }
 
 // beginAttempt records that a request is about to be sent, or returns its refusal if it has been quarantined meanwhile.
--- a/relay/limit.go
+++ b/relay/limit.go
@@ -146,7 +146,7 @@
 	t.maxPermitWait = until.Sub(now)
 	if t.maxPermitWait <= max(t.availableIn, ratelimit.MaxWaitWithAlternatives) {
 		t.mustWait = false
-		return t, result.New(result.Limited, "no upstream has a permit in time, the first one is due in %v", t.availableIn)
+		return t, result.New(result.Limited, "no upstream has a permit in time; the first is available in %v", t.availableIn)
 	}
 	return t, nil
 }
