--- a/estimate/estimate.go
+++ b/estimate/estimate.go
@@ -1,8 +1,8 @@
 package estimate
 
 // An engine uses continuous batching. Each iteration prefills the pending
-// prompts and then runs Stride token steps for every decoding sequence; its
-// events are sent at its end:
+// prompts and then runs StepsPerIteration token steps for every decoding
+// sequence; its events are sent at its end:
 //
 //	| prefill a, b, c | steps for all | prefill d | steps for all | ...
 //	                first events of a, b, c     first event of d
--- a/overload/typical_wait.go
+++ b/overload/typical_wait.go
@@ -46,7 +46,7 @@
 }
 
 // PriorElapsed counts the time that a caller announces, and returns the time elapsed on its earlier attempts, 0 where that is not known.
-// NoRefusals is set when the last refusal was so long ago that nearly all requests are first attempts.
+// The parameter noRefusals is set when the last refusal was so long ago that nearly all requests are first attempts.
 func (u *TypicalWait) PriorElapsed(announced time.Duration, noRefusals bool) time.Duration {
 	if announced <= 0 {
 		return 0
