--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -291,7 +291,7 @@
 	if left := time.Until(r.Deadline); left > 90*time.Second || left < 30*time.Second {
 		t.Errorf("deadline in %s", left)
 	}
-	if id := response.Header.Get(caller.HeaderRequest); id == "" || id != string(r.ID) {
+	if id := response.Header.Get(caller.HeaderRequestID); id == "" || id != string(r.ID) {
 		t.Errorf("request id %q in the header, %q in the request", id, r.ID)
 	}
 	firstDigest := r.Digest
@@ -323,7 +323,7 @@
 
 func TestHealthPaths(t *testing.T) {
 	s := newTestServer(t)
-	s.Ready = func() error { return result.New(result.ControlUnreachable, "no connection to the control daemon") }
+	s.CheckReady = func() error { return result.New(result.ControlUnreachable, "no connection to the control daemon") }
 	for _, c := range []struct {
 		path   string
 		status int
@@ -375,7 +375,7 @@
 	f.Add(`{"model":"m","prompt":["p"],"n":1}`, false)
 	f.Add(`{"a":{"b":[1,2,{"c":null}]},"model":"m"}`, true)
 	f.Fuzz(func(t *testing.T, body string, chat bool) {
-		p, err := caller.Parse([]byte(body), chat)
+		p, err := caller.ParseCompletion([]byte(body), chat)
 		if err != nil {
 			if code := result.CodeOf(err); code != result.BadRequest {
 				t.Fatalf("code %d: %v", code, err)
--- a/caller/errors.go
+++ b/caller/errors.go
@@ -66,7 +66,7 @@
 	response := newErrorResponse(err, headers)
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
-	h.Set(HeaderCode, strconv.Itoa(response.Error.ResultCode))
+	h.Set(HeaderResultCode, strconv.Itoa(response.Error.ResultCode))
 	h.Set(HeaderNotRun, strconv.FormatBool(response.Error.NotRun))
 	if retryAfter := admission.RetryAfter(err); retryAfter > 0 {
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(retryAfter.Seconds()))))
--- a/caller/openai.go
+++ b/caller/openai.go
@@ -45,19 +45,19 @@
 	"model", "messages", "prompt", "max_tokens", "max_completion_tokens", "stream", "stream_options", "n", "best_of",
 }
 
-// Parsed is a completion request for the dispatcher, with the options that only concern the format of the response.
-type Parsed struct {
+// ParsedCompletion is a completion request for the dispatcher, with the options that only concern the format of the response.
+type ParsedCompletion struct {
 	Request      dispatch.Request
 	IncludeUsage bool
 }
 
-// Parse reads the body of a chat completion request (chat) or of a text completion request.
-func Parse(body []byte, chat bool) (*Parsed, error) {
+// ParseCompletion reads the body of a chat completion request (chat) or of a text completion request.
+func ParseCompletion(body []byte, chat bool) (*ParsedCompletion, error) {
 	var fields completionFields
 	if err := decodeSingle(body, &fields); err != nil {
 		return nil, err
 	}
-	parsed := &Parsed{IncludeUsage: fields.StreamOptions != nil && fields.StreamOptions.IncludeUsage}
+	parsed := &ParsedCompletion{IncludeUsage: fields.StreamOptions != nil && fields.StreamOptions.IncludeUsage}
 	r := &parsed.Request
 	model, adapter, _ := strings.Cut(fields.Model, ":")
 	r.Model, r.Adapter, r.Chat, r.Streamed = ident.Model(model), adapter, chat, fields.Stream
@@ -183,18 +183,18 @@
 
 func (s *Server) serveCompletion(w http.ResponseWriter, r *http.Request, customer ident.Customer, chat bool) {
 	headers, err := s.readHeaders(r)
-	var parsed *Parsed
+	var parsed *ParsedCompletion
 	if err == nil {
 		parsed, err = s.readCompletion(w, r, &headers, chat)
 	}
 	if err != nil {
-		s.Refused(customer, result.CodeOf(err))
+		s.OnRefused(customer, result.CodeOf(err))
 		s.writeError(w, r, err, &headers)
 		return
 	}
 	request := &parsed.Request
 	request.ID, request.Customer = ident.NewRequest(), customer
-	w.Header().Set(HeaderRequest, string(request.ID))
+	w.Header().Set(HeaderRequestID, string(request.ID))
 	out := newCompletionWriter(w, parsed, time.Now())
 	var sink dispatch.Sink
 	if request.Streamed {
@@ -211,12 +211,12 @@
 	}
 }
 
-func (s *Server) readCompletion(w http.ResponseWriter, r *http.Request, headers *requestHeaders, chat bool) (*Parsed, error) {
+func (s *Server) readCompletion(w http.ResponseWriter, r *http.Request, headers *requestHeaders, chat bool) (*ParsedCompletion, error) {
 	body, err := s.readBody(w, r)
 	if err != nil {
 		return nil, err
 	}
-	parsed, err := Parse(body, chat)
+	parsed, err := ParseCompletion(body, chat)
 	if err != nil {
 		return nil, err
 	}
--- a/caller/server.go
+++ b/caller/server.go
@@ -22,8 +22,8 @@
 	HeaderClass         = "Dunlinquay-Class"
 	HeaderDeadline      = "Dunlinquay-Deadline"
 	HeaderNotRepeatable = "Dunlinquay-Not-Repeatable"
-	HeaderRequest       = "Dunlinquay-Request-Id"
-	HeaderCode          = "Dunlinquay-Result-Code"
+	HeaderRequestID     = "Dunlinquay-Request-Id"
+	HeaderResultCode    = "Dunlinquay-Result-Code"
 	HeaderNotRun        = "Dunlinquay-Not-Run"
 	HeaderKey           = "Idempotency-Key"
 )
@@ -48,10 +48,10 @@
 	ServeCall func(ctx context.Context, c *dispatch.Call) (*dispatch.Reply, error)
 	// Models lists the declared models and adapters ("model:adapter").
 	Models func() []ident.Model
-	// Ready returns why the load balancer should send no requests to this daemon, or nil.
-	Ready func() error
-	// Refused is called for each request that fails before Serve or ServeCall is called, except for unknown paths.
-	Refused func(customer ident.Customer, code result.Code)
+	// CheckReady returns why the load balancer should send no requests to this daemon, or nil.
+	CheckReady func() error
+	// OnRefused is called for each request that fails before Serve or ServeCall is called, except for unknown paths.
+	OnRefused func(customer ident.Customer, code result.Code)
 
 	inProgress atomic.Int64
 	stopping   atomic.Bool
@@ -60,11 +60,11 @@
 // NewServer returns a server that reports ready and has no customers.
 func NewServer() *Server {
 	return &Server{
-		Customers: &keys.Ring[ident.Customer]{},
-		Now:       clock.Now,
-		Models:    func() []ident.Model { return nil },
-		Ready:     func() error { return nil },
-		Refused:   func(ident.Customer, result.Code) {},
+		Customers:  &keys.Ring[ident.Customer]{},
+		Now:        clock.Now,
+		Models:     func() []ident.Model { return nil },
+		CheckReady: func() error { return nil },
+		OnRefused:  func(ident.Customer, result.Code) {},
 	}
 }
 
@@ -104,7 +104,7 @@
 }
 
 func (s *Server) handleReady(w http.ResponseWriter, _ *http.Request) {
-	if err := s.Ready(); err != nil {
+	if err := s.CheckReady(); err != nil {
 		http.Error(w, result.Text(err), http.StatusServiceUnavailable)
 		return
 	}
@@ -120,10 +120,10 @@
 		customer, ok := s.Customers.Find(keys.Bearer(r))
 		switch {
 		case !ok:
-			s.Refused("", result.Unauthorized)
+			s.OnRefused("", result.Unauthorized)
 			s.writeError(w, r, result.New(result.Unauthorized, "no valid key in the header Authorization: Bearer KEY"), nil)
 		case s.stopping.Load():
-			s.Refused(customer, result.Stopping)
+			s.OnRefused(customer, result.Stopping)
 			s.writeError(w, r, result.New(result.Stopping, "this daemon is stopping; use another one"), nil)
 		default:
 			next(w, r, customer)
--- a/caller/services.go
+++ b/caller/services.go
@@ -21,12 +21,12 @@
 		call, err = s.readCall(w, r, &headers)
 	}
 	if err != nil {
-		s.Refused(customer, result.CodeOf(err))
+		s.OnRefused(customer, result.CodeOf(err))
 		s.writeError(w, r, err, &headers)
 		return
 	}
 	call.ID, call.Customer = ident.NewRequest(), customer
-	w.Header().Set(HeaderRequest, string(call.ID))
+	w.Header().Set(HeaderRequestID, string(call.ID))
 	reply, err := s.ServeCall(r.Context(), call)
 	if err != nil {
 		s.writeError(w, r, err, &headers)
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -16,7 +16,7 @@
 type completionWriter struct {
 	w          http.ResponseWriter
 	controller *http.ResponseController
-	parsed     *Parsed
+	parsed     *ParsedCompletion
 	created    int64
 	started    bool
 	// tokenPrefix and tokenSuffix surround the JSON string of one token; they are the same for every event of a stream.
@@ -54,7 +54,7 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-func newCompletionWriter(w http.ResponseWriter, parsed *Parsed, now time.Time) *completionWriter {
+func newCompletionWriter(w http.ResponseWriter, parsed *ParsedCompletion, now time.Time) *completionWriter {
 	return &completionWriter{w: w, controller: http.NewResponseController(w), parsed: parsed, created: now.Unix()}
 }
 
--- a/catalog/drain_test.go
+++ b/catalog/drain_test.go
@@ -39,7 +39,7 @@
 		{"drain after undrain", "b", true, catalog.Drained{Revision: 4, Halls: []ident.Hall{"a", "b"}}},
 	} {
 		got := m.Apply(encodeDrain(t, c.hall, c.drain))
-		if diff := cmp.Diff(catalog.Answer{Held: 7, Drained: c.want}, got); diff != "" {
+		if diff := cmp.Diff(catalog.Answer{Version: 7, Drained: c.want}, got); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", c.name, diff)
 		}
 	}
@@ -62,8 +62,8 @@
 	if err := m.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	if m.Held().Version != 5 || len(m.Drained().Halls) != 0 {
-		t.Errorf("version %d, drained halls %v; want version 5 and no halls", m.Held().Version, m.Drained().Halls)
+	if m.Current().Version != 5 || len(m.Drained().Halls) != 0 {
+		t.Errorf("version %d, drained halls %v; want version 5 and no halls", m.Current().Version, m.Drained().Halls)
 	}
 }
 
@@ -107,8 +107,8 @@
 			if diff := cmp.Diff(reference.Drained(), member.Drained()); diff != "" {
 				t.Fatalf("drained halls after log and after snapshot differ (-log +snapshot):\n%s", diff)
 			}
-			if reference.Held().Version != member.Held().Version {
-				t.Fatalf("version %d after log, %d after snapshot", reference.Held().Version, member.Held().Version)
+			if reference.Current().Version != member.Current().Version {
+				t.Fatalf("version %d after log, %d after snapshot", reference.Current().Version, member.Current().Version)
 			}
 			drained := reference.Drained()
 			for _, hall := range halls {
--- a/catalog/machine.go
+++ b/catalog/machine.go
@@ -25,8 +25,8 @@
 
 // Document is one configuration as an operator sent it, compressed because it is sent to every daemon and is large with many routes.
 type Document struct {
-	Version httproute.Version `cbor:"1,keyasint"`
-	Packed  []byte            `cbor:"2,keyasint"`
+	Version    httproute.Version `cbor:"1,keyasint"`
+	Compressed []byte            `cbor:"2,keyasint"`
 }
 
 // maxDocumentBytes bounds a decompressed configuration.
@@ -45,11 +45,11 @@
 	if err := w.Close(); err != nil {
 		return Document{}, err
 	}
-	return Document{Version: version, Packed: packed.Bytes()}, nil
+	return Document{Version: version, Compressed: packed.Bytes()}, nil
 }
 
-// Unpack decompresses the body of a document.
-func Unpack(packed []byte) ([]byte, error) {
+// Decompress decompresses the body of a document.
+func Decompress(packed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return nil, result.Wrap(err, result.StorageDamaged, "configuration cannot be decompressed")
@@ -105,8 +105,8 @@
 
 // Answer is the result of applying a log entry.
 type Answer struct {
-	// Held is the version in force after the entry.
-	Held httproute.Version
+	// Version is the version in force after the entry.
+	Version httproute.Version
 	// Changed is set if the entry's document is now in force.
 	Changed bool
 	// Drained lists the drained halls after the entry.
@@ -144,7 +144,7 @@
 	var e logEntry
 	if err := cbor.Unmarshal(data, &e); err != nil {
 		// The log is the same on every member, so all of them skip this entry.
-		return Answer{Held: m.Held().Version, Drained: m.Drained()}
+		return Answer{Version: m.Current().Version, Drained: m.Drained()}
 	}
 	if e.Drain != nil {
 		return m.applyDrainOrder(e.Drain)
@@ -159,7 +159,7 @@
 	if changed {
 		m.drained = m.drained.withOrder(o)
 	}
-	answer := Answer{Held: m.current.Version, Drained: m.drained}
+	answer := Answer{Version: m.current.Version, Drained: m.drained}
 	m.mu.Unlock()
 	if changed {
 		m.DrainChanged(answer.Drained)
@@ -179,11 +179,11 @@
 	if changed {
 		m.Changed(current)
 	}
-	return Answer{Held: current.Version, Changed: changed, Drained: drained}
+	return Answer{Version: current.Version, Changed: changed, Drained: drained}
 }
 
-// Held returns the newest document, or one with version 0 before the first.
-func (m *Machine) Held() Document {
+// Current returns the newest document, or one with version 0 before the first.
+func (m *Machine) Current() Document {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.current
--- a/catalog/machine_test.go
+++ b/catalog/machine_test.go
@@ -33,18 +33,18 @@
 		want     catalog.Answer
 		wantBody string
 	}{
-		{"first version", 7, "a", catalog.Answer{Held: 7, Changed: true}, "a"},
-		{"same version again", 7, "a", catalog.Answer{Held: 7}, "a"},
-		{"current version with other content", 7, "b", catalog.Answer{Held: 7}, "a"},
-		{"older version", 5, "c", catalog.Answer{Held: 7}, "a"},
-		{"newer version after a gap", 19, "d", catalog.Answer{Held: 19, Changed: true}, "d"},
-		{"first version again", 7, "a", catalog.Answer{Held: 19}, "d"},
-		{"version between two earlier ones", 12, "e", catalog.Answer{Held: 19}, "d"},
+		{"first version", 7, "a", catalog.Answer{Version: 7, Changed: true}, "a"},
+		{"same version again", 7, "a", catalog.Answer{Version: 7}, "a"},
+		{"current version with other content", 7, "b", catalog.Answer{Version: 7}, "a"},
+		{"older version", 5, "c", catalog.Answer{Version: 7}, "a"},
+		{"newer version after a gap", 19, "d", catalog.Answer{Version: 19, Changed: true}, "d"},
+		{"first version again", 7, "a", catalog.Answer{Version: 19}, "d"},
+		{"version between two earlier ones", 12, "e", catalog.Answer{Version: 19}, "d"},
 	} {
 		if diff := cmp.Diff(c.want, m.Apply(encode(t, c.version, c.body))); diff != "" {
 			t.Errorf("%s: answer (-want +got):\n%s", c.name, diff)
 		}
-		got, err := catalog.Unpack(m.Held().Packed)
+		got, err := catalog.Decompress(m.Current().Compressed)
 		if err != nil || string(got) != c.wantBody {
 			t.Errorf("%s: document %q (error %v), want %q", c.name, got, err, c.wantBody)
 		}
@@ -57,7 +57,7 @@
 func TestUndecodableEntryIsSkipped(t *testing.T) {
 	m := catalog.NewMachine()
 	m.Apply(encode(t, 3, "a"))
-	if got := m.Apply([]byte{0xff, 0x00}); got.Changed || got.Held != 3 {
+	if got := m.Apply([]byte{0xff, 0x00}); got.Changed || got.Version != 3 {
 		t.Errorf("answer %+v, want version 3 unchanged", got)
 	}
 }
@@ -74,7 +74,7 @@
 	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(m.Held(), restored.Held()); diff != "" {
+	if diff := cmp.Diff(m.Current(), restored.Current()); diff != "" {
 		t.Errorf("document after Restore (-want +got):\n%s", diff)
 	}
 	if err := restored.Restore(nil); err != nil {
@@ -91,10 +91,10 @@
 		t.Fatal(err)
 	}
 	for name, packed := range map[string][]byte{
-		"empty": nil, "not compressed": []byte("text"), "truncated": d.Packed[:len(d.Packed)-4],
-		"altered": append(append([]byte(nil), d.Packed[:len(d.Packed)-1]...), d.Packed[len(d.Packed)-1]^1),
+		"empty": nil, "not compressed": []byte("text"), "truncated": d.Compressed[:len(d.Compressed)-4],
+		"altered": append(append([]byte(nil), d.Compressed[:len(d.Compressed)-1]...), d.Compressed[len(d.Compressed)-1]^1),
 	} {
-		if _, err := catalog.Unpack(packed); err == nil {
+		if _, err := catalog.Decompress(packed); err == nil {
 			t.Errorf("%s: decompressed without an error", name)
 		}
 	}
--- a/catalog/patch.go
+++ b/catalog/patch.go
@@ -19,8 +19,8 @@
 	patchWindowBytes = 1 << 20
 )
 
-// Patch returns a patch from base to next, with a checksum that detects a wrong base.
-func Patch(base, next []byte) ([]byte, error) {
+// NewPatch returns a patch from base to next, with a checksum that detects a wrong base.
+func NewPatch(base, next []byte) ([]byte, error) {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderDictRaw(patchDictionaryID, base), zstd.WithEncoderConcurrency(1),
 		zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(patchWindowBytes), zstd.WithEncoderCRC(true))
 	if err != nil {
@@ -30,8 +30,8 @@
 	return patch, encoder.Close()
 }
 
-// Apply returns the configuration that patch produces from base.
-func Apply(base, patch []byte) ([]byte, error) {
+// ApplyPatch returns the configuration that patch produces from base.
+func ApplyPatch(base, patch []byte) ([]byte, error) {
 	if len(patch) == 0 {
 		return nil, result.New(result.StorageDamaged, "configuration patch is empty")
 	}
--- a/catalog/patch_test.go
+++ b/catalog/patch_test.go
@@ -38,11 +38,11 @@
 		{"empty result", large, []byte{}, 50},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			patch, err := catalog.Patch(c.base, c.next)
+			patch, err := catalog.NewPatch(c.base, c.next)
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := catalog.Apply(c.base, patch)
+			got, err := catalog.ApplyPatch(c.base, patch)
 			if err != nil || !bytes.Equal(got, c.next) {
 				t.Errorf("patch does not produce the new configuration (error %v)", err)
 			}
@@ -56,7 +56,7 @@
 // Applying a damaged patch, or a patch to a wrong base, must fail rather than give a wrong configuration.
 func TestPatchDetectsWrongBaseOrDamage(t *testing.T) {
 	base, next := routesConfig(7, 200, -1), routesConfig(8, 200, 9)
-	patch, err := catalog.Patch(base, next)
+	patch, err := catalog.NewPatch(base, next)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 		"another base": {routesConfig(6, 200, 3), patch}, "no base": {nil, patch}, "damaged": {base, damaged},
 		"truncated": {base, patch[:len(patch)-3]}, "empty": {base, nil},
 	} {
-		if got, err := catalog.Apply(c.base, c.patch); err == nil && !bytes.Equal(got, next) {
+		if got, err := catalog.ApplyPatch(c.base, c.patch); err == nil && !bytes.Equal(got, next) {
 			t.Errorf("%s: patch gives %d bytes that differ from the new configuration, and no error", name, len(got))
 		}
 	}
@@ -77,7 +77,7 @@
 	base, next := routesConfig(7, 1000, -1), routesConfig(8, 1000, 500)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := catalog.Patch(base, next); err != nil {
+		if _, err := catalog.NewPatch(base, next); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/cmd/dunlinquay/hall.go
+++ b/cmd/dunlinquay/hall.go
@@ -31,7 +31,7 @@
 			if err != nil {
 				return err
 			}
-			return site.OrderDrain(cmd.Context(), transport.Guarded(), addresses, catalog.DrainOrder{Hall: ident.Hall(args[0]), Drain: drain})
+			return site.OrderDrain(cmd.Context(), transport.TCPWithPeerTimeout(), addresses, catalog.DrainOrder{Hall: ident.Hall(args[0]), Drain: drain})
 		},
 	})
 }
--- a/cmd/dunlinquay/inspect.go
+++ b/cmd/dunlinquay/inspect.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return site.Inspect(cmd.Context(), transport.Guarded(), addresses)
+	return site.Inspect(cmd.Context(), transport.TCPWithPeerTimeout(), addresses)
 }
 
 func siteGroups() *cobra.Command {
--- a/cmd/dunlinquay/operate.go
+++ b/cmd/dunlinquay/operate.go
@@ -181,7 +181,7 @@
 	if err := h.Answer.Err(); err != nil {
 		answer = result.Text(err)
 	}
-	fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\n", h.Revision, time.UnixMilli(h.At).Format(time.RFC3339), h.By, h.What, answer)
+	fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\n", h.Revision, time.UnixMilli(h.At).Format(time.RFC3339), h.Operator, h.Summary, answer)
 }
 
 func waitCommand() *cobra.Command {
--- a/cmd/dunlinquay/site.go
+++ b/cmd/dunlinquay/site.go
@@ -87,9 +87,9 @@
 	c.Log = log.EventLogger()
 	names := namesOf(cfg)
 	c.Unrecognized = unread.New[ident.Incarnation](names.Recognized()...)
-	c.Dial = transport.Guarded()
+	c.Dial = transport.TCPWithPeerTimeout()
 	c.DecodeConfig = platform.DecodeAcceptedConfig
-	orders, paces := platform.NewOrderClient(transport.Guarded()), platform.NewSlowdownClient(transport.Guarded())
+	orders, paces := platform.NewOrderClient(transport.TCPWithPeerTimeout()), platform.NewSlowdownClient(transport.TCPWithPeerTimeout())
 	orders.OnNotice, paces.OnNotice = c.ApplyNotice, c.ApplyNotice
 	c.SendOrder, c.QuerySlowdown = orders.Send, paces.Query
 	calls := &platform.Control{
@@ -105,7 +105,7 @@
 }
 
 func runEntry(ctx context.Context, cfg *settings.Site, log *eventlog.Log, reread func() (*settings.Site, error)) error {
-	e := site.NewEntry(cfg, namesOf(cfg), transport.Guarded())
+	e := site.NewEntry(cfg, namesOf(cfg), transport.TCPWithPeerTimeout())
 	e.Log = log.EventLogger()
 	e.RequestLog = log.RequestLogger()
 	e.DecodeConfig = platform.DecodeAcceptedConfig
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -96,7 +96,7 @@
 	mu        sync.Mutex
 	sent      []string
 	fences    []engine.Fence
-	confirmed []fleet.Confirm
+	confirmed []fleet.Confirmation
 	authority control.Authority
 	reply     func(o *engine.Order) (engine.OrderAnswer, error)
 }
@@ -108,7 +108,7 @@
 		return engine.OrderAnswer{Incarnation: "i", Done: true}, nil
 	}
 	r.Authority = func() control.Authority { return r.authority }
-	r.Confirmed = func(c fleet.Confirm) {
+	r.Confirmed = func(c fleet.Confirmation) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.confirmed = append(r.confirmed, c)
@@ -232,7 +232,7 @@
 			r.Wait()
 			time.Sleep(50 * time.Millisecond)
 		}
-		if diff := cmp.Diff([]fleet.Confirm{{VM: "w1", Epoch: 7, Incarnation: "i"}}, r.confirmed); diff != "" {
+		if diff := cmp.Diff([]fleet.Confirmation{{VM: "w1", Epoch: 7, Incarnation: "i"}}, r.confirmed); diff != "" {
 			t.Errorf("confirmed after %d attempts (-want +got):\n%s", attempts, diff)
 		}
 	})
@@ -333,7 +333,7 @@
 		l.Daemons, l.Started, l.ControlBound, l.DrainBound = []ident.Daemon{"b"}, start, bound, 30*time.Minute
 		s := fleet.NewState()
 		s.Revision = 9
-		s.Groups["g"] = &fleet.Group{Spec: fleet.GroupSpec{Name: "g", Size: 1}, Epoch: 5, Phase: fleet.GroupDraining, DrainedFrom: 9}
+		s.Groups["g"] = &fleet.Group{Spec: fleet.GroupSpec{Name: "g", Size: 1}, Epoch: 5, Phase: fleet.GroupDraining, DrainRevision: 9}
 		data, err := s.Marshal()
 		if err != nil {
 			t.Fatal(err)
--- a/control/leader.go
+++ b/control/leader.go
@@ -42,7 +42,7 @@
 	Log         logr.Logger
 
 	mu        sync.Mutex
-	confirms  []fleet.Confirm
+	confirms  []fleet.Confirmation
 	downSince map[ident.Group]time.Time
 	drains    map[ident.Group]drainStart
 	// input is the planner's input for inputRevision, plannedFingerprint the fingerprint of the input of the last plan.
@@ -70,13 +70,13 @@
 }
 
 // Confirm queues an engine's confirmation, which the next tick writes to the log together with others.
-func (l *Leader) Confirm(c fleet.Confirm) {
+func (l *Leader) Confirm(c fleet.Confirmation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.confirms = append(l.confirms, c)
 }
 
-func (l *Leader) takeConfirms() []fleet.Confirm {
+func (l *Leader) takeConfirms() []fleet.Confirmation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.confirms
@@ -107,7 +107,7 @@
 	if len(confirms) == 0 {
 		return nil
 	}
-	_, err := l.Propose(ctx, &fleet.Command{Kind: fleet.KindConfirm, Confirms: confirms})
+	_, err := l.Propose(ctx, &fleet.Command{Kind: fleet.KindConfirm, Confirmations: confirms})
 	return err
 }
 
@@ -124,7 +124,7 @@
 	if len(changed) == 0 {
 		return nil
 	}
-	_, err := l.Propose(ctx, &fleet.Command{Kind: fleet.KindRegister, VMs: changed})
+	_, err := l.Propose(ctx, &fleet.Command{Kind: fleet.KindRegisterVMs, VMs: changed})
 	return err
 }
 
@@ -158,7 +158,7 @@
 	if len(changed) == 0 {
 		return nil
 	}
-	_, err := l.Propose(ctx, &fleet.Command{Kind: fleet.KindListing, Listings: changed})
+	_, err := l.Propose(ctx, &fleet.Command{Kind: fleet.KindSetListings, Listings: changed})
 	return err
 }
 
@@ -280,7 +280,7 @@
 	if now.Sub(peer.LastContact) > l.ControlBound {
 		return true
 	}
-	return peer.Revision >= g.DrainedFrom && peer.InFlight[g.Spec.Name] == 0
+	return peer.Revision >= g.DrainRevision && peer.InFlight[g.Spec.Name] == 0
 }
 
 func (l *Leader) plan(ctx context.Context) error {
@@ -309,6 +309,6 @@
 	}
 	return &fleet.Command{
 		Kind:   kinds[a.Kind],
-		Assign: &fleet.Assign{Group: a.Group, Base: a.BaseEpoch, Members: a.Members, Reason: a.Reason},
+		Assign: &fleet.Assignment{Group: a.Group, BaseEpoch: a.BaseEpoch, Members: a.Members, Reason: a.Reason},
 	}
 }
--- a/control/orders.go
+++ b/control/orders.go
@@ -47,7 +47,7 @@
 	Authority       func() Authority
 	Send            func(ctx context.Context, address string, o *engine.Order) (engine.OrderAnswer, error)
 	// Confirmed receives the confirmations of engines.
-	Confirmed func(c fleet.Confirm)
+	Confirmed func(c fleet.Confirmation)
 	// Failed is called for each order that failed.
 	Failed func(vm ident.VM, kind engine.OrderKind, err error)
 
@@ -277,7 +277,7 @@
 	case err != nil:
 		o.Failed(name, order.Kind, err)
 	case answer.Done:
-		o.Confirmed(fleet.Confirm{VM: name, Epoch: order.Epoch, Incarnation: answer.Incarnation, Left: order.Kind == engine.OrderLeave})
+		o.Confirmed(fleet.Confirmation{VM: name, Epoch: order.Epoch, Incarnation: answer.Incarnation, Left: order.Kind == engine.OrderLeave})
 	}
 }
 
--- a/daemon/bench_test.go
+++ b/daemon/bench_test.go
@@ -223,7 +223,7 @@
 		l.createGroup("g")
 		g, err := l.client(l.daemons[0]).Group(context.Background(), "g")
 		l.noError(err)
-		direct, _ := json.Marshal(engine.Generate{Request: "r", Group: "g", Epoch: g.Epoch, Model: "m", Prompt: []byte(`"p"`), MaxTokens: ident.Tokens(tokens)})
+		direct, _ := json.Marshal(engine.GenerateRequest{Request: "r", Group: "g", Epoch: g.Epoch, Model: "m", Prompt: []byte(`"p"`), MaxTokens: ident.Tokens(tokens)})
 		request, _ := json.Marshal(map[string]any{"model": "m", "prompt": "p", "max_tokens": tokens, "stream": true})
 		target, _ := url.Parse("http://" + l.engines[0].Address())
 		proxy := &http.Server{Handler: &httputil.ReverseProxy{Rewrite: func(r *httputil.ProxyRequest) { r.SetURL(target) }, FlushInterval: -1}} //nolint:gosec // a bench's server
--- a/daemon/cluster_test.go
+++ b/daemon/cluster_test.go
@@ -161,7 +161,7 @@
 	editSettings             func(cfg *settings.Settings)
 
 	platform     *standin.Server
-	platformList []vmlist.Entry
+	platformList []vmlist.ListedVM
 
 	mu sync.Mutex
 	// runCount is how many times each prompt was run.
@@ -396,7 +396,7 @@
 	}
 	defer w.Body.Close()
 	b, err := io.ReadAll(w.Body)
-	got := response{status: w.StatusCode, code: w.Header.Get(caller.HeaderCode), notRun: w.Header.Get(caller.HeaderNotRun) == "true", text: string(b), err: err}
+	got := response{status: w.StatusCode, code: w.Header.Get(caller.HeaderResultCode), notRun: w.Header.Get(caller.HeaderNotRun) == "true", text: string(b), err: err}
 	return got
 }
 
@@ -426,10 +426,10 @@
 }
 
 // setPlatformStay makes the platform list a VM with the given stay.
-func (s *testCluster) setPlatformStay(vm ident.VM, stay vmlist.Stay) {
+func (s *testCluster) setPlatformStay(vm ident.VM, stay vmlist.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.platformList = []vmlist.Entry{{Upstream: settings.Upstream{Name: vm}, Stay: stay}}
+	s.platformList = []vmlist.ListedVM{{Upstream: settings.Upstream{Name: vm}, State: stay}}
 }
 
 // vmThatRan returns the VM that ran a prompt last.
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -230,7 +230,9 @@
 	dispatcher.Generate, dispatcher.Cancel = d.engineClient.Generate, d.engineClient.Cancel
 	dispatcher.CheckConfig = func() error { return d.freshness.check(d.now(), d.applied.revision()) }
 	dispatcher.Observe, dispatcher.AnswerDropped = d.observeRequest, d.metrics.countDroppedAnswer
-	dispatcher.ConnectionRefused = func(ctx context.Context, address string) bool { return transport.Refuses(ctx, d.network.Dial, address) }
+	dispatcher.ConnectionRefused = func(ctx context.Context, address string) bool {
+		return transport.RefusesConnections(ctx, d.network.Dial, address)
+	}
 	dispatcher.Quarantined = func(r *quarantine.Report, remaining time.Duration) { d.logQuarantined(r, remaining, d.cfg.Name) }
 	dispatcher.BackoffRequested = func(head ident.Incarnation, requested time.Duration) { d.logBackoff(string(head), requested, nil) }
 	dispatcher.Services.BackoffRequested = d.logBackoff
@@ -273,8 +275,8 @@
 	}
 	s.Classes, s.Limits, s.Services = d.cfg.Classes, d.cfg.Limits, d.cfg.Services
 	s.Serve, s.ServeCall = d.dispatch.Serve, d.dispatch.ServeCall
-	s.Models, s.Ready = d.applied.models, d.readiness
-	s.Refused = d.metrics.countRefused
+	s.Models, s.CheckReady = d.applied.models, d.readiness
+	s.OnRefused = d.metrics.countRefused
 	d.callerServer = s
 }
 
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -268,7 +268,7 @@
 		announceLeaving func(s *testCluster, vm ident.VM)
 	}{
 		{"announced by the engine", func(s *testCluster, vm ident.VM) { s.engines[vm].SetLeaving(true) }},
-		{"listed by the platform", func(s *testCluster, vm ident.VM) { s.setPlatformStay(vm, vmlist.StayLeaving) }},
+		{"listed by the platform", func(s *testCluster, vm ident.VM) { s.setPlatformStay(vm, vmlist.StateLeaving) }},
 		{"drained by an operator", func(s *testCluster, vm ident.VM) {
 			_, err := s.submitChange("b", &operator.Change{Drain: &operator.DrainChange{VM: vm, Drain: true}})
 			s.noError(err)
@@ -364,7 +364,7 @@
 					}
 					time.Sleep(5 * time.Second)
 				}
-				if n := s.service.Doubled(); n != 0 {
+				if n := s.service.RepeatedCalls(); n != 0 {
 					t.Errorf("%d calls ran twice", n)
 				}
 			})
@@ -418,7 +418,7 @@
 			arrived[upstream]++
 		}
 		s.service.Limit, s.service.OnCall = limit, func() { count("worker") }
-		s.engines["w1"].Limit.Store(limit)
+		s.engines["w1"].RequestsPerSecond.Store(limit)
 		s.engines["w1"].OnRun = func(ident.Request, string) { count("head") }
 		for _, name := range s.names {
 			s.send(name, "/services/"+serviceName+"/x", "first "+string(name), nil)
--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -23,7 +23,7 @@
 		return peer.FollowReply{}, result.New(result.PeerRefused, "not a control member, or one that does not know every committed change yet")
 	}
 	changed := d.fleet.Changed()
-	entries, ok := d.fleet.Since(call.After, followBatchSize)
+	entries, ok := d.fleet.CommandsSince(call.After, followBatchSize)
 	if ok && len(entries) == 0 {
 		timer := time.NewTimer(min(time.Duration(call.WaitMillis)*time.Millisecond, maxFollowWaitTime))
 		defer timer.Stop()
@@ -31,7 +31,7 @@
 		case <-changed:
 		case <-timer.C:
 		}
-		entries, ok = d.fleet.Since(call.After, followBatchSize)
+		entries, ok = d.fleet.CommandsSince(call.After, followBatchSize)
 	}
 	reply := peer.FollowReply{Entries: entries, Revision: d.fleet.Revision()}
 	if ok {
--- a/daemon/limits.go
+++ b/daemon/limits.go
@@ -41,7 +41,7 @@
 	dispatcher.LimitUnreadable = func(upstream string, err error) {
 		d.Log.Info("upstream sent an unreadable limit", "upstream", upstream, "code", result.CodeOf(err), "error", result.Message(err))
 	}
-	d.engineClient.Heard, d.engineClient.Now = dispatcher.ApplyLimit, d.now
+	d.engineClient.OnResponse, d.engineClient.Now = dispatcher.ApplyLimit, d.now
 }
 
 // updateCoordinators assigns coordinators among the live daemons; only beatLoop calls it.
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -23,7 +23,7 @@
 		answer, err := d.proposeFleet(ctx, command)
 		if err == nil {
 			d.awaitRevision(ctx, answer.Revision)
-			d.Log.Info("change answered", "change", command.Change, "operator", command.By, "what", command.What(),
+			d.Log.Info("change answered", "change", command.Change, "operator", command.By, "what", command.Summary(),
 				"revision", answer.Revision, "code", int(answer.Code))
 			return answer, nil
 		}
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -55,12 +55,12 @@
 	for i := range p.list.VMs {
 		if entry := &p.list.VMs[i]; entry.Valid() {
 			listed[entry.Name] = true
-			vms = append(vms, vmlist.VM(&entry.Upstream))
+			vms = append(vms, vmlist.FleetVM(&entry.Upstream))
 		}
 	}
 	for i := range p.d.cfg.Upstreams {
 		if upstream := &p.d.cfg.Upstreams[i]; !listed[upstream.Name] {
-			vms = append(vms, vmlist.VM(upstream))
+			vms = append(vms, vmlist.FleetVM(upstream))
 		}
 	}
 	return vms
@@ -71,7 +71,7 @@
 	defer p.mu.Unlock()
 	listings := map[ident.VM]fleet.Listing{}
 	for i := range p.list.VMs {
-		listings[p.list.VMs[i].Name] = p.list.VMs[i].Stay.Listing()
+		listings[p.list.VMs[i].Name] = p.list.VMs[i].State.Listing()
 	}
 	return listings
 }
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -360,7 +360,7 @@
 	defer t.mu.Unlock()
 	r := &Report{
 		Requests: t.counts.Requests, AnswersWhole: t.counts.Whole, AnswersWrong: t.counts.Wrong, RefusedNotRun: t.counts.NotRun,
-		Doubled: d.site.service.Doubled(), ChangeInForce: d.inForce.Milliseconds(), ToldFailed: t.counts.Failed,
+		Doubled: d.site.service.RepeatedCalls(), ChangeInForce: d.inForce.Milliseconds(), ToldFailed: t.counts.Failed,
 	}
 	if st, err := d.asked().client.Status(ctx); err == nil {
 		r.GroupDowntime, r.StrandedTime = st.DownMillis, st.StrandedMillis
--- a/dispatch/backoff_test.go
+++ b/dispatch/backoff_test.go
@@ -92,7 +92,7 @@
 		start := time.Now()
 		var arrivals []time.Duration
 		generate := f.Generate
-		f.Generate = func(ctx context.Context, address string, g *engine.Generate) (*engine.Stream, error) {
+		f.Generate = func(ctx context.Context, address string, g *engine.GenerateRequest) (*engine.Stream, error) {
 			if address == "head-0" {
 				arrivals = append(arrivals, time.Since(start))
 			}
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -101,7 +101,7 @@
 	return d
 }
 
-func (f *fixture) generate(ctx context.Context, address string, g *engine.Generate) (*engine.Stream, error) {
+func (f *fixture) generate(ctx context.Context, address string, g *engine.GenerateRequest) (*engine.Stream, error) {
 	d := f.nextBehavior(address)
 	if d.refuseCode != result.OK {
 		return nil, result.New(d.refuseCode, "injected failure")
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -53,7 +53,7 @@
 	Table       *routing.Table
 	Ledger      *ledger.Client
 	RetryBudget *RetryBudget
-	Generate    func(ctx context.Context, address string, g *engine.Generate) (*engine.Stream, error)
+	Generate    func(ctx context.Context, address string, g *engine.GenerateRequest) (*engine.Stream, error)
 	Cancel      func(ctx context.Context, address string, id ident.Request) error
 	// CheckConfig returns an error while this daemon's configuration may be out of date.
 	CheckConfig func() error
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -165,7 +165,7 @@
 	defer cancel(nil)
 	defer j.dispatcher.attempts.add(&attempt{target: target, cancel: cancel})()
 	sentAt := j.dispatcher.Now()
-	stream, err := j.dispatcher.Generate(ctx, target.Head, &engine.Generate{
+	stream, err := j.dispatcher.Generate(ctx, target.Head, &engine.GenerateRequest{
 		Request: j.request.ID, Group: target.Group, Epoch: target.Epoch, Model: j.request.Model, Adapter: j.request.Adapter,
 		Chat: j.request.Chat, Prompt: j.request.Prompt, Options: j.request.Options, MaxTokens: j.request.MaxTokens,
 		Priority: j.request.Priority, From: j.tokens, Prefixes: j.targetRequest.Prefixes,
--- a/dispatch/limit_test.go
+++ b/dispatch/limit_test.go
@@ -86,7 +86,7 @@
 			return &dispatch.Reply{Status: http.StatusOK}, nil
 		}
 		generate := f.Generate
-		f.Generate = func(ctx context.Context, address string, g *engine.Generate) (*engine.Stream, error) {
+		f.Generate = func(ctx context.Context, address string, g *engine.GenerateRequest) (*engine.Stream, error) {
 			if address == "head-0" {
 				sentAt := time.Now()
 				f.ApplyLimit(address, sentAt, http.StatusOK, u.serve())
--- a/engine/client.go
+++ b/engine/client.go
@@ -42,15 +42,15 @@
 type Client struct {
 	// HTTP must neither follow redirects nor retry.
 	HTTP *http.Client
-	// Heard is called with the status and headers of each answer to Generate, and the time at which the request was sent.
-	Heard func(address string, sent time.Time, status int, h http.Header)
+	// OnResponse is called with the status and headers of each answer to Generate, and the time at which the request was sent.
+	OnResponse func(address string, sent time.Time, status int, h http.Header)
 	// Now is the clock for the send times of requests.
 	Now func() time.Time
 }
 
 // NewClient returns a client that keeps connections alive and follows no redirects.
 func NewClient(dial transport.Dial) *Client {
-	return &Client{HTTP: transport.New(transport.Kept, dial), Heard: func(string, time.Time, int, http.Header) {}, Now: clock.Now}
+	return &Client{HTTP: transport.New(transport.KeepAlive, dial), OnResponse: func(string, time.Time, int, http.Header) {}, Now: clock.Now}
 }
 
 // State requests the current state of the engine at address.
@@ -134,7 +134,7 @@
 	switch {
 	case status == StatusFenced:
 		return result.New(result.OrderFenced, "%s", refusal.Reason)
-	case refusal.Epoch && refusal.NotRun:
+	case refusal.WrongEpoch && refusal.NotRun:
 		return result.New(result.EpochMismatch, "%s", refusal.Reason)
 	case refusal.NotRun:
 		return result.New(result.UpstreamNotRun, "%s", refusal.Reason)
@@ -145,13 +145,13 @@
 }
 
 // Generate sends a request once and returns the answer as a stream, which the caller must close.
-func (c *Client) Generate(ctx context.Context, address string, g *Generate) (*Stream, error) {
+func (c *Client) Generate(ctx context.Context, address string, g *GenerateRequest) (*Stream, error) {
 	body, err := json.Marshal(g)
 	if err != nil {
 		return nil, result.Wrap(err, result.BadRequest, "cannot encode generate request")
 	}
 	// A plain reader leaves GetBody unset, so the transport cannot rewind the body and resend the request.
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+PathGenerate, transport.Body(body))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+PathGenerate, transport.OneShotBody(body))
 	if err != nil {
 		return nil, result.Wrap(err, result.BadRequest, "cannot build generate request")
 	}
@@ -162,7 +162,7 @@
 	if err != nil {
 		return nil, transport.Classify(err)
 	}
-	c.Heard(address, sent, w.StatusCode, w.Header)
+	c.OnResponse(address, sent, w.StatusCode, w.Header)
 	if w.StatusCode != http.StatusOK {
 		defer w.Body.Close()
 		refusal, _ := io.ReadAll(io.LimitReader(w.Body, maxReplyBytes))
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -23,7 +23,7 @@
 // listenRaw starts a listener whose answers serve writes to the connection; n counts the requests on all connections from 1.
 func listenRaw(t *testing.T, serve func(n int, conn net.Conn, r *http.Request) (keepOpen bool)) (address string, requests *atomic.Int64) {
 	t.Helper()
-	ln, requests, err := standin.ByHand(serve)
+	ln, requests, err := standin.ListenRaw(serve)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 
 func generate(t *testing.T, address string, client *engine.Client) (string, error) {
 	t.Helper()
-	s, err := client.Generate(t.Context(), address, &engine.Generate{Request: "r1", Epoch: 7, Prompt: []byte(`"p"`), MaxTokens: 2})
+	s, err := client.Generate(t.Context(), address, &engine.GenerateRequest{Request: "r1", Epoch: 7, Prompt: []byte(`"p"`), MaxTokens: 2})
 	if err != nil {
 		return "", err
 	}
@@ -267,7 +267,7 @@
 				fmt.Fprintf(conn, "HTTP/1.1 %s X\r\n%sContent-Length: %d\r\n\r\n%s", c.status, c.header, len(body), body)
 				return false
 			})
-			_, err := engine.NewClient(transport.TCP()).Generate(context.Background(), address, &engine.Generate{Request: "r1", Epoch: 7})
+			_, err := engine.NewClient(transport.TCP()).Generate(context.Background(), address, &engine.GenerateRequest{Request: "r1", Epoch: 7})
 			if got := backoff.RequestedBy(err); got != c.want || result.CodeOf(err) != result.UpstreamNotRun {
 				t.Errorf("error %v requests a backoff of %v, want code %d and %v", err, got, result.UpstreamNotRun, c.want)
 			}
--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -78,9 +78,9 @@
 	Reason      string            `json:"reason,omitempty"`
 }
 
-// Generate is the body of a request to generate text. From is the first token wanted; an earlier stream of the same request
+// GenerateRequest is the body of a request to generate text. From is the first token wanted; an earlier stream of the same request
 // has delivered the tokens before it.
-type Generate struct {
+type GenerateRequest struct {
 	Request   ident.Request   `json:"request"`
 	Group     ident.Group     `json:"group"`
 	Epoch     ident.Epoch     `json:"epoch"`
@@ -100,8 +100,8 @@
 type Refusal struct {
 	NotRun bool `json:"not-run"`
 	// The request named a group or epoch that the engine is not in.
-	Epoch  bool   `json:"wrong-epoch"`
-	Reason string `json:"reason"`
+	WrongEpoch bool   `json:"wrong-epoch"`
+	Reason     string `json:"reason"`
 }
 
 // Token is one line of an answer: token number N, counted from 0, or with Done the final line, where N is the token count.
--- a/engine/standin.go
+++ b/engine/standin.go
@@ -49,12 +49,12 @@
 	PeersPresent func(members []string) bool
 	// OnRun is called for each request that starts to run.
 	OnRun func(id ident.Request, prompt string)
-	// CutAfter is the number of tokens after which each stream is broken off; 0 disables it.
-	CutAfter atomic.Int64
+	// CutAfterTokens is the number of tokens after which each stream is broken off; 0 disables it.
+	CutAfterTokens atomic.Int64
 	// Foreign makes answers contain another request's ID.
 	Foreign atomic.Bool
-	// Limit is the advertised limit in requests per second; 0 advertises none.
-	Limit atomic.Int64
+	// RequestsPerSecond is the advertised limit in requests per second; 0 advertises none.
+	RequestsPerSecond atomic.Int64
 	// Refuse makes the engine refuse every generate request as not run.
 	Refuse atomic.Bool
 
@@ -264,7 +264,7 @@
 }
 
 // admit returns the refusal of a request that the stand-in does not run, or nil.
-func (s *StandIn) admit(g *Generate) *Refusal {
+func (s *StandIn) admit(g *GenerateRequest) *Refusal {
 	s.mu.Lock()
 	s.finishLoad()
 	st, joinOrder := s.state, s.joinOrder
@@ -273,7 +273,7 @@
 	case s.Refuse.Load():
 		return &Refusal{NotRun: true, Reason: "refusal is switched on"}
 	case st.Epoch != g.Epoch || st.Group != g.Group:
-		return &Refusal{NotRun: true, Epoch: true, Reason: fmt.Sprintf("in group %q epoch %d", st.Group, st.Epoch)}
+		return &Refusal{NotRun: true, WrongEpoch: true, Reason: fmt.Sprintf("in group %q epoch %d", st.Group, st.Epoch)}
 	case st.Phase != PhaseReady:
 		return &Refusal{NotRun: true, Reason: "engine is not ready"}
 	case joinOrder.Rank != 0:
@@ -285,7 +285,7 @@
 }
 
 func (s *StandIn) handleGenerate(w http.ResponseWriter, r *http.Request) {
-	var g Generate
+	var g GenerateRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxGenerateBytes)).Decode(&g); err != nil {
 		writeJSON(w, http.StatusBadRequest, Refusal{NotRun: true, Reason: err.Error()})
 		return
@@ -317,7 +317,7 @@
 	s.run(ctx, w, &g)
 }
 
-func (s *StandIn) run(ctx context.Context, w http.ResponseWriter, g *Generate) {
+func (s *StandIn) run(ctx context.Context, w http.ResponseWriter, g *GenerateRequest) {
 	s.running.Add(1)
 	defer s.running.Add(-1)
 	s.OnRun(g.Request, string(g.Prompt))
@@ -330,10 +330,10 @@
 		id = "somebody-else"
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	ratelimit.SetHeader(w.Header(), ratelimit.Rate(s.Limit.Load()))
+	ratelimit.SetHeader(w.Header(), ratelimit.Rate(s.RequestsPerSecond.Load()))
 	controller := http.NewResponseController(w)
 	encoder := json.NewEncoder(w)
-	cutAfter := int(s.CutAfter.Load())
+	cutAfter := int(s.CutAfterTokens.Load())
 	for i := g.From; i < int(g.MaxTokens); i++ {
 		if cutAfter > 0 && i-g.From >= cutAfter {
 			panic(http.ErrAbortHandler)
--- a/fleet/apply.go
+++ b/fleet/apply.go
@@ -47,13 +47,13 @@
 	digest := c.digest()
 	if first, ok := s.findChange(c.Change); ok {
 		if first.Digest != digest {
-			return answerOf(revision, refuse(result.ChangeIDReused, "change id %s was used at revision %d for: %s", c.Change, first.Revision, first.What))
+			return answerOf(revision, refuse(result.ChangeIDReused, "change id %s was used at revision %d for: %s", c.Change, first.Revision, first.Summary))
 		}
 		return first.Answer
 	}
 	answer := answerOf(revision, s.execute(revision, c))
 	s.addHistory(HistoryEntry{
-		Change: c.Change, Revision: revision, By: c.By, At: c.At, What: c.What(), Digest: digest, Answer: answer,
+		Change: c.Change, Revision: revision, Operator: c.By, At: c.At, Summary: c.Summary(), Digest: digest, Answer: answer,
 	})
 	return answer
 }
@@ -80,11 +80,11 @@
 		return s.labelVM(revision, c)
 	case KindDrainVM:
 		return s.drainVM(revision, c)
-	case KindLimits:
+	case KindSetLimits:
 		return s.setLimits(revision, c)
-	case KindRegister:
+	case KindRegisterVMs:
 		return s.registerVMs(c.VMs)
-	case KindListing:
+	case KindSetListings:
 		return s.updateListings(revision, c.Listings)
 	case KindAssign:
 		return s.assign(revision, c.Assign)
@@ -93,7 +93,7 @@
 	case KindBreakGroup:
 		return s.breakGroup(c.Assign)
 	case KindConfirm:
-		return s.applyConfirmations(c.Confirms)
+		return s.applyConfirmations(c.Confirmations)
 	}
 	return refuse(result.ChangeInvalid, "unknown kind %d", c.Kind)
 }
@@ -106,7 +106,7 @@
 		missing = c.Spec == nil
 	case KindLabelVM, KindDrainVM:
 		missing = c.Label == nil
-	case KindLimits:
+	case KindSetLimits:
 		missing = c.Limits == nil
 	case KindAssign, KindDrainGroup, KindBreakGroup:
 		missing = c.Assign == nil
@@ -175,7 +175,7 @@
 		return r
 	}
 	if g.Epoch != 0 && len(g.Members) > 0 && s.needsReform(g, c.Spec) {
-		g.Reform = true
+		g.NeedsReform = true
 	}
 	g.Spec = *c.Spec
 	g.Changed = revision
@@ -214,7 +214,7 @@
 func (s *State) startDraining(revision ident.Revision, g *Group) {
 	if g.Phase == GroupServing {
 		g.Phase = GroupDraining
-		g.DrainedFrom = revision
+		g.DrainRevision = revision
 	}
 }
 
@@ -258,7 +258,7 @@
 	if v.Eligible() && g.Spec.FailedRequirement(v) == nil {
 		return
 	}
-	g.Reform = true
+	g.NeedsReform = true
 	if !v.Eligible() {
 		s.startDraining(revision, g)
 	}
--- a/fleet/apply_test.go
+++ b/fleet/apply_test.go
@@ -28,7 +28,7 @@
 			Labels: map[string]string{"gpu": gpu},
 		})
 	}
-	l.mustApply(&fleet.Command{Kind: fleet.KindRegister, VMs: list})
+	l.mustApply(&fleet.Command{Kind: fleet.KindRegisterVMs, VMs: list})
 	return l
 }
 
@@ -60,7 +60,7 @@
 }
 
 func assign(name ident.Group, base ident.Epoch, members ...ident.VM) *fleet.Command {
-	return &fleet.Command{Kind: fleet.KindAssign, Assign: &fleet.Assign{Group: name, Base: base, Members: members}}
+	return &fleet.Command{Kind: fleet.KindAssign, Assign: &fleet.Assignment{Group: name, BaseEpoch: base, Members: members}}
 }
 
 func (l *replicatedLog) epoch(name ident.Group) ident.Epoch {
@@ -78,7 +78,7 @@
 func (l *replicatedLog) confirm(name ident.Group, members ...ident.VM) {
 	l.t.Helper()
 	for _, m := range members {
-		l.mustApply(&fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{{VM: m, Epoch: l.epoch(name), Incarnation: "i-" + ident.Incarnation(m)}}})
+		l.mustApply(&fleet.Command{Kind: fleet.KindConfirm, Confirmations: []fleet.Confirmation{{VM: m, Epoch: l.epoch(name), Incarnation: "i-" + ident.Incarnation(m)}}})
 	}
 }
 
@@ -107,21 +107,21 @@
 			l.formServing("other", "w0")
 			left := l.epoch("other")
 			l.mustApply(assign("other", left, "w2"))
-			l.mustApply(&fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{{VM: "w0", Epoch: left, Left: true}}})
+			l.mustApply(&fleet.Command{Kind: fleet.KindConfirm, Confirmations: []fleet.Confirmation{{VM: "w0", Epoch: left, Left: true}}})
 		}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.OK},
 		{"late confirmation of leaving an older epoch", func(l *replicatedLog) {
 			l.formServing("other", "w0")
 			l.mustApply(assign("other", l.epoch("other"), "w2"))
-			l.mustApply(&fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{{VM: "w0", Epoch: 1, Left: true}}})
+			l.mustApply(&fleet.Command{Kind: fleet.KindConfirm, Confirmations: []fleet.Confirmation{{VM: "w0", Epoch: 1, Left: true}}})
 		}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.ChangeRefused},
 		{"leaving VM that the platform listed as gone", func(l *replicatedLog) {
 			l.formServing("other", "w0")
 			l.mustApply(assign("other", l.epoch("other"), "w2"))
-			l.mustApply(&fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingGone}}})
-			l.mustApply(&fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingLive}}})
+			l.mustApply(&fleet.Command{Kind: fleet.KindSetListings, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingGone}}})
+			l.mustApply(&fleet.Command{Kind: fleet.KindSetListings, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingLive}}})
 		}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.OK},
 		{"VM listed as leaving the platform", func(l *replicatedLog) {
-			l.mustApply(&fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingLeaving}}})
+			l.mustApply(&fleet.Command{Kind: fleet.KindSetListings, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingLeaving}}})
 		}, func(*replicatedLog) *fleet.Command { return assign("g", 0, "w0", "w1") }, result.ChangeRefused},
 		{"VM that the selector excludes", func(l *replicatedLog) {
 			l.mustApply(&fleet.Command{Kind: fleet.KindChangeGroup, Spec: &fleet.GroupSpec{
@@ -152,22 +152,22 @@
 	phase := func() string { return l.state.Groups["g"].Phase.String() }
 	for _, c := range []struct {
 		name    string
-		confirm fleet.Confirm
+		confirm fleet.Confirmation
 		want    string
 	}{
-		{"one member", fleet.Confirm{VM: "w0", Epoch: first, Incarnation: "a"}, "forming"},
-		{"same member again", fleet.Confirm{VM: "w0", Epoch: first, Incarnation: "a"}, "forming"},
-		{"other member for another epoch", fleet.Confirm{VM: "w1", Epoch: first + 7, Incarnation: "b"}, "forming"},
-		{"VM outside the group", fleet.Confirm{VM: "w2", Epoch: first, Incarnation: "c"}, "forming"},
-		{"other member", fleet.Confirm{VM: "w1", Epoch: first, Incarnation: "b"}, "serving"},
+		{"one member", fleet.Confirmation{VM: "w0", Epoch: first, Incarnation: "a"}, "forming"},
+		{"same member again", fleet.Confirmation{VM: "w0", Epoch: first, Incarnation: "a"}, "forming"},
+		{"other member for another epoch", fleet.Confirmation{VM: "w1", Epoch: first + 7, Incarnation: "b"}, "forming"},
+		{"VM outside the group", fleet.Confirmation{VM: "w2", Epoch: first, Incarnation: "c"}, "forming"},
+		{"other member", fleet.Confirmation{VM: "w1", Epoch: first, Incarnation: "b"}, "serving"},
 	} {
-		l.mustApply(&fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{c.confirm}})
+		l.mustApply(&fleet.Command{Kind: fleet.KindConfirm, Confirmations: []fleet.Confirmation{c.confirm}})
 		if got := phase(); got != c.want {
 			t.Errorf("after confirmation of %s: %s, want %s", c.name, got, c.want)
 		}
 	}
 	// Later confirmations for the epoch must not make a broken group serve again.
-	l.mustApply(&fleet.Command{Kind: fleet.KindBreakGroup, Assign: &fleet.Assign{Group: "g", Base: first}})
+	l.mustApply(&fleet.Command{Kind: fleet.KindBreakGroup, Assign: &fleet.Assignment{Group: "g", BaseEpoch: first}})
 	l.confirm("g", "w0", "w1")
 	if got := phase(); got != "broken" {
 		t.Errorf("broken group is %s after confirmations for epoch %d, want broken", got, first)
@@ -184,7 +184,7 @@
 	l.mustApply(create("g", 2))
 	l.mustApply(assign("g", 0, "w0", "w1"))
 	l.confirm("g", "w0")
-	l.mustApply(&fleet.Command{Kind: fleet.KindBreakGroup, Assign: &fleet.Assign{Group: "g", Base: l.epoch("g")}})
+	l.mustApply(&fleet.Command{Kind: fleet.KindBreakGroup, Assign: &fleet.Assignment{Group: "g", BaseEpoch: l.epoch("g")}})
 	l.confirm("g", "w1")
 	if got := l.state.Groups["g"].Phase; got != fleet.GroupBroken {
 		t.Errorf("after the last confirmation: %s, want broken", got)
@@ -277,8 +277,8 @@
 		{"label outside the selector", &fleet.Command{Kind: fleet.KindLabelVM, Label: &fleet.LabelChange{VM: "w0", Set: map[string]string{"x": "y"}}}, "serving", false},
 		{"label that the selector excludes", &fleet.Command{Kind: fleet.KindLabelVM, Label: &fleet.LabelChange{VM: "w0", Set: map[string]string{"gpu": "broken"}}}, "serving", true},
 		{"operator drains a member", &fleet.Command{Kind: fleet.KindDrainVM, Label: &fleet.LabelChange{VM: "w0", Drain: true}}, "draining", true},
-		{"member is listed as leaving", &fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingLeaving}}}, "draining", true},
-		{"VM outside the group is listed as leaving", &fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: "w1", Listing: fleet.ListingLeaving}}}, "serving", false},
+		{"member is listed as leaving", &fleet.Command{Kind: fleet.KindSetListings, Listings: []fleet.VMListing{{VM: "w0", Listing: fleet.ListingLeaving}}}, "draining", true},
+		{"VM outside the group is listed as leaving", &fleet.Command{Kind: fleet.KindSetListings, Listings: []fleet.VMListing{{VM: "w1", Listing: fleet.ListingLeaving}}}, "serving", false},
 	} {
 		l := newReplicatedLog(t, 4)
 		l.mustApply(&fleet.Command{Kind: fleet.KindCreateGroup, Spec: &fleet.GroupSpec{
@@ -288,8 +288,8 @@
 		l.confirm("g", "w0", "w2")
 		l.mustApply(c.command)
 		g := l.state.Groups["g"]
-		if g.Phase.String() != c.phase || g.Reform != c.reform {
-			t.Errorf("%s: %s, reform %t; want %s, %t", c.name, g.Phase, g.Reform, c.phase, c.reform)
+		if g.Phase.String() != c.phase || g.NeedsReform != c.reform {
+			t.Errorf("%s: %s, reform %t; want %s, %t", c.name, g.Phase, g.NeedsReform, c.phase, c.reform)
 		}
 	}
 }
@@ -304,14 +304,14 @@
 		{"no kind", &fleet.Command{}, result.ChangeInvalid},
 		{"create without content", &fleet.Command{Kind: fleet.KindCreateGroup}, result.ChangeInvalid},
 		{"label without content", &fleet.Command{Kind: fleet.KindLabelVM}, result.ChangeInvalid},
-		{"limits without content", &fleet.Command{Kind: fleet.KindLimits}, result.ChangeInvalid},
+		{"limits without content", &fleet.Command{Kind: fleet.KindSetLimits}, result.ChangeInvalid},
 		{"assign without content", &fleet.Command{Kind: fleet.KindAssign}, result.ChangeInvalid},
 		{"bad name", create("Not A Name", 1), result.ChangeInvalid},
 		{"no size", create("g", 0), result.ChangeInvalid},
 		{"built-in label", &fleet.Command{Kind: fleet.KindLabelVM, Label: &fleet.LabelChange{VM: "w0", Set: map[string]string{"hall": "x"}}}, result.ChangeInvalid},
 		{"unknown VM", &fleet.Command{Kind: fleet.KindDrainVM, Label: &fleet.LabelChange{VM: "x"}}, result.ChangeNotFound},
 		{"unknown group", &fleet.Command{Kind: fleet.KindDeleteGroup, Group: "x"}, result.ChangeNotFound},
-		{"negative limit", &fleet.Command{Kind: fleet.KindLimits, Limits: &fleet.LimitChange{Customer: "c", Limits: fleet.CustomerLimits{Concurrent: -1}}}, result.ChangeInvalid},
+		{"negative limit", &fleet.Command{Kind: fleet.KindSetLimits, Limits: &fleet.LimitChange{Customer: "c", Limits: fleet.CustomerLimits{Concurrent: -1}}}, result.ChangeInvalid},
 	} {
 		before, _ := l.state.Marshal()
 		a := l.apply(c.command)
--- a/fleet/assign.go
+++ b/fleet/assign.go
@@ -10,13 +10,13 @@
 	"github.com/dunlinquay/dunlinquay/result"
 )
 
-func (s *State) assign(revision ident.Revision, a *Assign) *refusal {
+func (s *State) assign(revision ident.Revision, a *Assignment) *refusal {
 	g, ok := s.Groups[a.Group]
 	if !ok {
 		return refuse(result.ChangeNotFound, "there is no group %s", a.Group)
 	}
-	if g.Epoch != a.Base {
-		return refuse(result.ChangeConflict, "group %s is in epoch %d, decision was based on epoch %d", a.Group, g.Epoch, a.Base)
+	if g.Epoch != a.BaseEpoch {
+		return refuse(result.ChangeConflict, "group %s is in epoch %d, decision was based on epoch %d", a.Group, g.Epoch, a.BaseEpoch)
 	}
 	if len(a.Members) > 0 {
 		if r := s.checkMembers(g, a.Members); r != nil {
@@ -80,8 +80,8 @@
 	}
 	g.Epoch = ident.Epoch(revision)
 	g.Members = append([]ident.VM(nil), members...)
-	g.Reform = false
-	g.DrainedFrom = 0
+	g.NeedsReform = false
+	g.DrainRevision = 0
 	for _, name := range members {
 		v := s.VMs[name]
 		v.Group, v.Epoch, v.Phase, v.Incarnation = g.Spec.Name, g.Epoch, VMJoining, ""
@@ -96,33 +96,33 @@
 	}
 }
 
-func (s *State) drainGroup(revision ident.Revision, a *Assign) *refusal {
+func (s *State) drainGroup(revision ident.Revision, a *Assignment) *refusal {
 	g, ok := s.Groups[a.Group]
 	if !ok {
 		return refuse(result.ChangeNotFound, "there is no group %s", a.Group)
 	}
-	if g.Epoch != a.Base || g.Phase != GroupServing {
-		return refuse(result.ChangeConflict, "group %s is %s in epoch %d, want serving in epoch %d", a.Group, g.Phase, g.Epoch, a.Base)
+	if g.Epoch != a.BaseEpoch || g.Phase != GroupServing {
+		return refuse(result.ChangeConflict, "group %s is %s in epoch %d, want serving in epoch %d", a.Group, g.Phase, g.Epoch, a.BaseEpoch)
 	}
 	s.startDraining(revision, g)
 	return nil
 }
 
 // breakGroup records that the group lost a member; the current epoch never serves again.
-func (s *State) breakGroup(a *Assign) *refusal {
+func (s *State) breakGroup(a *Assignment) *refusal {
 	g, ok := s.Groups[a.Group]
 	if !ok {
 		return refuse(result.ChangeNotFound, "there is no group %s", a.Group)
 	}
-	if g.Epoch != a.Base || g.Phase == GroupPending {
-		return refuse(result.ChangeConflict, "group %s is %s in epoch %d, want a formed group in epoch %d", a.Group, g.Phase, g.Epoch, a.Base)
+	if g.Epoch != a.BaseEpoch || g.Phase == GroupPending {
+		return refuse(result.ChangeConflict, "group %s is %s in epoch %d, want a formed group in epoch %d", a.Group, g.Phase, g.Epoch, a.BaseEpoch)
 	}
 	g.Phase = GroupBroken
 	return nil
 }
 
 // applyConfirmations records joins and leaves; confirmations for another epoch or phase are ignored.
-func (s *State) applyConfirmations(confirms []Confirm) *refusal {
+func (s *State) applyConfirmations(confirms []Confirmation) *refusal {
 	for _, c := range confirms {
 		v, ok := s.VMs[c.VM]
 		if !ok || v.Epoch != c.Epoch {
--- a/fleet/command.go
+++ b/fleet/command.go
@@ -14,16 +14,16 @@
 // Kind is the type of a command; it determines which field of Command holds the content.
 type Kind uint8
 
-// The kinds of commands: KindCreateGroup to KindLimits are operators' changes, the others are issued by the leader.
+// The kinds of commands: KindCreateGroup to KindSetLimits are operators' changes, the others are issued by the leader.
 const (
 	KindCreateGroup Kind = iota + 1
 	KindChangeGroup
 	KindDeleteGroup
 	KindLabelVM
 	KindDrainVM
-	KindLimits
-	KindRegister
-	KindListing
+	KindSetLimits
+	KindRegisterVMs
+	KindSetListings
 	KindAssign
 	KindDrainGroup
 	KindConfirm
@@ -40,14 +40,14 @@
 	// IfRevision makes the change fail if the object was changed after this revision; zero disables the check.
 	IfRevision ident.Revision `cbor:"5,keyasint,omitempty"`
 
-	Spec     *GroupSpec   `cbor:"6,keyasint,omitempty"`
-	Group    ident.Group  `cbor:"7,keyasint,omitempty"`
-	Label    *LabelChange `cbor:"8,keyasint,omitempty"`
-	Limits   *LimitChange `cbor:"9,keyasint,omitempty"`
-	VMs      []VM         `cbor:"10,keyasint,omitempty"`
-	Listings []VMListing  `cbor:"11,keyasint,omitempty"`
-	Assign   *Assign      `cbor:"12,keyasint,omitempty"`
-	Confirms []Confirm    `cbor:"13,keyasint,omitempty"`
+	Spec          *GroupSpec     `cbor:"6,keyasint,omitempty"`
+	Group         ident.Group    `cbor:"7,keyasint,omitempty"`
+	Label         *LabelChange   `cbor:"8,keyasint,omitempty"`
+	Limits        *LimitChange   `cbor:"9,keyasint,omitempty"`
+	VMs           []VM           `cbor:"10,keyasint,omitempty"`
+	Listings      []VMListing    `cbor:"11,keyasint,omitempty"`
+	Assign        *Assignment    `cbor:"12,keyasint,omitempty"`
+	Confirmations []Confirmation `cbor:"13,keyasint,omitempty"`
 }
 
 // LabelChange sets and removes labels of one VM (KindLabelVM) or sets whether the VM is drained (KindDrainVM).
@@ -70,17 +70,17 @@
 	Listing Listing  `cbor:"2,keyasint"`
 }
 
-// Assign starts a new epoch of Group with Members in rank order; without members the group returns to pending. The command is refused if
+// Assignment starts a new epoch of Group with Members in rank order; without members the group returns to pending. The command is refused if
 // the group's epoch is no longer Base. KindDrainGroup and KindBreakGroup use only Group and Base.
-type Assign struct {
-	Group   ident.Group `cbor:"1,keyasint"`
-	Base    ident.Epoch `cbor:"2,keyasint"`
-	Members []ident.VM  `cbor:"3,keyasint,omitempty"`
-	Reason  string      `cbor:"4,keyasint,omitempty"`
+type Assignment struct {
+	Group     ident.Group `cbor:"1,keyasint"`
+	BaseEpoch ident.Epoch `cbor:"2,keyasint"`
+	Members   []ident.VM  `cbor:"3,keyasint,omitempty"`
+	Reason    string      `cbor:"4,keyasint,omitempty"`
 }
 
-// Confirm records that an engine joined Epoch as Incarnation or, if Left is set, that it left.
-type Confirm struct {
+// Confirmation records that an engine joined Epoch as Incarnation or, if Left is set, that it left.
+type Confirmation struct {
 	VM          ident.VM          `cbor:"1,keyasint"`
 	Epoch       ident.Epoch       `cbor:"2,keyasint"`
 	Incarnation ident.Incarnation `cbor:"3,keyasint,omitempty"`
@@ -139,8 +139,8 @@
 	return xxhash.Sum64(data)
 }
 
-// What returns a short description of an operator's change, for the history and the log.
-func (c *Command) What() string {
+// Summary returns a short description of an operator's change, for the history and the log.
+func (c *Command) Summary() string {
 	switch c.Kind {
 	case KindCreateGroup:
 		return fmt.Sprintf("create group %s", c.Spec.Name)
@@ -152,7 +152,7 @@
 		return fmt.Sprintf("label vm %s%s", c.Label.VM, c.Label.describe())
 	case KindDrainVM:
 		return fmt.Sprintf("drain vm %s: %t", c.Label.VM, c.Label.Drain)
-	case KindLimits:
+	case KindSetLimits:
 		return fmt.Sprintf("limits of %s", c.Limits.Customer)
 	}
 	return fmt.Sprintf("command %d", c.Kind)
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// Since returns up to limit commands after revision; ok is false if some are no longer kept and the caller needs a snapshot.
-func (m *Machine) Since(revision ident.Revision, limit int) (entries []Entry, ok bool) {
+// CommandsSince returns up to limit commands after revision; ok is false if some are no longer kept and the caller needs a snapshot.
+func (m *Machine) CommandsSince(revision ident.Revision, limit int) (entries []Entry, ok bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	if revision >= m.state.Revision {
--- a/fleet/property_test.go
+++ b/fleet/property_test.go
@@ -60,16 +60,16 @@
 		return &fleet.Command{Kind: fleet.KindDeleteGroup, Group: name}
 	case fleet.KindLabelVM, fleet.KindDrainVM:
 		return &fleet.Command{Kind: fleet.KindDrainVM, Label: &fleet.LabelChange{VM: vm, Drain: rapid.Bool().Draw(t, "drain")}}
-	case fleet.KindListing:
+	case fleet.KindSetListings:
 		l := fleet.Listing(rapid.IntRange(0, 2).Draw(t, "listing"))
-		return &fleet.Command{Kind: fleet.KindListing, Listings: []fleet.VMListing{{VM: vm, Listing: l}}}
+		return &fleet.Command{Kind: fleet.KindSetListings, Listings: []fleet.VMListing{{VM: vm, Listing: l}}}
 	case fleet.KindDrainGroup:
-		return &fleet.Command{Kind: fleet.KindDrainGroup, Assign: &fleet.Assign{Group: name, Base: epoch}}
+		return &fleet.Command{Kind: fleet.KindDrainGroup, Assign: &fleet.Assignment{Group: name, BaseEpoch: epoch}}
 	case fleet.KindBreakGroup:
-		return &fleet.Command{Kind: fleet.KindBreakGroup, Assign: &fleet.Assign{Group: name, Base: epoch}}
+		return &fleet.Command{Kind: fleet.KindBreakGroup, Assign: &fleet.Assignment{Group: name, BaseEpoch: epoch}}
 	case fleet.KindConfirm:
 		left := rapid.Bool().Draw(t, "left")
-		return &fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{{VM: vm, Epoch: vmEpoch, Incarnation: "i", Left: left}}}
+		return &fleet.Command{Kind: fleet.KindConfirm, Confirmations: []fleet.Confirmation{{VM: vm, Epoch: vmEpoch, Incarnation: "i", Left: left}}}
 	}
 	return assign(name, epoch, members...)
 }
@@ -112,7 +112,7 @@
 		for i := range vmCount {
 			vms = append(vms, fleet.VM{Name: ident.VM(fmt.Sprint("w", i)), Accelerators: 1})
 		}
-		commands := []*fleet.Command{{Kind: fleet.KindRegister, VMs: vms}}
+		commands := []*fleet.Command{{Kind: fleet.KindRegisterVMs, VMs: vms}}
 		n := rapid.IntRange(20, 150).Draw(t, "commands")
 		restart := rapid.IntRange(0, n).Draw(t, "restart")
 		epochs := map[ident.Group]ident.Epoch{}
@@ -186,7 +186,7 @@
 			t.Errorf("%s: revision %d, want 6", c.name, r)
 		}
 	}
-	entries, ok := m.Since(5, 10)
+	entries, ok := m.CommandsSince(5, 10)
 	if !ok || len(entries) != 1 || entries[0].Revision != 6 {
 		t.Errorf("Since(5): %v, %t; want the entry of revision 6", entries, ok)
 	}
@@ -194,7 +194,7 @@
 	if err := restored.Restore(5, old); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := restored.Since(2, 10); ok {
+	if _, ok := restored.CommandsSince(2, 10); ok {
 		t.Error("Since returned commands from before the snapshot that the machine was restored from")
 	}
 	if a := m.Apply(7, []byte{0xff}); a.Code != result.ChangeInvalid || m.Revision() != 7 {
--- a/fleet/selector.go
+++ b/fleet/selector.go
@@ -54,15 +54,15 @@
 	return v.Labels[name]
 }
 
-// Admits reports whether v meets the requirement.
-func (q *Requirement) Admits(v *VM) bool {
+// IsMetBy reports whether v meets the requirement.
+func (q *Requirement) IsMetBy(v *VM) bool {
 	return slices.Contains(q.Values, v.Label(q.Label)) != q.Not
 }
 
 // FailedRequirement returns the first requirement of the group that v does not meet, or nil.
 func (s *GroupSpec) FailedRequirement(v *VM) *Requirement {
 	for i := range s.Selector {
-		if !s.Selector[i].Admits(v) {
+		if !s.Selector[i].IsMetBy(v) {
 			return &s.Selector[i]
 		}
 	}
--- a/fleet/types.go
+++ b/fleet/types.go
@@ -106,11 +106,11 @@
 	Epoch      ident.Epoch    `cbor:"4,keyasint" json:"epoch"`
 	Phase      GroupPhase     `cbor:"5,keyasint" json:"-"`
 	Members    []ident.VM     `cbor:"6,keyasint,omitempty" json:"members"`
-	// Reform is set if the current members no longer fit the spec or must load something else, and the group needs a new epoch.
-	Reform  bool `cbor:"7,keyasint" json:"reform"`
-	Deleted bool `cbor:"8,keyasint" json:"deleted"`
-	// DrainedFrom is the revision at which draining started.
-	DrainedFrom ident.Revision `cbor:"9,keyasint" json:"drained-from,omitempty"`
+	// NeedsReform is set if the current members no longer fit the spec or must load something else, and the group needs a new epoch.
+	NeedsReform bool `cbor:"7,keyasint" json:"reform"`
+	Deleted     bool `cbor:"8,keyasint" json:"deleted"`
+	// DrainRevision is the revision at which draining started.
+	DrainRevision ident.Revision `cbor:"9,keyasint" json:"drained-from,omitempty"`
 }
 
 // CustomerLimits bounds one customer over all daemons; zero means unlimited.
@@ -126,10 +126,10 @@
 type HistoryEntry struct {
 	Change   ident.Change   `cbor:"1,keyasint" json:"change"`
 	Revision ident.Revision `cbor:"2,keyasint" json:"revision"`
-	By       string         `cbor:"3,keyasint" json:"by"`
+	Operator string         `cbor:"3,keyasint" json:"by"`
 	// At is the proposer's Unix time in milliseconds.
-	At     int64  `cbor:"4,keyasint" json:"at"`
-	What   string `cbor:"5,keyasint" json:"what"`
-	Digest uint64 `cbor:"6,keyasint" json:"-"`
-	Answer Answer `cbor:"7,keyasint" json:"answer"`
+	At      int64  `cbor:"4,keyasint" json:"at"`
+	Summary string `cbor:"5,keyasint" json:"what"`
+	Digest  uint64 `cbor:"6,keyasint" json:"-"`
+	Answer  Answer `cbor:"7,keyasint" json:"answer"`
 }
--- a/measure/slopes/series.go
+++ b/measure/slopes/series.go
@@ -235,11 +235,11 @@
 // follow lets n followers over loopback keep up with changes; it returns bytes and processor time of one change.
 func follow(n, changes int) (bytes, micros float64) {
 	source := fleet.NewMachine()
-	source.Apply(1, must(fleet.Encode(&fleet.Command{Kind: fleet.KindRegister, VMs: []fleet.VM{{Name: "worker-1", Accelerators: 8}}})))
+	source.Apply(1, must(fleet.Encode(&fleet.Command{Kind: fleet.KindRegisterVMs, VMs: []fleet.VM{{Name: "worker-1", Accelerators: 8}}})))
 	address, stop := server(&peer.Handlers{Follow: func(c *peer.FollowCall) (peer.FollowReply, error) {
 		for {
 			changed := source.Changed()
-			entries, _ := source.Since(c.After, 1024)
+			entries, _ := source.CommandsSince(c.After, 1024)
 			if len(entries) > 0 {
 				return peer.FollowReply{Entries: entries, Revision: source.Revision()}, nil
 			}
--- a/operator/client.go
+++ b/operator/client.go
@@ -29,7 +29,7 @@
 
 // NewClient returns a client of the daemon at url.
 func NewClient(url, key string) *Client {
-	return &Client{URL: strings.TrimSuffix(url, "/"), Key: key, HTTP: transport.New(transport.Kept, transport.TCP())}
+	return &Client{URL: strings.TrimSuffix(url, "/"), Key: key, HTTP: transport.New(transport.KeepAlive, transport.TCP())}
 }
 
 func (c *Client) base() *sling.Sling {
--- a/operator/messages.go
+++ b/operator/messages.go
@@ -73,7 +73,7 @@
 		out.Label = &fleet.LabelChange{VM: c.Drain.VM, Drain: c.Drain.Drain}
 	}
 	if c.Limits != nil {
-		out.Kind, set = fleet.KindLimits, set+1
+		out.Kind, set = fleet.KindSetLimits, set+1
 		out.Limits = &fleet.LimitChange{Customer: c.Limits.Customer, Limits: c.Limits.Limits}
 	}
 	if c.ID == "" || len(c.ID) > ident.MaxNameLength {
--- a/planner/plan.go
+++ b/planner/plan.go
@@ -123,7 +123,7 @@
 
 // settled reports whether a group needs no decision, as is the case for most groups.
 func (p *plan) settled(g *Group) bool {
-	return !g.Deleted && !g.Reform && (g.Phase == fleet.GroupServing || g.Phase == fleet.GroupForming) && p.snapshot.intact(g)
+	return !g.Deleted && !g.NeedsReform && (g.Phase == fleet.GroupServing || g.Phase == fleet.GroupForming) && p.snapshot.intact(g)
 }
 
 func (p *plan) precedes(a, b *Group) bool {
@@ -148,7 +148,7 @@
 		p.form(i, g)
 	case g.Phase == fleet.GroupServing && canServe:
 		p.addAction(Action{Kind: ActionDrain, Group: g.Spec.Name, BaseEpoch: g.Epoch, Reason: "declared load or members changed"})
-	case g.Phase == fleet.GroupDraining || g.Reform:
+	case g.Phase == fleet.GroupDraining || g.NeedsReform:
 		p.reform(i, g)
 	default:
 		p.repair(i, g)
--- a/planner/plan_test.go
+++ b/planner/plan_test.go
@@ -249,12 +249,12 @@
 		},
 		{
 			name: "another version of the model: drain before the reload", domains: []string{"d1: a b"},
-			declare: func(s *fleet.State) { serve(s, "g", "a b").Reform = true }, want: []string{"drain g"},
+			declare: func(s *fleet.State) { serve(s, "g", "a b").NeedsReform = true }, want: []string{"drain g"},
 		},
 		{
 			name: "a member was drained by an operator: drain the group first", domains: []string{"d1: a b c"},
 			declare: func(s *fleet.State) {
-				serve(s, "g", "a b").Reform = true
+				serve(s, "g", "a b").NeedsReform = true
 				s.VMs["b"].Drained = true
 			},
 			want: []string{"drain g"},
@@ -263,7 +263,7 @@
 			name: "a member that is leaving has requests in progress", domains: []string{"d1: a b c"},
 			declare: func(s *fleet.State) {
 				g := serve(s, "g", "a b")
-				g.Phase, g.Reform = fleet.GroupDraining, true
+				g.Phase, g.NeedsReform = fleet.GroupDraining, true
 				s.VMs["b"].Listing = fleet.ListingLeaving
 			},
 			want: []string{},
@@ -272,7 +272,7 @@
 			name: "a member that is leaving has no requests left", domains: []string{"d1: a b c"},
 			declare: func(s *fleet.State) {
 				g := serve(s, "g", "a b")
-				g.Phase, g.Reform = fleet.GroupDraining, true
+				g.Phase, g.NeedsReform = fleet.GroupDraining, true
 				s.VMs["b"].Listing = fleet.ListingLeaving
 			},
 			see: func(w *planner.Snapshot) { w.Group("g").Drained = true }, want: []string{"assign g a c"},
--- a/planner/policy_test.go
+++ b/planner/policy_test.go
@@ -259,12 +259,12 @@
 		kind := map[planner.ActionKind]fleet.Kind{
 			planner.ActionAssign: fleet.KindAssign, planner.ActionDrain: fleet.KindDrainGroup, planner.ActionBreak: fleet.KindBreakGroup,
 		}[a.Kind]
-		x.apply(&fleet.Command{Kind: kind, Assign: &fleet.Assign{Group: a.Group, Base: a.BaseEpoch, Members: a.Members}})
+		x.apply(&fleet.Command{Kind: kind, Assign: &fleet.Assignment{Group: a.Group, BaseEpoch: a.BaseEpoch, Members: a.Members}})
 	}
 	for _, v := range x.state.SortedVMs() {
 		_, down := x.downSince[v.Name]
 		if v.Phase == fleet.VMLeaving && !down {
-			x.apply(&fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{{VM: v.Name, Epoch: v.Epoch, Left: true}}})
+			x.apply(&fleet.Command{Kind: fleet.KindConfirm, Confirmations: []fleet.Confirmation{{VM: v.Name, Epoch: v.Epoch, Left: true}}})
 			x.lostAsMember[v.Name] = false
 		}
 		if v.Phase != fleet.VMJoining {
@@ -329,7 +329,7 @@
 func (x *simulation) confirm(v *fleet.VM) {
 	x.lostAsMember[v.Name] = false
 	delete(x.remaining, v.Name)
-	x.apply(&fleet.Command{Kind: fleet.KindConfirm, Confirms: []fleet.Confirm{{VM: v.Name, Epoch: v.Epoch, Incarnation: "i"}}})
+	x.apply(&fleet.Command{Kind: fleet.KindConfirm, Confirmations: []fleet.Confirmation{{VM: v.Name, Epoch: v.Epoch, Incarnation: "i"}}})
 }
 
 func (x *simulation) account() {
--- a/quorum/reads_test.go
+++ b/quorum/reads_test.go
@@ -72,7 +72,7 @@
 		return
 	}
 	machine := catalog.NewMachine()
-	r.versions[e.Index] = machine.Apply(e.Data).Held
+	r.versions[e.Index] = machine.Apply(e.Data).Version
 }
 
 // proposeVersion proposes a version, sometimes an older one, to a member.
@@ -82,7 +82,7 @@
 		version -= httproute.Version(r.random.IntN(4))
 	}
 	r.newest = max(r.newest, version)
-	data, err := catalog.Encode(catalog.Document{Version: version, Packed: []byte{1}})
+	data, err := catalog.Encode(catalog.Document{Version: version, Compressed: []byte{1}})
 	if err != nil {
 		r.t.Fatal(err)
 	}
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -140,7 +140,7 @@
 func (s *Relay) probeCrash(t *target, ts *targetState, probe *crashProbe) {
 	ctx, cancel := context.WithTimeout(context.Background(), crashProbeTimeout)
 	defer cancel()
-	crashed := transport.Refuses(ctx, s.pool.dial, t.address)
+	crashed := transport.RefusesConnections(ctx, s.pool.dial, t.address)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	probe.crashed = crashed
--- a/service/client.go
+++ b/service/client.go
@@ -18,16 +18,16 @@
 
 // Client sends calls to the workers of plain HTTP services. Set the exported fields before use.
 type Client struct {
-	// Kept sends repeatable calls, Fresh all others.
-	Kept  *http.Client
-	Fresh *http.Client
-	// MaxReply is the largest accepted reply body in bytes.
-	MaxReply int64
+	// KeepAlive sends repeatable calls, Fresh all others.
+	KeepAlive *http.Client
+	Fresh     *http.Client
+	// MaxReplyBytes is the largest accepted reply body in bytes.
+	MaxReplyBytes int64
 }
 
 // NewClient returns a client that follows no redirects and accepts reply bodies of up to maxReply bytes.
 func NewClient(dial transport.Dial, maxReply int64) *Client {
-	return &Client{Kept: transport.New(transport.Kept, dial), Fresh: transport.New(transport.Fresh, dial), MaxReply: maxReply}
+	return &Client{KeepAlive: transport.New(transport.KeepAlive, dial), Fresh: transport.New(transport.Fresh, dial), MaxReplyBytes: maxReply}
 }
 
 // hopByHopHeaders are the headers that apply to a single connection and are not forwarded.
@@ -61,19 +61,19 @@
 	}
 	client := c.Fresh
 	if call.Repeatable {
-		client = c.Kept
+		client = c.KeepAlive
 	}
 	w, err := client.Do(r)
 	if err != nil {
 		return nil, transport.Classify(err)
 	}
 	defer w.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(w.Body, c.MaxReply+1))
+	body, err := io.ReadAll(io.LimitReader(w.Body, c.MaxReplyBytes+1))
 	if err != nil {
 		return nil, result.Wrap(err, result.UpstreamFailed, "reply truncated after %d bytes", len(body))
 	}
-	if int64(len(body)) > c.MaxReply {
-		return nil, result.New(result.UpstreamFailed, "reply is larger than %d bytes", c.MaxReply)
+	if int64(len(body)) > c.MaxReplyBytes {
+		return nil, result.New(result.UpstreamFailed, "reply is larger than %d bytes", c.MaxReplyBytes)
 	}
 	return &dispatch.Reply{Status: w.StatusCode, Header: EndToEnd(w.Header), Body: body}, nil
 }
@@ -83,7 +83,7 @@
 	if call.Query != "" {
 		url += "?" + call.Query
 	}
-	r, err := http.NewRequestWithContext(ctx, call.Method, url, transport.Body(call.Body))
+	r, err := http.NewRequestWithContext(ctx, call.Method, url, transport.OneShotBody(call.Body))
 	if err != nil {
 		return nil, err
 	}
--- a/service/client_test.go
+++ b/service/client_test.go
@@ -22,7 +22,7 @@
 // which net/http may send a request again.
 func closeOnSecondRequest(t *testing.T) (address string, requests *atomic.Int64) {
 	t.Helper()
-	ln, requests, err := standin.ByHand(func(n int, conn net.Conn, r *http.Request) bool {
+	ln, requests, err := standin.ListenRaw(func(n int, conn net.Conn, r *http.Request) bool {
 		_, _ = io.Copy(io.Discard, r.Body)
 		if n == 2 {
 			return false
--- a/service/standin.go
+++ b/service/standin.go
@@ -14,13 +14,13 @@
 
 const maxStandInBodyBytes = 16 << 20
 
-// Effect is the body of the stand-in's reply: the call as received, and how often the same call has run so far.
-type Effect struct {
-	Method string `json:"method"`
-	Path   string `json:"path"`
-	Query  string `json:"query"`
-	Body   string `json:"body"`
-	Run    int    `json:"run"`
+// StandInReply is the body of the stand-in's reply: the call as received, and how often the same call has run so far.
+type StandInReply struct {
+	Method   string `json:"method"`
+	Path     string `json:"path"`
+	Query    string `json:"query"`
+	Body     string `json:"body"`
+	RunCount int    `json:"run"`
 }
 
 // StandIn is a plain HTTP service that counts how often it ran each call (same method, URI and body).
@@ -47,8 +47,8 @@
 	return s.Serve(address, http.HandlerFunc(s.serve))
 }
 
-// Doubled returns the number of distinct calls that ran more than once.
-func (s *StandIn) Doubled() int {
+// RepeatedCalls returns the number of distinct calls that ran more than once.
+func (s *StandIn) RepeatedCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -75,5 +75,5 @@
 	s.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	ratelimit.SetHeader(w.Header(), s.Limit)
-	_ = json.NewEncoder(w).Encode(Effect{Method: r.Method, Path: r.URL.Path, Query: r.URL.RawQuery, Body: string(body), Run: run})
+	_ = json.NewEncoder(w).Encode(StandInReply{Method: r.Method, Path: r.URL.Path, Query: r.URL.RawQuery, Body: string(body), RunCount: run})
 }
--- a/site/calls.go
+++ b/site/calls.go
@@ -61,7 +61,7 @@
 	startedAt := clock.Now()
 	leader := c.leader()
 	_, err := c.retryCall(ctx, changeTimeout, &ForwardedCall{Kind: CallReplace, From: string(c.self.Name), Version: version, Body: body})
-	c.Log.Info("configuration offered", "version", version, "bytes", len(body), "leader", leader, "held", c.stateMachine.Held().Version,
+	c.Log.Info("configuration offered", "version", version, "bytes", len(body), "leader", leader, "held", c.stateMachine.Current().Version,
 		"took-ms", clock.Since(startedAt).Milliseconds(), "code", int(result.CodeOf(err)), "why", result.Message(err))
 	return err
 }
@@ -79,7 +79,7 @@
 	leader := c.leader()
 	reply, err := c.retryCall(ctx, forwardTimeout, &ForwardedCall{Kind: CallRead, From: string(c.self.Name)})
 	if occurrences, ok := c.configReadLog.allow(clock.Now()); ok {
-		c.Log.Info("configuration read", "version", reply.Version, "leader", leader, "held", c.stateMachine.Held().Version,
+		c.Log.Info("configuration read", "version", reply.Version, "leader", leader, "held", c.stateMachine.Current().Version,
 			"took-ms", clock.Since(startedAt).Milliseconds(), "code", int(result.CodeOf(err)), "since-last", occurrences)
 	}
 	return reply.Body, err
@@ -213,7 +213,7 @@
 
 // replaceConfig accepts a configuration and returns when the reachable entries have it in force.
 func (c *Control) replaceConfig(ctx context.Context, r *leadership, call *ForwardedCall) error {
-	if call.Version > c.stateMachine.Held().Version {
+	if call.Version > c.stateMachine.Current().Version {
 		if err := c.proposeOnce(ctx, r, call); err != nil {
 			return err
 		}
@@ -241,7 +241,7 @@
 
 func (c *Control) propose(ctx context.Context, r *leadership, call *ForwardedCall) error {
 	startedAt := clock.Now()
-	versionBefore := c.stateMachine.Held().Version
+	versionBefore := c.stateMachine.Current().Version
 	if call.Version <= versionBefore {
 		return nil
 	}
@@ -259,12 +259,12 @@
 		r.configRollout.track(startedAt, clock.Now(), call.Version)
 	}
 	c.Log.Info("configuration proposed", "version", call.Version, "held-before", versionBefore, "from", call.From, "index", index,
-		"packed-bytes", len(document.Packed), "took-ms", clock.Since(startedAt).Milliseconds(), "code", int(result.CodeOf(err)))
+		"packed-bytes", len(document.Compressed), "took-ms", clock.Since(startedAt).Milliseconds(), "code", int(result.CodeOf(err)))
 	return err
 }
 
 func (c *Control) readConfig() (ForwardedReply, error) {
-	newest := c.stateMachine.Held()
+	newest := c.stateMachine.Current()
 	// The lease is checked again after the read: while it holds, no other daemon can have accepted a newer
 	// configuration.
 	if !c.leads() {
@@ -273,7 +273,7 @@
 	if newest.Version == 0 {
 		return ForwardedReply{}, result.New(result.NoLeader, "there is no configuration yet")
 	}
-	body, err := catalog.Unpack(newest.Packed)
+	body, err := catalog.Decompress(newest.Compressed)
 	return ForwardedReply{Version: newest.Version, Body: body}, err
 }
 
@@ -337,7 +337,7 @@
 	if drained := c.stateMachine.Drained(); drained.Revision > call.Drains {
 		reply.Drained = &drained
 	}
-	newest := c.stateMachine.Held()
+	newest := c.stateMachine.Current()
 	if newest.Version <= call.Version {
 		return
 	}
@@ -346,7 +346,7 @@
 		reply.Patch = c.versions.patch(call.Version, newest.Version)
 	}
 	if reply.Patch == nil {
-		reply.Config = newest.Packed
+		reply.Config = newest.Compressed
 	}
 }
 
@@ -372,7 +372,7 @@
 	c.mu.Unlock()
 	revision, rosterChanged := r.rosterFor(call).Changed()
 	behind := r.rosterUsable(call) && (call.Leadership != r.name || call.Revision < revision)
-	if behind || c.stateMachine.Held().Version > call.Version || c.stateMachine.Drained().Revision > call.Drains {
+	if behind || c.stateMachine.Current().Version > call.Version || c.stateMachine.Drained().Revision > call.Drains {
 		sleep(context.Background(), gatherTime(entries))
 		return
 	}
--- a/site/control.go
+++ b/site/control.go
@@ -239,7 +239,7 @@
 func (c *Control) configChanged(d catalog.Document) {
 	c.versions.add(d)
 	c.notifyWaiting()
-	c.Log.Info("configuration applied from the log", "version", d.Version, "packed-bytes", len(d.Packed))
+	c.Log.Info("configuration applied from the log", "version", d.Version, "packed-bytes", len(d.Compressed))
 }
 
 // notifyWaiting wakes the calls that wait for a change of the replicated state.
@@ -252,13 +252,13 @@
 
 // newestTable returns the routing table of the newest configuration, or nil before the first.
 func (c *Control) newestTable() *httproute.Table {
-	newest := c.stateMachine.Held()
+	newest := c.stateMachine.Current()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if newest.Version == c.tableVersion {
 		return c.table
 	}
-	cfg, err := decodePacked(newest.Packed, c.DecodeConfig)
+	cfg, err := decodePacked(newest.Compressed, c.DecodeConfig)
 	c.tableVersion = newest.Version
 	if err != nil {
 		// The configuration was checked before it was accepted, so this is a fault of this build.
@@ -271,7 +271,7 @@
 
 // decodePacked unpacks and decodes a configuration.
 func decodePacked(packed []byte, decode func(body []byte) (*httproute.Config, error)) (*httproute.Config, error) {
-	body, err := catalog.Unpack(packed)
+	body, err := catalog.Decompress(packed)
 	if err != nil {
 		return nil, err
 	}
@@ -325,7 +325,7 @@
 		fillCall: func(call *SyncCall) {
 			call.From = string(c.self.Name)
 			// The replicated log brings the configuration and the drained halls here.
-			call.Version = c.stateMachine.Held().Version
+			call.Version = c.stateMachine.Current().Version
 			call.Drains = c.stateMachine.Drained().Revision
 			call.HeldSum = c.quarantine.Digest(clock.Now())
 		},
--- a/site/entry.go
+++ b/site/entry.go
@@ -269,9 +269,9 @@
 
 func (e *Entry) unpackConfig(reply *SyncReply) ([]byte, error) {
 	if reply.Config != nil {
-		return catalog.Unpack(reply.Config)
+		return catalog.Decompress(reply.Config)
 	}
-	return catalog.Apply(e.configBody, reply.Patch)
+	return catalog.ApplyPatch(e.configBody, reply.Patch)
 }
 
 func (e *Entry) reloadSeeds() {
--- a/site/inspect.go
+++ b/site/inspect.go
@@ -130,7 +130,7 @@
 	r.evaluating.Lock()
 	defer r.evaluating.Unlock()
 	state := State{
-		Leader: string(r.control.self.Name), Leadership: r.name, Since: r.startedAt, Config: r.control.stateMachine.Held().Version, Settled: r.settled(now),
+		Leader: string(r.control.self.Name), Leadership: r.name, Since: r.startedAt, Config: r.control.stateMachine.Current().Version, Settled: r.settled(now),
 		Controls: r.control.controls(), Decisions: r.decisions.list(),
 		Held: r.control.quarantineStates(now),
 	}
--- a/site/leadership.go
+++ b/site/leadership.go
@@ -135,7 +135,7 @@
 		configRollout:     newRollout[httproute.Version](now, int(c.leaderEntryCount.Load())),
 		drainRollout:      newRollout[catalog.DrainRevision](now, int(c.leaderEntryCount.Load())),
 	}
-	if configVersion := c.stateMachine.Held().Version; configVersion > 0 {
+	if configVersion := c.stateMachine.Current().Version; configVersion > 0 {
 		r.configRollout.track(now, now, configVersion)
 	}
 	if drained := c.stateMachine.Drained().Revision; drained > 0 {
@@ -203,7 +203,7 @@
 	if r == nil && c.leads() {
 		r = c.newLeadership(&status)
 		c.Log.Info("leadership started", "leadership", r.name, "settled-in-ms", max(0, r.settledAt.Sub(clock.Now()).Milliseconds()),
-			"upstreams", len(r.roster.Since(0).Upstreams), "version", c.stateMachine.Held().Version)
+			"upstreams", len(r.roster.Since(0).Upstreams), "version", c.stateMachine.Current().Version)
 		c.leadership.Store(r)
 	}
 	return r
--- a/site/versions.go
+++ b/site/versions.go
@@ -44,22 +44,22 @@
 	if i < 0 {
 		return nil
 	}
-	patch := makePatch(v.documents[i].Packed, v.documents[len(v.documents)-1].Packed)
+	patch := makePatch(v.documents[i].Compressed, v.documents[len(v.documents)-1].Compressed)
 	v.patches[from] = patch
 	return patch
 }
 
 // makePatch returns the patch between two packed configurations, nil when the second one is not larger than the patch.
 func makePatch(base, next []byte) []byte {
-	from, err := catalog.Unpack(base)
+	from, err := catalog.Decompress(base)
 	if err != nil {
 		return nil // a receiver of the whole configuration reports the damage
 	}
-	to, err := catalog.Unpack(next)
+	to, err := catalog.Decompress(next)
 	if err != nil {
 		return nil
 	}
-	patch, err := catalog.Patch(from, to)
+	patch, err := catalog.NewPatch(from, to)
 	if err != nil || len(patch) >= len(next) {
 		return nil
 	}
--- a/site/versions_test.go
+++ b/site/versions_test.go
@@ -68,7 +68,7 @@
 			if patch == nil {
 				return
 			}
-			got, err := catalog.Apply(bodyOf(c.from), patch)
+			got, err := catalog.ApplyPatch(bodyOf(c.from), patch)
 			if err != nil || string(got) != string(bodyOf(c.to)) {
 				t.Errorf("the patch does not give the newest: %v", err)
 			}
@@ -91,7 +91,7 @@
 		return decodeConfig([]byte(first))
 	}
 	patch := func(from, to httproute.Version) []byte {
-		p, err := catalog.Patch(bodyOf(from), bodyOf(to))
+		p, err := catalog.NewPatch(bodyOf(from), bodyOf(to))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -111,12 +111,12 @@
 		want  state
 	}{
 		{"a patch before any configuration", site.SyncReply{Version: 2, Patch: patch(1, 2)}, state{false, true, 0, 0}},
-		{"a whole configuration", site.SyncReply{Version: 2, Config: documentOf(t, 2).Packed}, state{true, false, 2, 2}},
+		{"a whole configuration", site.SyncReply{Version: 2, Config: documentOf(t, 2).Compressed}, state{true, false, 2, 2}},
 		{"a patch", site.SyncReply{Version: 5, Patch: patch(2, 5)}, state{true, false, 5, 3}},
 		{"no change", site.SyncReply{}, state{true, false, 5, 4}},
 		{"a patch of another version", site.SyncReply{Version: 6, Patch: patch(4, 6)}, state{false, true, 5, 4}},
 		{"a damaged configuration", site.SyncReply{Version: 6, Config: []byte("x")}, state{false, true, 5, 4}},
-		{"a whole configuration again", site.SyncReply{Version: 6, Config: documentOf(t, 6).Packed}, state{true, false, 6, 7}},
+		{"a whole configuration again", site.SyncReply{Version: 6, Config: documentOf(t, 6).Compressed}, state{true, false, 6, 7}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			applied := e.ApplyReply(start.Add(time.Duration(i+1-100)*time.Minute), &c.reply)
@@ -144,7 +144,7 @@
 	if diff := cmp.Diff(inbound.Bounds{}, e.CallerBounds()); diff != "" {
 		t.Errorf("before any configuration (-want +got):\n%s", diff)
 	}
-	e.ApplyReply(time.Now(), &site.SyncReply{Version: 2, Config: documentOf(t, 2).Packed})
+	e.ApplyReply(time.Now(), &site.SyncReply{Version: 2, Config: documentOf(t, 2).Compressed})
 	want := inbound.Bounds{MaxHeaderBytes: limits.HeaderBytes, HeaderTimeout: limits.HeaderTimeout, IdleTimeout: limits.IdleTimeout}
 	if diff := cmp.Diff(want, e.CallerBounds()); diff != "" {
 		t.Errorf("with a configuration (-want +got):\n%s", diff)
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -57,7 +57,7 @@
 		return false
 	}
 	c.entry = d
-	c.client = transport.New(transport.Kept, transport.TCP())
+	c.client = transport.New(transport.KeepAlive, transport.TCP())
 	return true
 }
 
@@ -130,7 +130,7 @@
 }
 
 func (c *caller) request(ctx context.Context, k kind, r *request, body []byte) (*http.Request, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.entry.link.address()+k.path, transport.Body(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.entry.link.address()+k.path, transport.OneShotBody(body))
 	if err != nil {
 		return nil, err
 	}
--- a/standin/raw.go
+++ b/standin/raw.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 )
 
-// ByHand listens on a free loopback port and has serve write the raw answer to each request to conn. n counts the requests
+// ListenRaw listens on a free loopback port and has serve write the raw answer to each request to conn. n counts the requests
 // on all connections from 1; a connection stays open while serve returns true. Closing ln ends the listener.
-func ByHand(serve func(n int, conn net.Conn, r *http.Request) (keepOpen bool)) (ln net.Listener, requests *atomic.Int64, err error) {
+func ListenRaw(serve func(n int, conn net.Conn, r *http.Request) (keepOpen bool)) (ln net.Listener, requests *atomic.Int64, err error) {
 	ln, err = net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, nil, err
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -27,8 +27,8 @@
 
 // The two kinds of clients: one that reuses connections, and one that opens a connection for each request.
 const (
-	Kept  Reuse = true
-	Fresh Reuse = false
+	KeepAlive Reuse = true
+	Fresh     Reuse = false
 )
 
 const (
@@ -58,8 +58,8 @@
 	keepAliveProbes   = 3
 )
 
-// Guarded returns a Dial whose connections fail when the peer stops acknowledging data or keep-alive probes.
-func Guarded() Dial {
+// TCPWithPeerTimeout returns a Dial whose connections fail when the peer stops acknowledging data or keep-alive probes.
+func TCPWithPeerTimeout() Dial {
 	dialer := &net.Dialer{
 		Timeout:         dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes},
@@ -100,9 +100,9 @@
 	}
 }
 
-// Body returns a reader of b whose size the transport cannot see and which the transport cannot rewind; the caller sets
+// OneShotBody returns a reader of b whose size the transport cannot see and which the transport cannot rewind; the caller sets
 // ContentLength. The reader of an empty b is nil.
-func Body(b []byte) io.Reader {
+func OneShotBody(b []byte) io.Reader {
 	if len(b) == 0 {
 		return nil
 	}
@@ -112,8 +112,8 @@
 // plainReader hides all methods but Read, by which net/http would recognize a rewindable body.
 type plainReader struct{ io.Reader }
 
-// Refuses reports whether address refuses connections, as a running VM does when no process listens on the port.
-func Refuses(ctx context.Context, dial Dial, address string) bool {
+// RefusesConnections reports whether address refuses connections, as a running VM does when no process listens on the port.
+func RefusesConnections(ctx context.Context, dial Dial, address string) bool {
 	conn, err := dial(ctx, address)
 	if err == nil {
 		conn.Close()
--- a/vmlist/client.go
+++ b/vmlist/client.go
@@ -20,25 +20,25 @@
 
 const maxListBytes = 64 << 20
 
-// Stay is the lifecycle state of a VM, as the platform names it.
-type Stay string
+// State is the lifecycle state of a VM, as the platform names it.
+type State string
 
 // The lifecycle states of a VM: in use, about to be taken away, taken away.
 const (
-	StayLive    Stay = "live"
-	StayLeaving Stay = "leaving"
-	StayGone    Stay = "gone"
+	StateLive    State = "live"
+	StateLeaving State = "leaving"
+	StateGone    State = "gone"
 )
 
-// Entry is one VM of the list. With an address, it registers a new upstream; without one, it only updates the VM's state.
-type Entry struct {
+// ListedVM is one VM of the list. With an address, it registers a new upstream; without one, it only updates the VM's state.
+type ListedVM struct {
 	settings.Upstream
-	Stay Stay `json:"stay"`
+	State State `json:"stay"`
 }
 
 // List is the platform's list of VMs. The list may be incomplete, so VMs that it does not name stay unchanged.
 type List struct {
-	VMs []Entry `json:"vms"`
+	VMs []ListedVM `json:"vms"`
 }
 
 // Client reads the list of the platform at URL.
@@ -49,7 +49,7 @@
 
 // NewClient returns a client of the platform at url.
 func NewClient(dial transport.Dial, url string) *Client {
-	return &Client{URL: url, HTTP: transport.New(transport.Kept, dial)}
+	return &Client{URL: url, HTTP: transport.New(transport.KeepAlive, dial)}
 }
 
 // List requests the current list.
@@ -74,18 +74,18 @@
 }
 
 // Listing converts s to the state machine's type. An unknown state counts as leaving, so that the VM gets no new work.
-func (s Stay) Listing() fleet.Listing {
+func (s State) Listing() fleet.Listing {
 	switch s {
-	case StayLive, "":
+	case StateLive, "":
 		return fleet.ListingLive
-	case StayGone:
+	case StateGone:
 		return fleet.ListingGone
 	}
 	return fleet.ListingLeaving
 }
 
-// VM converts u to the form in which the state machine registers it; an unset speed becomes 1.
-func VM(u *settings.Upstream) fleet.VM {
+// FleetVM converts u to the form in which the state machine registers it; an unset speed becomes 1.
+func FleetVM(u *settings.Upstream) fleet.VM {
 	speed := u.Speed
 	if speed == 0 {
 		speed = 1
@@ -97,6 +97,6 @@
 }
 
 // Valid reports whether the entry has all fields that registering an upstream requires.
-func (e *Entry) Valid() bool {
+func (e *ListedVM) Valid() bool {
 	return ident.ValidName(string(e.Name)) && e.Address != "" && e.Hall != "" && e.Domain != "" && e.Accelerators > 0
 }
--- a/vmlist/client_test.go
+++ b/vmlist/client_test.go
@@ -49,7 +49,7 @@
 		var listings []fleet.Listing
 		var valid []bool
 		for i := range list.VMs {
-			listings = append(listings, list.VMs[i].Stay.Listing())
+			listings = append(listings, list.VMs[i].State.Listing())
 			valid = append(valid, list.VMs[i].Valid())
 		}
 		if diff := cmp.Diff(c.want, listings) + cmp.Diff(c.valid, valid); diff != "" {
