--- a/site/quarantine.go
+++ b/site/quarantine.go
@@ -91,7 +91,7 @@
 	case len(event.Ends) == 0:
 		return "cleared"
 	}
-	return "held"
+	return "quarantined"
 }
 
 // quarantineRule returns the rule of the settings.
