--- a/site/entry.go
+++ b/site/entry.go
@@ -162,7 +162,7 @@
 // drainRequests waits for callers to switch to other entries and for requests in progress to end, within the stop
 // grace.
 func (e *Entry) drainRequests(ctx context.Context) {
-	e.Log.Info("planned stop begins", "grace-ms", e.Settings.Bounds.StopGrace.Std().Milliseconds())
+	e.Log.Info("planned stop started", "grace-ms", e.Settings.Bounds.StopGrace.Std().Milliseconds())
 	e.relay.Stop()
 	ctx, cancel := context.WithTimeout(ctx, e.Settings.Bounds.StopGrace.Std()-stopMargin)
 	defer cancel()
