--- a/admission/shares.go
+++ b/admission/shares.go
@@ -72,7 +72,7 @@
 // divisionsPerLease is how many times a division is computed during a lease.
 const divisionsPerLease = 4
 
-// NewShareAllocator returns an allotment whose leases last for duration.
+// NewShareAllocator returns an allocator whose leases last for duration.
 func NewShareAllocator(duration time.Duration) *ShareAllocator {
 	return &ShareAllocator{
 		LeaseDuration:    duration,
--- a/daemon/cluster_test.go
+++ b/daemon/cluster_test.go
@@ -425,7 +425,7 @@
 	return engine.ExpectedText(quoted, tokens)
 }
 
-// setPlatformStay makes the platform list a VM with the given stay.
+// setPlatformStay makes the platform list a VM with the given state.
 func (s *testCluster) setPlatformStay(vm ident.VM, stay vmlist.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
